--- a/bench/choice.cpp
+++ b/bench/choice.cpp
@@ -148,7 +148,7 @@
   Run("without it", 0.0);
   Run("at its usual rate", Common.TeamRates[0]);
   Run("at ten times", Common.capacity());
-  Common.Dispatch.KeptPlaces = 0.0;
+  Common.Dispatch.ReservedSlotRatio = 0.0;
   Run(" no places kept", Common.capacity());
   Common.Dispatch.CacheDelay = 0.0;
   Run(" nor wait for cache", Common.capacity());
--- a/bench/decision.cpp
+++ b/bench/decision.cpp
@@ -42,7 +42,7 @@
   Fixture(std::size_t Endpoints, const ChoicePolicy &Policy)
       : Decides([&] {
           DispatcherOptions Limits;
-          Limits.Self = DataCentreName("dc-0");
+          Limits.LocalDataCentre = DataCentreName("dc-0");
           Limits.Policy = Policy;
           Limits.MaxWaiting = 100000;
           Limits.MaxWaitingBytes = std::size_t{1} << 30U;
@@ -83,14 +83,14 @@
     Result.Total = milliseconds(500 + Draw.below(1000));
     const Ticket Which = Running.front();
     Running.pop_front();
-    Decides.finished(Which, Result, Now, Out);
+    Decides.attemptEnded(Which, Result, Now, Out);
     take();
   }
 
   void take() {
     for (const Command &Each : Out)
       if (const auto *const Send = std::get_if<SendCommand>(&Each))
-        Running.push_back(Send->Which);
+        Running.push_back(Send->Id);
     Out.clear();
   }
 
--- a/packages/process/src/coltsfoottrail/dissemination/node.cpp
+++ b/packages/process/src/coltsfoottrail/dissemination/node.cpp
@@ -78,7 +78,7 @@
 }
 
 void TreeNode::forgetReporters() {
-  LoadBoard Own;
+  LoadAggregator Own;
   std::swap(Below, Own);
 }
 
@@ -111,7 +111,7 @@
 std::vector<EndpointLoad> TreeNode::loadsBeside(const HostName &Host,
                                                 TimePoint Now) const {
   std::vector<EndpointLoad> Out = Below.others(Host, Now);
-  if (Now - OutsideAt >= LoadBoard::ReportLife || Outside.empty())
+  if (Now - OutsideAt >= LoadAggregator::ReportLife || Outside.empty())
     return Out;
   std::map<std::uint64_t, RequestLoad> Sums;
   for (const std::vector<EndpointLoad> *const Loads :
--- a/packages/process/src/coltsfoottrail/dissemination/node.hpp
+++ b/packages/process/src/coltsfoottrail/dissemination/node.hpp
@@ -94,7 +94,7 @@
 
   HostName Self;
   std::array<SharedFeed, 2> Feeds;
-  LoadBoard Below;
+  LoadAggregator Below;
   std::vector<EndpointLoad> Outside;
   TimePoint OutsideAt{};
   RelayAssignment Relays;
--- a/packages/process/src/coltsfoottrail/fleethost/assemblydesk.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/assemblydesk.cpp
@@ -74,9 +74,9 @@
 } // namespace
 
 AssemblyDesk::AssemblyDesk(FleetStore &Where, FleetEngines &Given,
-                           const FleetView &Believed, const SilenceWatch &Heard,
-                           std::string Member, AssemblyTimes Wanted,
-                           Candidacy Rule)
+                           const FleetView &Believed,
+                           const StallDetector &Heard, std::string Member,
+                           AssemblyTimes Wanted, Candidacy Rule)
     : Store(Where), Engines(Given), View(Believed), Silence(Heard),
       Self(std::move(Member)), Times(Wanted), Election(Rule) {}
 
@@ -343,7 +343,7 @@
     return false;
   for (const auto &[Name, Known] : View.endpoints().all())
     if (Known.Record.DataCentre == Leader->Record.DataCentre &&
-        Name.Text != Round.Leader && Silence.moves(Name.Text, Now))
+        Name.Text != Round.Leader && Silence.active(Name.Text, Now))
       return true;
   return false;
 }
--- a/packages/process/src/coltsfoottrail/fleethost/assemblydesk.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/assemblydesk.hpp
@@ -65,7 +65,7 @@
   /// @param Times Times of the assembly.
   /// @param Election Whether it stands aside for others.
   AssemblyDesk(FleetStore &Where, FleetEngines &Given,
-               const FleetView &Believed, const SilenceWatch &Heard,
+               const FleetView &Believed, const StallDetector &Heard,
                std::string Member, AssemblyTimes Times, Candidacy Election);
 
   /// @brief Joins the duty and renews it until it is cancelled.
@@ -138,7 +138,7 @@
   FleetStore &Store;
   FleetEngines &Engines;
   const FleetView &View;
-  const SilenceWatch &Silence;
+  const StallDetector &Silence;
   std::string Self;
   DutyTimes Pace;
   /// One for each service with engines.
--- a/packages/process/src/coltsfoottrail/fleethost/attempt.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/attempt.cpp
@@ -42,23 +42,23 @@
 /// Tells the watch of one stream, however it ends.
 class StreamMark {
 public:
-  StreamMark(SilenceWatch &Told, const std::string &Endpoint)
+  StreamMark(StallDetector &Told, const std::string &Endpoint)
       : Watch(Told), Name(Endpoint) {}
   StreamMark(const StreamMark &) = delete;
   StreamMark &operator=(const StreamMark &) = delete;
   ~StreamMark() {
     if (Begun)
-      Watch.ended(Name);
+      Watch.streamEnded(Name);
   }
   void heard() {
     if (std::exchange(Begun, true))
-      Watch.heard(Name, BootClock::now());
+      Watch.dataReceived(Name, BootClock::now());
     else
-      Watch.began(Name, BootClock::now());
+      Watch.streamStarted(Name, BootClock::now());
   }
 
 private:
-  SilenceWatch &Watch;
+  StallDetector &Watch;
   std::string Name;
   bool Begun = false;
 };
@@ -153,7 +153,7 @@
     AttemptResult Result = failed(*Failure, Start);
     if (Failure->Why == Reason::EndpointTimedOut &&
         BootClock::now() < Asked.AnswerBy)
-      Result.Why = Reason::EndpointCut;
+      Result.FailureReason = Reason::EndpointCut;
     co_return Result;
   }
   HttpCall Answer = std::move(std::get<HttpCall>(Started));
@@ -280,7 +280,7 @@
       const bool Fell = Failure->Why == Reason::EndpointTimedOut &&
                         BootClock::now() < Asked.AnswerBy;
       if (Fell)
-        Result.Why = Reason::EndpointCut;
+        Result.FailureReason = Reason::EndpointCut;
       markDelivered(Asked, MayMove, Result);
       co_return Result;
     }
--- a/packages/process/src/coltsfoottrail/fleethost/host.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/host.cpp
@@ -70,7 +70,7 @@
 
 DispatcherOptions dispatcherOptions(const FleetSettings &Given) {
   DispatcherOptions Out;
-  Out.Self = Given.DataCentre;
+  Out.LocalDataCentre = Given.DataCentre;
   Out.MaxWaiting = MostWaiting;
   Out.MaxWaitingBytes = MostWaitingBytes;
   Out.NoEndpointHold = NoEndpointHold;
@@ -279,7 +279,7 @@
 // requests there are taken up elsewhere at once.
 void FleetHost::leaveSilent(TimePoint Now) {
   for (const std::string &Name :
-       Silence.quietFor(SilenceWatch::SuspectAfter, Now)) {
+       Silence.idleFor(StallDetector::SuspectTimeout, Now)) {
     asio::io_context &Context = Threads.context(0);
     if (View.shuns(EndpointName(Name)))
       continue;
@@ -291,7 +291,7 @@
   std::erase_if(Suspected, [&](const auto &Entry) {
     return Now - Entry.second > SuspectAgainAfter;
   });
-  for (const std::string &Name : Silence.allSilent(Now)) {
+  for (const std::string &Name : Silence.stalledEndpoints(Now)) {
     const EndpointName Which(Name);
     const KnownEndpoint *const Known = View.endpoints().find(Which);
     if (Known == nullptr || View.shuns(Which))
--- a/packages/process/src/coltsfoottrail/fleethost/host.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/host.hpp
@@ -111,7 +111,7 @@
   Random Draw;
   Router Routing;
   HttpClient Client;
-  SilenceWatch Silence;
+  StallDetector Silence;
   FleetRelay Relay;
   /// Names this run of the host.
   std::string Member;
--- a/packages/process/src/coltsfoottrail/fleethost/relay.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/relay.cpp
@@ -102,7 +102,7 @@
       Event::AttemptFailed,
       {{"endpoint", To.Host},
        {"verdict", runStateCode(Result.State)},
-       {"reason", reasonCode(Result.Why)},
+       {"reason", reasonCode(Result.FailureReason)},
        {"connection_lost", Result.ConnectionLost},
        {"after_ms",
         std::chrono::duration_cast<milliseconds>(Result.Total).count()},
@@ -173,7 +173,7 @@
     Patience = std::min(Patience, *Asked.Said.Patience);
   Asked.AnswerBy = Asked.ArrivedAt + Patience;
   if (Patience < Asked.Route->Timeout * CameBackPart)
-    Asked.How = Timeliness::CameBack;
+    Asked.How = Timeliness::Resubmitted;
   return std::nullopt;
 }
 
@@ -225,19 +225,19 @@
                             const PoolMix &Mix) const {
   WorkItem Out;
   Out.Team = Asked.Team;
-  CallerCase Case;
-  Case.How = Asked.How;
+  RequestTiming Case;
+  Case.Status = Asked.How;
   Case.Streams = Asked.Route->streams();
   Case.ArrivedAt = Asked.ArrivedAt;
   Case.AnswerBy = Asked.AnswerBy;
   Case.TargetLatency = Asked.Route->TargetLatency;
-  setTerms(Case, BootClock::now(), Out);
+  setSchedulingTerms(Case, BootClock::now(), Out);
   // Failure guarded against: late requests that wait in a leader's queue make
   // it look full, fresh ones are refused and come back late, and soon nothing
   // is on time. Fresh ones go before late ones there; other hosts' mix is taken
   // to be like this host's.
   if (!Asked.late())
-    Out.WaitingPart = Mix.freshPart();
+    Out.QueuedAheadFraction = Mix.freshPart();
   Out.PromptTokens = Asked.Said.PromptTokens;
   Out.Repeatable = Asked.Route->repeatable();
   Out.Fingerprint = hashText(
@@ -291,7 +291,7 @@
   co_await finish(Call, Asked, None);
 }
 
-void FleetRelay::recordRefusal(Work &Asked, const RefusalBasis &Basis) {
+void FleetRelay::recordRefusal(Work &Asked, const RefusalDetails &Basis) {
   if (Basis.Stop == RetryStop::NotTried)
     return;
   const TimePoint Now = BootClock::now();
--- a/packages/process/src/coltsfoottrail/fleethost/relay.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/relay.hpp
@@ -47,7 +47,7 @@
   /// @param Heard Is told which endpoints' streams move.
   /// @param Seed Starts the choice among a route's services.
   FleetRelay(const FleetView &Believed, Router &Decides, HttpClient &Out,
-             const CallerWire &Fields, SilenceWatch &Heard, std::uint64_t Seed)
+             const CallerWire &Fields, StallDetector &Heard, std::uint64_t Seed)
       : View(Believed), Routing(Decides), Client(Out), Wire(Fields),
         Silence(Heard), Draw(Seed), Gate(Draw()) {}
 
@@ -149,7 +149,7 @@
   [[nodiscard]] static bool mayDemote(const Work &Asked, const Verdict &Final);
   static void markDelivered(const Work &Asked, bool MayMove,
                             AttemptResult &Result);
-  static void recordRefusal(Work &Asked, const RefusalBasis &Basis);
+  static void recordRefusal(Work &Asked, const RefusalDetails &Basis);
   [[nodiscard]] Awaitable<void> route(Exchange &Call, Work &Asked);
   [[nodiscard]] Awaitable<AttemptResult> attempt(Exchange &Call, Work &Asked,
                                                  const EndpointSpec &To);
@@ -177,7 +177,7 @@
   Router &Routing;
   HttpClient &Client;
   const CallerWire &Wire;
-  SilenceWatch &Silence;
+  StallDetector &Silence;
   Random Draw;
   ColdGate Gate;
   FleetRelayCounts Counts;
--- a/packages/process/src/coltsfoottrail/server/attempts.hpp
+++ b/packages/process/src/coltsfoottrail/server/attempts.hpp
@@ -16,7 +16,7 @@
                                           TimePoint Start) {
   AttemptResult Out;
   Out.State = State;
-  Out.Why = Why;
+  Out.FailureReason = Why;
   Out.Total = BootClock::now() - Start;
   return Out;
 }
--- a/packages/process/src/coltsfoottrail/server/process.cpp
+++ b/packages/process/src/coltsfoottrail/server/process.cpp
@@ -75,7 +75,7 @@
 RouterOptions routerOptions(const Settings &From) {
   RouterOptions Out;
   Out.Self = From.Host;
-  Out.Dispatch.Self = From.DataCentre;
+  Out.Dispatch.LocalDataCentre = From.DataCentre;
   Out.Dispatch.MaxWaiting = From.Limits.MaxWaiting;
   Out.Dispatch.MaxWaitingBytes = From.Limits.MaxWaitingBytes;
   return Out;
@@ -483,7 +483,8 @@
 
 void EntryHostProcess::ended(const EndpointSpec &To,
                              const AttemptResult &Result) {
-  const bool Blameless = Result.Answered || Result.Why == Reason::Cancelled;
+  const bool Blameless =
+      Result.Answered || Result.FailureReason == Reason::Cancelled;
   Members->finished(To.Key, Blameless, Result.Total);
   const std::optional<GroupId> Group = groupOfKey(To.Key);
   if (Group && Result.ConnectionLost)
--- a/packages/process/src/coltsfoottrail/server/relay.cpp
+++ b/packages/process/src/coltsfoottrail/server/relay.cpp
@@ -361,7 +361,7 @@
 class Leave {
 public:
   Leave(const SendGate &Gate, const EndpointSpec &To) : Home(Gate), Where(To) {
-    Result.Why = Reason::Cancelled;
+    Result.FailureReason = Reason::Cancelled;
   }
   Leave(const Leave &) = delete;
   Leave &operator=(const Leave &) = delete;
--- a/packages/process/src/coltsfoottrail/server/router.cpp
+++ b/packages/process/src/coltsfoottrail/server/router.cpp
@@ -80,7 +80,7 @@
     Places += Spec.WarmBound;
   }
   const std::size_t Hosts = std::max<std::size_t>(JoinedHosts, 1);
-  Decides.expectPlaces(Places / static_cast<double>(Hosts));
+  Decides.expectSlots(Places / static_cast<double>(Hosts));
   Decides.configure(Wanted, BootClock::now(), Given);
 }
 
@@ -109,14 +109,15 @@
   for (const Command &One : Given) {
     const auto *const Refused = std::get_if<RefuseCommand>(&One);
     const Ticket Which =
-        Refused != nullptr ? Refused->Which : std::get<SendCommand>(One).Which;
+        Refused != nullptr ? Refused->Id : std::get<SendCommand>(One).Id;
     const auto Found = Waiters.find(Which);
     if (Found == Waiters.end())
       continue;
     if (Refused == nullptr) {
       Out.push_back({Found->second, decisionOf(std::get<SendCommand>(One))});
     } else {
-      Out.push_back({Found->second, Refusal{Refused->Final, Refused->Basis}});
+      Out.push_back(
+          {Found->second, Refusal{Refused->FinalVerdict, Refused->Details}});
       Waiters.erase(Found);
     }
   }
@@ -175,7 +176,7 @@
 
 void Place::begun() {
   const std::lock_guard Hold(Home->Lock);
-  Home->Decides.begun(Own->Which);
+  Home->Decides.responseStarted(Own->Which);
 }
 
 void Place::report(const AttemptResult &Result) {
@@ -187,7 +188,7 @@
       Home->Waiters.erase(Own->Which);
       Own->Ended = true;
     }
-    Home->Decides.finished(Own->Which, Result, BootClock::now(), Given);
+    Home->Decides.attemptEnded(Own->Which, Result, BootClock::now(), Given);
     Due = Home->translate(Given);
   }
   Shard::deliver(std::move(Due), Own.get());
@@ -225,12 +226,12 @@
   }
 }
 
-std::shared_ptr<SharedTokens>
+std::shared_ptr<SharedTokenBucket>
 Router::retryTokens(const std::string &RetryGroup) {
-  std::shared_ptr<SharedTokens> &Tokens = RetryTokens[RetryGroup];
+  std::shared_ptr<SharedTokenBucket> &Tokens = RetryTokens[RetryGroup];
   if (!Tokens)
-    Tokens =
-        std::make_shared<SharedTokens>(Options.Dispatch.Retries.Budget.Burst);
+    Tokens = std::make_shared<SharedTokenBucket>(
+        Options.Dispatch.Retries.Budget.Burst);
   return Tokens;
 }
 
@@ -284,7 +285,7 @@
     {
       const std::lock_guard Hold(Home->Lock);
       Commands Given;
-      Home->Decides.share(Others, BootClock::now(), Given);
+      Home->Decides.setRemoteLoads(Others, BootClock::now(), Given);
       Due = Home->translate(Given);
     }
     Place::Shard::deliver(std::move(Due), nullptr);
@@ -386,7 +387,7 @@
   std::vector<std::pair<std::string, QuarantineNotice>> Out;
   for (const auto &Home : all()) {
     const std::lock_guard Hold(Home->Lock);
-    for (QuarantineNotice &Told : Home->Decides.noticesOut(BootClock::now()))
+    for (QuarantineNotice &Told : Home->Decides.takeNotices(BootClock::now()))
       Out.emplace_back(Home->Name, std::move(Told));
   }
   return Out;
--- a/packages/process/src/coltsfoottrail/server/router.hpp
+++ b/packages/process/src/coltsfoottrail/server/router.hpp
@@ -28,7 +28,7 @@
 /// @brief A final refusal and what it rests on.
 struct Refusal {
   Verdict Final;
-  RefusalBasis Basis;
+  RefusalDetails Basis;
 };
 
 /// What is decided for a request: where to send it, or its final refusal.
@@ -146,7 +146,7 @@
 
 private:
   void openShards(const RouteTable &Routes);
-  [[nodiscard]] std::shared_ptr<SharedTokens>
+  [[nodiscard]] std::shared_ptr<SharedTokenBucket>
   retryTokens(const std::string &RetryGroup);
   void tellWaiting(Place::Shard &Home);
   [[nodiscard]] std::shared_ptr<Place::Shard> find(std::string_view Name) const;
@@ -155,7 +155,7 @@
   RouterOptions Options;
   mutable std::mutex Lock;
   std::map<std::string, std::shared_ptr<Place::Shard>, std::less<>> Shards;
-  std::map<std::string, std::shared_ptr<SharedTokens>> RetryTokens;
+  std::map<std::string, std::shared_ptr<SharedTokenBucket>> RetryTokens;
 };
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/spans.cpp
+++ b/packages/process/src/coltsfoottrail/server/spans.cpp
@@ -32,7 +32,7 @@
   Under.Failed = !Result.Answered;
   note(SpanKey::RunState, runStateCode(Result.State));
   if (!Result.Answered)
-    note(SpanKey::Reason, reasonCode(Result.Why));
+    note(SpanKey::Reason, reasonCode(Result.FailureReason));
 }
 
 SpanMaker::SpanMaker(const std::filesystem::path &File, const HostName &Host,
--- a/packages/process/test/coltsfoottrail/dissemination/node.cpp
+++ b/packages/process/test/coltsfoottrail/dissemination/node.cpp
@@ -295,7 +295,7 @@
   TreeNode Node = node();
   Node.recordOutside({{7, {5, 0, 0, 0}}}, Start);
   EXPECT_FALSE(Node.otherLoads(Start).empty());
-  EXPECT_TRUE(Node.otherLoads(Start + LoadBoard::ReportLife).empty());
+  EXPECT_TRUE(Node.otherLoads(Start + LoadAggregator::ReportLife).empty());
 }
 
 TEST(DisseminationMessages, SurviveEncoding) {
--- a/packages/process/test/coltsfoottrail/server/sparsemesh.cpp
+++ b/packages/process/test/coltsfoottrail/server/sparsemesh.cpp
@@ -54,7 +54,7 @@
   }
   Known[0].lost("a", DataCentreName("dc-0"), 1, std::span(&Fingerprint, 1),
                 Now);
-  const QuarantineNotice Notice = Known[0].noticesOut(Now).front();
+  const QuarantineNotice Notice = Known[0].takeNotices(Now).front();
   std::deque<std::size_t> Next{0};
   while (!Next.empty()) {
     const HostName &Self = Members[Next.front()].Host;
--- a/packages/request/src/coltsfoottrail/dispatch/dispatcher.cpp
+++ b/packages/request/src/coltsfoottrail/dispatch/dispatcher.cpp
@@ -34,7 +34,7 @@
     return AttemptOutcome::Answered;
   if (Result.ConnectionLost)
     return AttemptOutcome::Failed;
-  switch (Result.Why) {
+  switch (Result.FailureReason) {
   case Reason::EndpointFailed:
   case Reason::EndpointCut:
     return AttemptOutcome::Failed;
@@ -57,7 +57,7 @@
   QueueLimits Out;
   Out.MaxWaiting = Limits.MaxWaiting;
   Out.MaxBytes = Limits.MaxWaitingBytes;
-  Out.KeptPlaces = Limits.KeptPlaces;
+  Out.ReservedSlotRatio = Limits.ReservedSlotRatio;
   return Out;
 }
 
@@ -65,9 +65,10 @@
 
 Dispatcher::Dispatcher(DispatcherOptions Limits)
     : Options(std::move(Limits)), Draw(Options.Seed),
-      Choice(Options.Self, Options.Policy, Draw()), Queue(queueLimits(Options)),
+      Choice(Options.LocalDataCentre, Options.Policy, Draw()),
+      Queue(queueLimits(Options)),
       Budget(Options.Retries.Budget, Options.RetryTokens),
-      Crashes(Options.Crashes) {}
+      Crashes(Options.CrashLimits) {}
 
 void Dispatcher::configure(const Pool &Wanted, TimePoint Now, Commands &Out) {
   Choice.configure(Wanted);
@@ -227,7 +228,7 @@
   Query.PromptTokens = Item.PromptTokens;
   if (Item.FirstEventBy < TimePoint::max() && Asked.Attempts == 0)
     Query.FirstEventWithin = Item.FirstEventBy - Now;
-  Query.WaitingPart = Item.WaitingPart;
+  Query.WaitingPart = Item.QueuedAheadFraction;
   Query.Late = Item.Urgency == Priority::Batch;
   Query.Avoid = Asked.FailedAt;
   Query.Suspect = Asked.Suspect;
@@ -254,7 +255,7 @@
 TimePoint Dispatcher::cacheDelayEnd(const Request &Asked, TimePoint Now) const {
   const double Waiters = static_cast<double>(Held.choosy());
   if (Asked.Item.PrefixHash == 0 ||
-      Waiters >= Options.CacheWaiters * Choice.throughput().Slots)
+      Waiters >= Options.MaxCacheWaitRatio * Choice.throughput().Slots)
     return Now;
   const double Part = Options.CacheDelay * Choice.cacheSaving();
   const Duration Delay =
@@ -285,7 +286,7 @@
   countPlaces();
 }
 
-void Dispatcher::begun(Ticket Which) {
+void Dispatcher::responseStarted(Ticket Which) {
   Request *const Asked = Requests.find(Which);
   if (Asked == nullptr || !Asked->SentTo || std::exchange(Asked->Begun, true))
     return;
@@ -293,14 +294,14 @@
                Asked->Item.PromptTokens);
 }
 
-void Dispatcher::share(std::span<const EndpointLoad> Others, TimePoint Now,
-                       Commands &Out) {
+void Dispatcher::setRemoteLoads(std::span<const EndpointLoad> Others,
+                                TimePoint Now, Commands &Out) {
   Choice.share(Others, Now);
   pump(Now, Out);
 }
 
-void Dispatcher::finished(Ticket Which, const AttemptResult &Result,
-                          TimePoint Now, Commands &Out) {
+void Dispatcher::attemptEnded(Ticket Which, const AttemptResult &Result,
+                              TimePoint Now, Commands &Out) {
   Request *const Asked = Requests.find(Which);
   if (Asked == nullptr || !Asked->SentTo)
     return;
@@ -349,17 +350,17 @@
                         TimePoint Now, Commands &Out) {
   Request &Asked = *Requests.find(Which);
   Asked.State = laterOf(Asked.State, Result.State);
-  Asked.LastWhy = Result.Why;
+  Asked.LastWhy = Result.FailureReason;
   Asked.FailedWhen = Now;
   Asked.Resumable = Asked.Resumable || Result.Resumable;
   if (Crashes.standing(Asked.Item.Fingerprint, Now) == Standing::Quarantined)
     refuse(Which, notRun(Reason::Quarantined), RetryStop::Quarantined, Out);
   else if (!mayRetry(Asked.Item, Result))
-    refuse(Which, notRun(Result.Why), RetryStop::NotRepeatable, Out);
+    refuse(Which, notRun(Result.FailureReason), RetryStop::NotRepeatable, Out);
   else if (Asked.Attempts >= Options.Retries.MaxAttempts)
-    refuse(Which, notRun(Result.Why), RetryStop::AttemptsUsed, Out);
+    refuse(Which, notRun(Result.FailureReason), RetryStop::AttemptsUsed, Out);
   else if (const auto Stop = holdForRetry(Which, Now))
-    refuse(Which, notRun(Result.Why), *Stop, Out);
+    refuse(Which, notRun(Result.FailureReason), *Stop, Out);
 }
 
 // Failure guarded against: thousands of requests fail at once and are held back
@@ -405,7 +406,7 @@
     return;
   if (Gone->SentTo) {
     AttemptResult Result;
-    Result.Why = Reason::Cancelled;
+    Result.FailureReason = Reason::Cancelled;
     endAttempt(*Gone, Result, Now);
   }
   Queue.remove(Which);
@@ -448,8 +449,8 @@
   Crashes.closed(EndpointKey, Now);
 }
 
-std::vector<QuarantineNotice> Dispatcher::noticesOut(TimePoint Now) {
-  return Crashes.noticesOut(Now);
+std::vector<QuarantineNotice> Dispatcher::takeNotices(TimePoint Now) {
+  return Crashes.takeNotices(Now);
 }
 
 bool Dispatcher::observeNotice(const QuarantineNotice &Told, TimePoint Now) {
@@ -656,8 +657,8 @@
                         Commands &Out) {
   const Request &Asked = *Requests.find(Which);
   Final.State = laterOf(Final.State, Asked.State);
-  const RefusalBasis Basis{Stop, Asked.Attempts, Asked.BudgetWaits,
-                           Choice.size(), Asked.FailedWhen};
+  const RefusalDetails Basis{Stop, Asked.Attempts, Asked.BudgetWaits,
+                             Choice.size(), Asked.FailedWhen};
   ++Counts.Refused;
   Counts.RefusedTooShort += Final.Why == Reason::DeadlineTooShort ? 1U : 0U;
   Counts.RefusedOverloaded += Final.Why == Reason::Overloaded ? 1U : 0U;
--- a/packages/request/src/coltsfoottrail/dispatch/dispatcher.hpp
+++ b/packages/request/src/coltsfoottrail/dispatch/dispatcher.hpp
@@ -23,24 +23,24 @@
 
 /// @brief Limits of one dispatcher.
 struct DispatcherOptions {
-  DataCentreName Self;
+  DataCentreName LocalDataCentre;
   std::size_t MaxWaiting = 4096;
   std::size_t MaxWaitingBytes = std::size_t{16} << 20U;
   std::uint64_t Seed = 1;
   /// Places that teams above their share leave free, for each place that the
   /// others take within theirs.
-  double KeptPlaces = 1.0;
+  double ReservedSlotRatio = 1.0;
   /// How long a request waits for an endpoint that has its prefix, as a part of
   /// what the prefix saves.
   double CacheDelay = 1.0;
   /// Most requests that wait so, as a part of the places.
-  double CacheWaiters = 0.25;
+  double MaxCacheWaitRatio = 0.25;
   /// How endpoints are chosen; the estimated wait unless for comparisons.
   ChoicePolicy Policy;
   RetryLimits Retries;
   /// Retries that the pools of a service share; the pool's own when null.
-  std::shared_ptr<SharedTokens> RetryTokens;
-  QuarantineLimits Crashes;
+  std::shared_ptr<SharedTokenBucket> RetryTokens;
+  QuarantineLimits CrashLimits;
   /// Times the mean time of service that must be left when a request starts
   /// after a wait; less, and many run to their deadline for nothing.
   double ServiceMargin = 2.0;
@@ -51,7 +51,7 @@
   /// How long requests are held while the pool has endpoints, but this entry
   /// host no share of any.
   Duration NoShareHold = seconds(8);
-  /// How long expectPlaces() counts after requests have begun to wait.
+  /// How long expectSlots() counts after requests have begun to wait.
   Duration ShareGrace = seconds(1);
 };
 
@@ -100,7 +100,7 @@
   /// for when it needs them. Where shares are given on demand, the wait is
   /// estimated by them until they have had time to come.
   /// @param Count Zero, as at the start, when shares do not follow the demand.
-  void expectPlaces(double Count) noexcept { ExpectedPlaces = Count; }
+  void expectSlots(double Count) noexcept { ExpectedPlaces = Count; }
 
   /// @brief Sets what a team is entitled to; without it a team has weight 1.
   /// @param Team The team.
@@ -123,7 +123,7 @@
   [[nodiscard]] Ticket submit(WorkItem Item, TimePoint Now, Commands &Out);
 
   /// @brief Tells that the answer of an attempt has begun.
-  void begun(Ticket Which);
+  void responseStarted(Ticket Which);
 
   /// @brief Own requests at each endpoint that has any.
   [[nodiscard]] std::vector<EndpointLoad> ownLoads() const {
@@ -131,8 +131,8 @@
   }
   /// @brief Takes what the other entry hosts have at all endpoints; requests
   /// that wait may find a place by it.
-  void share(std::span<const EndpointLoad> Others, TimePoint Now,
-             Commands &Out);
+  void setRemoteLoads(std::span<const EndpointLoad> Others, TimePoint Now,
+                      Commands &Out);
 
   /// @brief Tells how an attempt ended. Unless it was answered, a SendCommand
   /// or a RefuseCommand for the ticket follows, now or from a later advance();
@@ -141,8 +141,8 @@
   /// @param Result How it ended.
   /// @param Now The time.
   /// @param Out Commands are added here.
-  void finished(Ticket Which, const AttemptResult &Result, TimePoint Now,
-                Commands &Out);
+  void attemptEnded(Ticket Which, const AttemptResult &Result, TimePoint Now,
+                    Commands &Out);
 
   /// @brief Forgets a request whose caller has gone, wherever it stands.
   /// @param Which The request.
@@ -168,7 +168,7 @@
   /// @brief Hands out what the dispatchers of this pool on the other entry
   /// hosts should be told by observeNotice(). Call it after finished() and
   /// observe().
-  [[nodiscard]] std::vector<QuarantineNotice> noticesOut(TimePoint Now);
+  [[nodiscard]] std::vector<QuarantineNotice> takeNotices(TimePoint Now);
 
   /// @brief Takes what a dispatcher of this pool on another entry host told.
   /// @return Whether it was news here.
--- a/packages/request/src/coltsfoottrail/dispatch/fwd.hpp
+++ b/packages/request/src/coltsfoottrail/dispatch/fwd.hpp
@@ -19,7 +19,7 @@
 struct LoadReport;
 struct SendCommand;
 enum class RetryStop : std::uint8_t;
-struct RefusalBasis;
+struct RefusalDetails;
 struct RefuseCommand;
 struct DispatchCounts;
 struct DispatcherOptions;
--- a/packages/request/src/coltsfoottrail/dispatch/terms.cpp
+++ b/packages/request/src/coltsfoottrail/dispatch/terms.cpp
@@ -25,11 +25,11 @@
   return std::chrono::duration_cast<Duration>(Span * Part);
 }
 
-Duration longestWait(const CallerCase &Of) {
-  switch (Of.How) {
+Duration longestWait(const RequestTiming &Of) {
+  switch (Of.Status) {
   case Timeliness::Demoted:
     return DemotedWait;
-  case Timeliness::CameBack:
+  case Timeliness::Resubmitted:
     return std::min(LongestLateWait,
                     partOf(Of.AnswerBy - Of.ArrivedAt, LateWaitPart));
   case Timeliness::Fresh:
@@ -40,8 +40,8 @@
 
 } // namespace
 
-void setTerms(const CallerCase &Of, TimePoint Now, WorkItem &Out) {
-  const bool Fresh = Of.How == Timeliness::Fresh;
+void setSchedulingTerms(const RequestTiming &Of, TimePoint Now, WorkItem &Out) {
+  const bool Fresh = Of.Status == Timeliness::Fresh;
   Out.Urgency = Fresh ? Priority::Normal : Priority::Batch;
   Out.Deadline = Of.AnswerBy;
   Out.StartBy = Now + longestWait(Of);
--- a/packages/request/src/coltsfoottrail/dispatch/terms.hpp
+++ b/packages/request/src/coltsfoottrail/dispatch/terms.hpp
@@ -11,14 +11,14 @@
 enum class Timeliness : std::uint8_t {
   Fresh,
   /// Its caller was refused before and comes again: its time has run on.
-  CameBack,
+  Resubmitted,
   /// It found no place in time to be on time, and takes what is left.
   Demoted
 };
 
 /// @brief What decides a request's terms.
-struct CallerCase {
-  Timeliness How = Timeliness::Fresh;
+struct RequestTiming {
+  Timeliness Status = Timeliness::Fresh;
   /// Whether it is answered by a stream of an engine that batches.
   bool Streams = false;
   TimePoint ArrivedAt;
@@ -40,7 +40,7 @@
 ///   fresh ones its turn would not come before its caller leaves, and a caller
 ///   who is refused at once may go elsewhere.
 /// Pure; thread-safe.
-void setTerms(const CallerCase &Of, TimePoint Now, WorkItem &Out);
+void setSchedulingTerms(const RequestTiming &Of, TimePoint Now, WorkItem &Out);
 
 } // namespace coltsfoottrail
 
--- a/packages/request/src/coltsfoottrail/dispatch/types.hpp
+++ b/packages/request/src/coltsfoottrail/dispatch/types.hpp
@@ -38,7 +38,7 @@
   /// Tokens of its prompt, where it has one.
   std::uint32_t PromptTokens = 0;
   /// Part of the requests waiting at an endpoint that go before it there.
-  double WaitingPart = 1.0;
+  double QueuedAheadFraction = 1.0;
   /// Whether it may be sent again once a byte of it may have reached an
   /// endpoint.
   bool Repeatable = false;
@@ -58,7 +58,7 @@
   /// What is known of whether the endpoint ran it. Ran means answered whole.
   RunState State = RunState::NotRun;
   /// Why it was not answered; meaningless when Answered.
-  Reason Why = Reason::Internal;
+  Reason FailureReason = Reason::Internal;
   /// A whole answer was passed on.
   bool Answered = false;
   /// Part of an answer has gone to the caller: nothing may be sent again.
@@ -87,7 +87,7 @@
 
 /// Send a request to an endpoint.
 struct SendCommand {
-  Ticket Which;
+  Ticket Id;
   std::string EndpointKey;
 };
 /// Why a request is not sent to another endpoint.
@@ -111,7 +111,7 @@
 [[nodiscard]] std::string_view retryStopCode(RetryStop Why) noexcept;
 
 /// @brief What a final refusal rests on, for logs.
-struct RefusalBasis {
+struct RefusalDetails {
   RetryStop Stop = RetryStop::NotTried;
   std::uint32_t Attempts = 0;
   /// How often the retry waited for the budget.
@@ -124,9 +124,9 @@
 
 /// Give a request its final refusal.
 struct RefuseCommand {
-  Ticket Which;
-  Verdict Final;
-  RefusalBasis Basis;
+  Ticket Id;
+  Verdict FinalVerdict;
+  RefusalDetails Details;
 };
 
 using Command = std::variant<SendCommand, RefuseCommand>;
--- a/packages/request/src/coltsfoottrail/loadshare/board.cpp
+++ b/packages/request/src/coltsfoottrail/loadshare/board.cpp
@@ -5,12 +5,12 @@
 
 namespace coltsfoottrail {
 
-void LoadBoard::add(std::span<const EndpointLoad> Loads) {
+void LoadAggregator::add(std::span<const EndpointLoad> Loads) {
   for (const EndpointLoad &Each : Loads)
     Sums[Each.Endpoint] += Each.Load;
 }
 
-void LoadBoard::subtract(std::span<const EndpointLoad> Loads) {
+void LoadAggregator::subtract(std::span<const EndpointLoad> Loads) {
   for (const EndpointLoad &Each : Loads) {
     const auto Found = Sums.find(Each.Endpoint);
     if (Found == Sums.end())
@@ -21,15 +21,16 @@
   }
 }
 
-void LoadBoard::report(const HostName &Host, std::vector<EndpointLoad> Loads,
-                       TimePoint Now, std::size_t HostCount) {
+void LoadAggregator::report(const HostName &Host,
+                            std::vector<EndpointLoad> Loads, TimePoint Now,
+                            std::size_t HostCount) {
   Entry &Its = Entries[Host];
   subtract(Its.Loads);
   add(Loads);
   Its = Entry{std::move(Loads), HostCount, Now};
 }
 
-void LoadBoard::forget(const HostName &Host) {
+void LoadAggregator::forget(const HostName &Host) {
   const auto Found = Entries.find(Host);
   if (Found == Entries.end())
     return;
@@ -37,8 +38,8 @@
   Entries.erase(Found);
 }
 
-std::vector<EndpointLoad> LoadBoard::sumWithout(const HostName *Left,
-                                                TimePoint Now) const {
+std::vector<EndpointLoad> LoadAggregator::sumWithout(const HostName *Left,
+                                                     TimePoint Now) const {
   std::map<std::uint64_t, RequestLoad> Excluded;
   for (const auto &[Host, Its] : Entries) {
     if (isCurrent(Its, Now) && (Left == nullptr || Host != *Left))
@@ -58,30 +59,30 @@
   return Out;
 }
 
-std::vector<EndpointLoad> LoadBoard::total(TimePoint Now) const {
+std::vector<EndpointLoad> LoadAggregator::total(TimePoint Now) const {
   return sumWithout(nullptr, Now);
 }
 
-std::vector<EndpointLoad> LoadBoard::others(const HostName &Asking,
-                                            TimePoint Now) const {
+std::vector<EndpointLoad> LoadAggregator::others(const HostName &Asking,
+                                                 TimePoint Now) const {
   return sumWithout(&Asking, Now);
 }
 
-std::size_t LoadBoard::hosts(TimePoint Now) const {
+std::size_t LoadAggregator::hosts(TimePoint Now) const {
   std::size_t Count = 0;
   for (const auto &[Host, Its] : Entries)
     Count += isCurrent(Its, Now) ? Its.HostCount : 0;
   return Count;
 }
 
-std::size_t LoadBoard::reporters(TimePoint Now) const {
+std::size_t LoadAggregator::reporters(TimePoint Now) const {
   return static_cast<std::size_t>(
       std::count_if(Entries.begin(), Entries.end(), [&](const auto &Each) {
         return isCurrent(Each.second, Now);
       }));
 }
 
-void LoadBoard::advance(TimePoint Now) {
+void LoadAggregator::advance(TimePoint Now) {
   std::erase_if(Entries, [&](const auto &Each) {
     if (isCurrent(Each.second, Now))
       return false;
--- a/packages/request/src/coltsfoottrail/loadshare/board.hpp
+++ b/packages/request/src/coltsfoottrail/loadshare/board.hpp
@@ -19,7 +19,7 @@
 /// A reporter may stand for several hosts: then its loads are the sums of
 /// theirs. Reading a sum costs time in proportion to the endpoints, whatever
 /// the number of reporters.
-class LoadBoard {
+class LoadAggregator {
 public:
   /// A reporter that has been silent for so long is not counted: it is gone or
   /// frozen, and its requests end. Several times the pace of the reports.
--- a/packages/request/src/coltsfoottrail/loadshare/fwd.hpp
+++ b/packages/request/src/coltsfoottrail/loadshare/fwd.hpp
@@ -7,7 +7,7 @@
 
 struct RequestLoad;
 struct EndpointLoad;
-class LoadBoard;
+class LoadAggregator;
 
 } // namespace coltsfoottrail
 
--- a/packages/request/src/coltsfoottrail/quarantine/quarantine.cpp
+++ b/packages/request/src/coltsfoottrail/quarantine/quarantine.cpp
@@ -264,7 +264,7 @@
     Outgoing.pop_front();
 }
 
-std::vector<QuarantineNotice> Quarantine::noticesOut(TimePoint Now) {
+std::vector<QuarantineNotice> Quarantine::takeNotices(TimePoint Now) {
   std::vector<QuarantineNotice> Out;
   for (const CrashId Which : Order) {
     Crash &Each = *Crashes.find(Which);
--- a/packages/request/src/coltsfoottrail/quarantine/quarantine.hpp
+++ b/packages/request/src/coltsfoottrail/quarantine/quarantine.hpp
@@ -94,7 +94,7 @@
   bool observe(const QuarantineNotice &Notice, TimePoint Now);
 
   /// @brief Hands out what the other entry hosts should be told.
-  [[nodiscard]] std::vector<QuarantineNotice> noticesOut(TimePoint Now);
+  [[nodiscard]] std::vector<QuarantineNotice> takeNotices(TimePoint Now);
 
   /// @brief Requests remembered.
   [[nodiscard]] std::size_t size() const noexcept { return Suspects.size(); }
--- a/packages/request/src/coltsfoottrail/queues/fairqueue.cpp
+++ b/packages/request/src/coltsfoottrail/queues/fairqueue.cpp
@@ -102,10 +102,10 @@
 void FairQueue::push(TeamId Which, const QueueItem &Item) {
   Team &Owner = at(Which);
   const std::uint64_t Sequence = NextSequence++;
-  Items.emplace(Item.Which, Waiting{Which, Item, Sequence});
-  ByLatestStart.emplace(std::pair(Item.LatestStart, Sequence), Item.Which);
+  Items.emplace(Item.Id, Waiting{Which, Item, Sequence});
+  ByLatestStart.emplace(std::pair(Item.LatestStart, Sequence), Item.Id);
   Line &Joined = lineOf(Owner, Item.Urgency);
-  Joined.Order.emplace(Sequence, Item.Which);
+  Joined.Order.emplace(Sequence, Item.Id);
   Joined.Cost += Item.Cost;
   WaitingCost += Item.Cost;
   Bytes += Item.Bytes;
@@ -129,8 +129,9 @@
 
 /// Whether a team above its share has to leave the free places to the others.
 bool FairQueue::mustLeave(const Team &Owner) const {
-  const double Kept = std::min(Limits.KeptPlaces * (InShare - Owner.InShare),
-                               Limits.MostKept * Places);
+  const double Kept =
+      std::min(Limits.ReservedSlotRatio * (InShare - Owner.InShare),
+               Limits.MaxReservedFraction * Places);
   return FreePlaces <= Kept;
 }
 
--- a/packages/request/src/coltsfoottrail/queues/fairqueue.hpp
+++ b/packages/request/src/coltsfoottrail/queues/fairqueue.hpp
@@ -33,16 +33,16 @@
   std::uint32_t PassOverLimit = 8;
   /// Places that teams above their share leave free, for each place that the
   /// others take within theirs.
-  double KeptPlaces = 1.0;
+  double ReservedSlotRatio = 1.0;
   /// Times its share of the places from which a team counts as above it.
   double ShareSlack = 1.5;
   /// Most places that are left free so, as a part of all.
-  double MostKept = 0.5;
+  double MaxReservedFraction = 0.5;
 };
 
 /// @brief A request that waits.
 struct QueueItem {
-  Ticket Which;
+  Ticket Id;
   Priority Urgency = Priority::Normal;
   /// Started later than this, it cannot make its deadline.
   TimePoint LatestStart;
--- a/packages/request/src/coltsfoottrail/retries/budget.cpp
+++ b/packages/request/src/coltsfoottrail/retries/budget.cpp
@@ -14,22 +14,22 @@
   Held = std::min(Limit, Held);
 }
 
-void SharedTokens::earn(double Count) {
+void SharedTokenBucket::earn(double Count) {
   const std::lock_guard Hold(Lock);
   Tokens.earn(Count);
 }
 
-void SharedTokens::limit(double Most) {
+void SharedTokenBucket::setLimit(double Most) {
   const std::lock_guard Hold(Lock);
   Tokens.limit(Most);
 }
 
-bool SharedTokens::any() const {
+bool SharedTokenBucket::hasToken() const {
   const std::lock_guard Hold(Lock);
   return Tokens.any();
 }
 
-bool SharedTokens::take() {
+bool SharedTokenBucket::take() {
   const std::lock_guard Hold(Lock);
   if (!Tokens.any())
     return false;
@@ -39,16 +39,16 @@
 
 void RetryBudget::setBurst(double Most) {
   Limits.Burst = Most;
-  All->limit(Most);
+  All->setLimit(Most);
   for (TokenBucket &Each : DataCentres)
     Each.limit(Most);
 }
 
 RetryBudget::RetryBudget(BudgetLimits Wanted,
-                         std::shared_ptr<SharedTokens> Shared)
+                         std::shared_ptr<SharedTokenBucket> Shared)
     : Limits(Wanted),
       All(Shared ? std::move(Shared)
-                 : std::make_shared<SharedTokens>(Wanted.Burst)) {}
+                 : std::make_shared<SharedTokenBucket>(Wanted.Burst)) {}
 
 void RetryBudget::firstSend(std::size_t DataCentre) {
   All->earn(Limits.Ratio);
--- a/packages/request/src/coltsfoottrail/retries/budget.hpp
+++ b/packages/request/src/coltsfoottrail/retries/budget.hpp
@@ -43,17 +43,17 @@
 };
 
 /// @brief A bucket that several budgets draw on. Thread-safe.
-class SharedTokens {
+class SharedTokenBucket {
 public:
   /// @brief Makes a full bucket.
-  explicit SharedTokens(double Most) noexcept : Tokens(Most) {}
+  explicit SharedTokenBucket(double Most) noexcept : Tokens(Most) {}
 
   /// @copydoc TokenBucket::earn
   void earn(double Count);
   /// @copydoc TokenBucket::limit
-  void limit(double Most);
+  void setLimit(double Most);
   /// @copydoc TokenBucket::any
-  [[nodiscard]] bool any() const;
+  [[nodiscard]] bool hasToken() const;
   /// @brief Takes a token if there is one.
   [[nodiscard]] bool take();
 
@@ -76,7 +76,7 @@
   /// @param Shared What it draws on together with the budgets of other pools;
   /// its own when null.
   explicit RetryBudget(BudgetLimits Wanted,
-                       std::shared_ptr<SharedTokens> Shared = nullptr);
+                       std::shared_ptr<SharedTokenBucket> Shared = nullptr);
 
   /// @brief Sets how many retries are saved up at most. Where many entry hosts
   /// share a bound on retries, each saves up its part of it.
@@ -87,7 +87,7 @@
   void firstSend(std::size_t DataCentre);
 
   /// @brief Tells whether a retry may go anywhere at all.
-  [[nodiscard]] bool any() const { return All->any(); }
+  [[nodiscard]] bool any() const { return All->hasToken(); }
 
   /// @brief Takes a retry out of the budget.
   /// @param DataCentre Number of the data centre that it goes to.
@@ -98,7 +98,7 @@
   [[nodiscard]] TokenBucket &of(std::size_t DataCentre);
 
   BudgetLimits Limits;
-  std::shared_ptr<SharedTokens> All;
+  std::shared_ptr<SharedTokenBucket> All;
   std::vector<TokenBucket> DataCentres;
 };
 
--- a/packages/request/src/coltsfoottrail/retries/fwd.hpp
+++ b/packages/request/src/coltsfoottrail/retries/fwd.hpp
@@ -9,7 +9,7 @@
 struct BudgetLimits;
 class RetryBudget;
 class TokenBucket;
-class SharedTokens;
+class SharedTokenBucket;
 
 } // namespace coltsfoottrail
 
--- a/packages/request/src/coltsfoottrail/retries/retry.cpp
+++ b/packages/request/src/coltsfoottrail/retries/retry.cpp
@@ -26,7 +26,7 @@
 } // namespace
 
 bool mayRetry(const WorkItem &Item, const AttemptResult &Result) noexcept {
-  if (Result.Answered || Result.CallerSawBytes || isFinal(Result.Why))
+  if (Result.Answered || Result.CallerSawBytes || isFinal(Result.FailureReason))
     return false;
   switch (Result.State) {
   case RunState::NotRun:
--- a/packages/request/src/coltsfoottrail/silence/fwd.hpp
+++ b/packages/request/src/coltsfoottrail/silence/fwd.hpp
@@ -5,7 +5,7 @@
 
 namespace coltsfoottrail {
 
-class SilenceWatch;
+class StallDetector;
 
 } // namespace coltsfoottrail
 
--- a/packages/request/src/coltsfoottrail/silence/silencewatch.cpp
+++ b/packages/request/src/coltsfoottrail/silence/silencewatch.cpp
@@ -2,34 +2,34 @@
 
 namespace coltsfoottrail {
 
-void SilenceWatch::began(std::string_view Endpoint, TimePoint Now) {
+void StallDetector::streamStarted(std::string_view Endpoint, TimePoint Now) {
   Stream &Its = Streams[std::string(Endpoint)];
   ++Its.UnderWay;
   Its.HeardAt = Now;
 }
 
-void SilenceWatch::heard(std::string_view Endpoint, TimePoint Now) {
+void StallDetector::dataReceived(std::string_view Endpoint, TimePoint Now) {
   if (const auto Found = Streams.find(Endpoint); Found != Streams.end())
     Found->second.HeardAt = Now;
 }
 
-void SilenceWatch::ended(std::string_view Endpoint) {
+void StallDetector::streamEnded(std::string_view Endpoint) {
   const auto Found = Streams.find(Endpoint);
   if (Found != Streams.end() && --Found->second.UnderWay == 0)
     Streams.erase(Found);
 }
 
-bool SilenceWatch::silent(std::string_view Endpoint, TimePoint Now) const {
+bool StallDetector::stalled(std::string_view Endpoint, TimePoint Now) const {
   const auto Found = Streams.find(Endpoint);
-  return Found != Streams.end() && Now - Found->second.HeardAt >= SilentAfter;
+  return Found != Streams.end() && Now - Found->second.HeardAt >= StallTimeout;
 }
 
-bool SilenceWatch::moves(std::string_view Endpoint, TimePoint Now) const {
+bool StallDetector::active(std::string_view Endpoint, TimePoint Now) const {
   const auto Found = Streams.find(Endpoint);
-  return Found != Streams.end() && Now - Found->second.HeardAt < SilentAfter;
+  return Found != Streams.end() && Now - Found->second.HeardAt < StallTimeout;
 }
 
-std::vector<std::string> SilenceWatch::quietFor(Duration Span,
+std::vector<std::string> StallDetector::idleFor(Duration Span,
                                                 TimePoint Now) const {
   std::vector<std::string> Out;
   for (const auto &[Endpoint, Its] : Streams)
--- a/packages/request/src/coltsfoottrail/silence/silencewatch.hpp
+++ b/packages/request/src/coltsfoottrail/silence/silencewatch.hpp
@@ -21,33 +21,33 @@
 /// leader stop at the same moment, though, while a busy one sends an event
 /// every few tens of milliseconds. An endpoint that has streams under way and
 /// sends nothing for SilentAfter is taken for silent at once.
-class SilenceWatch {
+class StallDetector {
 public:
   /// An engine makes an event every 40 to 60 ms; 200 ms when it reads long
   /// prompts in between. Twice that keeps alarms rare: a false one moves all
   /// streams of a sound endpoint.
-  static constexpr Duration SilentAfter = milliseconds(400);
+  static constexpr Duration StallTimeout = milliseconds(400);
   /// From here on its members may be asked whether they are alive, which costs
   /// a question each and moves nothing.
-  static constexpr Duration SuspectAfter = milliseconds(200);
+  static constexpr Duration SuspectTimeout = milliseconds(200);
 
   /// @brief A stream had its first event.
-  void began(std::string_view Endpoint, TimePoint Now);
+  void streamStarted(std::string_view Endpoint, TimePoint Now);
   /// @brief Bytes came on a stream.
-  void heard(std::string_view Endpoint, TimePoint Now);
+  void dataReceived(std::string_view Endpoint, TimePoint Now);
   /// @brief A stream that began is over, however.
-  void ended(std::string_view Endpoint);
+  void streamEnded(std::string_view Endpoint);
 
   /// @brief Whether an endpoint has streams and none of them moves.
-  [[nodiscard]] bool silent(std::string_view Endpoint, TimePoint Now) const;
+  [[nodiscard]] bool stalled(std::string_view Endpoint, TimePoint Now) const;
   /// @brief Whether an endpoint has streams and at least one of them moves.
-  [[nodiscard]] bool moves(std::string_view Endpoint, TimePoint Now) const;
+  [[nodiscard]] bool active(std::string_view Endpoint, TimePoint Now) const;
   /// @brief All endpoints that have streams and sent nothing for a time.
-  [[nodiscard]] std::vector<std::string> quietFor(Duration Span,
-                                                  TimePoint Now) const;
+  [[nodiscard]] std::vector<std::string> idleFor(Duration Span,
+                                                 TimePoint Now) const;
   /// @brief All endpoints that are silent.
-  [[nodiscard]] std::vector<std::string> allSilent(TimePoint Now) const {
-    return quietFor(SilentAfter, Now);
+  [[nodiscard]] std::vector<std::string> stalledEndpoints(TimePoint Now) const {
+    return idleFor(StallTimeout, Now);
   }
 
 private:
--- a/packages/request/test/coltsfoottrail/dispatch/batching.hpp
+++ b/packages/request/test/coltsfoottrail/dispatch/batching.hpp
@@ -18,7 +18,7 @@
 
 /// Sets the terms of a request: the policy that is played.
 using TermsPolicy =
-    std::function<void(const CallerCase &, TimePoint, WorkItem &)>;
+    std::function<void(const RequestTiming &, TimePoint, WorkItem &)>;
 
 /// @brief What callers got.
 struct CallerTally {
@@ -97,7 +97,7 @@
   struct Request {
     std::size_t Host = 0;
     Ticket Which;
-    CallerCase Case;
+    RequestTiming Case;
     TimePoint FirstAsked;
     double ToRead = 0.0;
     double ToWrite = 0.0;
@@ -218,14 +218,14 @@
     });
     for (const Return &Each : DueNow) {
       Request &Asked = Requests[Each.Of];
-      Asked.Case.How = Timeliness::CameBack;
+      Asked.Case.Status = Timeliness::Resubmitted;
       Asked.Case.ArrivedAt = Now;
       submit(Each.Of);
     }
   }
 
   void sent(std::size_t Host, const SendCommand &Send) {
-    const std::size_t Number = numberOf(Host, Send.Which);
+    const std::size_t Number = numberOf(Host, Send.Id);
     const std::size_t Where =
         std::stoul(Send.EndpointKey.substr(std::string("leader-").size()));
     Requests[Number].At = Where;
@@ -233,11 +233,11 @@
   }
 
   void refused(std::size_t Host, const RefuseCommand &Told) {
-    const std::size_t Number = numberOf(Host, Told.Which);
+    const std::size_t Number = numberOf(Host, Told.Id);
     Request &Asked = Requests[Number];
-    if (Asked.Case.How == Timeliness::Fresh &&
-        Told.Final.Why == Reason::Overloaded) {
-      Asked.Case.How = Timeliness::Demoted;
+    if (Asked.Case.Status == Timeliness::Fresh &&
+        Told.FinalVerdict.Why == Reason::Overloaded) {
+      Asked.Case.Status = Timeliness::Demoted;
       submit(Number);
       return;
     }
@@ -262,7 +262,7 @@
           Its.Waiting.begin(), Its.Waiting.end(),
           [&](std::size_t One, std::size_t Other) {
             const auto Rank = [&](std::size_t Of) {
-              return Requests[Of].Case.How == Timeliness::Fresh ? 0 : 1;
+              return Requests[Of].Case.Status == Timeliness::Fresh ? 0 : 1;
             };
             return Rank(One) < Rank(Other);
           });
@@ -292,7 +292,7 @@
       Asked.ToWrite -= Written;
       if (!std::exchange(Asked.Begun, true)) {
         Asked.BegunInTime = Now - Asked.FirstAsked <= Load.TargetLatency;
-        Hosts[Asked.Host].begun(Asked.Which);
+        Hosts[Asked.Host].responseStarted(Asked.Which);
       }
       if (Asked.ToWrite <= 0.0)
         Ended.push_back(Number);
@@ -309,7 +309,7 @@
     Result.State = RunState::Ran;
     Result.Answered = true;
     act(Asked.Host, [&](Dispatcher &Of, Commands &Out) {
-      Of.finished(Asked.Which, Result, Now, Out);
+      Of.attemptEnded(Asked.Which, Result, Now, Out);
     });
   }
 
@@ -342,8 +342,9 @@
       for (std::size_t Other = 0; Other < Hosts.size(); ++Other)
         if (Other != Host)
           Others.insert(Others.end(), Own[Other].begin(), Own[Other].end());
-      act(Host,
-          [&](Dispatcher &Of, Commands &Out) { Of.share(Others, Now, Out); });
+      act(Host, [&](Dispatcher &Of, Commands &Out) {
+        Of.setRemoteLoads(Others, Now, Out);
+      });
     }
   }
 
--- a/packages/request/test/coltsfoottrail/dispatch/dispatcher.cpp
+++ b/packages/request/test/coltsfoottrail/dispatch/dispatcher.cpp
@@ -115,7 +115,7 @@
 TEST(Dispatcher, BurstIsNotRefusedBeforeSharesHadTimeToCome) {
   DispatchHarness Test;
   Test.configure(testPool(2), 1);
-  Test.Decides.expectPlaces(16.0);
+  Test.Decides.expectSlots(16.0);
   Test.answer(Test.submit(Test.item()), seconds(1));
   for (int Count = 0; Count < 16; ++Count)
     static_cast<void>(Test.submit(Test.item(), seconds(5)));
@@ -226,7 +226,7 @@
   const auto Cut = [&](Ticket Which) {
     AttemptResult Result;
     Result.State = RunState::MayHaveRun;
-    Result.Why = Reason::EndpointCut;
+    Result.FailureReason = Reason::EndpointCut;
     Result.Resumable = true;
     Pool.finish(Which, Result);
   };
@@ -269,7 +269,7 @@
             (Verdict{RunState::NotRun, Reason::Quarantined, std::nullopt}));
   DispatchHarness Other;
   Other.configure(testPool(5), 4);
-  for (const QuarantineNotice &Told : Test.Decides.noticesOut(Test.Now))
+  for (const QuarantineNotice &Told : Test.Decides.takeNotices(Test.Now))
     Other.Decides.observeNotice(Told, Other.Now);
   EXPECT_EQ(Other.refusal(Other.submit(lookup(666)))->Why, Reason::Quarantined);
   EXPECT_EQ(Other.refusal(Other.submit(lookup(1))), std::nullopt);
@@ -315,7 +315,7 @@
     const Ticket Which = Test.submit(Test.item());
     AttemptResult Result;
     Result.State = RunState::MayHaveRun;
-    Result.Why = Reason::EndpointTimedOut;
+    Result.FailureReason = Reason::EndpointTimedOut;
     Result.Total = milliseconds(100);
     Test.finish(Which, Result);
   }
--- a/packages/request/test/coltsfoottrail/dispatch/harness.hpp
+++ b/packages/request/test/coltsfoottrail/dispatch/harness.hpp
@@ -54,7 +54,7 @@
 
   void finish(Ticket Which, const AttemptResult &Result) {
     At.erase(Which);
-    Decides.finished(Which, Result, Now, Out);
+    Decides.attemptEnded(Which, Result, Now, Out);
     take();
   }
   void answer(Ticket Which, Duration Total = seconds(1)) {
@@ -67,13 +67,13 @@
   void fail(Ticket Which, RunState State, Reason Why = Reason::EndpointFailed) {
     AttemptResult Result;
     Result.State = State;
-    Result.Why = Why;
+    Result.FailureReason = Why;
     finish(Which, Result);
   }
   void crash(Ticket Which) {
     AttemptResult Result;
     Result.State = RunState::MayHaveRun;
-    Result.Why = Reason::EndpointCut;
+    Result.FailureReason = Reason::EndpointCut;
     Result.ConnectionLost = true;
     finish(Which, Result);
   }
@@ -108,11 +108,11 @@
   void take() {
     for (const Command &Each : Out) {
       if (const auto *const Send = std::get_if<SendCommand>(&Each)) {
-        At[Send->Which] = Send->EndpointKey;
+        At[Send->Id] = Send->EndpointKey;
         Sent.push_back(Send->EndpointKey);
       } else {
         const auto &Refusal = std::get<RefuseCommand>(Each);
-        Refused[Refusal.Which] = Refusal.Final;
+        Refused[Refusal.Id] = Refusal.FinalVerdict;
       }
     }
     Out.clear();
--- a/packages/request/test/coltsfoottrail/dispatch/simulation.hpp
+++ b/packages/request/test/coltsfoottrail/dispatch/simulation.hpp
@@ -218,7 +218,7 @@
   void makeHosts() {
     for (std::size_t Index = 0; Index < Options.Hosts; ++Index) {
       DispatcherOptions Limits = Options.Dispatch;
-      Limits.Self =
+      Limits.LocalDataCentre =
           DataCentreName("dc-" + std::to_string(Index % Options.DataCentres));
       Limits.Seed = Options.Seed * 1000 + Index;
       Hosts.emplace_back(std::move(Limits));
@@ -289,7 +289,7 @@
       else
         refused(Index, std::get<RefuseCommand>(Each));
     }
-    for (const QuarantineNotice &Told : Own.Decides.noticesOut(Now))
+    for (const QuarantineNotice &Told : Own.Decides.takeNotices(Now))
       for (std::size_t Other = 0; Other < Hosts.size(); ++Other)
         if (Other != Index)
           at(Now + milliseconds(2), [this, Other, Told] {
@@ -364,7 +364,7 @@
   }
 
   void carry(std::size_t Index, const SendCommand &Send) {
-    const std::uint64_t Number = ByTicket.at(key(Index, Send.Which));
+    const std::uint64_t Number = ByTicket.at(key(Index, Send.Id));
     const std::uint64_t Try = NextAttempt++;
     const std::size_t Place = ByKey.at(Send.EndpointKey);
     Attempts[Try] = Attempt{Number, Place, Now};
@@ -437,7 +437,7 @@
   static AttemptResult failure(RunState State, Reason Why, bool Lost) {
     AttemptResult Out;
     Out.State = State;
-    Out.Why = Why;
+    Out.FailureReason = Why;
     Out.ConnectionLost = Lost;
     return Out;
   }
@@ -479,12 +479,12 @@
     Out.Total = Now - Gone.SentAt;
     const Asked &Of = Requests[Gone.Request];
     act(Of.Host, [&](Dispatcher &Decides, Commands &Given) {
-      Decides.finished(Of.Which, Out, Now, Given);
+      Decides.attemptEnded(Of.Which, Out, Now, Given);
     });
   }
 
   void refused(std::size_t /*Index*/, const RefuseCommand &Refusal) {
-    if (Refusal.Final.State == RunState::NotRun)
+    if (Refusal.FinalVerdict.State == RunState::NotRun)
       ++Result.RefusedNotRun;
     else
       ++Result.RefusedMayHaveRun;
--- a/packages/request/test/coltsfoottrail/dispatch/terms.cpp
+++ b/packages/request/test/coltsfoottrail/dispatch/terms.cpp
@@ -9,9 +9,9 @@
 
 constexpr TimePoint Start{seconds(1000)};
 
-CallerCase caseOf(Timeliness How) {
-  CallerCase Out;
-  Out.How = How;
+RequestTiming caseOf(Timeliness How) {
+  RequestTiming Out;
+  Out.Status = How;
   Out.Streams = true;
   Out.ArrivedAt = Start;
   Out.AnswerBy = Start + seconds(5);
@@ -21,13 +21,13 @@
 
 TEST(Terms, LateStreamsLeavePlacesToThoseThatCanBeOnTime) {
   WorkItem Fresh;
-  setTerms(caseOf(Timeliness::Fresh), Start, Fresh);
+  setSchedulingTerms(caseOf(Timeliness::Fresh), Start, Fresh);
   EXPECT_GE(Fresh.Overcommit, 0);
   EXPECT_EQ(Fresh.FirstEventBy, Start + milliseconds(200));
   EXPECT_LT(Fresh.StartBy, Fresh.FirstEventBy);
-  for (const Timeliness How : {Timeliness::CameBack, Timeliness::Demoted}) {
+  for (const Timeliness How : {Timeliness::Resubmitted, Timeliness::Demoted}) {
     WorkItem Late;
-    setTerms(caseOf(How), Start, Late);
+    setSchedulingTerms(caseOf(How), Start, Late);
     EXPECT_LT(Late.Overcommit, 0);
     EXPECT_EQ(Late.Urgency, Priority::Batch);
     EXPECT_EQ(Late.FirstEventBy, TimePoint::max());
@@ -36,20 +36,20 @@
 }
 
 TEST(Terms, CallsOfPlainServicesAreNotHeldToAnEngine) {
-  CallerCase Plain = caseOf(Timeliness::Fresh);
+  RequestTiming Plain = caseOf(Timeliness::Fresh);
   Plain.Streams = false;
   WorkItem Out;
-  setTerms(Plain, Start, Out);
+  setSchedulingTerms(Plain, Start, Out);
   EXPECT_EQ(Out.Overcommit, 0);
   EXPECT_EQ(Out.FirstEventBy, TimePoint::max());
 }
 
 /// Lets late requests queue behind all others at an engine.
-void queueBehindLeaders(const CallerCase &Of, TimePoint Now, WorkItem &Out) {
+void queueBehindLeaders(const RequestTiming &Of, TimePoint Now, WorkItem &Out) {
   constexpr std::int32_t BehindOthers = 36;
-  setTerms(Of, Now, Out);
+  setSchedulingTerms(Of, Now, Out);
   Out.FirstEventBy = TimePoint::max();
-  if (Of.How != Timeliness::Fresh)
+  if (Of.Status != Timeliness::Fresh)
     Out.Overcommit = BehindOthers;
 }
 
@@ -72,7 +72,8 @@
   for (std::uint64_t Seed = 1; Seed <= 3; ++Seed) {
     test::BatchingLoad Load;
     Load.Seed = Seed;
-    const test::CallerTally Told = test::BatchingPlay(Load, setTerms).run();
+    const test::CallerTally Told =
+        test::BatchingPlay(Load, setSchedulingTerms).run();
     const test::CallerTally Behind =
         test::BatchingPlay(Load, queueBehindLeaders).run();
     EXPECT_LT(double(Told.LeftUnanswered), MostUnanswered * double(Told.Asked))
--- a/packages/request/test/coltsfoottrail/loadshare/board.cpp
+++ b/packages/request/test/coltsfoottrail/loadshare/board.cpp
@@ -8,8 +8,8 @@
 
 constexpr TimePoint Start{seconds(100)};
 
-TEST(LoadBoard, SumsUpWhatTheOthersHave) {
-  LoadBoard Board;
+TEST(LoadAggregator, SumsUpWhatTheOthersHave) {
+  LoadAggregator Board;
   Board.report(HostName("a"), {{7, {3, 1, 0}}}, Start);
   Board.report(HostName("b"), {{7, {2, 0, 4}}, {8, {1, 0, 0}}}, Start);
   const auto Others = Board.others(HostName("a"), Start);
@@ -19,8 +19,8 @@
   EXPECT_EQ(Board.hosts(Start), 2U);
 }
 
-TEST(LoadBoard, NewReportTakesThePlaceOfTheLastOne) {
-  LoadBoard Board;
+TEST(LoadAggregator, NewReportTakesThePlaceOfTheLastOne) {
+  LoadAggregator Board;
   Board.report(HostName("a"), {{7, {3, 1, 0}}}, Start);
   Board.report(HostName("a"), {}, Start);
   EXPECT_TRUE(Board.others(HostName("b"), Start).empty());
@@ -28,10 +28,10 @@
 
 // Leaders look full for the rest of the day.
 // A host with many requests is gone; nobody reports their end.
-TEST(LoadBoard, ForgetsAHostThatFellSilent) {
-  LoadBoard Board;
+TEST(LoadAggregator, ForgetsAHostThatFellSilent) {
+  LoadAggregator Board;
   Board.report(HostName("a"), {{7, {26, 0, 0}}}, Start);
-  const TimePoint Later = Start + LoadBoard::ReportLife;
+  const TimePoint Later = Start + LoadAggregator::ReportLife;
   EXPECT_TRUE(Board.others(HostName("b"), Later).empty());
   EXPECT_EQ(Board.hosts(Later), 0U);
 }
--- a/packages/request/test/coltsfoottrail/quarantine/quarantine.cpp
+++ b/packages/request/test/coltsfoottrail/quarantine/quarantine.cpp
@@ -47,7 +47,7 @@
   crash("b", {7, 8});
   EXPECT_EQ(of(7), Standing::Clear);
   EXPECT_EQ(of(8), Standing::Clear);
-  const auto Notices = Known.noticesOut(Now);
+  const auto Notices = Known.takeNotices(Now);
   Quarantine Other{QuarantineLimits{}};
   for (const QuarantineNotice &Each : Notices)
     Other.observe(Each, Now);
@@ -112,13 +112,13 @@
 TEST_F(QuarantineTest, OtherHostsRefuseItToo) {
   Quarantine Other{QuarantineLimits{}};
   crash("a", {7, 8});
-  for (const QuarantineNotice &Told : Known.noticesOut(Now))
+  for (const QuarantineNotice &Told : Known.takeNotices(Now))
     Other.observe(Told, Now);
-  EXPECT_TRUE(Known.noticesOut(Now).empty());
+  EXPECT_TRUE(Known.takeNotices(Now).empty());
   EXPECT_EQ(Other.standing(7, Now), Standing::Suspect);
   Other.lost("b", DataCentreName("dc-1"), 1, std::vector<std::uint64_t>{7},
              Now);
-  for (const QuarantineNotice &Told : Other.noticesOut(Now + seconds(1)))
+  for (const QuarantineNotice &Told : Other.takeNotices(Now + seconds(1)))
     Known.observe(Told, Now + seconds(1));
   EXPECT_EQ(Other.standing(7, Now), Standing::Quarantined);
   EXPECT_EQ(Known.standing(7, Now + seconds(1)), Standing::Quarantined);
@@ -130,7 +130,7 @@
   crash("a", {7});
   Other.lost("a", DataCentreName("dc-0"), 1, std::vector<std::uint64_t>{7, 8},
              Now + milliseconds(300));
-  for (const QuarantineNotice &Told : Other.noticesOut(Now + seconds(2)))
+  for (const QuarantineNotice &Told : Other.takeNotices(Now + seconds(2)))
     Known.observe(Told, Now + seconds(2));
   Now += seconds(2);
   EXPECT_EQ(of(7), Standing::Suspect);
@@ -169,7 +169,7 @@
   Known.answered("a", 8, Start - seconds(1), Now + seconds(1));
   EXPECT_EQ(of(7), Standing::Clear);
   bool Dismissed = false;
-  for (const QuarantineNotice &Told : Known.noticesOut(Now))
+  for (const QuarantineNotice &Told : Known.takeNotices(Now))
     Dismissed |= std::holds_alternative<DismissNotice>(Told);
   EXPECT_TRUE(Dismissed);
 }
@@ -186,7 +186,7 @@
           "dc-" + std::to_string(Index));
   }
   EXPECT_LE(Known.size(), 4096U);
-  EXPECT_LE(Known.noticesOut(Now).size(), 512U + 256U);
+  EXPECT_LE(Known.takeNotices(Now).size(), 512U + 256U);
   Now += seconds(600);
   EXPECT_EQ(of(7), Standing::Clear);
   crash("z", {5});
--- a/packages/request/test/coltsfoottrail/retries/retry.cpp
+++ b/packages/request/test/coltsfoottrail/retries/retry.cpp
@@ -8,7 +8,7 @@
 AttemptResult failure(RunState State, bool CallerSawBytes = false) {
   AttemptResult Result;
   Result.State = State;
-  Result.Why = Reason::EndpointFailed;
+  Result.FailureReason = Reason::EndpointFailed;
   Result.CallerSawBytes = CallerSawBytes;
   return Result;
 }
@@ -25,7 +25,7 @@
   EXPECT_FALSE(mayRetry(Lookup, failure(RunState::Ran)));
   EXPECT_FALSE(mayRetry(Lookup, failure(RunState::MayHaveRun, true)));
   AttemptResult Bad = failure(RunState::NotRun);
-  Bad.Why = Reason::BadRequest;
+  Bad.FailureReason = Reason::BadRequest;
   EXPECT_FALSE(mayRetry(Lookup, Bad));
 }
 
--- a/packages/request/test/coltsfoottrail/retries/share.cpp
+++ b/packages/request/test/coltsfoottrail/retries/share.cpp
@@ -108,7 +108,7 @@
     Limits.DataCentreRatio = 1.0;
     Limits.Burst = Bound.Slack * RetrySlackUsed / double(Count);
     for (std::size_t Host = 0; Host < Count; ++Host) {
-      const auto Tokens = std::make_shared<SharedTokens>(Limits.Burst);
+      const auto Tokens = std::make_shared<SharedTokenBucket>(Limits.Burst);
       for (std::size_t Pool = 0; Pool < Pools; ++Pool)
         Budgets.emplace_back(Limits, Tokens);
     }
