--- a/packages/process/test/coltsfoottrail/server/sparsemesh.cpp
+++ b/packages/process/test/coltsfoottrail/server/sparsemesh.cpp
@@ -52,8 +52,8 @@
                        DataCentreName("dc-" + std::to_string(Index % 3))});
     Places[Members.back().Host] = Index;
   }
-  Known[0].lost("a", DataCentreName("dc-0"), 1, std::span(&Fingerprint, 1),
-                Now);
+  Known[0].endpointLost("a", DataCentreName("dc-0"), 1,
+                        std::span(&Fingerprint, 1), Now);
   const QuarantineNotice Notice = Known[0].takeNotices(Now).front();
   std::deque<std::size_t> Next{0};
   while (!Next.empty()) {
--- a/packages/request/src/coltsfoottrail/dispatch/dispatcher.cpp
+++ b/packages/request/src/coltsfoottrail/dispatch/dispatcher.cpp
@@ -193,12 +193,12 @@
 
 bool Dispatcher::startNow(Ticket Which, TimePoint Now, Commands &Out) {
   Request &Asked = *Requests.find(Which);
-  if (!Queue.mayPass(Asked.Team) || !Choice.hasRoom())
+  if (!Queue.mayBypass(Asked.Team) || !Choice.hasRoom())
     return false;
   const std::optional<CandidateId> To = chooseFor(Asked, Now);
   if (!To && !waitsForCache(Asked, Now))
     return false;
-  Queue.pass(Asked.Team, Asked.Item.Cost);
+  Queue.bypass(Asked.Team, Asked.Item.Cost);
   Asked.InProgress = true;
   if (!To) {
     stepAside(Which, Now, Out);
@@ -276,7 +276,7 @@
   Asked.SentRun = Chosen.Run;
   Asked.Begun = false;
   if (Asked.Attempts++ == 0) {
-    Budget.firstSend(Chosen.DataCentre);
+    Budget.recordFirstSend(Chosen.DataCentre);
     ++Counts.FirstSends;
   } else {
     ++Counts.Resends;
@@ -340,10 +340,10 @@
   const EndpointSpec &Spec = Choice.candidate(*Asked.SentTo)->Spec;
   const std::uint64_t Fingerprint = Asked.Item.Fingerprint;
   if (Result.Answered)
-    Crashes.answered(Spec.Key, Fingerprint, Asked.SentAt, Now);
+    Crashes.requestAnswered(Spec.Key, Fingerprint, Asked.SentAt, Now);
   else if (Result.ConnectionLost)
-    Crashes.lost(Spec.Key, Spec.DataCentre, Asked.SentRun,
-                 std::span(&Fingerprint, 1), Now);
+    Crashes.endpointLost(Spec.Key, Spec.DataCentre, Asked.SentRun,
+                         std::span(&Fingerprint, 1), Now);
 }
 
 void Dispatcher::failed(Ticket Which, const AttemptResult &Result,
@@ -436,7 +436,7 @@
   if (InFlight.empty())
     return;
   const EndpointSpec &Spec = Choice.candidate(Which)->Spec;
-  Crashes.restarted(Spec.Key, Spec.DataCentre, OldRun, InFlight, Now);
+  Crashes.endpointRestarted(Spec.Key, Spec.DataCentre, OldRun, InFlight, Now);
 }
 
 void Dispatcher::observeCache(std::string_view EndpointKey,
@@ -446,7 +446,7 @@
 }
 
 void Dispatcher::observeClosed(std::string_view EndpointKey, TimePoint Now) {
-  Crashes.closed(EndpointKey, Now);
+  Crashes.endpointClosed(EndpointKey, Now);
 }
 
 std::vector<QuarantineNotice> Dispatcher::takeNotices(TimePoint Now) {
@@ -543,7 +543,7 @@
     refuse(Which, notRun(Reason::Quarantined), RetryStop::Quarantined, Out);
     return Placing::Done;
   }
-  if (Asked.Attempts > 0 && !Budget.any()) {
+  if (Asked.Attempts > 0 && !Budget.hasToken()) {
     waitForBudget(Which, Now, Out);
     return Placing::Done;
   }
@@ -588,8 +588,8 @@
 }
 
 void Dispatcher::countPlaces() {
-  Queue.setPlaces(Choice.throughput().Slots,
-                  static_cast<double>(Choice.freeSlots()));
+  Queue.setSlots(Choice.throughput().Slots,
+                 static_cast<double>(Choice.freeSlots()));
 }
 
 void Dispatcher::stepAside(Ticket Which, TimePoint Now, Commands &Out) {
@@ -628,7 +628,7 @@
   ShedSlots = Choice.throughput().Slots;
   if (!Speed.known())
     return;
-  for (const Ticket Which : Queue.hopeless(Speed, Now)) {
+  for (const Ticket Which : Queue.unmeetable(Speed, Now)) {
     const Request &Asked = *Requests.find(Which);
     const Duration Wait = Queue.estimatedWait(Asked.Team, Asked.Item.Urgency,
                                               Asked.Item.Cost, Speed);
@@ -674,7 +674,7 @@
 void Dispatcher::forget(Ticket Which) {
   const std::optional<Request> Gone = Requests.erase(Which);
   if (Gone->InProgress)
-    Queue.ended(Gone->Team);
+    Queue.requestEnded(Gone->Team);
 }
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/quarantine/quarantine.cpp
+++ b/packages/request/src/coltsfoottrail/quarantine/quarantine.cpp
@@ -51,9 +51,10 @@
   return std::ranges::count_if(All.front()->Present, AtAll) == 1;
 }
 
-void Quarantine::lost(std::string_view EndpointKey,
-                      const DataCentreName &DataCentre, Incarnation Run,
-                      std::span<const std::uint64_t> InFlight, TimePoint Now) {
+void Quarantine::endpointLost(std::string_view EndpointKey,
+                              const DataCentreName &DataCentre, Incarnation Run,
+                              std::span<const std::uint64_t> InFlight,
+                              TimePoint Now) {
   expire(Now);
   const CrashId Which = crashOf(EndpointKey, DataCentre, Run, Now);
   for (const std::uint64_t Fingerprint : InFlight) {
@@ -69,15 +70,16 @@
 // Failure guarded against: requests that were sent to the new run just before
 // its first report came are blamed for the crash of the old one. Where the
 // crash is known by its broken connections, these alone count.
-void Quarantine::restarted(std::string_view EndpointKey,
-                           const DataCentreName &DataCentre, Incarnation OldRun,
-                           std::span<const std::uint64_t> InFlight,
-                           TimePoint Now) {
+void Quarantine::endpointRestarted(std::string_view EndpointKey,
+                                   const DataCentreName &DataCentre,
+                                   Incarnation OldRun,
+                                   std::span<const std::uint64_t> InFlight,
+                                   TimePoint Now) {
   const Crash *const Last = lastCrash(EndpointKey);
   if (Last != nullptr && Now - Last->At < RestartReport &&
       (Last->Run == OldRun || Last->Run == 0))
     return;
-  lost(EndpointKey, DataCentre, OldRun, InFlight, Now);
+  endpointLost(EndpointKey, DataCentre, OldRun, InFlight, Now);
 }
 
 const Quarantine::Crash *
@@ -187,9 +189,9 @@
 
 // Failure guarded against: one broken connection is taken for a crash of the
 // endpoint. An endpoint that answers what it was sent before has not crashed.
-void Quarantine::answered(std::string_view EndpointKey,
-                          std::uint64_t Fingerprint, TimePoint SentAt,
-                          TimePoint Now) {
+void Quarantine::requestAnswered(std::string_view EndpointKey,
+                                 std::uint64_t Fingerprint, TimePoint SentAt,
+                                 TimePoint Now) {
   if (Order.empty())
     return;
   const Crash *const Last = lastCrash(EndpointKey);
@@ -202,7 +204,7 @@
   note(ClearNotice{Fingerprint});
 }
 
-void Quarantine::closed(std::string_view EndpointKey, TimePoint Now) {
+void Quarantine::endpointClosed(std::string_view EndpointKey, TimePoint Now) {
   expire(Now);
   if (Closed.size() < Limits.MaxCrashes)
     Closed.insert_or_assign(std::string(EndpointKey), Now);
--- a/packages/request/src/coltsfoottrail/quarantine/quarantine.hpp
+++ b/packages/request/src/coltsfoottrail/quarantine/quarantine.hpp
@@ -69,25 +69,26 @@
   /// @param DataCentre Where it stands.
   /// @param Run Its run when they were sent; zero when not known.
   /// @param InFlight Fingerprints; zeros are left out.
-  void lost(std::string_view EndpointKey, const DataCentreName &DataCentre,
-            Incarnation Run, std::span<const std::uint64_t> InFlight,
-            TimePoint Now);
+  void endpointLost(std::string_view EndpointKey,
+                    const DataCentreName &DataCentre, Incarnation Run,
+                    std::span<const std::uint64_t> InFlight, TimePoint Now);
 
   /// @brief Notes that an endpoint reports a new run while requests sent to the
   /// old one are still in flight. The crash may be known by lost() already.
-  void restarted(std::string_view EndpointKey, const DataCentreName &DataCentre,
-                 Incarnation OldRun, std::span<const std::uint64_t> InFlight,
-                 TimePoint Now);
+  void endpointRestarted(std::string_view EndpointKey,
+                         const DataCentreName &DataCentre, Incarnation OldRun,
+                         std::span<const std::uint64_t> InFlight,
+                         TimePoint Now);
 
   /// @brief Notes that a request was answered whole.
   /// @param SentAt When it was sent: an answer to a request that was there
   /// before the supposed crash shows that there was none.
-  void answered(std::string_view EndpointKey, std::uint64_t Fingerprint,
-                TimePoint SentAt, TimePoint Now);
+  void requestAnswered(std::string_view EndpointKey, std::uint64_t Fingerprint,
+                       TimePoint SentAt, TimePoint Now);
 
   /// @brief Notes that an endpoint stopped serving under a key and lives on, as
   /// when its group is closed. What is lost there is no crash, now or later.
-  void closed(std::string_view EndpointKey, TimePoint Now);
+  void endpointClosed(std::string_view EndpointKey, TimePoint Now);
 
   /// @brief Takes what another entry host tells.
   /// @return Whether it was news here.
--- a/packages/request/src/coltsfoottrail/queues/fairqueue.cpp
+++ b/packages/request/src/coltsfoottrail/queues/fairqueue.cpp
@@ -259,15 +259,15 @@
   }
 }
 
-bool FairQueue::mayPass(TeamId Which) {
+bool FairQueue::mayBypass(TeamId Which) {
   const Team &Owner = at(Which);
   const bool Kept = Owner.Active && isAbove(Owner) && mustLeave(Owner);
   return !Kept && !nextTeam() && Owner.InFlight < Owner.Share.MaxInFlight;
 }
 
-void FairQueue::pass(TeamId Which, double Cost) { charge(at(Which), Cost); }
+void FairQueue::bypass(TeamId Which, double Cost) { charge(at(Which), Cost); }
 
-void FairQueue::ended(TeamId Which) {
+void FairQueue::requestEnded(TeamId Which) {
   Team &Owner = at(Which);
   --Owner.InFlight;
   setActive(Owner);
@@ -293,7 +293,8 @@
   return Which;
 }
 
-std::vector<Ticket> FairQueue::hopeless(Throughput Speed, TimePoint Now) const {
+std::vector<Ticket> FairQueue::unmeetable(Throughput Speed,
+                                          TimePoint Now) const {
   std::vector<Ticket> Found;
   for (const Team &Owner : Teams) {
     double Ahead = 0.0;
--- a/packages/request/src/coltsfoottrail/queues/fairqueue.hpp
+++ b/packages/request/src/coltsfoottrail/queues/fairqueue.hpp
@@ -84,7 +84,7 @@
 
   /// @brief Tells how many requests the endpoints bear at once, and how many of
   /// these places are free. Until it is told, no place is kept.
-  void setPlaces(double Count, double Free) noexcept {
+  void setSlots(double Count, double Free) noexcept {
     Places = Count;
     FreePlaces = Free;
   }
@@ -117,14 +117,14 @@
 
   /// @brief Tells whether a request of the team may start without waiting:
   /// nothing that could start waits, and the team is below its limit.
-  [[nodiscard]] bool mayPass(TeamId Which);
+  [[nodiscard]] bool mayBypass(TeamId Which);
 
   /// @brief Charges a request that starts without waiting and counts it as in
   /// progress until ended().
-  void pass(TeamId Which, double Cost);
+  void bypass(TeamId Which, double Cost);
 
   /// @brief Ends a request that pop() or pass() counted.
-  void ended(TeamId Which);
+  void requestEnded(TeamId Which);
 
   /// @brief Takes out a request that waits.
   /// @return Whether it waited.
@@ -136,8 +136,8 @@
   /// @brief Finds the requests that by the estimated wait cannot start in time,
   /// after the endpoints have become slower or fewer. O(waiting).
   /// @param Speed A known() throughput.
-  [[nodiscard]] std::vector<Ticket> hopeless(Throughput Speed,
-                                             TimePoint Now) const;
+  [[nodiscard]] std::vector<Ticket> unmeetable(Throughput Speed,
+                                               TimePoint Now) const;
 
   /// @brief All that wait, by latest start.
   [[nodiscard]] std::vector<Ticket> all() const;
--- a/packages/request/src/coltsfoottrail/retries/budget.cpp
+++ b/packages/request/src/coltsfoottrail/retries/budget.cpp
@@ -9,7 +9,7 @@
   Held = std::min(Limit, Held + Tokens);
 }
 
-void TokenBucket::limit(double Most) noexcept {
+void TokenBucket::setLimit(double Most) noexcept {
   Limit = Most;
   Held = std::min(Limit, Held);
 }
@@ -21,17 +21,17 @@
 
 void SharedTokenBucket::setLimit(double Most) {
   const std::lock_guard Hold(Lock);
-  Tokens.limit(Most);
+  Tokens.setLimit(Most);
 }
 
 bool SharedTokenBucket::hasToken() const {
   const std::lock_guard Hold(Lock);
-  return Tokens.any();
+  return Tokens.hasToken();
 }
 
 bool SharedTokenBucket::take() {
   const std::lock_guard Hold(Lock);
-  if (!Tokens.any())
+  if (!Tokens.hasToken())
     return false;
   Tokens.spend();
   return true;
@@ -41,7 +41,7 @@
   Limits.Burst = Most;
   All->setLimit(Most);
   for (TokenBucket &Each : DataCentres)
-    Each.limit(Most);
+    Each.setLimit(Most);
 }
 
 RetryBudget::RetryBudget(BudgetLimits Wanted,
@@ -50,14 +50,14 @@
       All(Shared ? std::move(Shared)
                  : std::make_shared<SharedTokenBucket>(Wanted.Burst)) {}
 
-void RetryBudget::firstSend(std::size_t DataCentre) {
+void RetryBudget::recordFirstSend(std::size_t DataCentre) {
   All->earn(Limits.Ratio);
   of(DataCentre).earn(Limits.DataCentreRatio);
 }
 
 bool RetryBudget::take(std::size_t DataCentre) {
   TokenBucket &There = of(DataCentre);
-  if (!There.any() || !All->take())
+  if (!There.hasToken() || !All->take())
     return false;
   There.spend();
   return true;
--- a/packages/request/src/coltsfoottrail/retries/budget.hpp
+++ b/packages/request/src/coltsfoottrail/retries/budget.hpp
@@ -31,9 +31,9 @@
   /// @brief Adds tokens up to the limit.
   void earn(double Tokens) noexcept;
   /// @brief Sets how many tokens it holds at most.
-  void limit(double Most) noexcept;
+  void setLimit(double Most) noexcept;
   /// @brief Tells whether there is a token.
-  [[nodiscard]] bool any() const noexcept { return Held >= 1.0; }
+  [[nodiscard]] bool hasToken() const noexcept { return Held >= 1.0; }
   /// @brief Takes a token. Precondition: any().
   void spend() noexcept { Held -= 1.0; }
 
@@ -84,10 +84,10 @@
 
   /// @brief Notes the first send of a request.
   /// @param DataCentre Number of the data centre that it goes to.
-  void firstSend(std::size_t DataCentre);
+  void recordFirstSend(std::size_t DataCentre);
 
   /// @brief Tells whether a retry may go anywhere at all.
-  [[nodiscard]] bool any() const { return All->hasToken(); }
+  [[nodiscard]] bool hasToken() const { return All->hasToken(); }
 
   /// @brief Takes a retry out of the budget.
   /// @param DataCentre Number of the data centre that it goes to.
--- a/packages/request/test/coltsfoottrail/quarantine/quarantine.cpp
+++ b/packages/request/test/coltsfoottrail/quarantine/quarantine.cpp
@@ -12,7 +12,7 @@
 protected:
   void crash(std::string_view Key, std::vector<std::uint64_t> InFlight,
              Incarnation Run = 1, std::string_view DataCentre = "dc-0") {
-    Known.lost(Key, DataCentreName(DataCentre), Run, InFlight, Now);
+    Known.endpointLost(Key, DataCentreName(DataCentre), Run, InFlight, Now);
   }
   [[nodiscard]] Standing of(std::uint64_t Fingerprint) const {
     return Known.standing(Fingerprint, Now);
@@ -40,10 +40,10 @@
 // two closed groups would be refused.
 TEST_F(QuarantineTest, ClosingOfALivingEndpointIsNoCrash) {
   crash("a", {7});
-  Known.closed("a", Now);
+  Known.endpointClosed("a", Now);
   EXPECT_EQ(of(7), Standing::Clear);
   Now += milliseconds(700);
-  Known.closed("b", Now);
+  Known.endpointClosed("b", Now);
   crash("b", {7, 8});
   EXPECT_EQ(of(7), Standing::Clear);
   EXPECT_EQ(of(8), Standing::Clear);
@@ -56,7 +56,7 @@
 
 // Guards against forgiving an endpoint that crashes after others closed.
 TEST_F(QuarantineTest, CrashBesideAClosingStillCounts) {
-  Known.closed("a", Now);
+  Known.endpointClosed("a", Now);
   crash("b", {7});
   Now += seconds(5);
   crash("c", {7});
@@ -70,8 +70,9 @@
   crash("a", {8});
   crash("a", {7});
   EXPECT_EQ(of(7), Standing::Suspect);
-  Known.restarted("a", DataCentreName("dc-0"), 1,
-                  std::vector<std::uint64_t>{7, 8, 30}, Now + seconds(40));
+  Known.endpointRestarted("a", DataCentreName("dc-0"), 1,
+                          std::vector<std::uint64_t>{7, 8, 30},
+                          Now + seconds(40));
   Now += seconds(40);
   EXPECT_EQ(of(7), Standing::Suspect);
   EXPECT_EQ(of(30), Standing::Clear) << "it was sent to the new run";
@@ -85,8 +86,8 @@
 }
 
 TEST_F(QuarantineTest, NewRunAloneIsEvidence) {
-  Known.restarted("a", DataCentreName("dc-0"), 1, std::vector<std::uint64_t>{7},
-                  Now);
+  Known.endpointRestarted("a", DataCentreName("dc-0"), 1,
+                          std::vector<std::uint64_t>{7}, Now);
   EXPECT_EQ(of(7), Standing::Suspect);
 }
 
@@ -99,7 +100,7 @@
   EXPECT_EQ(of(8), Standing::Quarantined);
   Now += seconds(31);
   EXPECT_EQ(of(8), Standing::Suspect);
-  Known.answered("c", 8, Now - seconds(1), Now);
+  Known.requestAnswered("c", 8, Now - seconds(1), Now);
   EXPECT_EQ(of(8), Standing::Clear);
   crash("c", {7, 50});
   EXPECT_EQ(of(7), Standing::Quarantined);
@@ -116,8 +117,8 @@
     Other.observe(Told, Now);
   EXPECT_TRUE(Known.takeNotices(Now).empty());
   EXPECT_EQ(Other.standing(7, Now), Standing::Suspect);
-  Other.lost("b", DataCentreName("dc-1"), 1, std::vector<std::uint64_t>{7},
-             Now);
+  Other.endpointLost("b", DataCentreName("dc-1"), 1,
+                     std::vector<std::uint64_t>{7}, Now);
   for (const QuarantineNotice &Told : Other.takeNotices(Now + seconds(1)))
     Known.observe(Told, Now + seconds(1));
   EXPECT_EQ(Other.standing(7, Now), Standing::Quarantined);
@@ -128,8 +129,8 @@
 TEST_F(QuarantineTest, SameCrashSeenByTwoHostsCountsOnce) {
   Quarantine Other{QuarantineLimits{}};
   crash("a", {7});
-  Other.lost("a", DataCentreName("dc-0"), 1, std::vector<std::uint64_t>{7, 8},
-             Now + milliseconds(300));
+  Other.endpointLost("a", DataCentreName("dc-0"), 1,
+                     std::vector<std::uint64_t>{7, 8}, Now + milliseconds(300));
   for (const QuarantineNotice &Told : Other.takeNotices(Now + seconds(2)))
     Known.observe(Told, Now + seconds(2));
   Now += seconds(2);
@@ -164,9 +165,9 @@
 
 TEST_F(QuarantineTest, EndpointThatGoesOnAnsweringHasNotCrashed) {
   crash("a", {7});
-  Known.answered("a", 8, Start - seconds(1), Now + milliseconds(100));
+  Known.requestAnswered("a", 8, Start - seconds(1), Now + milliseconds(100));
   EXPECT_EQ(of(7), Standing::Suspect) << "may have been on its way";
-  Known.answered("a", 8, Start - seconds(1), Now + seconds(1));
+  Known.requestAnswered("a", 8, Start - seconds(1), Now + seconds(1));
   EXPECT_EQ(of(7), Standing::Clear);
   bool Dismissed = false;
   for (const QuarantineNotice &Told : Known.takeNotices(Now))
--- a/packages/request/test/coltsfoottrail/queues/fairqueue.cpp
+++ b/packages/request/test/coltsfoottrail/queues/fairqueue.cpp
@@ -107,9 +107,9 @@
   const Ticket Second = add(Limited);
   EXPECT_EQ(Queue.pop(), First);
   EXPECT_EQ(Queue.pop(), std::nullopt);
-  EXPECT_TRUE(Queue.mayPass(Other));
-  EXPECT_FALSE(Queue.mayPass(Limited));
-  Queue.ended(Limited);
+  EXPECT_TRUE(Queue.mayBypass(Other));
+  EXPECT_FALSE(Queue.mayBypass(Limited));
+  Queue.requestEnded(Limited);
   EXPECT_EQ(Queue.pop(), Second);
 }
 
@@ -122,23 +122,23 @@
     add(Large);
   double Free = 20.0;
   const auto Start = [&] {
-    Queue.setPlaces(20.0, Free);
+    Queue.setSlots(20.0, Free);
     const std::optional<Ticket> Next = Queue.pop();
     Free -= Next ? 1.0 : 0.0;
     return Next;
   };
   for (int Count = 0; Count < 4; ++Count) {
-    Queue.pass(Small, 1.0);
+    Queue.bypass(Small, 1.0);
     Free -= 1.0;
   }
   int Taken = 0;
   while (Start())
     ++Taken;
   EXPECT_EQ(Taken, 15) << "one and a half times its half";
-  EXPECT_FALSE(Queue.mayPass(Large));
-  EXPECT_TRUE(Queue.mayPass(Small));
+  EXPECT_FALSE(Queue.mayBypass(Large));
+  EXPECT_TRUE(Queue.mayBypass(Small));
   for (int Count = 0; Count < 4; ++Count) {
-    Queue.ended(Small);
+    Queue.requestEnded(Small);
     Free += 1.0;
   }
   while (Free > 0.0 && Start())
@@ -168,8 +168,9 @@
   Added.reserve(20);
   for (int Count = 0; Count < 20; ++Count)
     Added.push_back(add(Team, Priority::Normal, seconds(10)));
-  EXPECT_TRUE(Queue.hopeless(Throughput{2.0, 1.0}, Start).empty());
-  const std::vector<Ticket> Found = Queue.hopeless(Throughput{1.0, 1.0}, Start);
+  EXPECT_TRUE(Queue.unmeetable(Throughput{2.0, 1.0}, Start).empty());
+  const std::vector<Ticket> Found =
+      Queue.unmeetable(Throughput{1.0, 1.0}, Start);
   EXPECT_EQ(Found, std::vector<Ticket>(Added.begin() + 11, Added.end()));
 }
 
@@ -215,7 +216,7 @@
           Inside.erase(*Next);
         }
       } else if (!Running.empty()) {
-        Queue.ended(Running.back());
+        Queue.requestEnded(Running.back());
         Running.pop_back();
       } else if (!Inside.empty()) {
         ASSERT_TRUE(Queue.remove(Inside.begin()->first));
--- a/packages/request/test/coltsfoottrail/retries/budget.cpp
+++ b/packages/request/test/coltsfoottrail/retries/budget.cpp
@@ -19,7 +19,7 @@
     for (int Step = 0; Step < 3000; ++Step) {
       const std::size_t DataCentre = Draw.below(3);
       if (Draw.below(2) == 0) {
-        Budget.firstSend(DataCentre);
+        Budget.recordFirstSend(DataCentre);
         First[DataCentre] += 1.0;
       } else if (Budget.take(DataCentre)) {
         Again[DataCentre] += 1.0;
@@ -44,7 +44,7 @@
   std::size_t Taken = 0;
   for (std::size_t Index = 0; Index < Hosts; ++Index) {
     RetryBudget Budget{BudgetLimits{}};
-    Budget.firstSend(0);
+    Budget.recordFirstSend(0);
     Budget.setBurst(Shared / Hosts);
     while (Budget.take(0))
       ++Taken;
@@ -56,13 +56,13 @@
 TEST(RetryBudget, QuietTimesDoNotSaveUpMoreThanTheBurst) {
   RetryBudget Budget(BudgetLimits{0.5, 1.0, 2.0});
   for (int Count = 0; Count < 100; ++Count)
-    Budget.firstSend(0);
+    Budget.recordFirstSend(0);
   EXPECT_TRUE(Budget.take(0));
   EXPECT_TRUE(Budget.take(0));
   EXPECT_FALSE(Budget.take(0));
-  EXPECT_FALSE(Budget.any());
-  Budget.firstSend(0);
-  Budget.firstSend(1);
+  EXPECT_FALSE(Budget.hasToken());
+  Budget.recordFirstSend(0);
+  Budget.recordFirstSend(1);
   EXPECT_TRUE(Budget.take(1));
 }
 
--- a/packages/request/test/coltsfoottrail/retries/share.cpp
+++ b/packages/request/test/coltsfoottrail/retries/share.cpp
@@ -27,7 +27,7 @@
   }
 
   void request(std::size_t Host, TimePoint Now) {
-    Budgets[Host].firstSend(0);
+    Budgets[Host].recordFirstSend(0);
     Recent[Host].add(Now);
     Budgets[Host].setBurst(
         retriesSaved(Bound, double(Budgets.size()), Recent[Host].value(Now)));
@@ -118,7 +118,7 @@
     return Budgets[Host * Pools + Pool];
   }
   void request(std::size_t Host, std::size_t Pool, TimePoint Now) {
-    budget(Host, Pool).firstSend(0);
+    budget(Host, Pool).recordFirstSend(0);
     Recent[Host].add(Now);
     budget(Host, Pool)
         .setBurst(retriesSaved(Bound, double(Count), Recent[Host].value(Now)));
