--- a/packages/request/src/coltsfoottrail/dispatch/dispatcher.cpp
+++ b/packages/request/src/coltsfoottrail/dispatch/dispatcher.cpp
@@ -10,11 +10,14 @@
 constexpr milliseconds ShortestRetryAfter{100};
 constexpr milliseconds LongestRetryAfter{30000};
 constexpr milliseconds UnknownRetryAfter{500};
-/// Requests tried in a row that no endpoint with room fits.
-constexpr std::size_t MostMisses = 8;
-/// Capacity that has fallen below this part makes the queue be looked through.
+/// Requests in a row for which no endpoint with a free slot is suitable, after
+/// which a pass over the queue stops.
+constexpr std::size_t MaxMisses = 8;
+/// A drop of the slots below this fraction of the reference starts a check for
+/// queued requests that can no longer meet their deadline.
 constexpr double CapacityDrop = 0.9;
-/// Shares are set one by one; a fall must last this long to count.
+/// Shares are set one endpoint at a time: the capacity is checked only this
+/// long after a drop.
 constexpr Duration ShedDelay = milliseconds(100);
 
 milliseconds retryAfter(Duration Wait) {
@@ -22,14 +25,14 @@
                     LongestRetryAfter);
 }
 
-Verdict notRun(Reason Why, std::optional<milliseconds> After = std::nullopt) {
-  return Verdict{RunState::NotRun, Why, After};
+Verdict notRun(Reason Cause, std::optional<milliseconds> After = std::nullopt) {
+  return Verdict{RunState::NotRun, Cause, After};
 }
 
-// Failure guarded against: callers with short deadlines make sound endpoints
-// look broken. A time-out is no failure of the endpoint; its length counts as
-// time of service.
-AttemptOutcome outcomeOf(const AttemptResult &Result) {
+// Failure guarded against: callers with short deadlines make healthy endpoints
+// look broken. A time-out is not a failure of the endpoint; its duration counts
+// as service time.
+AttemptOutcome attemptOutcome(const AttemptResult &Result) {
   if (Result.Answered)
     return AttemptOutcome::Answered;
   if (Result.ConnectionLost)
@@ -46,97 +49,102 @@
   }
 }
 
-/// Why a request whose latest start has passed is refused.
-Reason expiryOf(const WorkItem &Item, TimePoint Now) {
+/// Reason for refusing a request whose latest start has passed.
+Reason expiryReason(const WorkItem &Item, TimePoint Now) {
   if (Item.Deadline <= Now)
     return Reason::DeadlinePassed;
   return Item.StartBy <= Now ? Reason::Overloaded : Reason::DeadlineTooShort;
 }
 
 QueueLimits queueLimits(const DispatcherOptions &Limits) {
-  QueueLimits Out;
-  Out.MaxWaiting = Limits.MaxWaiting;
-  Out.MaxBytes = Limits.MaxWaitingBytes;
-  Out.ReservedSlotRatio = Limits.ReservedSlotRatio;
-  return Out;
+  QueueLimits Bounds;
+  Bounds.MaxWaiting = Limits.MaxWaiting;
+  Bounds.MaxBytes = Limits.MaxWaitingBytes;
+  Bounds.ReservedSlotRatio = Limits.ReservedSlotRatio;
+  return Bounds;
 }
 
 } // namespace
 
 Dispatcher::Dispatcher(DispatcherOptions Limits)
-    : Options(std::move(Limits)), Draw(Options.Seed),
-      Choice(Options.LocalDataCentre, Options.Policy, Draw()),
+    : Options(std::move(Limits)), Rng(Options.Seed),
+      Choice(Options.LocalDataCentre, Options.Policy, Rng()),
       Queue(queueLimits(Options)),
       Budget(Options.Retries.Budget, Options.RetryTokens),
-      Crashes(Options.CrashLimits) {}
+      CrashHistory(Options.CrashLimits) {}
 
-void Dispatcher::configure(const Pool &Wanted, TimePoint Now, Commands &Out) {
-  Choice.configure(Wanted);
-  pump(Now, Out);
+void Dispatcher::configure(const Pool &Config, TimePoint Now,
+                           Commands &Output) {
+  Choice.configure(Config);
+  pump(Now, Output);
 }
 
 void Dispatcher::setShare(std::string_view EndpointKey, std::uint32_t Share,
-                          TimePoint Now, Commands &Out) {
-  const std::optional<CandidateId> Which = Choice.find(EndpointKey);
-  if (!Which)
+                          TimePoint Now, Commands &Output) {
+  const std::optional<CandidateId> Id = Choice.find(EndpointKey);
+  if (!Id)
     return;
-  Choice.setShare(*Which, Share);
-  pump(Now, Out);
+  Choice.setShare(*Id, Share);
+  pump(Now, Output);
 }
 
-void Dispatcher::setTeam(const TeamName &Team, TeamShare Wanted, TimePoint Now,
-                         Commands &Out) {
-  Queue.setTeam(Queue.team(Team), Wanted);
-  pump(Now, Out);
+void Dispatcher::setTeam(const TeamName &Team, TeamShare Share, TimePoint Now,
+                         Commands &Output) {
+  Queue.setTeam(Queue.team(Team), Share);
+  pump(Now, Output);
 }
 
-Ticket Dispatcher::submit(WorkItem Item, TimePoint Now, Commands &Out) {
+Ticket Dispatcher::submit(WorkItem Item, TimePoint Now, Commands &Output) {
   ++Counts.Submitted;
   const TeamId Team = Queue.team(Item.Team);
-  Request Asked;
-  Asked.Item = std::move(Item);
-  Asked.Team = Team;
-  const Ticket Which = Requests.insert(std::move(Asked));
-  watchCapacity(Now);
-  if (const auto Final = refusalAtOnce(*Requests.find(Which), Now)) {
-    refuse(Which, *Final, RetryStop::NotTried, Out);
-    return Which;
+  RequestState Request;
+  Request.Item = std::move(Item);
+  Request.Team = Team;
+  const Ticket Id = Requests.insert(std::move(Request));
+  trackCapacity(Now);
+  if (const auto Refusal = immediateRefusal(*Requests.find(Id), Now)) {
+    refuse(Id, *Refusal, RetryStop::NotTried, Output);
+    return Id;
   }
-  if (startNow(Which, Now, Out))
-    return Which;
-  if (const auto Final = refusalToWait(*Requests.find(Which), Now)) {
-    refuse(Which, *Final, RetryStop::NotTried, Out);
-    return Which;
+  if (startNow(Id, Now, Output))
+    return Id;
+  if (const auto Refusal = admissionRefusal(*Requests.find(Id), Now)) {
+    refuse(Id, *Refusal, RetryStop::NotTried, Output);
+    return Id;
   }
-  enqueue(Which, Now);
-  return Which;
+  enqueue(Id, Now);
+  return Id;
 }
 
-std::optional<Verdict> Dispatcher::refusalAtOnce(const Request &Asked,
-                                                 TimePoint Now) const {
-  if (Asked.Item.Deadline <= Now)
+std::optional<Verdict> Dispatcher::immediateRefusal(const RequestState &Request,
+                                                    TimePoint Now) const {
+  if (Request.Item.Deadline <= Now)
     return notRun(Reason::DeadlinePassed);
-  if (Crashes.standing(Asked.Item.Fingerprint, Now) == Standing::Quarantined)
+  if (CrashHistory.standing(Request.Item.Fingerprint, Now) ==
+      Standing::Quarantined)
     return notRun(Reason::Quarantined);
-  if (heldTooLong(Now))
-    return emptyVerdict();
+  if (holdExpired(Now))
+    return noCapacityVerdict();
   return std::nullopt;
 }
 
-// Failure guarded against: the estimate is wrong, every request is refused by
-// it, and so it is never corrected. Only a request that has to wait is refused;
-// while an endpoint has room, requests go there and their answers correct it.
-std::optional<Verdict> Dispatcher::refusalToWait(const Request &Asked,
-                                                 TimePoint Now) const {
-  const WorkItem &Item = Asked.Item;
-  const Throughput Speed = speed(Now);
+// Failure guarded against: a wrong estimate of the wait refuses every request
+// and is therefore never corrected. Only requests that would have to wait are
+// refused; while an endpoint has a free slot, requests are sent there and their
+// answers correct the estimate.
+std::optional<Verdict> Dispatcher::admissionRefusal(const RequestState &Request,
+                                                    TimePoint Now) const {
+  const WorkItem &Item = Request.Item;
+  const Throughput Speed = expectedThroughput(Now);
   const Duration Wait =
       Speed.known()
-          ? Queue.estimatedWait(Asked.Team, Item.Urgency, Item.Cost, Speed)
+          ? Queue.estimatedWait(Request.Team, Item.Urgency, Item.Cost, Speed)
           : Duration::zero();
-  if (const std::optional<Reason> Full = Queue.refusal(Asked.Team, Item.Bytes))
-    return notRun(*Full, Speed.known() ? retryAfter(Wait) : UnknownRetryAfter);
-  if (Speed.known() && Now + Wait > latestStart(Asked))
+  if (const std::optional<Reason> QueueRefusal =
+          Queue.refusal(Request.Team, Item.Bytes))
+    return notRun(*QueueRefusal,
+                  Speed.known() ? retryAfter(Wait) : UnknownRetryAfter);
+  if (Speed.known() && Now + Wait > latestStart(Request))
     return notRun(Reason::DeadlineTooShort, retryAfter(Wait));
   return std::nullopt;
 }
@@ -152,317 +160,325 @@
          std::chrono::duration_cast<Duration>(expectedService(Item) * Margin);
 }
 
-TimePoint Dispatcher::latestStart(const Request &Asked) const {
-  if (Asked.Attempts > 0)
-    return latestStart(Asked.Item, Options.RetryMargin);
-  return std::min(Asked.Item.StartBy,
-                  latestStart(Asked.Item, Options.ServiceMargin));
+TimePoint Dispatcher::latestStart(const RequestState &Request) const {
+  if (Request.Attempts > 0)
+    return latestStart(Request.Item, Options.RetryMargin);
+  return std::min(Request.Item.StartBy,
+                  latestStart(Request.Item, Options.ServiceMargin));
 }
 
-// Failure guarded against: shares are given on demand and lapse when they are
-// not used. After a quiet time this host has none, and the first requests would
-// be refused by an estimate for no places at all.
-Throughput Dispatcher::speed(TimePoint Now) const {
-  Throughput Out = Choice.throughput();
+// Failure guarded against: shares are granted on demand and lapse when unused.
+// After an idle period this host has none, and the first requests would be
+// refused by an estimate that is based on no slots at all.
+Throughput Dispatcher::expectedThroughput(TimePoint Now) const {
+  Throughput Expected = Choice.throughput();
   if (!WaitingSince || Now < *WaitingSince + Options.ShareGrace)
-    Out.Slots = std::max(Out.Slots, ExpectedPlaces);
-  return Out;
+    Expected.Slots = std::max(Expected.Slots, ExpectedSlots);
+  return Expected;
 }
 
-/// When requests that wait for the first endpoint or share are given up.
-std::optional<TimePoint> Dispatcher::holdEnd() const {
-  if (!EmptySince)
+/// When requests that wait for the first endpoint or share are refused.
+std::optional<TimePoint> Dispatcher::holdDeadline() const {
+  if (!UnusableSince)
     return std::nullopt;
   if (Choice.size() == 0)
-    return *EmptySince + Options.NoEndpointHold;
+    return *UnusableSince + Options.NoEndpointHold;
   if (!WaitingSince)
     return std::nullopt;
-  return std::max(*EmptySince, *WaitingSince) + Options.NoShareHold;
+  return std::max(*UnusableSince, *WaitingSince) + Options.NoShareHold;
 }
 
-bool Dispatcher::heldTooLong(TimePoint Now) const {
-  const std::optional<TimePoint> End = holdEnd();
+bool Dispatcher::holdExpired(TimePoint Now) const {
+  const std::optional<TimePoint> End = holdDeadline();
   return End && *End <= Now;
 }
 
-Verdict Dispatcher::emptyVerdict() const {
-  const Reason Why =
+Verdict Dispatcher::noCapacityVerdict() const {
+  const Reason Cause =
       Choice.size() == 0 ? Reason::NoEndpoint : Reason::Overloaded;
-  return notRun(Why, std::chrono::ceil<milliseconds>(Options.NoEndpointHold));
+  return notRun(Cause, std::chrono::ceil<milliseconds>(Options.NoEndpointHold));
 }
 
-bool Dispatcher::startNow(Ticket Which, TimePoint Now, Commands &Out) {
-  Request &Asked = *Requests.find(Which);
-  if (!Queue.mayBypass(Asked.Team) || !Choice.hasRoom())
+bool Dispatcher::startNow(Ticket Id, TimePoint Now, Commands &Output) {
+  RequestState &Request = *Requests.find(Id);
+  if (!Queue.mayBypass(Request.Team) || !Choice.hasRoom())
     return false;
-  const std::optional<CandidateId> To = chooseFor(Asked, Now);
-  if (!To && !waitsForCache(Asked, Now))
+  const std::optional<CandidateId> Target = chooseEndpoint(Request, Now);
+  if (!Target && !waitsForCache(Request, Now))
     return false;
-  Queue.bypass(Asked.Team, Asked.Item.Cost);
-  Asked.InProgress = true;
-  if (!To) {
-    stepAside(Which, Now, Out);
+  Queue.bypass(Request.Team, Request.Item.Cost);
+  Request.InProgress = true;
+  if (!Target) {
+    holdAside(Id, Now, Output);
     return true;
   }
-  send(Which, *To, Now, Out);
+  send(Id, *Target, Now, Output);
   return true;
 }
 
-void Dispatcher::enqueue(Ticket Which, TimePoint Now) {
-  const Request &Asked = *Requests.find(Which);
-  const WorkItem &Item = Asked.Item;
-  Queue.push(Asked.Team, QueueItem{Which, Item.Urgency, latestStart(Asked),
-                                   Item.Bytes, Item.Cost});
+void Dispatcher::enqueue(Ticket Id, TimePoint Now) {
+  const RequestState &Request = *Requests.find(Id);
+  const WorkItem &Item = Request.Item;
+  Queue.push(Request.Team, QueueItem{Id, Item.Urgency, latestStart(Request),
+                                     Item.Bytes, Item.Cost});
   if (!WaitingSince)
     WaitingSince = Now;
-  if (ExpectedPlaces > Choice.throughput().Slots && !ShedAt)
-    ShedAt = *WaitingSince + Options.ShareGrace;
+  if (ExpectedSlots > Choice.throughput().Slots && !ShedCheckAt)
+    ShedCheckAt = *WaitingSince + Options.ShareGrace;
 }
 
-ChoiceQuery Dispatcher::queryOf(const Request &Asked, TimePoint Now) const {
-  const WorkItem &Item = Asked.Item;
+ChoiceQuery Dispatcher::choiceQuery(const RequestState &Request,
+                                    TimePoint Now) const {
+  const WorkItem &Item = Request.Item;
   ChoiceQuery Query;
   Query.PrefixHash = Item.PrefixHash;
   Query.Cost = Item.Cost;
   Query.Overcommit = Item.Overcommit;
   Query.PromptTokens = Item.PromptTokens;
-  if (Item.FirstEventBy < TimePoint::max() && Asked.Attempts == 0)
+  if (Item.FirstEventBy < TimePoint::max() && Request.Attempts == 0)
     Query.FirstEventWithin = Item.FirstEventBy - Now;
   Query.WaitingPart = Item.QueuedAheadFraction;
   Query.Late = Item.Urgency == Priority::Batch;
-  Query.Avoid = Asked.FailedAt;
-  Query.Suspect = Asked.Suspect;
+  Query.Avoid = Request.LastFailedEndpoint;
+  Query.Suspect = Request.Suspect;
   Query.Repeatable = Item.Repeatable;
   Query.Patience = Item.Deadline - Now;
-  Query.CachedOnly = waitsForCache(Asked, Now);
+  Query.CachedOnly = waitsForCache(Request, Now);
   return Query;
 }
 
-std::optional<CandidateId> Dispatcher::chooseFor(Request &Asked,
-                                                 TimePoint Now) {
-  Asked.Suspect =
-      Crashes.standing(Asked.Item.Fingerprint, Now) == Standing::Suspect;
-  if (!Asked.CachedUntil)
-    Asked.CachedUntil = cacheDelayEnd(Asked, Now);
-  return Choice.choose(queryOf(Asked, Now), Now);
-}
-
-// Failure guarded against: under load the endpoints that have a prefix are full
-// at the moment, its requests go elsewhere and push other prefixes out, misses
-// take longer, and the pool stays overloaded by load that it bore before. A
-// request waits for a place where its prefix is, no longer than the prefix
-// saves, and only as long as few others do.
-TimePoint Dispatcher::cacheDelayEnd(const Request &Asked, TimePoint Now) const {
-  const double Waiters = static_cast<double>(Held.choosy());
-  if (Asked.Item.PrefixHash == 0 ||
-      Waiters >= Options.MaxCacheWaitRatio * Choice.throughput().Slots)
+std::optional<CandidateId> Dispatcher::chooseEndpoint(RequestState &Request,
+                                                      TimePoint Now) {
+  Request.Suspect =
+      CrashHistory.standing(Request.Item.Fingerprint, Now) == Standing::Suspect;
+  if (!Request.CacheWaitUntil)
+    Request.CacheWaitUntil = cacheDelayEnd(Request, Now);
+  return Choice.choose(choiceQuery(Request, Now), Now);
+}
+
+// Failure guarded against: under load the endpoints that have cached a prefix
+// are full, its requests go elsewhere and evict other prefixes, cache misses
+// take longer, and the pool stays overloaded by a load that it could serve
+// before. A request waits for a slot at an endpoint that has its prefix, no
+// longer than the cache hit saves, and only while few other requests do so.
+TimePoint Dispatcher::cacheDelayEnd(const RequestState &Request,
+                                    TimePoint Now) const {
+  const double WaiterCount = static_cast<double>(Held.endpointWaiters());
+  if (Request.Item.PrefixHash == 0 ||
+      WaiterCount >= Options.MaxCacheWaitRatio * Choice.throughput().Slots)
     return Now;
-  const double Part = Options.CacheDelay * Choice.cacheSaving();
-  const Duration Delay =
-      std::chrono::duration_cast<Duration>(expectedService(Asked.Item) * Part);
-  return std::min(Now + Delay, latestStart(Asked));
+  const double Fraction = Options.CacheDelay * Choice.cacheSaving();
+  const Duration Delay = std::chrono::duration_cast<Duration>(
+      expectedService(Request.Item) * Fraction);
+  return std::min(Now + Delay, latestStart(Request));
 }
 
-bool Dispatcher::waitsForCache(const Request &Asked, TimePoint Now) {
-  return Asked.CachedUntil && Now < *Asked.CachedUntil;
+bool Dispatcher::waitsForCache(const RequestState &Request, TimePoint Now) {
+  return Request.CacheWaitUntil && Now < *Request.CacheWaitUntil;
 }
 
-void Dispatcher::send(Ticket Which, CandidateId To, TimePoint Now,
-                      Commands &Out) {
-  Request &Asked = *Requests.find(Which);
-  const Candidate &Chosen = *Choice.candidate(To);
-  Asked.SentTo = To;
-  Asked.SentAt = Now;
-  Asked.SentRun = Chosen.Run;
-  Asked.Begun = false;
-  if (Asked.Attempts++ == 0) {
+void Dispatcher::send(Ticket Id, CandidateId Target, TimePoint Now,
+                      Commands &Output) {
+  RequestState &Request = *Requests.find(Id);
+  const Candidate &Chosen = *Choice.candidate(Target);
+  Request.SentTo = Target;
+  Request.SentAt = Now;
+  Request.SentRun = Chosen.Run;
+  Request.ResponseStarted = false;
+  if (Request.Attempts++ == 0) {
     Budget.recordFirstSend(Chosen.DataCentre);
     ++Counts.FirstSends;
   } else {
     ++Counts.Resends;
   }
-  Out.emplace_back(SendCommand{Which, Chosen.Spec.Key});
-  Asked.Hinted = Choice.sent(To, queryOf(Asked, Now), Now);
-  countPlaces();
+  Output.emplace_back(SendCommand{Id, Chosen.Spec.Key});
+  Request.Hinted = Choice.sent(Target, choiceQuery(Request, Now), Now);
+  updateQueueSlots();
 }
 
-void Dispatcher::responseStarted(Ticket Which) {
-  Request *const Asked = Requests.find(Which);
-  if (Asked == nullptr || !Asked->SentTo || std::exchange(Asked->Begun, true))
+void Dispatcher::responseStarted(Ticket Id) {
+  RequestState *const Request = Requests.find(Id);
+  if (Request == nullptr || !Request->SentTo ||
+      std::exchange(Request->ResponseStarted, true))
     return;
-  Choice.begun(*Asked->SentTo, Asked->Item.Urgency == Priority::Batch,
-               Asked->Item.PromptTokens);
+  Choice.begun(*Request->SentTo, Request->Item.Urgency == Priority::Batch,
+               Request->Item.PromptTokens);
 }
 
 void Dispatcher::setRemoteLoads(std::span<const EndpointLoad> Others,
-                                TimePoint Now, Commands &Out) {
+                                TimePoint Now, Commands &Output) {
   Choice.share(Others, Now);
-  pump(Now, Out);
+  pump(Now, Output);
 }
 
-void Dispatcher::attemptEnded(Ticket Which, const AttemptResult &Result,
-                              TimePoint Now, Commands &Out) {
-  Request *const Asked = Requests.find(Which);
-  if (Asked == nullptr || !Asked->SentTo)
+void Dispatcher::attemptEnded(Ticket Id, const AttemptResult &Result,
+                              TimePoint Now, Commands &Output) {
+  RequestState *const Request = Requests.find(Id);
+  if (Request == nullptr || !Request->SentTo)
     return;
-  noteEvidence(*Asked, Result, Now);
-  const CandidateId Freed = *Asked->SentTo;
-  endAttempt(*Asked, Result, Now);
+  recordCrashEvidence(*Request, Result, Now);
+  const CandidateId FreedEndpoint = *Request->SentTo;
+  endAttempt(*Request, Result, Now);
   if (Result.Answered) {
     ++Counts.Answered;
-    forget(Which);
+    removeRequest(Id);
   } else {
-    failed(Which, Result, Now, Out);
+    handleFailure(Id, Result, Now, Output);
   }
-  sendChoosy(Freed, Now, Out);
-  pump(Now, Out);
+  sendCacheWaiters(FreedEndpoint, Now, Output);
+  pump(Now, Output);
 }
 
-void Dispatcher::endAttempt(Request &Asked, const AttemptResult &Result,
+void Dispatcher::endAttempt(RequestState &Request, const AttemptResult &Result,
                             TimePoint Now) {
   EndedAttempt Ended;
-  Ended.Outcome = outcomeOf(Result);
-  Ended.PrefixHash = Asked.Item.PrefixHash;
-  Ended.Cost = Asked.Item.Cost;
-  Ended.Suspect = Asked.Suspect;
-  Ended.Hinted = Asked.Hinted;
-  Ended.Late = Asked.Item.Urgency == Priority::Batch;
-  Ended.Begun = Asked.Begun;
-  Ended.PromptTokens = Asked.Item.PromptTokens;
+  Ended.Outcome = attemptOutcome(Result);
+  Ended.PrefixHash = Request.Item.PrefixHash;
+  Ended.Cost = Request.Item.Cost;
+  Ended.Suspect = Request.Suspect;
+  Ended.Hinted = Request.Hinted;
+  Ended.Late = Request.Item.Urgency == Priority::Batch;
+  Ended.Begun = Request.ResponseStarted;
+  Ended.PromptTokens = Request.Item.PromptTokens;
   Ended.Total =
-      Result.Total > Duration::zero() ? Result.Total : Now - Asked.SentAt;
-  Asked.FailedAt = std::exchange(Asked.SentTo, std::nullopt);
-  Choice.ended(*Asked.FailedAt, Ended, Now);
+      Result.Total > Duration::zero() ? Result.Total : Now - Request.SentAt;
+  Request.LastFailedEndpoint = std::exchange(Request.SentTo, std::nullopt);
+  Choice.ended(*Request.LastFailedEndpoint, Ended, Now);
 }
 
-void Dispatcher::noteEvidence(const Request &Asked, const AttemptResult &Result,
-                              TimePoint Now) {
-  const EndpointSpec &Spec = Choice.candidate(*Asked.SentTo)->Spec;
-  const std::uint64_t Fingerprint = Asked.Item.Fingerprint;
+void Dispatcher::recordCrashEvidence(const RequestState &Request,
+                                     const AttemptResult &Result,
+                                     TimePoint Now) {
+  const EndpointSpec &Spec = Choice.candidate(*Request.SentTo)->Spec;
+  const std::uint64_t Fingerprint = Request.Item.Fingerprint;
   if (Result.Answered)
-    Crashes.requestAnswered(Spec.Key, Fingerprint, Asked.SentAt, Now);
+    CrashHistory.requestAnswered(Spec.Key, Fingerprint, Request.SentAt, Now);
   else if (Result.ConnectionLost)
-    Crashes.endpointLost(Spec.Key, Spec.DataCentre, Asked.SentRun,
-                         std::span(&Fingerprint, 1), Now);
-}
-
-void Dispatcher::failed(Ticket Which, const AttemptResult &Result,
-                        TimePoint Now, Commands &Out) {
-  Request &Asked = *Requests.find(Which);
-  Asked.State = laterOf(Asked.State, Result.State);
-  Asked.LastWhy = Result.FailureReason;
-  Asked.FailedWhen = Now;
-  Asked.Resumable = Asked.Resumable || Result.Resumable;
-  if (Crashes.standing(Asked.Item.Fingerprint, Now) == Standing::Quarantined)
-    refuse(Which, notRun(Reason::Quarantined), RetryStop::Quarantined, Out);
-  else if (!mayRetry(Asked.Item, Result))
-    refuse(Which, notRun(Result.FailureReason), RetryStop::NotRepeatable, Out);
-  else if (Asked.Attempts >= Options.Retries.MaxAttempts)
-    refuse(Which, notRun(Result.FailureReason), RetryStop::AttemptsUsed, Out);
-  else if (const auto Stop = holdForRetry(Which, Now))
-    refuse(Which, notRun(Result.FailureReason), *Stop, Out);
-}
-
-// Failure guarded against: thousands of requests fail at once and are held back
-// with their bodies, beside a queue that is full already.
-bool Dispatcher::mayHold(const Request &Asked) const {
+    CrashHistory.endpointLost(Spec.Key, Spec.DataCentre, Request.SentRun,
+                              std::span(&Fingerprint, 1), Now);
+}
+
+void Dispatcher::handleFailure(Ticket Id, const AttemptResult &Result,
+                               TimePoint Now, Commands &Output) {
+  RequestState &Request = *Requests.find(Id);
+  Request.State = laterOf(Request.State, Result.State);
+  Request.LastFailureReason = Result.FailureReason;
+  Request.LastFailureTime = Now;
+  Request.Resumable = Request.Resumable || Result.Resumable;
+  if (CrashHistory.standing(Request.Item.Fingerprint, Now) ==
+      Standing::Quarantined)
+    refuse(Id, notRun(Reason::Quarantined), RetryStop::Quarantined, Output);
+  else if (!mayRetry(Request.Item, Result))
+    refuse(Id, notRun(Result.FailureReason), RetryStop::NotRepeatable, Output);
+  else if (Request.Attempts >= Options.Retries.MaxAttempts)
+    refuse(Id, notRun(Result.FailureReason), RetryStop::AttemptsUsed, Output);
+  else if (const auto Stop = holdForRetry(Id, Now))
+    refuse(Id, notRun(Result.FailureReason), *Stop, Output);
+}
+
+// Failure guarded against: thousands of requests fail at once and are held with
+// their bodies in memory, in addition to a queue that is already full.
+bool Dispatcher::mayHold(const RequestState &Request) const {
   return Held.size() < Options.MaxWaiting &&
-         Held.bytes() + Asked.Item.Bytes <= Options.MaxWaitingBytes;
+         Held.bytes() + Request.Item.Bytes <= Options.MaxWaitingBytes;
 }
 
 /// Holds a request until its next attempt.
-/// @return Why there is none.
-std::optional<RetryStop> Dispatcher::holdForRetry(Ticket Which, TimePoint Now) {
-  Request &Asked = *Requests.find(Which);
-  const Duration Left = latestStart(Asked) - Now;
+/// @return Why there is no further attempt; nothing when it is held.
+std::optional<RetryStop> Dispatcher::holdForRetry(Ticket Id, TimePoint Now) {
+  RequestState &Request = *Requests.find(Id);
+  const Duration TimeLeft = latestStart(Request) - Now;
   const std::optional<Duration> Delay =
-      retryDelay(Options.Retries, Asked.Delays, Left, Draw);
+      retryDelay(Options.Retries, Request.Delays, TimeLeft, Rng);
   if (!Delay)
     return RetryStop::NoTime;
-  if (!mayHold(Asked))
+  if (!mayHold(Request))
     return RetryStop::QueueFull;
-  ++Asked.Delays;
-  Held.holdUntil(Which, Asked.Item.Bytes, Now + *Delay);
+  ++Request.Delays;
+  Held.holdUntil(Id, Request.Item.Bytes, Now + *Delay);
   return std::nullopt;
 }
 
-void Dispatcher::waitForBudget(Ticket Which, TimePoint Now, Commands &Out) {
-  Request &Asked = *Requests.find(Which);
-  Held.remove(Which);
-  // No truthful refusal is left for a stream that its caller has part of.
+void Dispatcher::waitForBudget(Ticket Id, TimePoint Now, Commands &Output) {
+  RequestState &Request = *Requests.find(Id);
+  Held.remove(Id);
+  // The caller of a resumable stream has received part of it, so that it can no
+  // longer be refused as not run: the number of its waits for the budget is not
+  // limited.
   const bool MayWait =
-      Asked.Resumable || Asked.BudgetWaits < Options.Retries.MaxBudgetWaits;
-  ++Asked.BudgetWaits;
-  if (MayWait && !holdForRetry(Which, Now))
+      Request.Resumable || Request.BudgetWaits < Options.Retries.MaxBudgetWaits;
+  ++Request.BudgetWaits;
+  if (MayWait && !holdForRetry(Id, Now))
     return;
   ++Counts.BudgetExhausted;
-  refuse(Which, notRun(Asked.LastWhy, UnknownRetryAfter), RetryStop::BudgetUsed,
-         Out);
+  refuse(Id, notRun(Request.LastFailureReason, UnknownRetryAfter),
+         RetryStop::BudgetUsed, Output);
 }
 
-void Dispatcher::cancel(Ticket Which, TimePoint Now, Commands &Out) {
-  Request *const Gone = Requests.find(Which);
-  if (Gone == nullptr)
+void Dispatcher::cancel(Ticket Id, TimePoint Now, Commands &Output) {
+  RequestState *const Removed = Requests.find(Id);
+  if (Removed == nullptr)
     return;
-  if (Gone->SentTo) {
+  if (Removed->SentTo) {
     AttemptResult Result;
     Result.FailureReason = Reason::Cancelled;
-    endAttempt(*Gone, Result, Now);
+    endAttempt(*Removed, Result, Now);
   }
-  Queue.remove(Which);
-  Held.remove(Which);
-  forget(Which);
-  pump(Now, Out);
+  Queue.remove(Id);
+  Held.remove(Id);
+  removeRequest(Id);
+  pump(Now, Output);
 }
 
 void Dispatcher::observe(const LoadReport &Report, TimePoint Now,
-                         Commands &Out) {
-  const std::optional<CandidateId> Which = Choice.find(Report.EndpointKey);
-  if (!Which)
+                         Commands &Output) {
+  const std::optional<CandidateId> Id = Choice.find(Report.EndpointKey);
+  if (!Id)
     return;
-  const Incarnation OldRun = Choice.candidate(*Which)->Run;
-  if (Choice.observe(*Which, Report, Now))
-    noteRestart(*Which, OldRun, Now);
-  pump(Now, Out);
+  const Incarnation OldRun = Choice.candidate(*Id)->Run;
+  if (Choice.observe(*Id, Report, Now))
+    recordRestart(*Id, OldRun, Now);
+  pump(Now, Output);
 }
 
-void Dispatcher::noteRestart(CandidateId Which, Incarnation OldRun,
-                             TimePoint Now) {
+void Dispatcher::recordRestart(CandidateId Id, Incarnation OldRun,
+                               TimePoint Now) {
   std::vector<std::uint64_t> InFlight;
-  Requests.each([&](Ticket /*Each*/, const Request &Asked) {
-    if (Asked.SentTo == Which && Asked.SentRun == OldRun)
-      InFlight.push_back(Asked.Item.Fingerprint);
+  Requests.each([&](Ticket /*Id*/, const RequestState &Request) {
+    if (Request.SentTo == Id && Request.SentRun == OldRun)
+      InFlight.push_back(Request.Item.Fingerprint);
   });
   if (InFlight.empty())
     return;
-  const EndpointSpec &Spec = Choice.candidate(Which)->Spec;
-  Crashes.endpointRestarted(Spec.Key, Spec.DataCentre, OldRun, InFlight, Now);
+  const EndpointSpec &Spec = Choice.candidate(Id)->Spec;
+  CrashHistory.endpointRestarted(Spec.Key, Spec.DataCentre, OldRun, InFlight,
+                                 Now);
 }
 
 void Dispatcher::observeCache(std::string_view EndpointKey,
                               const CacheChange &Change, TimePoint Now) {
-  if (const std::optional<CandidateId> Which = Choice.find(EndpointKey))
-    Choice.observeCache(*Which, Change, Now);
+  if (const std::optional<CandidateId> Id = Choice.find(EndpointKey))
+    Choice.observeCache(*Id, Change, Now);
 }
 
 void Dispatcher::observeClosed(std::string_view EndpointKey, TimePoint Now) {
-  Crashes.endpointClosed(EndpointKey, Now);
+  CrashHistory.endpointClosed(EndpointKey, Now);
 }
 
 std::vector<QuarantineNotice> Dispatcher::takeNotices(TimePoint Now) {
-  return Crashes.takeNotices(Now);
+  return CrashHistory.takeNotices(Now);
 }
 
-bool Dispatcher::observeNotice(const QuarantineNotice &Told, TimePoint Now) {
-  return Crashes.observe(Told, Now);
+bool Dispatcher::observeNotice(const QuarantineNotice &Notice, TimePoint Now) {
+  return CrashHistory.observe(Notice, Now);
 }
 
-void Dispatcher::advance(TimePoint Now, Commands &Out) {
+void Dispatcher::advance(TimePoint Now, Commands &Output) {
   Choice.advance(Now);
-  pump(Now, Out);
-  refuseHopeless(Now, Out);
-  if (heldTooLong(Now))
-    refuseAllWaiting(emptyVerdict(), Out);
+  pump(Now, Output);
+  refuseUnmeetable(Now, Output);
+  if (holdExpired(Now))
+    refuseAllWaiting(noCapacityVerdict(), Output);
 }
 
 std::optional<TimePoint> Dispatcher::nextWake() const {
@@ -476,8 +492,8 @@
   Consider(Queue.earliestExpiry());
   Consider(Held.earliest());
   Consider(Choice.nextChange());
-  Consider(ShedAt);
-  Consider(holdEnd());
+  Consider(ShedCheckAt);
+  Consider(holdDeadline());
   return Earliest;
 }
 
@@ -485,196 +501,205 @@
   return Queue.size() + Held.size();
 }
 
-void Dispatcher::pump(TimePoint Now, Commands &Out) {
-  watchCapacity(Now);
-  expire(Now, Out);
-  sendHeld(Now, Out);
-  sendWaiting(Now, Out);
+void Dispatcher::pump(TimePoint Now, Commands &Output) {
+  trackCapacity(Now);
+  expire(Now, Output);
+  sendHeld(Now, Output);
+  sendWaiting(Now, Output);
 }
 
-void Dispatcher::expire(TimePoint Now, Commands &Out) {
-  while (const std::optional<Ticket> Which = Queue.popExpired(Now)) {
-    const Request &Asked = *Requests.find(*Which);
-    refuse(*Which, notRun(expiryOf(Asked.Item, Now)),
-           stopOf(Asked, RetryStop::NoTime), Out);
+void Dispatcher::expire(TimePoint Now, Commands &Output) {
+  while (const std::optional<Ticket> Id = Queue.popExpired(Now)) {
+    const RequestState &Request = *Requests.find(*Id);
+    refuse(*Id, notRun(expiryReason(Request.Item, Now)),
+           retryStop(Request, RetryStop::NoTime), Output);
   }
-  while (const std::optional<Ticket> Which = Held.popDue(Now))
-    expireHeld(*Which, Now, Out);
+  while (const std::optional<Ticket> Id = Held.popDue(Now))
+    expireHeld(*Id, Now, Output);
 }
 
-void Dispatcher::expireHeld(Ticket Which, TimePoint Now, Commands &Out) {
-  const Request &Asked = *Requests.find(Which);
-  const TimePoint Latest = latestStart(Asked);
+void Dispatcher::expireHeld(Ticket Id, TimePoint Now, Commands &Output) {
+  const RequestState &Request = *Requests.find(Id);
+  const TimePoint Latest = latestStart(Request);
   if (Now < Latest) {
-    Held.holdReady(Which, Asked.Item.Bytes, Latest);
+    Held.holdReady(Id, Request.Item.Bytes, Latest);
     return;
   }
-  const Reason Untried = expiryOf(Asked.Item, Now);
-  refuse(Which, notRun(Asked.Attempts > 0 ? Asked.LastWhy : Untried),
-         stopOf(Asked, RetryStop::NoTime), Out);
+  const Reason UntriedReason = expiryReason(Request.Item, Now);
+  refuse(
+      Id,
+      notRun(Request.Attempts > 0 ? Request.LastFailureReason : UntriedReason),
+      retryStop(Request, RetryStop::NoTime), Output);
 }
 
-void Dispatcher::sendHeld(TimePoint Now, Commands &Out) {
+void Dispatcher::sendHeld(TimePoint Now, Commands &Output) {
   std::size_t Misses = 0;
   while (Misses == 0 && Choice.hasRoom()) {
-    const std::vector<Ticket> Next = Held.ready(MostMisses);
-    if (Next.empty())
+    const std::vector<Ticket> Ready = Held.ready(MaxMisses);
+    if (Ready.empty())
       return;
-    for (const Ticket Which : Next)
-      Misses += placeHeld(Which, Now, Out) == Placing::NoRoom ? 1U : 0U;
+    for (const Ticket Id : Ready)
+      Misses += placeHeld(Id, Now, Output) == PlaceResult::NoSlot ? 1U : 0U;
   }
 }
 
-/// Sends those that wait for a place at an endpoint where one became free.
-void Dispatcher::sendChoosy(CandidateId Freed, TimePoint Now, Commands &Out) {
-  while (const std::optional<Ticket> Which = Held.firstFor(Freed.Index)) {
-    const Candidate *const Endpoint = Choice.candidate(Freed);
+/// Sends requests that wait for a slot at the endpoint where one became free.
+void Dispatcher::sendCacheWaiters(CandidateId FreedEndpoint, TimePoint Now,
+                                  Commands &Output) {
+  while (const std::optional<Ticket> Id =
+             Held.firstWaitingFor(FreedEndpoint.Index)) {
+    const Candidate *const Endpoint = Choice.candidate(FreedEndpoint);
     if (Endpoint == nullptr || !Endpoint->open() ||
-        placeHeld(*Which, Now, Out) == Placing::NoRoom)
+        placeHeld(*Id, Now, Output) == PlaceResult::NoSlot)
       return;
   }
 }
 
-Dispatcher::Placing Dispatcher::placeHeld(Ticket Which, TimePoint Now,
-                                          Commands &Out) {
-  Request &Asked = *Requests.find(Which);
-  if (Crashes.standing(Asked.Item.Fingerprint, Now) == Standing::Quarantined) {
-    Held.remove(Which);
-    refuse(Which, notRun(Reason::Quarantined), RetryStop::Quarantined, Out);
-    return Placing::Done;
+Dispatcher::PlaceResult Dispatcher::placeHeld(Ticket Id, TimePoint Now,
+                                              Commands &Output) {
+  RequestState &Request = *Requests.find(Id);
+  if (CrashHistory.standing(Request.Item.Fingerprint, Now) ==
+      Standing::Quarantined) {
+    Held.remove(Id);
+    refuse(Id, notRun(Reason::Quarantined), RetryStop::Quarantined, Output);
+    return PlaceResult::Handled;
   }
-  if (Asked.Attempts > 0 && !Budget.hasToken()) {
-    waitForBudget(Which, Now, Out);
-    return Placing::Done;
+  if (Request.Attempts > 0 && !Budget.hasToken()) {
+    waitForBudget(Id, Now, Output);
+    return PlaceResult::Handled;
   }
-  const std::optional<CandidateId> To = chooseFor(Asked, Now);
-  if (!To)
-    return Placing::NoRoom;
-  if (Asked.Attempts > 0 && !Budget.take(Choice.candidate(*To)->DataCentre)) {
-    waitForBudget(Which, Now, Out);
-    return Placing::Done;
+  const std::optional<CandidateId> Target = chooseEndpoint(Request, Now);
+  if (!Target)
+    return PlaceResult::NoSlot;
+  if (Request.Attempts > 0 &&
+      !Budget.take(Choice.candidate(*Target)->DataCentre)) {
+    waitForBudget(Id, Now, Output);
+    return PlaceResult::Handled;
   }
-  Held.remove(Which);
-  send(Which, *To, Now, Out);
-  return Placing::Done;
+  Held.remove(Id);
+  send(Id, *Target, Now, Output);
+  return PlaceResult::Handled;
 }
 
-// Failure guarded against: a request that no endpoint with room fits at
-// present, as a suspect, keeps all behind it waiting. It steps aside and the
-// next one is tried.
-void Dispatcher::sendWaiting(TimePoint Now, Commands &Out) {
+// Failure guarded against: head-of-line blocking by a request, such as a
+// suspect, for which no endpoint with a free slot is suitable at present. It is
+// moved to the held requests and the next one is tried.
+void Dispatcher::sendWaiting(TimePoint Now, Commands &Output) {
   std::size_t Misses = 0;
-  while (Misses < MostMisses && Choice.hasRoom()) {
-    const std::optional<Ticket> Which = Queue.peek();
-    if (!Which)
+  while (Misses < MaxMisses && Choice.hasRoom()) {
+    const std::optional<Ticket> Id = Queue.peek();
+    if (!Id)
       return;
-    Request &Asked = *Requests.find(*Which);
-    const bool Barred =
-        Crashes.standing(Asked.Item.Fingerprint, Now) == Standing::Quarantined;
-    const std::optional<CandidateId> To =
-        Barred ? std::nullopt : chooseFor(Asked, Now);
-    if (!Barred && !To && !Asked.Suspect && !waitsForCache(Asked, Now))
+    RequestState &Request = *Requests.find(*Id);
+    const bool IsQuarantined =
+        CrashHistory.standing(Request.Item.Fingerprint, Now) ==
+        Standing::Quarantined;
+    const std::optional<CandidateId> Target =
+        IsQuarantined ? std::nullopt : chooseEndpoint(Request, Now);
+    if (!IsQuarantined && !Target && !Request.Suspect &&
+        !waitsForCache(Request, Now))
       return;
-    Asked.InProgress = Queue.pop().has_value();
-    if (Barred) {
-      refuse(*Which, notRun(Reason::Quarantined), RetryStop::Quarantined, Out);
-    } else if (To) {
-      send(*Which, *To, Now, Out);
+    Request.InProgress = Queue.pop().has_value();
+    if (IsQuarantined) {
+      refuse(*Id, notRun(Reason::Quarantined), RetryStop::Quarantined, Output);
+    } else if (Target) {
+      send(*Id, *Target, Now, Output);
     } else {
-      stepAside(*Which, Now, Out);
+      holdAside(*Id, Now, Output);
       ++Misses;
     }
   }
 }
 
-void Dispatcher::countPlaces() {
+void Dispatcher::updateQueueSlots() {
   Queue.setSlots(Choice.throughput().Slots,
                  static_cast<double>(Choice.freeSlots()));
 }
 
-void Dispatcher::stepAside(Ticket Which, TimePoint Now, Commands &Out) {
-  const Request &Asked = *Requests.find(Which);
-  const TimePoint Until =
-      waitsForCache(Asked, Now) ? *Asked.CachedUntil : latestStart(Asked);
-  if (mayHold(Asked))
-    Held.holdReady(Which, Asked.Item.Bytes, Until);
+void Dispatcher::holdAside(Ticket Id, TimePoint Now, Commands &Output) {
+  const RequestState &Request = *Requests.find(Id);
+  const TimePoint Until = waitsForCache(Request, Now) ? *Request.CacheWaitUntil
+                                                      : latestStart(Request);
+  if (mayHold(Request))
+    Held.holdReady(Id, Request.Item.Bytes, Until);
   else
-    refuse(Which, notRun(Reason::Overloaded, UnknownRetryAfter),
-           stopOf(Asked, RetryStop::QueueFull), Out);
+    refuse(Id, notRun(Reason::Overloaded, UnknownRetryAfter),
+           retryStop(Request, RetryStop::QueueFull), Output);
 }
 
-void Dispatcher::watchCapacity(TimePoint Now) {
+void Dispatcher::trackCapacity(TimePoint Now) {
   if (Choice.usable())
-    EmptySince.reset();
-  else if (!EmptySince)
-    EmptySince = Now;
+    UnusableSince.reset();
+  else if (!UnusableSince)
+    UnusableSince = Now;
   if (waiting() == 0)
     WaitingSince.reset();
   const double Slots = Choice.throughput().Slots;
-  countPlaces();
-  if (Slots > ShedSlots)
-    ShedSlots = Slots;
-  if (Slots < CapacityDrop * ShedSlots && !ShedAt)
-    ShedAt = Now + ShedDelay;
+  updateQueueSlots();
+  if (Slots > ReferenceSlots)
+    ReferenceSlots = Slots;
+  if (Slots < CapacityDrop * ReferenceSlots && !ShedCheckAt)
+    ShedCheckAt = Now + ShedDelay;
 }
 
-// Failure guarded against: half of the endpoints go, and callers whose requests
-// can no longer be served in time learn so at their deadline only.
-void Dispatcher::refuseHopeless(TimePoint Now, Commands &Out) {
-  if (!ShedAt || Now < *ShedAt)
+// Failure guarded against: half of the endpoints are lost, and callers whose
+// requests can no longer be served in time learn that only at their deadline.
+void Dispatcher::refuseUnmeetable(TimePoint Now, Commands &Output) {
+  if (!ShedCheckAt || Now < *ShedCheckAt)
     return;
-  ShedAt.reset();
-  const Throughput Speed = speed(Now);
-  ShedSlots = Choice.throughput().Slots;
+  ShedCheckAt.reset();
+  const Throughput Speed = expectedThroughput(Now);
+  ReferenceSlots = Choice.throughput().Slots;
   if (!Speed.known())
     return;
-  for (const Ticket Which : Queue.unmeetable(Speed, Now)) {
-    const Request &Asked = *Requests.find(Which);
-    const Duration Wait = Queue.estimatedWait(Asked.Team, Asked.Item.Urgency,
-                                              Asked.Item.Cost, Speed);
-    Queue.remove(Which);
-    refuse(Which, notRun(Reason::DeadlineTooShort, retryAfter(Wait)),
-           stopOf(Asked, RetryStop::NoTime), Out);
+  for (const Ticket Id : Queue.unmeetable(Speed, Now)) {
+    const RequestState &Request = *Requests.find(Id);
+    const Duration Wait = Queue.estimatedWait(
+        Request.Team, Request.Item.Urgency, Request.Item.Cost, Speed);
+    Queue.remove(Id);
+    refuse(Id, notRun(Reason::DeadlineTooShort, retryAfter(Wait)),
+           retryStop(Request, RetryStop::NoTime), Output);
   }
 }
 
-void Dispatcher::refuseAllWaiting(const Verdict &Final, Commands &Out) {
-  std::vector<Ticket> Gone = Held.all();
-  for (const Ticket Which : Gone)
-    Held.remove(Which);
-  for (const Ticket Which : Queue.all()) {
-    Queue.remove(Which);
-    Gone.push_back(Which);
+void Dispatcher::refuseAllWaiting(const Verdict &Refusal, Commands &Output) {
+  std::vector<Ticket> Removed = Held.all();
+  for (const Ticket Id : Removed)
+    Held.remove(Id);
+  for (const Ticket Id : Queue.all()) {
+    Queue.remove(Id);
+    Removed.push_back(Id);
   }
-  for (const Ticket Which : Gone)
-    refuse(Which, Final, stopOf(*Requests.find(Which), RetryStop::NoEndpoint),
-           Out);
-}
-
-/// Ends a request that was not answered; its run state is the latest of all of
-/// its attempts.
-void Dispatcher::refuse(Ticket Which, Verdict Final, RetryStop Stop,
-                        Commands &Out) {
-  const Request &Asked = *Requests.find(Which);
-  Final.State = laterOf(Final.State, Asked.State);
-  const RefusalDetails Basis{Stop, Asked.Attempts, Asked.BudgetWaits,
-                             Choice.size(), Asked.FailedWhen};
+  for (const Ticket Id : Removed)
+    refuse(Id, Refusal, retryStop(*Requests.find(Id), RetryStop::NoEndpoint),
+           Output);
+}
+
+/// Ends a request that was not answered. Its run state is the furthest that any
+/// of its attempts reached.
+void Dispatcher::refuse(Ticket Id, Verdict Refusal, RetryStop Stop,
+                        Commands &Output) {
+  const RequestState &Request = *Requests.find(Id);
+  Refusal.State = laterOf(Refusal.State, Request.State);
+  const RefusalDetails Basis{Stop, Request.Attempts, Request.BudgetWaits,
+                             Choice.size(), Request.LastFailureTime};
   ++Counts.Refused;
-  Counts.RefusedTooShort += Final.Why == Reason::DeadlineTooShort ? 1U : 0U;
-  Counts.RefusedOverloaded += Final.Why == Reason::Overloaded ? 1U : 0U;
-  Counts.RefusedQuarantined += Final.Why == Reason::Quarantined ? 1U : 0U;
-  forget(Which);
-  Out.emplace_back(RefuseCommand{Which, Final, Basis});
+  Counts.RefusedTooShort += Refusal.Why == Reason::DeadlineTooShort ? 1U : 0U;
+  Counts.RefusedOverloaded += Refusal.Why == Reason::Overloaded ? 1U : 0U;
+  Counts.RefusedQuarantined += Refusal.Why == Reason::Quarantined ? 1U : 0U;
+  removeRequest(Id);
+  Output.emplace_back(RefuseCommand{Id, Refusal, Basis});
 }
 
-RetryStop Dispatcher::stopOf(const Request &Asked, RetryStop IfTried) noexcept {
-  return Asked.Attempts > 0 ? IfTried : RetryStop::NotTried;
+RetryStop Dispatcher::retryStop(const RequestState &Request,
+                                RetryStop StopIfTried) noexcept {
+  return Request.Attempts > 0 ? StopIfTried : RetryStop::NotTried;
 }
 
-void Dispatcher::forget(Ticket Which) {
-  const std::optional<Request> Gone = Requests.erase(Which);
-  if (Gone->InProgress)
-    Queue.requestEnded(Gone->Team);
+void Dispatcher::removeRequest(Ticket Id) {
+  const std::optional<RequestState> Removed = Requests.erase(Id);
+  if (Removed->InProgress)
+    Queue.requestEnded(Removed->Team);
 }
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/dispatch/dispatcher.hpp
+++ b/packages/request/src/coltsfoottrail/dispatch/dispatcher.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Decides for one pool which request goes to which endpoint when, and which is
-/// refused.
+/// Request scheduling for one pool: decides which request is sent to which
+/// endpoint and when, and which requests are refused.
 #ifndef COLTSFOOTTRAIL_DISPATCH_DISPATCHER_HPP
 #define COLTSFOOTTRAIL_DISPATCH_DISPATCHER_HPP
 
@@ -21,41 +21,46 @@
 
 namespace coltsfoottrail {
 
-/// @brief Limits of one dispatcher.
+/// @brief Configuration of one dispatcher.
 struct DispatcherOptions {
+  /// Data centre of this entry host.
   DataCentreName LocalDataCentre;
   std::size_t MaxWaiting = 4096;
   std::size_t MaxWaitingBytes = std::size_t{16} << 20U;
   std::uint64_t Seed = 1;
-  /// Places that teams above their share leave free, for each place that the
-  /// others take within theirs.
+  /// Slots that teams above their share must leave free, for each slot that the
+  /// other teams use within theirs.
   double ReservedSlotRatio = 1.0;
-  /// How long a request waits for an endpoint that has its prefix, as a part of
-  /// what the prefix saves.
+  /// How long a request waits for an endpoint that has cached its prefix, as a
+  /// fraction of the time that the cache hit saves.
   double CacheDelay = 1.0;
-  /// Most requests that wait so, as a part of the places.
+  /// Most requests that wait for a cached prefix, as a fraction of the slots.
   double MaxCacheWaitRatio = 0.25;
-  /// How endpoints are chosen; the estimated wait unless for comparisons.
+  /// How endpoints are chosen. Policies other than the estimated wait are for
+  /// comparison only.
   ChoicePolicy Policy;
   RetryLimits Retries;
-  /// Retries that the pools of a service share; the pool's own when null.
+  /// Retry tokens that the pools of a service share; the pool has its own when
+  /// null.
   std::shared_ptr<SharedTokenBucket> RetryTokens;
   QuarantineLimits CrashLimits;
-  /// Times the mean time of service that must be left when a request starts
-  /// after a wait; less, and many run to their deadline for nothing.
+  /// Time that must be left when a request starts after a wait, as a multiple
+  /// of the mean service time. With less, many requests time out after they
+  /// have used an endpoint.
   double ServiceMargin = 2.0;
-  /// The same for the start of a retry, which stands before an idle endpoint.
+  /// The same for the start of a retry, for which an endpoint is idle.
   double RetryMargin = 0.5;
-  /// How long requests are taken and held while the pool has no endpoint.
+  /// How long requests are accepted and held while the pool has no endpoint.
   Duration NoEndpointHold = seconds(2);
-  /// How long requests are held while the pool has endpoints, but this entry
-  /// host no share of any.
+  /// How long requests are held while the pool has endpoints but this entry
+  /// host has no share of any.
   Duration NoShareHold = seconds(8);
-  /// How long expectSlots() counts after requests have begun to wait.
+  /// How long after requests have begun to wait the count from expectSlots() is
+  /// used.
   Duration ShareGrace = seconds(1);
 };
 
-/// @brief What a dispatcher has done since its start.
+/// @brief Counters of a dispatcher since its start.
 struct DispatchCounts {
   std::uint64_t Submitted = 0;
   std::uint64_t FirstSends = 0;
@@ -65,236 +70,246 @@
   std::uint64_t RefusedTooShort = 0;
   std::uint64_t RefusedOverloaded = 0;
   std::uint64_t RefusedQuarantined = 0;
-  /// Retries that were given up because the budget was used up.
+  /// Requests refused because the retry budget was exhausted.
   std::uint64_t BudgetExhausted = 0;
 };
 
-/// @brief The decisions of one pool. Pure: takes events and times, answers
-/// commands.
+/// @brief Scheduler of one pool. Does no I/O and reads no clock: takes events
+/// and times, and returns commands.
 ///
-/// Not thread-safe: stands in a shard under the shard's lock. Times must not go
-/// back.
+/// Not thread-safe: guarded by the lock of its shard. Times must not go back.
 class Dispatcher {
 public:
   /// @brief Makes a dispatcher without endpoints.
-  /// @param Limits Its limits.
   explicit Dispatcher(DispatcherOptions Limits);
 
-  /// @brief Takes over another version of the pool.
-  /// @param Wanted The pool; endpoints that are gone get nothing more, work in
-  /// progress there goes on.
+  /// @brief Replaces the configuration of the pool.
+  /// @param Config The pool. Endpoints that are no longer in it get no new
+  /// requests; requests in progress there continue.
   /// @param Now The time.
-  /// @param Out Commands are added here.
-  void configure(const Pool &Wanted, TimePoint Now, Commands &Out);
+  /// @param Output Receives the commands.
+  void configure(const Pool &Config, TimePoint Now, Commands &Output);
 
-  /// @brief Sets how many requests this entry host may have in progress at an
-  /// endpoint: its share of the bound.
+  /// @brief Sets this entry host's share of an endpoint's concurrency limit.
   /// @param EndpointKey The endpoint.
-  /// @param Share Requests at once; zero for none.
+  /// @param Share Concurrent requests; zero for none.
   /// @param Now The time.
-  /// @param Out Commands are added here.
+  /// @param Output Receives the commands.
   void setShare(std::string_view EndpointKey, std::uint32_t Share,
-                TimePoint Now, Commands &Out);
+                TimePoint Now, Commands &Output);
 
-  /// @brief Tells how many requests at once this entry host can expect shares
-  /// for when it needs them. Where shares are given on demand, the wait is
-  /// estimated by them until they have had time to come.
-  /// @param Count Zero, as at the start, when shares do not follow the demand.
-  void expectSlots(double Count) noexcept { ExpectedPlaces = Count; }
+  /// @brief Sets how many concurrent requests this entry host can expect to get
+  /// shares for once it has demand. Where shares are granted on demand, the
+  /// wait is estimated from this count until the shares have had time to
+  /// arrive.
+  /// @param Count Zero, the initial value, when shares do not follow the
+  /// demand.
+  void expectSlots(double Count) noexcept { ExpectedSlots = Count; }
 
-  /// @brief Sets what a team is entitled to; without it a team has weight 1.
+  /// @brief Sets the weight and the limit of a team; the default weight is 1.
   /// @param Team The team.
-  /// @param Wanted Its weight and limit, both above zero.
+  /// @param Share Its weight and limit, both above zero.
   /// @param Now The time.
-  /// @param Out Commands are added here.
-  void setTeam(const TeamName &Team, TeamShare Wanted, TimePoint Now,
-               Commands &Out);
+  /// @param Output Receives the commands.
+  void setTeam(const TeamName &Team, TeamShare Share, TimePoint Now,
+               Commands &Output);
 
-  /// @brief Sets how many retries are saved up at most.
-  void setRetryBurst(double Most) { Budget.setBurst(Most); }
+  /// @brief Sets the capacity of the retry budget.
+  void setRetryBurst(double MaxRetries) { Budget.setBurst(MaxRetries); }
 
-  /// @brief Takes a request. Out gets at most one command for it now; the rest
-  /// comes later. A request that by the estimated wait cannot make its deadline
-  /// is refused at once.
+  /// @brief Accepts a request. Adds at most one command for it to Output;
+  /// further commands follow from later calls. A request that cannot meet its
+  /// deadline after the estimated wait is refused at once.
   /// @param Item The request.
   /// @param Now The time.
-  /// @param Out Commands are added here.
-  /// @return Names the request until its last command or release().
-  [[nodiscard]] Ticket submit(WorkItem Item, TimePoint Now, Commands &Out);
+  /// @param Output Receives the commands.
+  /// @return Identifies the request until its last command or cancel().
+  [[nodiscard]] Ticket submit(WorkItem Item, TimePoint Now, Commands &Output);
 
-  /// @brief Tells that the answer of an attempt has begun.
-  void responseStarted(Ticket Which);
+  /// @brief Records that the response to the current attempt has started.
+  void responseStarted(Ticket Id);
 
-  /// @brief Own requests at each endpoint that has any.
+  /// @brief This host's requests at each endpoint that has any of them.
   [[nodiscard]] std::vector<EndpointLoad> ownLoads() const {
     return Choice.ownLoads();
   }
-  /// @brief Takes what the other entry hosts have at all endpoints; requests
-  /// that wait may find a place by it.
+  /// @brief Replaces the loads that the other entry hosts have at all
+  /// endpoints; waiting requests may be sent as a result.
   void setRemoteLoads(std::span<const EndpointLoad> Others, TimePoint Now,
-                      Commands &Out);
+                      Commands &Output);
 
-  /// @brief Tells how an attempt ended. Unless it was answered, a SendCommand
-  /// or a RefuseCommand for the ticket follows, now or from a later advance();
-  /// Out also gets SendCommands for those that waited.
-  /// @param Which The request.
+  /// @brief Records how an attempt ended. Unless it was answered, a SendCommand
+  /// or a RefuseCommand for the ticket follows, now or from a later advance().
+  /// SendCommands for waiting requests are added to Output as well.
+  /// @param Id The request.
   /// @param Result How it ended.
   /// @param Now The time.
-  /// @param Out Commands are added here.
-  void attemptEnded(Ticket Which, const AttemptResult &Result, TimePoint Now,
-                    Commands &Out);
+  /// @param Output Receives the commands.
+  void attemptEnded(Ticket Id, const AttemptResult &Result, TimePoint Now,
+                    Commands &Output);
 
-  /// @brief Forgets a request whose caller has gone, wherever it stands.
-  /// @param Which The request.
+  /// @brief Removes a request whose caller has left, in whichever state it is.
+  /// @param Id The request.
   /// @param Now The time.
-  /// @param Out Commands for others are added here.
-  void cancel(Ticket Which, TimePoint Now, Commands &Out);
+  /// @param Output Receives commands for other requests.
+  void cancel(Ticket Id, TimePoint Now, Commands &Output);
 
-  /// @brief Takes a load report. A new run of the endpoint makes its learned
-  /// speed and cache void, and counts as a crash for what is in flight there.
-  void observe(const LoadReport &Report, TimePoint Now, Commands &Out);
+  /// @brief Processes a load report. A new run of the endpoint resets its
+  /// learned speed and cache contents, and counts as a crash for the requests
+  /// in flight there.
+  void observe(const LoadReport &Report, TimePoint Now, Commands &Output);
 
-  /// @brief Takes an event of an endpoint's prefix cache.
+  /// @brief Processes an event of an endpoint's prefix cache.
   /// @param EndpointKey The endpoint; an unknown one is ignored.
   /// @param Change What changed.
   /// @param Now The time.
   void observeCache(std::string_view EndpointKey, const CacheChange &Change,
                     TimePoint Now);
 
-  /// @brief Notes that an endpoint stopped serving under a key and lives on;
-  /// streams that break there do not speak against their requests.
+  /// @brief Records that an endpoint stopped serving under a key without having
+  /// crashed; broken streams there are no evidence against their requests.
   void observeClosed(std::string_view EndpointKey, TimePoint Now);
 
-  /// @brief Hands out what the dispatchers of this pool on the other entry
-  /// hosts should be told by observeNotice(). Call it after finished() and
-  /// observe().
+  /// @brief Removes and returns the notices for the dispatchers of this pool on
+  /// the other entry hosts, to be passed to observeNotice() there. Call it
+  /// after attemptEnded() and observe().
   [[nodiscard]] std::vector<QuarantineNotice> takeNotices(TimePoint Now);
 
-  /// @brief Takes what a dispatcher of this pool on another entry host told.
-  /// @return Whether it was news here.
-  bool observeNotice(const QuarantineNotice &Told, TimePoint Now);
+  /// @brief Processes a notice from a dispatcher of this pool on another entry
+  /// host.
+  /// @return Whether it changed anything here.
+  bool observeNotice(const QuarantineNotice &Notice, TimePoint Now);
 
-  /// @brief Does what time alone brings: refuses what can no longer make its
-  /// deadline, sends again what was held back, tries ejected endpoints.
+  /// @brief Performs the work that is due: refuses requests that can no longer
+  /// meet their deadline, sends held requests again, tries ejected endpoints.
   /// @param Now The time.
-  /// @param Out Commands are added here.
-  void advance(TimePoint Now, Commands &Out);
+  /// @param Output Receives the commands.
+  void advance(TimePoint Now, Commands &Output);
 
-  /// @brief When advance() should be called next, if no event comes before.
+  /// @brief When advance() should be called next, if no other call is made
+  /// before.
   [[nodiscard]] std::optional<TimePoint> nextWake() const;
 
   /// @brief Requests that wait for an endpoint or for their next attempt.
   [[nodiscard]] std::size_t waiting() const noexcept;
 
-  /// @brief What it has done since its start.
+  /// @brief Counters since its start.
   [[nodiscard]] const DispatchCounts &counts() const noexcept { return Counts; }
-  /// @brief Endpoints left out at present as slow or failing.
+  /// @brief Endpoints that are currently excluded as slow or failing.
   [[nodiscard]] std::size_t ejected() const noexcept {
     return Choice.ejected();
   }
   /// @brief Requests suspected or refused for crashing endpoints.
-  [[nodiscard]] std::size_t suspects() const noexcept { return Crashes.size(); }
+  [[nodiscard]] std::size_t suspects() const noexcept {
+    return CrashHistory.size();
+  }
 
 private:
-  struct Request {
+  struct RequestState {
     WorkItem Item;
     TeamId Team;
-    /// Latest of all attempts so far.
+    /// Furthest run state that any attempt so far has reached.
     RunState State = RunState::NotRun;
     /// Why the last attempt failed, and when.
-    Reason LastWhy = Reason::Internal;
-    std::optional<TimePoint> FailedWhen;
+    Reason LastFailureReason = Reason::Internal;
+    std::optional<TimePoint> LastFailureTime;
     std::uint32_t Attempts = 0;
     std::uint32_t Delays = 0;
     std::uint32_t BudgetWaits = 0;
-    /// The answer of its attempt has begun.
-    bool Begun = false;
-    /// Its caller has part of a stream.
+    /// The response to the current attempt has started.
+    bool ResponseStarted = false;
+    /// Its caller has received part of a stream that can be resumed elsewhere.
     bool Resumable = false;
     /// Counted by the queue as in progress.
     bool InProgress = false;
     bool Suspect = false;
-    /// Until when it waits for an endpoint that has its prefix.
-    std::optional<TimePoint> CachedUntil;
-    /// Sent to an endpoint that was thought to have its prefix.
+    /// End of its wait for an endpoint that has cached its prefix.
+    std::optional<TimePoint> CacheWaitUntil;
+    /// Sent to an endpoint that was believed to have cached its prefix.
     bool Hinted = false;
-    /// Where it is, while an attempt runs.
+    /// Endpoint of the attempt in progress.
     std::optional<CandidateId> SentTo;
-    /// Where the last attempt failed.
-    std::optional<CandidateId> FailedAt;
+    /// Endpoint of the last attempt that ended.
+    std::optional<CandidateId> LastFailedEndpoint;
     TimePoint SentAt;
     Incarnation SentRun = 0;
   };
-  enum class Placing : std::uint8_t { Done, NoRoom };
+  enum class PlaceResult : std::uint8_t { Handled, NoSlot };
 
-  [[nodiscard]] std::optional<Verdict> refusalAtOnce(const Request &Asked,
-                                                     TimePoint Now) const;
-  [[nodiscard]] std::optional<Verdict> refusalToWait(const Request &Asked,
-                                                     TimePoint Now) const;
+  [[nodiscard]] std::optional<Verdict>
+  immediateRefusal(const RequestState &Request, TimePoint Now) const;
+  [[nodiscard]] std::optional<Verdict>
+  admissionRefusal(const RequestState &Request, TimePoint Now) const;
   [[nodiscard]] Duration expectedService(const WorkItem &Item) const;
   [[nodiscard]] TimePoint latestStart(const WorkItem &Item,
                                       double Margin) const;
-  [[nodiscard]] TimePoint latestStart(const Request &Asked) const;
-  [[nodiscard]] Throughput speed(TimePoint Now) const;
-  [[nodiscard]] std::optional<TimePoint> holdEnd() const;
-  [[nodiscard]] bool heldTooLong(TimePoint Now) const;
-  [[nodiscard]] Verdict emptyVerdict() const;
-
-  [[nodiscard]] bool startNow(Ticket Which, TimePoint Now, Commands &Out);
-  void enqueue(Ticket Which, TimePoint Now);
-  [[nodiscard]] ChoiceQuery queryOf(const Request &Asked, TimePoint Now) const;
-  [[nodiscard]] TimePoint cacheDelayEnd(const Request &Asked,
+  [[nodiscard]] TimePoint latestStart(const RequestState &Request) const;
+  [[nodiscard]] Throughput expectedThroughput(TimePoint Now) const;
+  [[nodiscard]] std::optional<TimePoint> holdDeadline() const;
+  [[nodiscard]] bool holdExpired(TimePoint Now) const;
+  [[nodiscard]] Verdict noCapacityVerdict() const;
+
+  [[nodiscard]] bool startNow(Ticket Id, TimePoint Now, Commands &Output);
+  void enqueue(Ticket Id, TimePoint Now);
+  [[nodiscard]] ChoiceQuery choiceQuery(const RequestState &Request,
                                         TimePoint Now) const;
-  [[nodiscard]] static bool waitsForCache(const Request &Asked, TimePoint Now);
-  [[nodiscard]] std::optional<CandidateId> chooseFor(Request &Asked,
-                                                     TimePoint Now);
-  void pump(TimePoint Now, Commands &Out);
-  void expire(TimePoint Now, Commands &Out);
-  void stepAside(Ticket Which, TimePoint Now, Commands &Out);
-  void expireHeld(Ticket Which, TimePoint Now, Commands &Out);
-  void sendHeld(TimePoint Now, Commands &Out);
-  void sendWaiting(TimePoint Now, Commands &Out);
-  void sendChoosy(CandidateId Freed, TimePoint Now, Commands &Out);
-  void holdForCache(Ticket Which, TimePoint Now);
-  [[nodiscard]] Placing placeHeld(Ticket Which, TimePoint Now, Commands &Out);
-  void send(Ticket Which, CandidateId To, TimePoint Now, Commands &Out);
-  [[nodiscard]] bool mayHold(const Request &Asked) const;
-  [[nodiscard]] std::optional<RetryStop> holdForRetry(Ticket Which,
-                                                      TimePoint Now);
-  void waitForBudget(Ticket Which, TimePoint Now, Commands &Out);
-  void failed(Ticket Which, const AttemptResult &Result, TimePoint Now,
-              Commands &Out);
-  void endAttempt(Request &Asked, const AttemptResult &Result, TimePoint Now);
-  void noteEvidence(const Request &Asked, const AttemptResult &Result,
-                    TimePoint Now);
-  void noteRestart(CandidateId Which, Incarnation OldRun, TimePoint Now);
-
-  void countPlaces();
-  void watchCapacity(TimePoint Now);
-  void refuseHopeless(TimePoint Now, Commands &Out);
-  void refuseAllWaiting(const Verdict &Final, Commands &Out);
-  void refuse(Ticket Which, Verdict Final, RetryStop Stop, Commands &Out);
-  [[nodiscard]] static RetryStop stopOf(const Request &Asked,
-                                        RetryStop IfTried) noexcept;
-  void forget(Ticket Which);
+  [[nodiscard]] TimePoint cacheDelayEnd(const RequestState &Request,
+                                        TimePoint Now) const;
+  [[nodiscard]] static bool waitsForCache(const RequestState &Request,
+                                          TimePoint Now);
+  [[nodiscard]] std::optional<CandidateId> chooseEndpoint(RequestState &Request,
+                                                          TimePoint Now);
+  void pump(TimePoint Now, Commands &Output);
+  void expire(TimePoint Now, Commands &Output);
+  void holdAside(Ticket Id, TimePoint Now, Commands &Output);
+  void expireHeld(Ticket Id, TimePoint Now, Commands &Output);
+  void sendHeld(TimePoint Now, Commands &Output);
+  void sendWaiting(TimePoint Now, Commands &Output);
+  void sendCacheWaiters(CandidateId FreedEndpoint, TimePoint Now,
+                        Commands &Output);
+  void holdForCache(Ticket Id, TimePoint Now);
+  [[nodiscard]] PlaceResult placeHeld(Ticket Id, TimePoint Now,
+                                      Commands &Output);
+  void send(Ticket Id, CandidateId Target, TimePoint Now, Commands &Output);
+  [[nodiscard]] bool mayHold(const RequestState &Request) const;
+  [[nodiscard]] std::optional<RetryStop> holdForRetry(Ticket Id, TimePoint Now);
+  void waitForBudget(Ticket Id, TimePoint Now, Commands &Output);
+  void handleFailure(Ticket Id, const AttemptResult &Result, TimePoint Now,
+                     Commands &Output);
+  void endAttempt(RequestState &Request, const AttemptResult &Result,
+                  TimePoint Now);
+  void recordCrashEvidence(const RequestState &Request,
+                           const AttemptResult &Result, TimePoint Now);
+  void recordRestart(CandidateId Id, Incarnation OldRun, TimePoint Now);
+
+  void updateQueueSlots();
+  void trackCapacity(TimePoint Now);
+  void refuseUnmeetable(TimePoint Now, Commands &Output);
+  void refuseAllWaiting(const Verdict &Refusal, Commands &Output);
+  void refuse(Ticket Id, Verdict Refusal, RetryStop Stop, Commands &Output);
+  [[nodiscard]] static RetryStop retryStop(const RequestState &Request,
+                                           RetryStop StopIfTried) noexcept;
+  void removeRequest(Ticket Id);
 
   DispatcherOptions Options;
-  Random Draw;
+  Random Rng;
   Chooser Choice;
   FairQueue Queue;
   HeldRequests Held;
   RetryBudget Budget;
-  Quarantine Crashes;
-  SlotMap<Request, Ticket> Requests;
+  Quarantine CrashHistory;
+  SlotMap<RequestState, Ticket> Requests;
   DispatchCounts Counts;
-  double ExpectedPlaces = 0.0;
-  /// Since when no endpoint may be used.
-  std::optional<TimePoint> EmptySince;
-  /// Since when there is always a request that waits.
+  double ExpectedSlots = 0.0;
+  /// Since when no endpoint has been usable.
+  std::optional<TimePoint> UnusableSince;
+  /// Since when at least one request has been waiting without interruption.
   std::optional<TimePoint> WaitingSince;
-  /// When the queue is looked through after endpoints went.
-  std::optional<TimePoint> ShedAt;
-  double ShedSlots = 0.0;
+  /// When the queue is next checked for requests that can no longer meet their
+  /// deadline, after the capacity has dropped or shares have not arrived.
+  std::optional<TimePoint> ShedCheckAt;
+  /// Slots with which the present ones are compared to detect a drop.
+  double ReferenceSlots = 0.0;
 };
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/dispatch/fwd.hpp
+++ b/packages/request/src/coltsfoottrail/dispatch/fwd.hpp
@@ -10,7 +10,7 @@
 namespace coltsfoottrail {
 
 struct TicketTag;
-/// Identifier of a request that a dispatcher has taken.
+/// Identifier of a request that a dispatcher has accepted.
 using Ticket = Ident<TicketTag>;
 
 enum class Priority : std::uint8_t;
--- a/packages/request/src/coltsfoottrail/dispatch/held.cpp
+++ b/packages/request/src/coltsfoottrail/dispatch/held.cpp
@@ -4,82 +4,85 @@
 
 namespace coltsfoottrail {
 
-HeldRequests::Entry &HeldRequests::add(Ticket Which, std::size_t More,
-                                       TimePoint When) {
+HeldRequests::Entry &HeldRequests::add(Ticket Id, std::size_t RequestBytes,
+                                       TimePoint Due) {
   Entry Added;
-  Added.When = When;
+  Added.Due = Due;
   Added.Order = NextOrder++;
-  Added.Bytes = More;
-  Timers.emplace(std::pair(When, Added.Order), Which);
-  Bytes += More;
-  return Known.emplace(Which, Added).first->second;
+  Added.Bytes = RequestBytes;
+  Timers.emplace(std::pair(Due, Added.Order), Id);
+  Bytes += RequestBytes;
+  return Entries.emplace(Id, Added).first->second;
 }
 
-void HeldRequests::holdUntil(Ticket Which, std::size_t More, TimePoint Due) {
-  add(Which, More, Due);
+void HeldRequests::holdUntil(Ticket Id, std::size_t RequestBytes,
+                             TimePoint Due) {
+  add(Id, RequestBytes, Due);
 }
 
-void HeldRequests::holdReady(Ticket Which, std::size_t More,
+void HeldRequests::holdReady(Ticket Id, std::size_t RequestBytes,
                              TimePoint LatestStart) {
-  Ready.emplace(add(Which, More, LatestStart).Order, Which);
+  Ready.emplace(add(Id, RequestBytes, LatestStart).Order, Id);
 }
 
-void HeldRequests::holdFor(Ticket Which, std::size_t More, TimePoint Until,
-                           std::span<const std::uint32_t> Endpoints) {
-  Entry &Added = add(Which, More, Until);
-  Added.EndpointCount = std::min(Endpoints.size(), MostEndpoints);
+void HeldRequests::holdForEndpoints(Ticket Id, std::size_t RequestBytes,
+                                    TimePoint Until,
+                                    std::span<const std::uint32_t> Endpoints) {
+  Entry &Added = add(Id, RequestBytes, Until);
+  Added.EndpointCount = std::min(Endpoints.size(), MaxEndpoints);
   for (std::size_t Index = 0; Index < Added.EndpointCount; ++Index) {
     Added.Endpoints[Index] = Endpoints[Index];
-    ByEndpoint.emplace(std::pair(Endpoints[Index], Added.Order), Which);
+    ByEndpoint.emplace(std::pair(Endpoints[Index], Added.Order), Id);
   }
-  Choosy += Added.EndpointCount > 0 ? 1U : 0U;
+  EndpointWaiters += Added.EndpointCount > 0 ? 1U : 0U;
 }
 
-std::optional<Ticket> HeldRequests::firstFor(std::uint32_t Endpoint) const {
-  const auto First = ByEndpoint.lower_bound({Endpoint, 0});
-  if (First == ByEndpoint.end() || First->first.first != Endpoint)
+std::optional<Ticket>
+HeldRequests::firstWaitingFor(std::uint32_t Endpoint) const {
+  const auto FirstEntry = ByEndpoint.lower_bound({Endpoint, 0});
+  if (FirstEntry == ByEndpoint.end() || FirstEntry->first.first != Endpoint)
     return std::nullopt;
-  return First->second;
+  return FirstEntry->second;
 }
 
-bool HeldRequests::remove(Ticket Which) {
-  const auto Found = Known.find(Which);
-  if (Found == Known.end())
+bool HeldRequests::remove(Ticket Id) {
+  const auto Position = Entries.find(Id);
+  if (Position == Entries.end())
     return false;
-  const Entry &Gone = Found->second;
-  Timers.erase({Gone.When, Gone.Order});
-  Ready.erase(Gone.Order);
-  Bytes -= Gone.Bytes;
-  for (std::size_t Index = 0; Index < Gone.EndpointCount; ++Index)
-    ByEndpoint.erase({Gone.Endpoints[Index], Gone.Order});
-  Choosy -= Gone.EndpointCount > 0 ? 1U : 0U;
-  Known.erase(Found);
+  const Entry &Removed = Position->second;
+  Timers.erase({Removed.Due, Removed.Order});
+  Ready.erase(Removed.Order);
+  Bytes -= Removed.Bytes;
+  for (std::size_t Index = 0; Index < Removed.EndpointCount; ++Index)
+    ByEndpoint.erase({Removed.Endpoints[Index], Removed.Order});
+  EndpointWaiters -= Removed.EndpointCount > 0 ? 1U : 0U;
+  Entries.erase(Position);
   return true;
 }
 
 std::optional<Ticket> HeldRequests::popDue(TimePoint Now) {
   if (Timers.empty() || Timers.begin()->first.first > Now)
     return std::nullopt;
-  const Ticket Which = Timers.begin()->second;
-  remove(Which);
-  return Which;
+  const Ticket Id = Timers.begin()->second;
+  remove(Id);
+  return Id;
 }
 
-std::vector<Ticket> HeldRequests::ready(std::size_t Most) const {
-  std::vector<Ticket> Out;
-  for (const auto &[Order, Which] : Ready) {
-    if (Out.size() == Most)
+std::vector<Ticket> HeldRequests::ready(std::size_t MaxCount) const {
+  std::vector<Ticket> Result;
+  for (const auto &[Order, Id] : Ready) {
+    if (Result.size() == MaxCount)
       break;
-    Out.push_back(Which);
+    Result.push_back(Id);
   }
-  return Out;
+  return Result;
 }
 
 std::vector<Ticket> HeldRequests::all() const {
-  std::vector<Ticket> Out;
-  for (const auto &[Key, Which] : Timers)
-    Out.push_back(Which);
-  return Out;
+  std::vector<Ticket> Result;
+  for (const auto &[Key, Id] : Timers)
+    Result.push_back(Id);
+  return Result;
 }
 
 std::optional<TimePoint> HeldRequests::earliest() const {
--- a/packages/request/src/coltsfoottrail/dispatch/terms.cpp
+++ b/packages/request/src/coltsfoottrail/dispatch/terms.cpp
@@ -6,50 +6,52 @@
 
 namespace {
 
-/// How long a fresh request waits here for a place, as a part of its target
-/// latency: the rest goes to reading the prompt.
-constexpr double FreshWaitPart = 0.35;
-/// How long one that came back waits for a place, as a part of the time that it
-/// has left: refused early, its caller can still go elsewhere.
-constexpr double LateWaitPart = 0.15;
-constexpr Duration LongestLateWait = milliseconds(1'500);
-/// One that was demoted has waited already.
+/// Longest wait of a fresh request for a slot, as a fraction of its target
+/// latency: the rest is needed to process the prompt.
+constexpr double FreshWaitFraction = 0.35;
+/// Longest wait of a resubmitted request for a slot, as a fraction of the time
+/// that it has left: when it is refused early, its caller can still go
+/// elsewhere.
+constexpr double LateWaitFraction = 0.15;
+constexpr Duration MaxLateWait = milliseconds(1'500);
+/// Short, since a demoted request has waited already.
 constexpr Duration DemotedWait = milliseconds(10);
-/// Fresh requests beyond an engine's slots, which start with the next that
-/// ends.
+/// Fresh requests sent beyond an engine's slots; they start as soon as running
+/// ones end.
 constexpr std::int32_t FreshOvercommit = 2;
-/// Slots of an engine that late requests leave free.
-constexpr std::int32_t PlacesLeftToFresh = 4;
+/// Slots of an engine that late requests leave free for fresh ones.
+constexpr std::int32_t SlotsReservedForFresh = 4;
 
-Duration partOf(Duration Span, double Part) {
-  return std::chrono::duration_cast<Duration>(Span * Part);
+Duration scaled(Duration Span, double Fraction) {
+  return std::chrono::duration_cast<Duration>(Span * Fraction);
 }
 
-Duration longestWait(const RequestTiming &Of) {
-  switch (Of.Status) {
+Duration maxWait(const RequestTiming &Timing) {
+  switch (Timing.Status) {
   case Timeliness::Demoted:
     return DemotedWait;
   case Timeliness::Resubmitted:
-    return std::min(LongestLateWait,
-                    partOf(Of.AnswerBy - Of.ArrivedAt, LateWaitPart));
+    return std::min(MaxLateWait, scaled(Timing.AnswerBy - Timing.ArrivedAt,
+                                        LateWaitFraction));
   case Timeliness::Fresh:
     break;
   }
-  return partOf(Of.TargetLatency, FreshWaitPart);
+  return scaled(Timing.TargetLatency, FreshWaitFraction);
 }
 
 } // namespace
 
-void setSchedulingTerms(const RequestTiming &Of, TimePoint Now, WorkItem &Out) {
-  const bool Fresh = Of.Status == Timeliness::Fresh;
-  Out.Urgency = Fresh ? Priority::Normal : Priority::Batch;
-  Out.Deadline = Of.AnswerBy;
-  Out.StartBy = Now + longestWait(Of);
-  if (!Of.Streams)
+void setSchedulingTerms(const RequestTiming &Timing, TimePoint Now,
+                        WorkItem &Item) {
+  const bool Fresh = Timing.Status == Timeliness::Fresh;
+  Item.Urgency = Fresh ? Priority::Normal : Priority::Batch;
+  Item.Deadline = Timing.AnswerBy;
+  Item.StartBy = Now + maxWait(Timing);
+  if (!Timing.Streams)
     return;
-  Out.Overcommit = Fresh ? FreshOvercommit : -PlacesLeftToFresh;
+  Item.Overcommit = Fresh ? FreshOvercommit : -SlotsReservedForFresh;
   if (Fresh)
-    Out.FirstEventBy = Of.ArrivedAt + Of.TargetLatency;
+    Item.FirstEventBy = Timing.ArrivedAt + Timing.TargetLatency;
 }
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/dispatch/terms.hpp
+++ b/packages/request/src/coltsfoottrail/dispatch/terms.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// On which terms a request is placed: how long it waits, behind whom.
+/// Scheduling terms of a request: how long it may wait and which requests go
+/// before it.
 #ifndef COLTSFOOTTRAIL_DISPATCH_TERMS_HPP
 #define COLTSFOOTTRAIL_DISPATCH_TERMS_HPP
 
@@ -7,40 +8,42 @@
 
 namespace coltsfoottrail {
 
-/// Whether a request can still be on time.
+/// Whether a request can still meet its target latency.
 enum class Timeliness : std::uint8_t {
   Fresh,
-  /// Its caller was refused before and comes again: its time has run on.
+  /// Its caller was refused before and submits it again, with less time left.
   Resubmitted,
-  /// It found no place in time to be on time, and takes what is left.
+  /// It got no slot early enough to meet its target latency, and uses the slots
+  /// that fresh requests leave.
   Demoted
 };
 
-/// @brief What decides a request's terms.
+/// @brief What the scheduling terms of a request depend on.
 struct RequestTiming {
   Timeliness Status = Timeliness::Fresh;
-  /// Whether it is answered by a stream of an engine that batches.
+  /// Whether it is answered by a stream from a batching engine.
   bool Streams = false;
   TimePoint ArrivedAt;
-  /// When its caller leaves.
+  /// When its caller gives up.
   TimePoint AnswerBy;
-  /// Within this from its arrival its first event is on time.
+  /// Longest time from its arrival to its first event that counts as on time.
   Duration TargetLatency{};
 };
 
-/// @brief Sets the terms of a request in its work item: Urgency, Deadline,
-/// StartBy, Overcommit and FirstEventBy.
+/// @brief Sets the scheduling terms of a request in its work item: Urgency,
+/// Deadline, StartBy, Overcommit and FirstEventBy.
 ///
-/// Load answered: engines are lost, twice as many callers come as the rest can
-/// serve, and everybody who is refused comes back once.
-/// - A fresh stream goes only to an engine that can begin it in time, waits for
-///   one as long as it can still be on time, and is demoted then.
-/// - One that is late leaves some places at each engine to fresh ones, which
-///   gain four times as much by them. It does not queue at an engine: behind
-///   fresh ones its turn would not come before its caller leaves, and a caller
-///   who is refused at once may go elsewhere.
-/// Pure; thread-safe.
-void setSchedulingTerms(const RequestTiming &Of, TimePoint Now, WorkItem &Out);
+/// Designed for this load: engines are lost, twice as many callers arrive as
+/// the remaining ones can serve, and every refused caller submits once more.
+/// - A fresh stream is sent only to an engine that can start it in time. While
+///   it can still be on time it waits for one, and is demoted after that.
+/// - A late stream leaves some slots at each engine to fresh ones, which gain
+///   four times as much from them. It does not queue at an engine: behind fresh
+///   ones its turn would not come before its caller gives up, and a caller who
+///   is refused at once may go elsewhere.
+/// Has no state; thread-safe.
+void setSchedulingTerms(const RequestTiming &Timing, TimePoint Now,
+                        WorkItem &Item);
 
 } // namespace coltsfoottrail
 
--- a/packages/request/src/coltsfoottrail/dispatch/types.cpp
+++ b/packages/request/src/coltsfoottrail/dispatch/types.cpp
@@ -2,8 +2,8 @@
 
 namespace coltsfoottrail {
 
-std::string_view retryStopCode(RetryStop Why) noexcept {
-  switch (Why) {
+std::string_view retryStopCode(RetryStop Stop) noexcept {
+  switch (Stop) {
   case RetryStop::NotTried:
     return "not-tried";
   case RetryStop::NotRepeatable:
--- a/packages/request/src/coltsfoottrail/dispatch/types.hpp
+++ b/packages/request/src/coltsfoottrail/dispatch/types.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a dispatcher is told and what it commands.
+/// Inputs and commands of a dispatcher.
 #ifndef COLTSFOOTTRAIL_DISPATCH_TYPES_HPP
 #define COLTSFOOTTRAIL_DISPATCH_TYPES_HPP
 
@@ -17,8 +17,8 @@
 
 namespace coltsfoottrail {
 
-/// Urgency among requests of one team; a higher one goes first without starving
-/// the lower ones.
+/// Urgency among requests of one team. A higher priority goes first, without
+/// starving the lower ones.
 enum class Priority : std::uint8_t { Batch, Normal, Urgent };
 
 /// @brief A request as the dispatcher sees it.
@@ -26,18 +26,19 @@
   TeamName Team;
   Priority Urgency = Priority::Normal;
   TimePoint Deadline;
-  /// Started first later than this, it is not worth its place: it is refused
-  /// instead. Does not bound retries.
+  /// Latest start of the first attempt; after this the request is refused,
+  /// since it would take a slot without being of use. Does not bound retries.
   TimePoint StartBy = TimePoint::max();
-  /// Requests beyond an endpoint's bound that it may be sent behind: it waits
-  /// in the endpoint's own queue then, which all entry hosts share. Below zero,
-  /// places that it leaves to others there.
+  /// How many requests beyond an endpoint's concurrency limit may be there when
+  /// it is sent: it then waits in the endpoint's own queue, which all entry
+  /// hosts share. If negative, the number of slots there that it leaves to
+  /// others.
   std::int32_t Overcommit = 0;
-  /// Its first event is late after this.
+  /// Latest time at which its first event is still on time.
   TimePoint FirstEventBy = TimePoint::max();
   /// Tokens of its prompt, where it has one.
   std::uint32_t PromptTokens = 0;
-  /// Part of the requests waiting at an endpoint that go before it there.
+  /// Fraction of the requests waiting at an endpoint that go before it there.
   double QueuedAheadFraction = 1.0;
   /// Whether it may be sent again once a byte of it may have reached an
   /// endpoint.
@@ -47,26 +48,29 @@
   /// Hash of team, target and body, the same for a resent request on every
   /// host.
   std::uint64_t Fingerprint = 0;
-  /// Memory that it holds while it waits.
+  /// Memory that it occupies while it waits.
   std::size_t Bytes = 0;
-  /// Work that it is, in tokens or any unit that the pool uses throughout.
+  /// Amount of work, in tokens or another unit that the whole pool uses.
   double Cost = 1.0;
 };
 
 /// @brief How one attempt at an endpoint ended.
 struct AttemptResult {
-  /// What is known of whether the endpoint ran it. Ran means answered whole.
+  /// Whether the endpoint ran it, as far as is known. Ran means answered
+  /// completely.
   RunState State = RunState::NotRun;
-  /// Why it was not answered; meaningless when Answered.
+  /// Why it was not answered; unspecified when Answered.
   Reason FailureReason = Reason::Internal;
-  /// A whole answer was passed on.
+  /// A complete answer was passed on to the caller.
   bool Answered = false;
-  /// Part of an answer has gone to the caller: nothing may be sent again.
+  /// Part of an answer has been sent to the caller: the request may not be sent
+  /// again.
   bool CallerSawBytes = false;
-  /// Part of a stream has gone to the caller, and it can go on elsewhere.
+  /// Part of a stream has been sent to the caller, and another endpoint can
+  /// continue it.
   bool Resumable = false;
-  /// The connection broke while the endpoint had the request, as it does when
-  /// the request crashes it.
+  /// The connection broke while the endpoint had the request, as happens when
+  /// the request crashes the endpoint.
   bool ConnectionLost = false;
   /// From send to the first byte of the answer; zero when there was none.
   Duration FirstByte{};
@@ -74,14 +78,14 @@
   Duration Total{};
 };
 
-/// @brief What an endpoint said of its load; lags.
+/// @brief Load that an endpoint reported; lags behind the actual load.
 struct LoadReport {
   std::string EndpointKey;
   /// Changes when the engine restarts: the endpoint is cold again.
   Incarnation Run = 0;
   std::uint32_t Running = 0;
   std::uint32_t Queued = 0;
-  /// How long ago this was true, as far as is known.
+  /// Age of the values, as far as is known.
   Duration Age{};
 };
 
@@ -94,35 +98,35 @@
 enum class RetryStop : std::uint8_t {
   /// It was not sent at all.
   NotTried,
-  /// It must not be sent again, or its caller has seen part of an answer.
+  /// It must not be sent again, or its caller has received part of an answer.
   NotRepeatable,
   AttemptsUsed,
   BudgetUsed,
   /// Too little time was left to its deadline.
   NoTime,
-  /// Too many requests waited already.
+  /// Too many requests were waiting.
   QueueFull,
   Quarantined,
   /// The pool had no endpoint.
   NoEndpoint
 };
 
-/// @brief Words for logs. Thread-safe.
-[[nodiscard]] std::string_view retryStopCode(RetryStop Why) noexcept;
+/// @brief Code of a stop cause for logs. Thread-safe.
+[[nodiscard]] std::string_view retryStopCode(RetryStop Stop) noexcept;
 
-/// @brief What a final refusal rests on, for logs.
+/// @brief Circumstances of a final refusal, for logs.
 struct RefusalDetails {
   RetryStop Stop = RetryStop::NotTried;
   std::uint32_t Attempts = 0;
-  /// How often the retry waited for the budget.
+  /// How often a retry waited for the budget.
   std::uint32_t BudgetWaits = 0;
-  /// Endpoints of the pool.
+  /// Number of endpoints of the pool.
   std::size_t Endpoints = 0;
   /// When its last attempt failed.
   std::optional<TimePoint> FailedAt;
 };
 
-/// Give a request its final refusal.
+/// Refuse a request for good.
 struct RefuseCommand {
   Ticket Id;
   Verdict FinalVerdict;
@@ -130,7 +134,7 @@
 };
 
 using Command = std::variant<SendCommand, RefuseCommand>;
-/// Commands in the order in which they are to be carried out.
+/// Commands in the order in which they are to be executed.
 using Commands = std::vector<Command>;
 
 } // namespace coltsfoottrail
--- a/packages/request/test/coltsfoottrail/dispatch/batching.hpp
+++ b/packages/request/test/coltsfoottrail/dispatch/batching.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Entry hosts before engines that read prompts one after the other and write
-/// in batches, in steps of simulated time.
+/// Simulation in fixed time steps of entry hosts in front of engines that
+/// process prompts one after the other and generate output in batches.
 #ifndef COLTSFOOTTRAIL_TEST_DISPATCH_BATCHING_HPP
 #define COLTSFOOTTRAIL_TEST_DISPATCH_BATCHING_HPP
 
@@ -16,27 +16,27 @@
 
 namespace coltsfoottrail::test {
 
-/// Sets the terms of a request: the policy that is played.
+/// Sets the scheduling terms of a request: the policy under test.
 using TermsPolicy =
     std::function<void(const RequestTiming &, TimePoint, WorkItem &)>;
 
-/// @brief What callers got.
+/// @brief Outcomes of the requests, by number.
 struct CallerTally {
-  std::size_t Asked = 0;
+  std::size_t Submitted = 0;
   std::size_t OnTime = 0;
   std::size_t Late = 0;
-  /// They left at their deadline, or for want of a first event, without an
-  /// answer.
+  /// The caller left without any output, at its deadline or because the first
+  /// event took too long.
   std::size_t LeftUnanswered = 0;
-  /// They left in the middle of a stream, at their deadline.
+  /// The caller left at its deadline in the middle of a stream.
   std::size_t LeftMidway = 0;
   std::size_t Refused = 0;
 
   [[nodiscard]] std::size_t served() const { return OnTime + Late; }
 };
 
-/// @brief A load of streams before a few engines of which some are lost for a
-/// while.
+/// @brief Load of streaming requests on a few engines, some of which are lost
+/// for a while.
 struct BatchingLoad {
   std::size_t Hosts = 8;
   std::size_t Engines = 8;
@@ -49,39 +49,40 @@
   Duration ShortestPatience = milliseconds(1400);
   Duration LongestPatience = seconds(8);
   Duration TargetLatency = milliseconds(250);
-  double MeanPrompt = 900.0;
-  double MeanAnswer = 200.0;
+  double MeanPromptTokens = 900.0;
+  double MeanOutputTokens = 200.0;
   std::uint64_t Seed = 1;
 };
 
-/// @brief Plays a load; the same result for the same load and policy.
-class BatchingPlay {
+/// @brief Simulates a load. Deterministic for a given load and policy.
+class BatchingSimulation {
 public:
-  BatchingPlay(BatchingLoad Wanted, TermsPolicy Policy)
-      : Load(Wanted), Terms(std::move(Policy)), Draw(Load.Seed) {
-    for (std::size_t Index = 0; Index < Load.Hosts; ++Index)
+  BatchingSimulation(BatchingLoad Load, TermsPolicy Terms)
+      : Workload(Load), Policy(std::move(Terms)), Rng(Workload.Seed) {
+    for (std::size_t Index = 0; Index < Workload.Hosts; ++Index)
       Hosts.emplace_back(options(Index));
-    Engines.resize(Load.Engines);
-    configure(Load.Engines);
+    Engines.resize(Workload.Engines);
+    configure(Workload.Engines);
   }
 
   [[nodiscard]] CallerTally run() {
-    const TimePoint End = Begin + Load.Length + Load.LongestPatience;
+    const TimePoint End = Begin + Workload.Length + Workload.LongestPatience;
     for (; Now < End; Now += Step) {
-      if (Now == Begin + Load.LostFrom)
-        configure(Load.EnginesLeft);
-      if (Now == Begin + Load.LostUntil)
-        configure(Load.Engines);
-      arrive();
-      returnCallers();
+      if (Now == Begin + Workload.LostFrom)
+        configure(Workload.EnginesLeft);
+      if (Now == Begin + Workload.LostUntil)
+        configure(Workload.Engines);
+      submitArrivals();
+      resubmitDue();
       for (std::size_t Index = 0; Index < Engines.size(); ++Index)
-        work(Index);
-      leaveCallers();
+        stepEngine(Index);
+      cancelExpired();
       if ((Now - Begin) % ShareEvery == Duration::zero())
         shareLoads();
       for (std::size_t Index = 0; Index < Hosts.size(); ++Index)
-        act(Index,
-            [&](Dispatcher &Of, Commands &Out) { Of.advance(Now, Out); });
+        dispatch(Index, [&](Dispatcher &Scheduler, Commands &Output) {
+          Scheduler.advance(Now, Output);
+        });
     }
     return Tally;
   }
@@ -90,30 +91,30 @@
   static constexpr TimePoint Begin{seconds(1000)};
   static constexpr Duration Step = milliseconds(5);
   static constexpr Duration ShareEvery = milliseconds(120);
-  /// Callers give a stream up that has not begun by then.
-  static constexpr Duration LongestSilence = seconds(2);
+  /// Time after which callers give up a stream that has not started.
+  static constexpr Duration MaxFirstEventWait = seconds(2);
   static constexpr std::uint32_t Slots = 26;
 
-  struct Request {
+  struct SimulatedRequest {
     std::size_t Host = 0;
-    Ticket Which;
-    RequestTiming Case;
-    TimePoint FirstAsked;
-    double ToRead = 0.0;
-    double ToWrite = 0.0;
-    std::optional<std::size_t> At;
-    bool Begun = false;
-    bool BegunInTime = false;
-    bool Over = false;
-    bool MayReturn = true;
+    Ticket Id;
+    RequestTiming Timing;
+    TimePoint SubmittedAt;
+    double PromptTokensLeft = 0.0;
+    double OutputTokensLeft = 0.0;
+    std::optional<std::size_t> EngineIndex;
+    bool Started = false;
+    bool StartedInTime = false;
+    bool Done = false;
+    bool MayResubmit = true;
   };
   struct Engine {
     std::vector<std::size_t> Waiting;
     std::vector<std::size_t> Running;
   };
-  struct Return {
-    TimePoint When;
-    std::size_t Of = 0;
+  struct Resubmission {
+    TimePoint Due;
+    std::size_t RequestNumber = 0;
   };
 
   [[nodiscard]] static EnginePace pace() {
@@ -121,13 +122,13 @@
   }
 
   [[nodiscard]] DispatcherOptions options(std::size_t Index) const {
-    DispatcherOptions Out;
+    DispatcherOptions Options;
     EstimatedWaitPolicy Policy;
     Policy.UseRing = false;
     Policy.FullByLoad = true;
-    Out.Policy = Policy;
-    Out.Seed = Load.Seed * 100 + Index;
-    return Out;
+    Options.Policy = Policy;
+    Options.Seed = Workload.Seed * 100 + Index;
+    return Options;
   }
 
   [[nodiscard]] static std::string keyOf(std::size_t Index) {
@@ -135,166 +136,176 @@
   }
 
   void configure(std::size_t Count) {
-    Pool Wanted;
-    Wanted.Pace = pace();
+    Pool Config;
+    Config.Pace = pace();
     for (std::size_t Index = 0; Index < Count; ++Index) {
       EndpointSpec Spec;
       Spec.Key = keyOf(Index);
       Spec.WarmBound = Slots;
-      Wanted.Endpoints.push_back(Spec);
+      Config.Endpoints.push_back(Spec);
     }
     for (std::size_t Host = 0; Host < Hosts.size(); ++Host)
-      act(Host, [&](Dispatcher &Of, Commands &Out) {
-        Of.configure(Wanted, Now, Out);
+      dispatch(Host, [&](Dispatcher &Scheduler, Commands &Output) {
+        Scheduler.configure(Config, Now, Output);
         for (std::size_t Index = 0; Index < Count; ++Index)
-          Of.setShare(keyOf(Index), Slots * 4, Now, Out);
+          Scheduler.setShare(keyOf(Index), Slots * 4, Now, Output);
       });
   }
 
-  template <class Function> void act(std::size_t Host, Function Do) {
-    Commands Out;
-    Do(Hosts[Host], Out);
-    for (const Command &Each : Out) {
-      if (const auto *const Send = std::get_if<SendCommand>(&Each))
+  template <class Function> void dispatch(std::size_t Host, Function Call) {
+    Commands Output;
+    Call(Hosts[Host], Output);
+    for (const Command &Entry : Output) {
+      if (const auto *const Send = std::get_if<SendCommand>(&Entry))
         sent(Host, *Send);
       else
-        refused(Host, std::get<RefuseCommand>(Each));
+        refused(Host, std::get<RefuseCommand>(Entry));
     }
   }
 
   void submit(std::size_t Number) {
-    Request &Asked = Requests[Number];
+    SimulatedRequest &Request = Requests[Number];
     WorkItem Item;
     Item.Team = TeamName("team");
-    Item.PromptTokens = static_cast<std::uint32_t>(Asked.ToRead);
+    Item.PromptTokens = static_cast<std::uint32_t>(Request.PromptTokensLeft);
     Item.Repeatable = true;
-    Terms(Asked.Case, Now, Item);
-    // Commands of a submission may be its own: its ticket is known only then.
-    Commands Out;
-    Asked.Which = Hosts[Asked.Host].submit(Item, Now, Out);
-    ByTicket[{Asked.Host, Asked.Which.Index, Asked.Which.Generation}] = Number;
-    for (const Command &Each : Out) {
-      if (const auto *const Send = std::get_if<SendCommand>(&Each))
-        sent(Asked.Host, *Send);
+    Policy(Request.Timing, Now, Item);
+    // The commands may concern the submitted request itself, whose ticket is
+    // known only after submit() has returned.
+    Commands Output;
+    Request.Id = Hosts[Request.Host].submit(Item, Now, Output);
+    ByTicket[{Request.Host, Request.Id.Index, Request.Id.Generation}] = Number;
+    for (const Command &Entry : Output) {
+      if (const auto *const Send = std::get_if<SendCommand>(&Entry))
+        sent(Request.Host, *Send);
       else
-        refused(Asked.Host, std::get<RefuseCommand>(Each));
+        refused(Request.Host, std::get<RefuseCommand>(Entry));
     }
   }
 
-  [[nodiscard]] std::size_t numberOf(std::size_t Host, Ticket Which) const {
-    return ByTicket.at({Host, Which.Index, Which.Generation});
+  [[nodiscard]] std::size_t numberOf(std::size_t Host, Ticket Id) const {
+    return ByTicket.at({Host, Id.Index, Id.Generation});
   }
 
-  void arrive() {
-    Due += Load.RequestsPerSecond * std::chrono::duration<double>(Step).count();
-    if (Now >= Begin + Load.Length)
+  void submitArrivals() {
+    ArrivalCredit += Workload.RequestsPerSecond *
+                     std::chrono::duration<double>(Step).count();
+    if (Now >= Begin + Workload.Length)
       return;
-    for (; Due >= 1.0; Due -= 1.0) {
-      Request Made;
-      Made.Host = Draw.below(Hosts.size());
-      Made.FirstAsked = Now;
-      Made.Case.Streams = true;
-      Made.Case.ArrivedAt = Now;
-      Made.Case.TargetLatency = Load.TargetLatency;
-      const Duration Span = Load.LongestPatience - Load.ShortestPatience;
-      Made.Case.AnswerBy =
-          Now + Load.ShortestPatience +
-          std::chrono::duration_cast<Duration>(Span * Draw.fraction());
-      Made.ToRead = 40.0 - Load.MeanPrompt * std::log(1.0 - Draw.fraction());
-      Made.ToWrite = 7.0 - Load.MeanAnswer * std::log(1.0 - Draw.fraction());
-      Requests.push_back(Made);
-      ++Tally.Asked;
+    for (; ArrivalCredit >= 1.0; ArrivalCredit -= 1.0) {
+      SimulatedRequest Request;
+      Request.Host = Rng.below(Hosts.size());
+      Request.SubmittedAt = Now;
+      Request.Timing.Streams = true;
+      Request.Timing.ArrivedAt = Now;
+      Request.Timing.TargetLatency = Workload.TargetLatency;
+      const Duration Span =
+          Workload.LongestPatience - Workload.ShortestPatience;
+      Request.Timing.AnswerBy =
+          Now + Workload.ShortestPatience +
+          std::chrono::duration_cast<Duration>(Span * Rng.fraction());
+      Request.PromptTokensLeft =
+          40.0 - Workload.MeanPromptTokens * std::log(1.0 - Rng.fraction());
+      Request.OutputTokensLeft =
+          7.0 - Workload.MeanOutputTokens * std::log(1.0 - Rng.fraction());
+      Requests.push_back(Request);
+      ++Tally.Submitted;
       submit(Requests.size() - 1);
     }
   }
 
-  void returnCallers() {
-    std::vector<Return> DueNow;
-    std::erase_if(Returns, [&](const Return &Each) {
-      if (Each.When > Now)
+  void resubmitDue() {
+    std::vector<Resubmission> Ready;
+    std::erase_if(Resubmissions, [&](const Resubmission &Entry) {
+      if (Entry.Due > Now)
         return false;
-      DueNow.push_back(Each);
+      Ready.push_back(Entry);
       return true;
     });
-    for (const Return &Each : DueNow) {
-      Request &Asked = Requests[Each.Of];
-      Asked.Case.Status = Timeliness::Resubmitted;
-      Asked.Case.ArrivedAt = Now;
-      submit(Each.Of);
+    for (const Resubmission &Entry : Ready) {
+      SimulatedRequest &Request = Requests[Entry.RequestNumber];
+      Request.Timing.Status = Timeliness::Resubmitted;
+      Request.Timing.ArrivedAt = Now;
+      submit(Entry.RequestNumber);
     }
   }
 
   void sent(std::size_t Host, const SendCommand &Send) {
     const std::size_t Number = numberOf(Host, Send.Id);
-    const std::size_t Where =
+    const std::size_t EngineIndex =
         std::stoul(Send.EndpointKey.substr(std::string("leader-").size()));
-    Requests[Number].At = Where;
-    Engines[Where].Waiting.push_back(Number);
+    Requests[Number].EngineIndex = EngineIndex;
+    Engines[EngineIndex].Waiting.push_back(Number);
   }
 
-  void refused(std::size_t Host, const RefuseCommand &Told) {
-    const std::size_t Number = numberOf(Host, Told.Id);
-    Request &Asked = Requests[Number];
-    if (Asked.Case.Status == Timeliness::Fresh &&
-        Told.FinalVerdict.Why == Reason::Overloaded) {
-      Asked.Case.Status = Timeliness::Demoted;
+  void refused(std::size_t Host, const RefuseCommand &Refusal) {
+    const std::size_t Number = numberOf(Host, Refusal.Id);
+    SimulatedRequest &Request = Requests[Number];
+    if (Request.Timing.Status == Timeliness::Fresh &&
+        Refusal.FinalVerdict.Why == Reason::Overloaded) {
+      Request.Timing.Status = Timeliness::Demoted;
       submit(Number);
       return;
     }
-    const Duration Left = Asked.Case.AnswerBy - Now;
-    if (!std::exchange(Asked.MayReturn, false) || Left <= Step) {
-      Asked.Over = true;
+    const Duration TimeLeft = Request.Timing.AnswerBy - Now;
+    if (!std::exchange(Request.MayResubmit, false) || TimeLeft <= Step) {
+      Request.Done = true;
       ++Tally.Refused;
       return;
     }
-    Returns.push_back(
-        {Now + std::chrono::duration_cast<Duration>(Left * 0.25), Number});
+    Resubmissions.push_back(
+        {Now + std::chrono::duration_cast<Duration>(TimeLeft * 0.25), Number});
   }
 
-  void work(std::size_t Index) {
-    Engine &Its = Engines[Index];
-    std::erase_if(Its.Waiting,
-                  [&](std::size_t Each) { return Requests[Each].Over; });
-    std::erase_if(Its.Running,
-                  [&](std::size_t Each) { return Requests[Each].Over; });
-    while (Its.Running.size() < Slots && !Its.Waiting.empty()) {
+  void stepEngine(std::size_t Index) {
+    Engine &Target = Engines[Index];
+    std::erase_if(Target.Waiting,
+                  [&](std::size_t Number) { return Requests[Number].Done; });
+    std::erase_if(Target.Running,
+                  [&](std::size_t Number) { return Requests[Number].Done; });
+    while (Target.Running.size() < Slots && !Target.Waiting.empty()) {
       const auto First = std::min_element(
-          Its.Waiting.begin(), Its.Waiting.end(),
+          Target.Waiting.begin(), Target.Waiting.end(),
           [&](std::size_t One, std::size_t Other) {
-            const auto Rank = [&](std::size_t Of) {
-              return Requests[Of].Case.Status == Timeliness::Fresh ? 0 : 1;
+            const auto Rank = [&](std::size_t Number) {
+              return Requests[Number].Timing.Status == Timeliness::Fresh ? 0
+                                                                         : 1;
             };
             return Rank(One) < Rank(Other);
           });
-      Its.Running.push_back(*First);
-      Its.Waiting.erase(First);
+      Target.Running.push_back(*First);
+      Target.Waiting.erase(First);
     }
     const double Span = std::chrono::duration<double>(Step).count();
-    const bool Reads = std::any_of(
-        Its.Running.begin(), Its.Running.end(),
-        [&](std::size_t Each) { return Requests[Each].ToRead > 0.0; });
+    const bool HasPrefill = std::any_of(
+        Target.Running.begin(), Target.Running.end(), [&](std::size_t Number) {
+          return Requests[Number].PromptTokensLeft > 0.0;
+        });
     const double ChunkSeconds =
         pace().ChunkTokens / pace().PromptTokensPerSecond;
     const double StepSeconds = pace().StepSeconds;
-    const double ReadPart =
-        Reads ? ChunkSeconds / (ChunkSeconds + StepSeconds) : 0.0;
-    double CanRead = Span * ReadPart * pace().PromptTokensPerSecond;
-    const double Written = Span * (1.0 - ReadPart) / StepSeconds;
+    const double PrefillFraction =
+        HasPrefill ? ChunkSeconds / (ChunkSeconds + StepSeconds) : 0.0;
+    double PromptTokenBudget =
+        Span * PrefillFraction * pace().PromptTokensPerSecond;
+    const double OutputTokens = Span * (1.0 - PrefillFraction) / StepSeconds;
     std::vector<std::size_t> Ended;
-    for (const std::size_t Number : Its.Running) {
-      Request &Asked = Requests[Number];
-      if (Asked.ToRead > 0.0) {
-        const double Read = std::min(CanRead, Asked.ToRead);
-        Asked.ToRead -= Read;
-        CanRead -= Read;
+    for (const std::size_t Number : Target.Running) {
+      SimulatedRequest &Request = Requests[Number];
+      if (Request.PromptTokensLeft > 0.0) {
+        const double ProcessedTokens =
+            std::min(PromptTokenBudget, Request.PromptTokensLeft);
+        Request.PromptTokensLeft -= ProcessedTokens;
+        PromptTokenBudget -= ProcessedTokens;
         continue;
       }
-      Asked.ToWrite -= Written;
-      if (!std::exchange(Asked.Begun, true)) {
-        Asked.BegunInTime = Now - Asked.FirstAsked <= Load.TargetLatency;
-        Hosts[Asked.Host].responseStarted(Asked.Which);
+      Request.OutputTokensLeft -= OutputTokens;
+      if (!std::exchange(Request.Started, true)) {
+        Request.StartedInTime =
+            Now - Request.SubmittedAt <= Workload.TargetLatency;
+        Hosts[Request.Host].responseStarted(Request.Id);
       }
-      if (Asked.ToWrite <= 0.0)
+      if (Request.OutputTokensLeft <= 0.0)
         Ended.push_back(Number);
     }
     for (const std::size_t Number : Ended)
@@ -302,61 +313,64 @@
   }
 
   void answered(std::size_t Number) {
-    Request &Asked = Requests[Number];
-    Asked.Over = true;
-    ++(Asked.BegunInTime ? Tally.OnTime : Tally.Late);
+    SimulatedRequest &Request = Requests[Number];
+    Request.Done = true;
+    ++(Request.StartedInTime ? Tally.OnTime : Tally.Late);
     AttemptResult Result;
     Result.State = RunState::Ran;
     Result.Answered = true;
-    act(Asked.Host, [&](Dispatcher &Of, Commands &Out) {
-      Of.attemptEnded(Asked.Which, Result, Now, Out);
+    dispatch(Request.Host, [&](Dispatcher &Scheduler, Commands &Output) {
+      Scheduler.attemptEnded(Request.Id, Result, Now, Output);
     });
   }
 
-  void leaveCallers() {
+  void cancelExpired() {
     for (std::size_t Number = 0; Number < Requests.size(); ++Number) {
-      Request &Asked = Requests[Number];
-      const bool Returning =
-          std::any_of(Returns.begin(), Returns.end(),
-                      [&](const Return &Each) { return Each.Of == Number; });
-      const TimePoint Until =
-          Asked.Begun ? Asked.Case.AnswerBy
-                      : std::min(Asked.Case.AnswerBy,
-                                 Asked.Case.ArrivedAt + LongestSilence);
-      if (Asked.Over || Returning || Now < Until)
+      SimulatedRequest &Request = Requests[Number];
+      const bool WillResubmit =
+          std::any_of(Resubmissions.begin(), Resubmissions.end(),
+                      [&](const Resubmission &Entry) {
+                        return Entry.RequestNumber == Number;
+                      });
+      const TimePoint GivesUpAt =
+          Request.Started
+              ? Request.Timing.AnswerBy
+              : std::min(Request.Timing.AnswerBy,
+                         Request.Timing.ArrivedAt + MaxFirstEventWait);
+      if (Request.Done || WillResubmit || Now < GivesUpAt)
         continue;
-      Asked.Over = true;
-      ++(Asked.Begun ? Tally.LeftMidway : Tally.LeftUnanswered);
-      act(Asked.Host, [&](Dispatcher &Of, Commands &Out) {
-        Of.cancel(Asked.Which, Now, Out);
+      Request.Done = true;
+      ++(Request.Started ? Tally.LeftMidway : Tally.LeftUnanswered);
+      dispatch(Request.Host, [&](Dispatcher &Scheduler, Commands &Output) {
+        Scheduler.cancel(Request.Id, Now, Output);
       });
     }
   }
 
   void shareLoads() {
     std::vector<std::vector<EndpointLoad>> Own;
-    for (const Dispatcher &Each : Hosts)
-      Own.push_back(Each.ownLoads());
+    for (const Dispatcher &Entry : Hosts)
+      Own.push_back(Entry.ownLoads());
     for (std::size_t Host = 0; Host < Hosts.size(); ++Host) {
       std::vector<EndpointLoad> Others;
       for (std::size_t Other = 0; Other < Hosts.size(); ++Other)
         if (Other != Host)
           Others.insert(Others.end(), Own[Other].begin(), Own[Other].end());
-      act(Host, [&](Dispatcher &Of, Commands &Out) {
-        Of.setRemoteLoads(Others, Now, Out);
+      dispatch(Host, [&](Dispatcher &Scheduler, Commands &Output) {
+        Scheduler.setRemoteLoads(Others, Now, Output);
       });
     }
   }
 
-  BatchingLoad Load;
-  TermsPolicy Terms;
-  Random Draw;
+  BatchingLoad Workload;
+  TermsPolicy Policy;
+  Random Rng;
   TimePoint Now = Begin;
-  double Due = 0.0;
+  double ArrivalCredit = 0.0;
   std::vector<Dispatcher> Hosts;
   std::vector<Engine> Engines;
-  std::vector<Request> Requests;
-  std::vector<Return> Returns;
+  std::vector<SimulatedRequest> Requests;
+  std::vector<Resubmission> Resubmissions;
   std::map<std::tuple<std::size_t, std::uint32_t, std::uint32_t>, std::size_t>
       ByTicket;
   CallerTally Tally;
--- a/packages/request/test/coltsfoottrail/dispatch/dispatcher.cpp
+++ b/packages/request/test/coltsfoottrail/dispatch/dispatcher.cpp
@@ -20,17 +20,16 @@
   const Ticket First = Test.submit(Test.item());
   const Ticket Second = Test.submit(Test.item());
   const Ticket Third = Test.submit(Test.item());
-  EXPECT_NE(Test.at(First), Test.at(Second));
-  EXPECT_EQ(Test.at(Third), "");
-  EXPECT_EQ(Test.Decides.waiting(), 1U);
-  const std::string Freed = Test.at(First);
+  EXPECT_NE(Test.endpointOf(First), Test.endpointOf(Second));
+  EXPECT_EQ(Test.endpointOf(Third), "");
+  EXPECT_EQ(Test.Scheduler.waiting(), 1U);
+  const std::string Freed = Test.endpointOf(First);
   Test.answer(First);
-  EXPECT_EQ(Test.at(Third), Freed);
+  EXPECT_EQ(Test.endpointOf(Third), Freed);
 }
 
-// A foreman waits to the end of his deadline for an answer that could never
-// come: the queue in front of him was longer than his time, and that was known
-// when he asked.
+// Guards against queueing a request whose estimated wait is longer than its
+// deadline, so that its caller waits in vain instead of being refused at once.
 TEST(Dispatcher, RequestThatCannotMakeItIsRefusedAtOnce) {
   DispatchHarness Test;
   Test.configure(testPool(1), 1);
@@ -46,133 +45,136 @@
   EXPECT_FALSE(Test.refusal(Patient));
 }
 
-// Every request is refused for minutes although the endpoints idle: slow
-// answers of the morning have left an estimate that nothing corrects.
+// Guards against refusing every request while the endpoints are idle, because
+// earlier slow answers left an estimate that no new answer corrects.
 TEST(Dispatcher, EstimateDoesNotRefuseWhileAnEndpointIdles) {
   DispatchHarness Test;
   Test.configure(testPool(1), 2);
   Test.answer(Test.submit(Test.item()), seconds(50));
   const Ticket Brief = Test.submit(Test.item(), seconds(1));
-  EXPECT_EQ(Test.at(Brief), "e0");
+  EXPECT_EQ(Test.endpointOf(Brief), "e0");
 }
 
 TEST(Dispatcher, HopelessOnesAreRefusedSoonAfterEndpointsLeave) {
   DispatchHarness Test;
   Test.configure(testPool(4), 1);
   Test.answer(Test.submit(Test.item()), seconds(1));
-  std::vector<Ticket> All;
-  All.reserve(24);
+  std::vector<Ticket> Submitted;
+  Submitted.reserve(24);
   for (int Count = 0; Count < 24; ++Count)
-    All.push_back(Test.submit(Test.item(), seconds(9)));
+    Submitted.push_back(Test.submit(Test.item(), seconds(9)));
   EXPECT_TRUE(Test.Refused.empty());
   Test.configure(testPool(1), 1);
-  Test.pass(milliseconds(200));
+  Test.advanceTime(milliseconds(200));
   EXPECT_GE(Test.Refused.size(), 12U);
-  for (const auto &[Which, Final] : Test.Refused)
+  for (const auto &[Id, Final] : Test.Refused)
     EXPECT_EQ(Final.Why, Reason::DeadlineTooShort);
 }
 
-// Callers hang to their deadline while the last serving group is down.
+// Guards against holding requests until their deadline while the pool has no
+// endpoint.
 TEST(Dispatcher, WithoutEndpointsRequestsAreHeldBrieflyThenRefused) {
   DispatchHarness Test;
   const Ticket Early = Test.submit(Test.item());
-  Test.pass(milliseconds(1900));
+  Test.advanceTime(milliseconds(1900));
   EXPECT_FALSE(Test.refusal(Early));
-  Test.pass(milliseconds(200));
+  Test.advanceTime(milliseconds(200));
   ASSERT_TRUE(Test.refusal(Early));
   EXPECT_EQ(Test.refusal(Early)->Why, Reason::NoEndpoint);
   const Ticket Late = Test.submit(Test.item());
   EXPECT_EQ(Test.refusal(Late)->State, RunState::NotRun);
   Test.configure(testPool(1), 1);
-  EXPECT_EQ(Test.at(Test.submit(Test.item())), "e0");
+  EXPECT_EQ(Test.endpointOf(Test.submit(Test.item())), "e0");
 }
 
-// The first gate of the morning is refused as overloaded although every
-// endpoint idles: shares are given on demand, and in the quiet night all have
-// lapsed.
+// Guards against refusing the first request after an idle period as overloaded:
+// shares are granted on demand, and all have lapsed although the endpoints are
+// idle.
 TEST(Dispatcher, FirstRequestAfterAQuietTimeWaitsForItsShare) {
   DispatchHarness Test;
   Test.configure(testPool(2), 4);
   Test.answer(Test.submit(Test.item()), seconds(1));
   Test.configure(testPool(2), 0);
-  Test.pass(seconds(3600));
+  Test.advanceTime(seconds(3600));
   const Ticket First = Test.submit(Test.item());
   EXPECT_EQ(Test.refusal(First), std::nullopt);
-  Test.pass(seconds(7));
-  Test.Decides.setShare("e0", 1, Test.Now, Test.Out);
-  Test.take();
-  EXPECT_EQ(Test.at(First), "e0");
+  Test.advanceTime(seconds(7));
+  Test.Scheduler.setShare("e0", 1, Test.Now, Test.Output);
+  Test.processCommands();
+  EXPECT_EQ(Test.endpointOf(First), "e0");
   Test.answer(First);
   Test.configure(testPool(2), 0);
   const Ticket Unlucky = Test.submit(Test.item());
-  Test.pass(milliseconds(8100));
+  Test.advanceTime(milliseconds(8100));
   EXPECT_EQ(Test.refusal(Unlucky)->Why, Reason::Overloaded);
   EXPECT_EQ(Test.refusal(Test.submit(Test.item())), std::nullopt);
 }
 
-// A school group arrives: the share that served one request an hour says that
-// the tenth will wait too long, though a larger one was to be had for asking.
+// Guards against refusing a burst by an estimate from the small share that was
+// enough for a low rate, although a larger share is granted on demand.
 TEST(Dispatcher, BurstIsNotRefusedBeforeSharesHadTimeToCome) {
   DispatchHarness Test;
   Test.configure(testPool(2), 1);
-  Test.Decides.expectSlots(16.0);
+  Test.Scheduler.expectSlots(16.0);
   Test.answer(Test.submit(Test.item()), seconds(1));
   for (int Count = 0; Count < 16; ++Count)
     static_cast<void>(Test.submit(Test.item(), seconds(5)));
   EXPECT_TRUE(Test.Refused.empty());
   Test.configure(testPool(2), 4);
-  EXPECT_EQ(Test.At.size(), 8U);
+  EXPECT_EQ(Test.InFlight.size(), 8U);
   for (int Count = 0; Count < 16; ++Count)
     static_cast<void>(Test.submit(Test.item(), seconds(4)));
-  Test.pass(milliseconds(1100));
+  Test.advanceTime(milliseconds(1100));
   EXPECT_EQ(Test.Refused.size(), 15U)
       << "more shares did not come: eight a second start, and those of the "
          "second burst may wait one second more";
 }
 
-// After the loss of a data centre the pool stays overloaded by load that it
-// bore: requests whose prefix is on a full endpoint go elsewhere and push other
-// prefixes out. They wait for a place there, no longer than the prefix saves.
+// Guards against an overload that persists after the loss of a data centre:
+// requests whose prefix is cached at a full endpoint go elsewhere and evict
+// other prefixes. They wait for a slot there, no longer than the cache hit
+// saves.
 TEST(Dispatcher, RequestWaitsBrieflyForAPlaceWhereItsPrefixIs) {
   DispatchHarness Test;
   Test.configure(testPool(2), 1);
   WorkItem Prompt = Test.item();
   Prompt.PrefixHash = 42;
   const Ticket Holder = Test.submit(Prompt);
-  const std::string Home = Test.at(Holder);
+  const std::string Home = Test.endpointOf(Holder);
   Test.answer(Holder);
   const Ticket Running = Test.submit(Prompt);
-  EXPECT_EQ(Test.at(Running), Home);
+  EXPECT_EQ(Test.endpointOf(Running), Home);
   const Ticket Lucky = Test.submit(Prompt);
-  EXPECT_EQ(Test.at(Lucky), "");
+  EXPECT_EQ(Test.endpointOf(Lucky), "");
   const Ticket Other = Test.submit(Test.item());
-  EXPECT_NE(Test.at(Other), "") << "others do not wait behind it";
+  EXPECT_NE(Test.endpointOf(Other), "") << "others do not wait behind it";
   Test.answer(Other);
-  Test.pass(milliseconds(200));
+  Test.advanceTime(milliseconds(200));
   Test.answer(Running);
-  EXPECT_EQ(Test.at(Lucky), Home);
+  EXPECT_EQ(Test.endpointOf(Lucky), Home);
   const Ticket Late = Test.submit(Prompt);
-  Test.pass(milliseconds(400));
-  EXPECT_NE(Test.at(Late), "");
-  EXPECT_NE(Test.at(Late), Home) << "a cached prefix saves 0.3 s of 1 s here";
+  Test.advanceTime(milliseconds(400));
+  EXPECT_NE(Test.endpointOf(Late), "");
+  EXPECT_NE(Test.endpointOf(Late), Home)
+      << "a cached prefix saves 0.3 s of 1 s here";
 }
 
 TEST(Dispatcher, FailedRequestGoesToAnotherEndpointAfterADelay) {
   DispatchHarness Test;
   Test.configure(testPool(3), 4);
-  const Ticket Which = Test.submit(Test.item());
-  const std::string First = Test.at(Which);
-  Test.fail(Which, RunState::NotRun);
-  Test.pass(milliseconds(20));
-  EXPECT_NE(Test.at(Which), "");
-  EXPECT_NE(Test.at(Which), First);
-  Test.answer(Which);
-  EXPECT_EQ(Test.Decides.waiting(), 0U);
+  const Ticket Id = Test.submit(Test.item());
+  const std::string First = Test.endpointOf(Id);
+  Test.fail(Id, RunState::NotRun);
+  Test.advanceTime(milliseconds(20));
+  EXPECT_NE(Test.endpointOf(Id), "");
+  EXPECT_NE(Test.endpointOf(Id), First);
+  Test.answer(Id);
+  EXPECT_EQ(Test.Scheduler.waiting(), 0U);
 }
 
-// Twice the barriers stand on the road: an order that may have run was sent
-// again. And "not run" stood on a refusal although the attempt before the last
-// may have run.
+// Guards against running an order twice because it was sent again after an
+// attempt that may have run, and against a refusal that says "not run" although
+// an attempt before the last one may have run.
 TEST(Dispatcher, FinalRefusalTellsTheLatestOfAllAttempts) {
   DispatchHarness Test;
   Test.configure(testPool(3), 4);
@@ -183,8 +185,8 @@
   const Ticket Lookup = Test.submit(lookup());
   Test.fail(Lookup, RunState::MayHaveRun, Reason::EndpointCut);
   for (int Attempt = 0; Attempt < 3; ++Attempt) {
-    Test.pass(milliseconds(200));
-    ASSERT_NE(Test.at(Lookup), "");
+    Test.advanceTime(milliseconds(200));
+    ASSERT_NE(Test.endpointOf(Lookup), "");
     Test.fail(Lookup, RunState::NotRun);
   }
   ASSERT_TRUE(Test.refusal(Lookup));
@@ -192,30 +194,31 @@
   EXPECT_EQ(Test.refusal(Lookup)->Why, Reason::EndpointFailed);
 }
 
-// Sends multiply after the loss of a data centre until the others break down.
+// Guards against a retry storm after the loss of a data centre that overloads
+// the remaining ones.
 TEST(Dispatcher, EverythingFailsAndSendsStayWithinTheBudget) {
   DispatchHarness Test;
   Test.configure(testPool(30, 3), 100);
-  const int Asked = 2000;
-  for (int Count = 0; Count < Asked; ++Count) {
-    const Ticket Which = Test.submit(lookup(), seconds(5));
-    Test.pass(milliseconds(5));
+  const int RequestCount = 2000;
+  for (int Count = 0; Count < RequestCount; ++Count) {
+    const Ticket Id = Test.submit(lookup(), seconds(5));
+    Test.advanceTime(milliseconds(5));
     std::vector<Ticket> Running;
-    for (const auto &[Each, Where] : Test.At)
-      Running.push_back(Each);
-    for (const Ticket Each : Running)
-      Test.fail(Each, RunState::MayHaveRun);
-    static_cast<void>(Which);
+    for (const auto &[RunningId, Endpoint] : Test.InFlight)
+      Running.push_back(RunningId);
+    for (const Ticket RunningId : Running)
+      Test.fail(RunningId, RunState::MayHaveRun);
+    static_cast<void>(Id);
   }
-  Test.pass(seconds(10));
-  EXPECT_LE(static_cast<double>(Test.Sent.size()), 1.2 * Asked);
-  EXPECT_GT(Test.Decides.counts().Resends, 100U);
-  EXPECT_EQ(Test.Refused.size(), static_cast<std::size_t>(Asked));
-  EXPECT_EQ(Test.Decides.waiting(), 0U);
+  Test.advanceTime(seconds(10));
+  EXPECT_LE(static_cast<double>(Test.SentEndpoints.size()), 1.2 * RequestCount);
+  EXPECT_GT(Test.Scheduler.counts().Resends, 100U);
+  EXPECT_EQ(Test.Refused.size(), static_cast<std::size_t>(RequestCount));
+  EXPECT_EQ(Test.Scheduler.waiting(), 0U);
 }
 
-// Guards against cutting a stream for want of the budget of retries while it
-// has seconds left.
+// Guards against cutting a stream because the retry budget is empty while the
+// stream still has seconds left.
 TEST(Dispatcher, ResumableStreamWaitsForTheBudgetWhileItHasTime) {
   DispatcherOptions Limits;
   Limits.Retries.Budget.Burst = 1.0;
@@ -223,30 +226,30 @@
   Limits.Retries.Budget.DataCentreRatio = 1.0;
   DispatchHarness Pool(Limits);
   Pool.configure(testPool(4), 8);
-  const auto Cut = [&](Ticket Which) {
+  const auto Cut = [&](Ticket Id) {
     AttemptResult Result;
     Result.State = RunState::MayHaveRun;
     Result.FailureReason = Reason::EndpointCut;
     Result.Resumable = true;
-    Pool.finish(Which, Result);
+    Pool.finish(Id, Result);
   };
   WorkItem Item = DispatchHarness::item();
   Item.Repeatable = true;
   const Ticket First = Pool.submit(Item, seconds(8));
   const Ticket Second = Pool.submit(Item, seconds(8));
   Cut(First);
-  Pool.pass(milliseconds(100));
-  EXPECT_FALSE(Pool.at(First).empty());
+  Pool.advanceTime(milliseconds(100));
+  EXPECT_FALSE(Pool.endpointOf(First).empty());
   Cut(Second);
-  Pool.pass(seconds(3));
+  Pool.advanceTime(seconds(3));
   EXPECT_FALSE(Pool.refusal(Second));
   (void)Pool.submit(Item, seconds(8));
-  Pool.pass(seconds(1));
-  EXPECT_FALSE(Pool.at(Second).empty());
+  Pool.advanceTime(seconds(1));
+  EXPECT_FALSE(Pool.endpointOf(Second).empty());
 }
 
-// Endpoint after endpoint dies by one request that its caller sends again. Its
-// companions are answered.
+// Guards against one request that crashes endpoint after endpoint because its
+// caller sends it again. Requests in flight beside it are answered.
 TEST(Dispatcher, RequestThatCrashesTwoEndpointsIsRefused) {
   DispatchHarness Test;
   Test.configure(testPool(5), 4);
@@ -254,10 +257,11 @@
   const Ticket Good = Test.submit(lookup(1));
   Test.crash(Bad);
   Test.crash(Good);
-  Test.pass(milliseconds(50));
-  ASSERT_NE(Test.at(Bad), "");
-  ASSERT_NE(Test.at(Good), "");
-  EXPECT_NE(Test.at(Bad), Test.at(Good)) << "suspects are kept apart";
+  Test.advanceTime(milliseconds(50));
+  ASSERT_NE(Test.endpointOf(Bad), "");
+  ASSERT_NE(Test.endpointOf(Good), "");
+  EXPECT_NE(Test.endpointOf(Bad), Test.endpointOf(Good))
+      << "suspects are kept apart";
   Test.crash(Bad);
   ASSERT_TRUE(Test.refusal(Bad));
   EXPECT_EQ(Test.refusal(Bad)->Why, Reason::Quarantined);
@@ -269,8 +273,8 @@
             (Verdict{RunState::NotRun, Reason::Quarantined, std::nullopt}));
   DispatchHarness Other;
   Other.configure(testPool(5), 4);
-  for (const QuarantineNotice &Told : Test.Decides.takeNotices(Test.Now))
-    Other.Decides.observeNotice(Told, Other.Now);
+  for (const QuarantineNotice &Notice : Test.Scheduler.takeNotices(Test.Now))
+    Other.Scheduler.observeNotice(Notice, Other.Now);
   EXPECT_EQ(Other.refusal(Other.submit(lookup(666)))->Why, Reason::Quarantined);
   EXPECT_EQ(Other.refusal(Other.submit(lookup(1))), std::nullopt);
 }
@@ -278,100 +282,101 @@
 TEST(Dispatcher, NewRunInALoadReportIsACrashForWhatWasInFlight) {
   DispatchHarness Test;
   Test.configure(testPool(1), 4);
-  Test.Decides.observe(LoadReport{"e0", 1, 0, 0, {}}, Test.Now, Test.Out);
+  Test.Scheduler.observe(LoadReport{"e0", 1, 0, 0, {}}, Test.Now, Test.Output);
   static_cast<void>(Test.submit(lookup(5)));
-  Test.Decides.observe(LoadReport{"e0", 2, 0, 0, {}}, Test.Now, Test.Out);
-  EXPECT_EQ(Test.Decides.suspects(), 1U);
+  Test.Scheduler.observe(LoadReport{"e0", 2, 0, 0, {}}, Test.Now, Test.Output);
+  EXPECT_EQ(Test.Scheduler.suspects(), 1U);
 }
 
-// Suspects that fit nowhere at present block the queue for everybody else.
+// Guards against head-of-line blocking by suspects that no endpoint can take at
+// present.
 TEST(Dispatcher, SuspectsStepAsideForOthers) {
   DispatchHarness Test;
   Test.configure(testPool(2), 2);
   std::vector<Ticket> Suspects;
-  for (std::uint64_t Each = 1; Each <= 2; ++Each)
-    Suspects.push_back(Test.submit(lookup(Each)));
-  for (const Ticket Which : Suspects)
-    Test.crash(Which);
+  for (std::uint64_t Fingerprint = 1; Fingerprint <= 2; ++Fingerprint)
+    Suspects.push_back(Test.submit(lookup(Fingerprint)));
+  for (const Ticket Id : Suspects)
+    Test.crash(Id);
   Test.configure(testPool(1), 2);
-  Test.pass(seconds(6));
+  Test.advanceTime(seconds(6));
   const Ticket Other = Test.submit(lookup(50));
-  EXPECT_EQ(Test.at(Other), "e0");
-  EXPECT_EQ(Test.Decides.waiting(), 1U);
-  for (const Ticket Which : Suspects)
-    if (!Test.at(Which).empty())
-      Test.answer(Which);
-  Test.pass(milliseconds(500));
-  EXPECT_EQ(Test.Decides.waiting(), 0U);
+  EXPECT_EQ(Test.endpointOf(Other), "e0");
+  EXPECT_EQ(Test.Scheduler.waiting(), 1U);
+  for (const Ticket Id : Suspects)
+    if (!Test.endpointOf(Id).empty())
+      Test.answer(Id);
+  Test.advanceTime(milliseconds(500));
+  EXPECT_EQ(Test.Scheduler.waiting(), 0U);
 }
 
-// Sound endpoints are left out one after the other because callers with very
-// short deadlines gave up on them.
+// Guards against ejecting healthy endpoints because callers with very short
+// deadlines timed out there.
 TEST(Dispatcher, ShortDeadlinesDoNotMakeEndpointsLookBroken) {
   DispatchHarness Test;
   Test.configure(testPool(5), 4);
   Test.answer(Test.submit(Test.item()), seconds(1));
   for (int Count = 0; Count < 50; ++Count) {
-    const Ticket Which = Test.submit(Test.item());
+    const Ticket Id = Test.submit(Test.item());
     AttemptResult Result;
     Result.State = RunState::MayHaveRun;
     Result.FailureReason = Reason::EndpointTimedOut;
     Result.Total = milliseconds(100);
-    Test.finish(Which, Result);
+    Test.finish(Id, Result);
   }
-  EXPECT_EQ(Test.Decides.ejected(), 0U);
+  EXPECT_EQ(Test.Scheduler.ejected(), 0U);
 }
 
-// Any order of events: every request ends exactly once, and none is in flight
-// after its end.
+// For any order of events, every request ends exactly once and none is in
+// flight after its end.
 class DispatcherProperty : public testing::TestWithParam<std::uint64_t> {
 protected:
   void submit() {
     WorkItem Item = lookup(Draw.below(40));
     Item.Repeatable = Draw.below(2) == 0;
     Item.Team = TeamName(std::to_string(Draw.below(3)));
-    All.push_back(Test.submit(Item, milliseconds(Draw.below(9000))));
+    Submitted.push_back(Test.submit(Item, milliseconds(Draw.below(9000))));
   }
   void end() {
-    if (Test.At.empty())
+    if (Test.InFlight.empty())
       return;
-    const Ticket Which = Test.At.begin()->first;
-    const std::uint64_t How = Draw.below(5);
-    if (How == 4)
-      Test.crash(Which);
-    else if (How == 3)
-      Test.fail(Which, static_cast<RunState>(Draw.below(2)));
+    const Ticket Id = Test.InFlight.begin()->first;
+    const std::uint64_t Outcome = Draw.below(5);
+    if (Outcome == 4)
+      Test.crash(Id);
+    else if (Outcome == 3)
+      Test.fail(Id, static_cast<RunState>(Draw.below(2)));
     else
-      answer(Which);
+      answer(Id);
   }
-  void answer(Ticket Which) {
-    Test.answer(Which, milliseconds(1 + Draw.below(2000)));
-    EXPECT_TRUE(Gone.insert(Which).second);
+  void answer(Ticket Id) {
+    Test.answer(Id, milliseconds(1 + Draw.below(2000)));
+    EXPECT_TRUE(Finished.insert(Id).second);
   }
   void cancel() {
-    const Ticket Which = All[Draw.below(All.size())];
-    Test.Decides.cancel(Which, Test.Now, Test.Out);
-    Test.At.erase(Which);
-    Test.take();
-    if (!Test.refusal(Which))
-      Gone.insert(Which);
+    const Ticket Id = Submitted[Draw.below(Submitted.size())];
+    Test.Scheduler.cancel(Id, Test.Now, Test.Output);
+    Test.InFlight.erase(Id);
+    Test.processCommands();
+    if (!Test.refusal(Id))
+      Finished.insert(Id);
   }
   void step() {
     const std::uint64_t Kind = Draw.below(12);
-    if (Kind < 5 || All.empty())
+    if (Kind < 5 || Submitted.empty())
       submit();
     else if (Kind < 9)
       end();
     else if (Kind == 9)
-      Test.pass(milliseconds(Draw.below(500)));
+      Test.advanceTime(milliseconds(Draw.below(500)));
     else if (Kind == 10)
       Test.configure(testPool(1 + Draw.below(5), 2),
                      static_cast<std::uint32_t>(Draw.below(4)));
     else
       cancel();
   }
-  [[nodiscard]] bool ended(Ticket Which) const {
-    return Gone.contains(Which) || Test.refusal(Which).has_value();
+  [[nodiscard]] bool ended(Ticket Id) const {
+    return Finished.contains(Id) || Test.refusal(Id).has_value();
   }
   [[nodiscard]] static DispatcherOptions limits() {
     DispatcherOptions Limits;
@@ -382,28 +387,29 @@
 
   Random Draw{GetParam()};
   DispatchHarness Test{limits()};
-  std::vector<Ticket> All;
+  std::vector<Ticket> Submitted;
   /// Answered or cancelled.
-  std::unordered_set<Ticket> Gone;
+  std::unordered_set<Ticket> Finished;
 };
 
 TEST_P(DispatcherProperty, EveryRequestEndsOnceUnderAnyOrder) {
   Test.configure(testPool(4, 2), 2);
   for (int Step = 0; Step < 600; ++Step) {
     step();
-    for (const auto &[Which, Where] : Test.At)
-      ASSERT_FALSE(ended(Which));
-    ASSERT_LE(Test.Decides.waiting(), 40U);
+    for (const auto &[Id, Endpoint] : Test.InFlight)
+      ASSERT_FALSE(ended(Id));
+    ASSERT_LE(Test.Scheduler.waiting(), 40U);
   }
-  for (int Round = 0; Test.Decides.waiting() + Test.At.size() > 0; ++Round) {
+  for (int Round = 0; Test.Scheduler.waiting() + Test.InFlight.size() > 0;
+       ++Round) {
     ASSERT_LT(Round, 1000);
-    Test.pass(seconds(1));
-    if (!Test.At.empty())
-      answer(Test.At.begin()->first);
+    Test.advanceTime(seconds(1));
+    if (!Test.InFlight.empty())
+      answer(Test.InFlight.begin()->first);
   }
-  EXPECT_EQ(Gone.size() + Test.Refused.size(), All.size());
-  for (const Ticket Which : All)
-    EXPECT_TRUE(ended(Which));
+  EXPECT_EQ(Finished.size() + Test.Refused.size(), Submitted.size());
+  for (const Ticket Id : Submitted)
+    EXPECT_TRUE(ended(Id));
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, DispatcherProperty,
--- a/packages/request/test/coltsfoottrail/dispatch/harness.hpp
+++ b/packages/request/test/coltsfoottrail/dispatch/harness.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A dispatcher under a test's clock, and what it commanded.
+/// Test harness: a dispatcher with a simulated clock that records the commands.
 #ifndef COLTSFOOTTRAIL_DISPATCH_HARNESS_HPP
 #define COLTSFOOTTRAIL_DISPATCH_HARNESS_HPP
 
@@ -13,29 +13,30 @@
 
 /// @brief Endpoints "e0", "e1", ... spread over data centres "dc-0", ...
 inline Pool testPool(std::size_t Count, std::size_t DataCentres = 1) {
-  Pool Wanted;
+  Pool Config;
   for (std::size_t Index = 0; Index < Count; ++Index) {
     EndpointSpec Spec;
     Spec.Key = "e" + std::to_string(Index);
     Spec.DataCentre =
         DataCentreName("dc-" + std::to_string(Index % DataCentres));
     Spec.WarmBound = 8;
-    Wanted.Endpoints.push_back(Spec);
+    Config.Endpoints.push_back(Spec);
   }
-  return Wanted;
+  return Config;
 }
 
-/// @brief Carries a dispatcher's commands out on paper.
+/// @brief Records where a dispatcher's commands send requests, without
+/// endpoints.
 class DispatchHarness {
 public:
   explicit DispatchHarness(DispatcherOptions Limits = {})
-      : Decides(std::move(Limits)) {}
+      : Scheduler(std::move(Limits)) {}
 
-  void configure(const Pool &Wanted, std::uint32_t Share) {
-    Decides.configure(Wanted, Now, Out);
-    for (const EndpointSpec &Spec : Wanted.Endpoints)
-      Decides.setShare(Spec.Key, Share, Now, Out);
-    take();
+  void configure(const Pool &Config, std::uint32_t Share) {
+    Scheduler.configure(Config, Now, Output);
+    for (const EndpointSpec &Spec : Config.Endpoints)
+      Scheduler.setShare(Spec.Key, Share, Now, Output);
+    processCommands();
   }
 
   static WorkItem item(std::string_view Team = "team") {
@@ -45,86 +46,86 @@
     return Item;
   }
 
-  Ticket submit(WorkItem Item, Duration Patience = seconds(60)) {
-    Item.Deadline = Now + Patience;
-    const Ticket Which = Decides.submit(std::move(Item), Now, Out);
-    take();
-    return Which;
+  Ticket submit(WorkItem Item, Duration Timeout = seconds(60)) {
+    Item.Deadline = Now + Timeout;
+    const Ticket Id = Scheduler.submit(std::move(Item), Now, Output);
+    processCommands();
+    return Id;
   }
 
-  void finish(Ticket Which, const AttemptResult &Result) {
-    At.erase(Which);
-    Decides.attemptEnded(Which, Result, Now, Out);
-    take();
+  void finish(Ticket Id, const AttemptResult &Result) {
+    InFlight.erase(Id);
+    Scheduler.attemptEnded(Id, Result, Now, Output);
+    processCommands();
   }
-  void answer(Ticket Which, Duration Total = seconds(1)) {
+  void answer(Ticket Id, Duration Total = seconds(1)) {
     AttemptResult Result;
     Result.State = RunState::Ran;
     Result.Answered = true;
     Result.Total = Total;
-    finish(Which, Result);
+    finish(Id, Result);
   }
-  void fail(Ticket Which, RunState State, Reason Why = Reason::EndpointFailed) {
+  void fail(Ticket Id, RunState State, Reason Cause = Reason::EndpointFailed) {
     AttemptResult Result;
     Result.State = State;
-    Result.FailureReason = Why;
-    finish(Which, Result);
+    Result.FailureReason = Cause;
+    finish(Id, Result);
   }
-  void crash(Ticket Which) {
+  void crash(Ticket Id) {
     AttemptResult Result;
     Result.State = RunState::MayHaveRun;
     Result.FailureReason = Reason::EndpointCut;
     Result.ConnectionLost = true;
-    finish(Which, Result);
+    finish(Id, Result);
   }
 
-  /// Lets time pass, waking the dispatcher as it asks.
-  void pass(Duration Span) {
-    const TimePoint Until = Now + Span;
+  /// Advances the clock, waking the dispatcher whenever it is due.
+  void advanceTime(Duration Span) {
+    const TimePoint End = Now + Span;
     for (;;) {
-      const std::optional<TimePoint> Wake = Decides.nextWake();
-      if (!Wake || *Wake > Until)
+      const std::optional<TimePoint> Wake = Scheduler.nextWake();
+      if (!Wake || *Wake > End)
         break;
       Now = std::max(Now, *Wake);
-      Decides.advance(Now, Out);
-      take();
+      Scheduler.advance(Now, Output);
+      processCommands();
     }
-    Now = Until;
+    Now = End;
   }
 
-  /// Where a request is in flight; empty when it is not.
-  [[nodiscard]] std::string at(Ticket Which) const {
-    const auto Found = At.find(Which);
-    return Found == At.end() ? std::string() : Found->second;
+  /// Endpoint at which a request is in flight; empty when it is not.
+  [[nodiscard]] std::string endpointOf(Ticket Id) const {
+    const auto Position = InFlight.find(Id);
+    return Position == InFlight.end() ? std::string() : Position->second;
   }
-  /// Its final refusal, if it got one.
-  [[nodiscard]] std::optional<Verdict> refusal(Ticket Which) const {
-    const auto Found = Refused.find(Which);
-    if (Found == Refused.end())
+  /// Final refusal of a request, if it got one.
+  [[nodiscard]] std::optional<Verdict> refusal(Ticket Id) const {
+    const auto Position = Refused.find(Id);
+    if (Position == Refused.end())
       return std::nullopt;
-    return Found->second;
+    return Position->second;
   }
 
-  void take() {
-    for (const Command &Each : Out) {
-      if (const auto *const Send = std::get_if<SendCommand>(&Each)) {
-        At[Send->Id] = Send->EndpointKey;
-        Sent.push_back(Send->EndpointKey);
+  void processCommands() {
+    for (const Command &Entry : Output) {
+      if (const auto *const Send = std::get_if<SendCommand>(&Entry)) {
+        InFlight[Send->Id] = Send->EndpointKey;
+        SentEndpoints.push_back(Send->EndpointKey);
       } else {
-        const auto &Refusal = std::get<RefuseCommand>(Each);
+        const auto &Refusal = std::get<RefuseCommand>(Entry);
         Refused[Refusal.Id] = Refusal.FinalVerdict;
       }
     }
-    Out.clear();
+    Output.clear();
   }
 
-  Dispatcher Decides;
+  Dispatcher Scheduler;
   TimePoint Now{seconds(1000)};
-  Commands Out;
-  std::unordered_map<Ticket, std::string> At;
+  Commands Output;
+  std::unordered_map<Ticket, std::string> InFlight;
   std::unordered_map<Ticket, Verdict> Refused;
-  /// Endpoints in the order of the sends.
-  std::vector<std::string> Sent;
+  /// Endpoint keys in the order of the sends.
+  std::vector<std::string> SentEndpoints;
 };
 
 } // namespace coltsfoottrail
--- a/packages/request/test/coltsfoottrail/dispatch/simulation.hpp
+++ b/packages/request/test/coltsfoottrail/dispatch/simulation.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Several entry hosts before one pool of engines, in simulated time.
+/// Discrete-event simulation of several entry hosts in front of one pool of
+/// engines.
 #ifndef COLTSFOOTTRAIL_DISPATCH_SIMULATION_HPP
 #define COLTSFOOTTRAIL_DISPATCH_SIMULATION_HPP
 
@@ -16,18 +17,18 @@
 
 namespace coltsfoottrail {
 
-/// @brief A data centre that is lost and comes back with cold engines.
+/// @brief Loss of a data centre that later returns with cold engines.
 struct SimulatedOutage {
   std::size_t DataCentre = 1;
   Duration From = seconds(20);
   Duration Until = seconds(40);
-  /// When routes follow its loss and its return.
+  /// Delay until the routes follow its loss and its return.
   Duration RoutesAfter = seconds(2);
-  /// Whether shares follow what a cold engine bears.
+  /// Whether shares follow the capacity of an engine that warms up.
   bool Ramp = true;
 };
 
-/// @brief What is simulated.
+/// @brief Parameters of a simulation.
 struct SimulationOptions {
   std::size_t Endpoints = 50;
   std::size_t DataCentres = 3;
@@ -38,13 +39,13 @@
   double MeanSeconds = 1.0;
   std::size_t Stragglers = 0;
   double SlowFactor = 5.0;
-  /// Requests a second of each team.
+  /// Requests per second of each team.
   std::vector<double> TeamRates;
   std::size_t PrefixesPerTeam = 40;
   std::size_t CachedPrefixes = 24;
   double CacheSaving = 0.5;
   double CacheLoss = 0.05;
-  /// Limit of each team at one host.
+  /// Limit of each team's requests in progress at one host.
   std::uint32_t MaxInFlight = 1024;
   double RepeatablePart = 0.9;
   Duration Patience = seconds(8);
@@ -52,18 +53,18 @@
   /// Requests before this are not counted.
   Duration CountFrom = seconds(10);
   std::optional<SimulatedOutage> Outage;
-  /// Part of the attempts that every engine fails before it runs them.
+  /// Fraction of the attempts that an engine fails before it runs them.
   double FailPart = 0.0;
   DispatcherOptions Dispatch;
   std::uint64_t Seed = 1;
 
-  /// @brief Requests a second that the warm pool serves at full load.
+  /// @brief Requests per second that the warm pool serves at full load.
   [[nodiscard]] double capacity() const {
     return static_cast<double>(Endpoints * Bound) / (MeanSeconds * 1.5);
   }
 };
 
-/// @brief What came of the requests.
+/// @brief Outcomes of the simulated requests.
 struct SimulationResult {
   struct Share {
     std::uint64_t Asked = 0;
@@ -75,10 +76,10 @@
     }
   };
   Share All;
-  /// By second of asking.
+  /// By the second in which the request was submitted.
   std::vector<Share> Seconds;
   std::vector<Share> Teams;
-  /// Seconds to the answer, by team.
+  /// Seconds from submission to answer, by team.
   std::vector<std::vector<double>> Times;
   std::uint64_t Sends = 0;
   std::uint64_t Resends = 0;
@@ -86,13 +87,15 @@
   std::uint64_t Served = 0;
   std::uint64_t RefusedNotRun = 0;
   std::uint64_t RefusedMayHaveRun = 0;
-  /// Engines that fell over under more than they bear cold.
+  /// Crashes of engines under more load than they can take while cold.
   std::uint64_t ColdCrashes = 0;
-  /// Most requests at a cold engine, as a part of what it bore then.
+  /// Highest number of requests at a cold engine, relative to its capacity at
+  /// the time.
   double ColdPeak = 0.0;
 
-  /// @brief A quantile of the times of some teams.
-  [[nodiscard]] double quantile(double Part, std::size_t FirstTeam = 0) const {
+  /// @brief A quantile of the times of the teams from FirstTeam on.
+  [[nodiscard]] double quantile(double Fraction,
+                                std::size_t FirstTeam = 0) const {
     std::vector<double> Sorted;
     for (std::size_t Team = FirstTeam; Team < Times.size(); ++Team)
       Sorted.insert(Sorted.end(), Times[Team].begin(), Times[Team].end());
@@ -100,15 +103,15 @@
       return 0.0;
     std::ranges::sort(Sorted);
     const double Last = static_cast<double>(Sorted.size() - 1);
-    return Sorted[static_cast<std::size_t>(Part * Last)];
+    return Sorted[static_cast<std::size_t>(Fraction * Last)];
   }
 };
 
-/// @brief Event simulation of one pool; the same result for the same options.
+/// @brief Event simulation of one pool. Deterministic for given options.
 class Simulation {
 public:
-  explicit Simulation(SimulationOptions Wanted)
-      : Options(std::move(Wanted)), Draw(Options.Seed) {
+  explicit Simulation(SimulationOptions Config)
+      : Options(std::move(Config)), Rng(Options.Seed) {
     makeEngines();
     makeHosts();
     Result.Seconds.resize(
@@ -126,32 +129,32 @@
     if (Options.Outage)
       scheduleOutage(*Options.Outage);
     const TimePoint End = Start + Options.Length + 2 * Options.Patience;
-    while (!Events.empty() && Events.top().When <= End) {
+    while (!Events.empty() && Events.top().Due <= End) {
       const Event Next = Events.top();
       Events.pop();
-      Now = Next.When;
-      Next.Do();
+      Now = Next.Due;
+      Next.Callback();
     }
-    for (const Host &Each : Hosts)
-      Result.Resends += Each.Decides.counts().Resends;
+    for (const Host &Entry : Hosts)
+      Result.Resends += Entry.Scheduler.counts().Resends;
     return Result;
   }
 
 private:
   using Action = std::function<void()>;
   struct Event {
-    TimePoint When;
+    TimePoint Due;
     std::uint64_t Order = 0;
-    Action Do;
+    Action Callback;
     [[nodiscard]] bool operator<(const Event &Other) const {
-      return When != Other.When ? When > Other.When : Order > Other.Order;
+      return Due != Other.Due ? Due > Other.Due : Order > Other.Order;
     }
   };
   struct Engine {
     EndpointSpec Spec;
-    double Slow = 1.0;
+    double SlowFactor = 1.0;
     bool Up = true;
-    bool Dark = false;
+    bool InOutage = false;
     Incarnation Run = 1;
     TimePoint StartedAt;
     std::set<std::uint64_t> Running;
@@ -160,17 +163,17 @@
     std::uint64_t Sequence = 0;
   };
   struct Host {
-    explicit Host(DispatcherOptions Limits) : Decides(std::move(Limits)) {}
-    Dispatcher Decides;
+    explicit Host(DispatcherOptions Limits) : Scheduler(std::move(Limits)) {}
+    Dispatcher Scheduler;
     std::optional<TimePoint> Wake;
   };
-  struct Asked {
+  struct RequestRecord {
     std::size_t Team = 0;
     std::size_t Host = 0;
     WorkItem Item;
-    TimePoint At;
+    TimePoint SubmittedAt;
     double Work = 0.0;
-    Ticket Which;
+    Ticket Id;
   };
   struct Attempt {
     std::uint64_t Request = 0;
@@ -186,32 +189,31 @@
   static constexpr Duration RestartTime = seconds(10);
   static constexpr double BatchSlowdown = 0.5;
 
-  void at(TimePoint When, Action Do) {
-    Events.push(Event{When, EventCount++, std::move(Do)});
+  void at(TimePoint Due, Action Callback) {
+    Events.push(Event{Due, EventCount++, std::move(Callback)});
   }
   static Duration span(double Seconds) {
     return std::chrono::duration_cast<Duration>(
         std::chrono::duration<double>(Seconds));
   }
-  [[nodiscard]] Duration upTo(Duration Most) {
-    return std::chrono::duration_cast<Duration>(Most * Draw.fraction());
-  }
-  [[nodiscard]] double exponential() {
-    return -std::log(1.0 - Draw.fraction());
+  [[nodiscard]] Duration upTo(Duration Limit) {
+    return std::chrono::duration_cast<Duration>(Limit * Rng.fraction());
   }
+  [[nodiscard]] double exponential() { return -std::log(1.0 - Rng.fraction()); }
 
   void makeEngines() {
     for (std::size_t Index = 0; Index < Options.Endpoints; ++Index) {
-      Engine Made;
-      Made.Spec.Key = "runner-" + std::to_string(10000 + Index);
-      Made.Spec.DataCentre =
+      Engine NewEngine;
+      NewEngine.Spec.Key = "runner-" + std::to_string(10000 + Index);
+      NewEngine.Spec.DataCentre =
           DataCentreName("dc-" + std::to_string(Index % Options.DataCentres));
-      Made.Spec.WarmBound = Options.Bound;
-      Made.Spec.ColdBound = Options.ColdBound;
-      Made.StartedAt = Start - Options.WarmUp;
-      Made.Slow = Index < Options.Stragglers ? Options.SlowFactor : 1.0;
-      ByKey[Made.Spec.Key] = Index;
-      Engines.push_back(std::move(Made));
+      NewEngine.Spec.WarmBound = Options.Bound;
+      NewEngine.Spec.ColdBound = Options.ColdBound;
+      NewEngine.StartedAt = Start - Options.WarmUp;
+      NewEngine.SlowFactor =
+          Index < Options.Stragglers ? Options.SlowFactor : 1.0;
+      ByKey[NewEngine.Spec.Key] = Index;
+      Engines.push_back(std::move(NewEngine));
     }
   }
 
@@ -225,9 +227,9 @@
     }
     for (std::size_t Index = 0; Index < Hosts.size(); ++Index)
       for (std::size_t Team = 0; Team < Options.TeamRates.size(); ++Team)
-        act(Index, [&](Dispatcher &Decides, Commands &Out) {
-          Decides.setTeam(teamName(Team), TeamShare{1.0, Options.MaxInFlight},
-                          Now, Out);
+        dispatch(Index, [&](Dispatcher &Scheduler, Commands &Output) {
+          Scheduler.setTeam(teamName(Team), TeamShare{1.0, Options.MaxInFlight},
+                            Now, Output);
         });
     configure();
   }
@@ -237,82 +239,85 @@
   }
 
   [[nodiscard]] Pool routes() const {
-    Pool Wanted;
-    for (const Engine &Each : Engines)
-      if (!Unrouted.contains(Each.Spec.DataCentre.Text))
-        Wanted.Endpoints.push_back(Each.Spec);
-    return Wanted;
+    Pool Config;
+    for (const Engine &Candidate : Engines)
+      if (!Unrouted.contains(Candidate.Spec.DataCentre.Text))
+        Config.Endpoints.push_back(Candidate.Spec);
+    return Config;
   }
 
   void configure() {
-    const Pool Wanted = routes();
+    const Pool Config = routes();
     for (std::size_t Index = 0; Index < Hosts.size(); ++Index)
-      act(Index, [&](Dispatcher &Decides, Commands &Out) {
-        Decides.configure(Wanted, Now, Out);
+      dispatch(Index, [&](Dispatcher &Scheduler, Commands &Output) {
+        Scheduler.configure(Config, Now, Output);
       });
     setShares();
   }
 
-  /// What an engine bears now.
-  [[nodiscard]] double bears(const Engine &Each) const {
-    const double Part =
-        std::min(1.0, std::chrono::duration<double>(Now - Each.StartedAt) /
+  /// Requests that an engine can serve at once at present.
+  [[nodiscard]] double capacityOf(const Engine &Candidate) const {
+    const double Fraction =
+        std::min(1.0, std::chrono::duration<double>(Now - Candidate.StartedAt) /
                           std::chrono::duration<double>(Options.WarmUp));
     return Options.ColdBound +
-           (Options.Bound - Options.ColdBound) * std::max(0.0, Part);
+           (Options.Bound - Options.ColdBound) * std::max(0.0, Fraction);
   }
 
   void setShares() {
     const bool Ramp = !Options.Outage || Options.Outage->Ramp;
-    for (std::size_t Place = 0; Place < Engines.size(); ++Place) {
-      const auto Whole = static_cast<std::uint32_t>(Ramp ? bears(Engines[Place])
-                                                         : Options.Bound);
+    for (std::size_t EngineIndex = 0; EngineIndex < Engines.size();
+         ++EngineIndex) {
+      const auto Bound = static_cast<std::uint32_t>(
+          Ramp ? capacityOf(Engines[EngineIndex]) : Options.Bound);
       const auto Count = static_cast<std::uint32_t>(Hosts.size());
       for (std::size_t Index = 0; Index < Hosts.size(); ++Index) {
-        const bool Extra = (Index + Place) % Count < Whole % Count;
-        act(Index, [&](Dispatcher &Decides, Commands &Out) {
-          Decides.setShare(Engines[Place].Spec.Key,
-                           Whole / Count + (Extra ? 1U : 0U), Now, Out);
+        const bool Extra = (Index + EngineIndex) % Count < Bound % Count;
+        dispatch(Index, [&](Dispatcher &Scheduler, Commands &Output) {
+          Scheduler.setShare(Engines[EngineIndex].Spec.Key,
+                             Bound / Count + (Extra ? 1U : 0U), Now, Output);
         });
       }
     }
   }
 
-  /// Lets a host decide and carries out what it commands.
-  template <class Function> void act(std::size_t Index, Function Do) {
-    Commands Out;
-    Host &Own = Hosts[Index];
-    Do(Own.Decides, Out);
-    for (const Command &Each : Out) {
-      if (const auto *const Send = std::get_if<SendCommand>(&Each))
-        carry(Index, *Send);
+  /// Calls a host's dispatcher and executes the commands that it returns.
+  template <class Function>
+  void dispatch(std::size_t Index, Function Callback) {
+    Commands Output;
+    Host &Target = Hosts[Index];
+    Callback(Target.Scheduler, Output);
+    for (const Command &Entry : Output) {
+      if (const auto *const Send = std::get_if<SendCommand>(&Entry))
+        executeSend(Index, *Send);
       else
-        refused(Index, std::get<RefuseCommand>(Each));
+        refused(Index, std::get<RefuseCommand>(Entry));
     }
-    for (const QuarantineNotice &Told : Own.Decides.takeNotices(Now))
+    for (const QuarantineNotice &Notice : Target.Scheduler.takeNotices(Now))
       for (std::size_t Other = 0; Other < Hosts.size(); ++Other)
         if (Other != Index)
-          at(Now + milliseconds(2), [this, Other, Told] {
-            Hosts[Other].Decides.observeNotice(Told, Now);
+          at(Now + milliseconds(2), [this, Other, Notice] {
+            Hosts[Other].Scheduler.observeNotice(Notice, Now);
           });
-    const std::optional<TimePoint> Wake = Own.Decides.nextWake();
-    if (!Wake || (Own.Wake && *Own.Wake <= *Wake))
+    const std::optional<TimePoint> Wake = Target.Scheduler.nextWake();
+    if (!Wake || (Target.Wake && *Target.Wake <= *Wake))
       return;
-    Own.Wake = Wake;
+    Target.Wake = Wake;
     at(std::max(Now, *Wake), [this, Index] { wake(Index); });
   }
 
   void wake(std::size_t Index) {
     Hosts[Index].Wake.reset();
-    act(Index,
-        [&](Dispatcher &Decides, Commands &Out) { Decides.advance(Now, Out); });
+    dispatch(Index, [&](Dispatcher &Scheduler, Commands &Output) {
+      Scheduler.advance(Now, Output);
+    });
   }
 
   void scheduleArrival(std::size_t Team) {
-    const Duration Gap = span(exponential() / Options.TeamRates[Team]);
-    if (Now + Gap > Start + Options.Length)
+    const Duration Interval = span(exponential() / Options.TeamRates[Team]);
+    if (Now + Interval > Start + Options.Length)
       return;
-    at(Now + Gap, [this, Team] {
+    at(Now + Interval, [this, Team] {
       arrive(Team);
       scheduleArrival(Team);
     });
@@ -320,166 +325,173 @@
 
   void arrive(std::size_t Team) {
     const std::uint64_t Number = NextRequest++;
-    Asked &Made = Requests[Number];
-    Made.Team = Team;
-    Made.Host = Draw.below(Hosts.size());
-    Made.At = Now;
-    Made.Work = Options.MeanSeconds * (0.3 + 0.7 * exponential());
-    Made.Item.Team = teamName(Team);
-    Made.Item.Deadline = Now + Options.Patience;
-    Made.Item.Repeatable = Draw.fraction() < Options.RepeatablePart;
-    Made.Item.PrefixHash = prefixOf(Team);
-    Made.Item.Fingerprint = Number + 1;
-    Made.Item.Bytes = 2000;
-    if (SimulationResult::Share *const Second = second(Made)) {
+    RequestRecord &Request = Requests[Number];
+    Request.Team = Team;
+    Request.Host = Rng.below(Hosts.size());
+    Request.SubmittedAt = Now;
+    Request.Work = Options.MeanSeconds * (0.3 + 0.7 * exponential());
+    Request.Item.Team = teamName(Team);
+    Request.Item.Deadline = Now + Options.Patience;
+    Request.Item.Repeatable = Rng.fraction() < Options.RepeatablePart;
+    Request.Item.PrefixHash = prefixOf(Team);
+    Request.Item.Fingerprint = Number + 1;
+    Request.Item.Bytes = 2000;
+    if (SimulationResult::Share *const Second = second(Request)) {
       ++Second->Asked;
       ++Result.All.Asked;
       ++Result.Teams[Team].Asked;
     }
-    const std::size_t Index = Made.Host;
-    act(Index, [&](Dispatcher &Decides, Commands &Out) {
-      const Ticket Which = Decides.submit(Made.Item, Now, Out);
-      Made.Which = Which;
-      ByTicket[key(Index, Which)] = Number;
+    const std::size_t Index = Request.Host;
+    dispatch(Index, [&](Dispatcher &Scheduler, Commands &Output) {
+      const Ticket Id = Scheduler.submit(Request.Item, Now, Output);
+      Request.Id = Id;
+      ByTicket[key(Index, Id)] = Number;
     });
   }
 
   [[nodiscard]] std::uint64_t prefixOf(std::size_t Team) {
-    const double Skewed = Draw.fraction() * Draw.fraction();
+    const double Skewed = Rng.fraction() * Rng.fraction();
     const auto Index = static_cast<std::uint64_t>(
         Skewed * static_cast<double>(Options.PrefixesPerTeam));
     return Random(Team * 100000 + Index)();
   }
 
-  [[nodiscard]] SimulationResult::Share *second(const Asked &Made) {
-    if (Made.At < Start + Options.CountFrom)
+  [[nodiscard]] SimulationResult::Share *second(const RequestRecord &Request) {
+    if (Request.SubmittedAt < Start + Options.CountFrom)
       return nullptr;
-    return &Result.Seconds[static_cast<std::size_t>((Made.At - Start) /
-                                                    seconds(1))];
+    return &Result.Seconds[static_cast<std::size_t>(
+        (Request.SubmittedAt - Start) / seconds(1))];
   }
 
-  [[nodiscard]] static std::uint64_t key(std::size_t Host, Ticket Which) {
-    return (std::uint64_t{Which.Generation} << 36U) ^
-           (std::uint64_t{Which.Index} << 8U) ^ Host;
+  [[nodiscard]] static std::uint64_t key(std::size_t Host, Ticket Id) {
+    return (std::uint64_t{Id.Generation} << 36U) ^
+           (std::uint64_t{Id.Index} << 8U) ^ Host;
   }
 
-  void carry(std::size_t Index, const SendCommand &Send) {
+  void executeSend(std::size_t Index, const SendCommand &Send) {
     const std::uint64_t Number = ByTicket.at(key(Index, Send.Id));
-    const std::uint64_t Try = NextAttempt++;
-    const std::size_t Place = ByKey.at(Send.EndpointKey);
-    Attempts[Try] = Attempt{Number, Place, Now};
+    const std::uint64_t AttemptId = NextAttempt++;
+    const std::size_t EngineIndex = ByKey.at(Send.EndpointKey);
+    Attempts[AttemptId] = Attempt{Number, EngineIndex, Now};
     ++Result.Sends;
-    Engine &To = Engines[Place];
-    if (!To.Up) {
-      at(Now + ConnectFailure, [this, Try] {
-        end(Try, failure(RunState::NotRun, Reason::EndpointFailed, false));
+    Engine &Target = Engines[EngineIndex];
+    if (!Target.Up) {
+      at(Now + ConnectFailure, [this, AttemptId] {
+        end(AttemptId,
+            failure(RunState::NotRun, Reason::EndpointFailed, false));
       });
       return;
     }
-    To.Queue.push_back(Try);
-    at(Requests[Number].Item.Deadline, [this, Try] { timeOut(Try); });
-    checkCold(Place);
-    startNext(Place);
-  }
-
-  void startNext(std::size_t Place) {
-    Engine &Own = Engines[Place];
-    while (Own.Up && !Own.Queue.empty() && Own.Running.size() < Options.Bound) {
-      const std::uint64_t Try = Own.Queue.front();
-      Own.Queue.pop_front();
-      Own.Running.insert(Try);
-      if (Options.FailPart > 0.0 && Draw.fraction() < Options.FailPart) {
-        at(Now + FailureTime, [this, Try] {
-          end(Try, failure(RunState::NotRun, Reason::EndpointFailed, false));
+    Target.Queue.push_back(AttemptId);
+    at(Requests[Number].Item.Deadline,
+       [this, AttemptId] { timeOut(AttemptId); });
+    checkColdOverload(EngineIndex);
+    startNext(EngineIndex);
+  }
+
+  void startNext(std::size_t EngineIndex) {
+    Engine &Target = Engines[EngineIndex];
+    while (Target.Up && !Target.Queue.empty() &&
+           Target.Running.size() < Options.Bound) {
+      const std::uint64_t AttemptId = Target.Queue.front();
+      Target.Queue.pop_front();
+      Target.Running.insert(AttemptId);
+      if (Options.FailPart > 0.0 && Rng.fraction() < Options.FailPart) {
+        at(Now + FailureTime, [this, AttemptId] {
+          end(AttemptId,
+              failure(RunState::NotRun, Reason::EndpointFailed, false));
         });
         continue;
       }
-      const Asked &Served = Requests[Attempts[Try].Request];
-      const bool Hit = useCache(Place, Served.Item.PrefixHash);
+      const RequestRecord &Request = Requests[Attempts[AttemptId].Request];
+      const bool Hit = useCache(EngineIndex, Request.Item.PrefixHash);
       Result.CacheHits += Hit ? 1U : 0U;
       ++Result.Served;
-      const double Load = static_cast<double>(Own.Running.size());
-      const double Seconds = Served.Work * Own.Slow *
+      const double Load = static_cast<double>(Target.Running.size());
+      const double Seconds = Request.Work * Target.SlowFactor *
                              (Hit ? 1.0 - Options.CacheSaving : 1.0) *
                              (1.0 + BatchSlowdown * Load / Options.Bound);
-      at(Now + span(Seconds), [this, Try] { answer(Try); });
+      at(Now + span(Seconds), [this, AttemptId] { answer(AttemptId); });
     }
   }
 
-  bool useCache(std::size_t Place, std::uint64_t Prefix) {
-    Engine &Own = Engines[Place];
-    const auto Found = std::ranges::find(Own.Cache, Prefix);
-    const bool Hit = Found != Own.Cache.end();
+  bool useCache(std::size_t EngineIndex, std::uint64_t Prefix) {
+    Engine &Target = Engines[EngineIndex];
+    const auto Position = std::ranges::find(Target.Cache, Prefix);
+    const bool Hit = Position != Target.Cache.end();
     if (Hit)
-      Own.Cache.erase(Found);
-    Own.Cache.push_front(Prefix);
+      Target.Cache.erase(Position);
+    Target.Cache.push_front(Prefix);
     if (!Hit)
-      publish(Place, Prefix, true);
-    if (Own.Cache.size() > Options.CachedPrefixes) {
-      publish(Place, Own.Cache.back(), false);
-      Own.Cache.pop_back();
+      publish(EngineIndex, Prefix, true);
+    if (Target.Cache.size() > Options.CachedPrefixes) {
+      publish(EngineIndex, Target.Cache.back(), false);
+      Target.Cache.pop_back();
     }
     return Hit;
   }
 
-  void publish(std::size_t Place, std::uint64_t Prefix, bool Added) {
-    Engine &Own = Engines[Place];
-    const CacheChange Change{Prefix, Added, ++Own.Sequence};
-    if (Draw.fraction() < Options.CacheLoss)
+  void publish(std::size_t EngineIndex, std::uint64_t Prefix, bool Added) {
+    Engine &Target = Engines[EngineIndex];
+    const CacheChange Change{Prefix, Added, ++Target.Sequence};
+    if (Rng.fraction() < Options.CacheLoss)
       return;
     at(Now + milliseconds(200) + upTo(milliseconds(600)),
-       [this, Place, Change] {
-         for (Host &Each : Hosts)
-           Each.Decides.observeCache(Engines[Place].Spec.Key, Change, Now);
+       [this, EngineIndex, Change] {
+         for (Host &Entry : Hosts)
+           Entry.Scheduler.observeCache(Engines[EngineIndex].Spec.Key, Change,
+                                        Now);
        });
   }
 
-  static AttemptResult failure(RunState State, Reason Why, bool Lost) {
-    AttemptResult Out;
-    Out.State = State;
-    Out.FailureReason = Why;
-    Out.ConnectionLost = Lost;
-    return Out;
+  static AttemptResult failure(RunState State, Reason Cause,
+                               bool ConnectionLost) {
+    AttemptResult Outcome;
+    Outcome.State = State;
+    Outcome.FailureReason = Cause;
+    Outcome.ConnectionLost = ConnectionLost;
+    return Outcome;
   }
 
-  void answer(std::uint64_t Try) {
-    const auto Found = Attempts.find(Try);
-    if (Found == Attempts.end())
+  void answer(std::uint64_t AttemptId) {
+    const auto Position = Attempts.find(AttemptId);
+    if (Position == Attempts.end())
       return;
-    const Asked &Done = Requests[Found->second.Request];
+    const RequestRecord &Done = Requests[Position->second.Request];
     if (SimulationResult::Share *const Second = second(Done)) {
       ++Second->InTime;
       ++Result.All.InTime;
       ++Result.Teams[Done.Team].InTime;
       Result.Times[Done.Team].push_back(
-          std::chrono::duration<double>(Now - Done.At).count());
+          std::chrono::duration<double>(Now - Done.SubmittedAt).count());
     }
-    AttemptResult Out;
-    Out.State = RunState::Ran;
-    Out.Answered = true;
-    end(Try, Out);
+    AttemptResult Outcome;
+    Outcome.State = RunState::Ran;
+    Outcome.Answered = true;
+    end(AttemptId, Outcome);
   }
 
-  void timeOut(std::uint64_t Try) {
-    if (Attempts.contains(Try))
-      end(Try, failure(RunState::MayHaveRun, Reason::EndpointTimedOut, false));
+  void timeOut(std::uint64_t AttemptId) {
+    if (Attempts.contains(AttemptId))
+      end(AttemptId,
+          failure(RunState::MayHaveRun, Reason::EndpointTimedOut, false));
   }
 
-  /// Ends an attempt, whichever way.
-  void end(std::uint64_t Try, AttemptResult Out) {
-    const auto Found = Attempts.find(Try);
-    if (Found == Attempts.end())
+  /// Ends an attempt with any outcome.
+  void end(std::uint64_t AttemptId, AttemptResult Outcome) {
+    const auto Position = Attempts.find(AttemptId);
+    if (Position == Attempts.end())
       return;
-    const Attempt Gone = Found->second;
-    Attempts.erase(Found);
-    Engine &Own = Engines[Gone.Engine];
-    Own.Running.erase(Try);
-    std::erase(Own.Queue, Try);
-    startNext(Gone.Engine);
-    Out.Total = Now - Gone.SentAt;
-    const Asked &Of = Requests[Gone.Request];
-    act(Of.Host, [&](Dispatcher &Decides, Commands &Given) {
-      Decides.attemptEnded(Of.Which, Out, Now, Given);
+    const Attempt Ended = Position->second;
+    Attempts.erase(Position);
+    Engine &Target = Engines[Ended.Engine];
+    Target.Running.erase(AttemptId);
+    std::erase(Target.Queue, AttemptId);
+    startNext(Ended.Engine);
+    Outcome.Total = Now - Ended.SentAt;
+    const RequestRecord &Request = Requests[Ended.Request];
+    dispatch(Request.Host, [&](Dispatcher &Scheduler, Commands &Output) {
+      Scheduler.attemptEnded(Request.Id, Outcome, Now, Output);
     });
   }
 
@@ -490,94 +502,100 @@
       ++Result.RefusedMayHaveRun;
   }
 
-  void report(std::size_t Place) {
-    const Engine &Own = Engines[Place];
-    at(Now + ReportEvery, [this, Place] { report(Place); });
-    if (!Own.Up || Unrouted.contains(Own.Spec.DataCentre.Text))
+  void report(std::size_t EngineIndex) {
+    const Engine &Target = Engines[EngineIndex];
+    at(Now + ReportEvery, [this, EngineIndex] { report(EngineIndex); });
+    if (!Target.Up || Unrouted.contains(Target.Spec.DataCentre.Text))
       return;
-    const LoadReport Report{
-        Own.Spec.Key, Own.Run, static_cast<std::uint32_t>(Own.Running.size()),
-        static_cast<std::uint32_t>(Own.Queue.size()), ReportLag};
+    const LoadReport Report{Target.Spec.Key, Target.Run,
+                            static_cast<std::uint32_t>(Target.Running.size()),
+                            static_cast<std::uint32_t>(Target.Queue.size()),
+                            ReportLag};
     at(Now + ReportLag, [this, Report] {
       for (std::size_t Index = 0; Index < Hosts.size(); ++Index)
-        act(Index, [&](Dispatcher &Decides, Commands &Out) {
-          Decides.observe(Report, Now, Out);
+        dispatch(Index, [&](Dispatcher &Scheduler, Commands &Output) {
+          Scheduler.observe(Report, Now, Output);
         });
     });
   }
 
-  /// A cold engine falls over under much more than it bears.
-  void checkCold(std::size_t Place) {
-    const Engine &Own = Engines[Place];
-    const double Bears = bears(Own);
-    if (Bears >= Options.Bound)
+  /// Crashes a cold engine that has more than twice its present capacity.
+  void checkColdOverload(std::size_t EngineIndex) {
+    const Engine &Target = Engines[EngineIndex];
+    const double Capacity = capacityOf(Target);
+    if (Capacity >= Options.Bound)
       return;
     const double Load =
-        static_cast<double>(Own.Running.size() + Own.Queue.size()) / Bears;
+        static_cast<double>(Target.Running.size() + Target.Queue.size()) /
+        Capacity;
     Result.ColdPeak = std::max(Result.ColdPeak, Load);
     if (Load <= 2.0)
       return;
     ++Result.ColdCrashes;
-    stop(Place);
-    at(Now + RestartTime, [this, Place] {
-      if (!Engines[Place].Dark)
-        startUp(Place);
+    stop(EngineIndex);
+    at(Now + RestartTime, [this, EngineIndex] {
+      if (!Engines[EngineIndex].InOutage)
+        startUp(EngineIndex);
     });
   }
 
-  void stop(std::size_t Place) {
-    Engine &Own = Engines[Place];
-    Own.Up = false;
-    std::vector<std::uint64_t> Lost(Own.Running.begin(), Own.Running.end());
-    Lost.insert(Lost.end(), Own.Queue.begin(), Own.Queue.end());
-    for (const std::uint64_t Try : Lost)
-      at(Now + upTo(milliseconds(5)), [this, Try] {
-        end(Try, failure(RunState::MayHaveRun, Reason::EndpointCut, true));
+  void stop(std::size_t EngineIndex) {
+    Engine &Target = Engines[EngineIndex];
+    Target.Up = false;
+    std::vector<std::uint64_t> LostAttempts(Target.Running.begin(),
+                                            Target.Running.end());
+    LostAttempts.insert(LostAttempts.end(), Target.Queue.begin(),
+                        Target.Queue.end());
+    for (const std::uint64_t AttemptId : LostAttempts)
+      at(Now + upTo(milliseconds(5)), [this, AttemptId] {
+        end(AttemptId,
+            failure(RunState::MayHaveRun, Reason::EndpointCut, true));
       });
-    Own.Cache.clear();
+    Target.Cache.clear();
   }
 
-  void startUp(std::size_t Place) {
-    Engine &Own = Engines[Place];
-    Own.Up = true;
-    ++Own.Run;
-    Own.Sequence = 0;
-    Own.StartedAt = Now;
+  void startUp(std::size_t EngineIndex) {
+    Engine &Target = Engines[EngineIndex];
+    Target.Up = true;
+    ++Target.Run;
+    Target.Sequence = 0;
+    Target.StartedAt = Now;
   }
 
-  void scheduleOutage(const SimulatedOutage &Lost) {
-    const std::string Name = "dc-" + std::to_string(Lost.DataCentre);
-    const auto Each = [this, Name](auto Do) {
-      for (std::size_t Place = 0; Place < Engines.size(); ++Place)
-        if (Engines[Place].Spec.DataCentre.Text == Name)
-          Do(Place);
+  void scheduleOutage(const SimulatedOutage &Outage) {
+    const std::string Name = "dc-" + std::to_string(Outage.DataCentre);
+    const auto ForEachEngine = [this, Name](auto Callback) {
+      for (std::size_t EngineIndex = 0; EngineIndex < Engines.size();
+           ++EngineIndex)
+        if (Engines[EngineIndex].Spec.DataCentre.Text == Name)
+          Callback(EngineIndex);
     };
-    at(Start + Lost.From, [this, Each] {
-      Each([this](std::size_t Place) {
-        Engines[Place].Dark = true;
-        stop(Place);
+    at(Start + Outage.From, [this, ForEachEngine] {
+      ForEachEngine([this](std::size_t EngineIndex) {
+        Engines[EngineIndex].InOutage = true;
+        stop(EngineIndex);
       });
     });
-    at(Start + Lost.From + Lost.RoutesAfter, [this, Name] {
+    at(Start + Outage.From + Outage.RoutesAfter, [this, Name] {
       Unrouted.insert(Name);
       configure();
     });
-    at(Start + Lost.Until, [this, Each] {
-      Each([this](std::size_t Place) {
-        Engines[Place].Dark = false;
-        startUp(Place);
+    at(Start + Outage.Until, [this, ForEachEngine] {
+      ForEachEngine([this](std::size_t EngineIndex) {
+        Engines[EngineIndex].InOutage = false;
+        startUp(EngineIndex);
       });
     });
-    at(Start + Lost.Until + Lost.RoutesAfter, [this, Name] {
+    at(Start + Outage.Until + Outage.RoutesAfter, [this, Name] {
       Unrouted.erase(Name);
       configure();
     });
-    for (Duration When = Lost.Until; When < Options.Length; When += seconds(1))
-      at(Start + When, [this] { setShares(); });
+    for (Duration Due = Outage.Until; Due < Options.Length; Due += seconds(1))
+      at(Start + Due, [this] { setShares(); });
   }
 
   SimulationOptions Options;
-  Random Draw;
+  Random Rng;
   TimePoint Now = Start;
   std::priority_queue<Event> Events;
   std::uint64_t EventCount = 0;
@@ -585,7 +603,7 @@
   std::deque<Host> Hosts;
   std::unordered_map<std::string, std::size_t> ByKey;
   std::set<std::string> Unrouted;
-  std::unordered_map<std::uint64_t, Asked> Requests;
+  std::unordered_map<std::uint64_t, RequestRecord> Requests;
   std::unordered_map<std::uint64_t, Attempt> Attempts;
   std::unordered_map<std::uint64_t, std::uint64_t> ByTicket;
   std::uint64_t NextRequest = 0;
--- a/packages/request/test/coltsfoottrail/dispatch/terms.cpp
+++ b/packages/request/test/coltsfoottrail/dispatch/terms.cpp
@@ -9,25 +9,26 @@
 
 constexpr TimePoint Start{seconds(1000)};
 
-RequestTiming caseOf(Timeliness How) {
-  RequestTiming Out;
-  Out.Status = How;
-  Out.Streams = true;
-  Out.ArrivedAt = Start;
-  Out.AnswerBy = Start + seconds(5);
-  Out.TargetLatency = milliseconds(200);
-  return Out;
+RequestTiming timingOf(Timeliness Status) {
+  RequestTiming Timing;
+  Timing.Status = Status;
+  Timing.Streams = true;
+  Timing.ArrivedAt = Start;
+  Timing.AnswerBy = Start + seconds(5);
+  Timing.TargetLatency = milliseconds(200);
+  return Timing;
 }
 
 TEST(Terms, LateStreamsLeavePlacesToThoseThatCanBeOnTime) {
   WorkItem Fresh;
-  setSchedulingTerms(caseOf(Timeliness::Fresh), Start, Fresh);
+  setSchedulingTerms(timingOf(Timeliness::Fresh), Start, Fresh);
   EXPECT_GE(Fresh.Overcommit, 0);
   EXPECT_EQ(Fresh.FirstEventBy, Start + milliseconds(200));
   EXPECT_LT(Fresh.StartBy, Fresh.FirstEventBy);
-  for (const Timeliness How : {Timeliness::Resubmitted, Timeliness::Demoted}) {
+  for (const Timeliness Status :
+       {Timeliness::Resubmitted, Timeliness::Demoted}) {
     WorkItem Late;
-    setSchedulingTerms(caseOf(How), Start, Late);
+    setSchedulingTerms(timingOf(Status), Start, Late);
     EXPECT_LT(Late.Overcommit, 0);
     EXPECT_EQ(Late.Urgency, Priority::Batch);
     EXPECT_EQ(Late.FirstEventBy, TimePoint::max());
@@ -36,55 +37,59 @@
 }
 
 TEST(Terms, CallsOfPlainServicesAreNotHeldToAnEngine) {
-  RequestTiming Plain = caseOf(Timeliness::Fresh);
+  RequestTiming Plain = timingOf(Timeliness::Fresh);
   Plain.Streams = false;
-  WorkItem Out;
-  setSchedulingTerms(Plain, Start, Out);
-  EXPECT_EQ(Out.Overcommit, 0);
-  EXPECT_EQ(Out.FirstEventBy, TimePoint::max());
+  WorkItem Item;
+  setSchedulingTerms(Plain, Start, Item);
+  EXPECT_EQ(Item.Overcommit, 0);
+  EXPECT_EQ(Item.FirstEventBy, TimePoint::max());
 }
 
-/// Lets late requests queue behind all others at an engine.
-void queueBehindLeaders(const RequestTiming &Of, TimePoint Now, WorkItem &Out) {
+/// Alternative policy: late requests queue behind all others at an engine.
+void queueBehindOthers(const RequestTiming &Timing, TimePoint Now,
+                       WorkItem &Item) {
   constexpr std::int32_t BehindOthers = 36;
-  setSchedulingTerms(Of, Now, Out);
-  Out.FirstEventBy = TimePoint::max();
-  if (Of.Status != Timeliness::Fresh)
-    Out.Overcommit = BehindOthers;
+  setSchedulingTerms(Timing, Now, Item);
+  Item.FirstEventBy = TimePoint::max();
+  if (Timing.Status != Timeliness::Fresh)
+    Item.Overcommit = BehindOthers;
 }
 
-std::string told(const test::CallerTally &Of) {
-  return std::to_string(Of.Asked) + " asked, " + std::to_string(Of.OnTime) +
-         " on time, " + std::to_string(Of.Late) + " late, " +
-         std::to_string(Of.LeftUnanswered) + " left unanswered, " +
-         std::to_string(Of.LeftMidway) + " left midway, " +
-         std::to_string(Of.Refused) + " refused";
+std::string summary(const test::CallerTally &Tally) {
+  return std::to_string(Tally.Submitted) + " submitted, " +
+         std::to_string(Tally.OnTime) + " on time, " +
+         std::to_string(Tally.Late) + " late, " +
+         std::to_string(Tally.LeftUnanswered) + " left unanswered, " +
+         std::to_string(Tally.LeftMidway) + " left midway, " +
+         std::to_string(Tally.Refused) + " refused";
 }
 
-// Callers wait at an engine for a turn that cannot come.
-// Half of the engines are lost for ten seconds. Callers who are late queue at
-// the rest behind fresh ones, hear nothing, and leave at their deadline. Told
-// at once, they come back when there is room.
+// Guards against late requests that wait at an engine without a chance to
+// start: half of the engines are lost for ten seconds, late requests queue at
+// the others behind fresh ones, and their callers leave at the deadline without
+// an answer. Callers who are refused at once submit again when there are free
+// slots.
 TEST(Terms, HardlyAnyCallerWaitsForATurnThatCannotCome) {
-  constexpr double MostUnanswered = 0.01;
+  constexpr double MaxUnansweredFraction = 0.01;
   std::size_t Served = 0;
-  std::size_t ServedBehind = 0;
+  std::size_t ServedWithQueue = 0;
   for (std::uint64_t Seed = 1; Seed <= 3; ++Seed) {
     test::BatchingLoad Load;
     Load.Seed = Seed;
-    const test::CallerTally Told =
-        test::BatchingPlay(Load, setSchedulingTerms).run();
-    const test::CallerTally Behind =
-        test::BatchingPlay(Load, queueBehindLeaders).run();
-    EXPECT_LT(double(Told.LeftUnanswered), MostUnanswered * double(Told.Asked))
+    const test::CallerTally WithoutQueue =
+        test::BatchingSimulation(Load, setSchedulingTerms).run();
+    const test::CallerTally WithQueue =
+        test::BatchingSimulation(Load, queueBehindOthers).run();
+    EXPECT_LT(double(WithoutQueue.LeftUnanswered),
+              MaxUnansweredFraction * double(WithoutQueue.Submitted))
         << "seed " << Seed;
-    EXPECT_GT(Told.OnTime, Behind.OnTime) << "seed " << Seed;
-    Served += Told.served();
-    ServedBehind += Behind.served();
-    std::printf("seed %u: %s; queued behind leaders: %s\n", unsigned(Seed),
-                told(Told).c_str(), told(Behind).c_str());
+    EXPECT_GT(WithoutQueue.OnTime, WithQueue.OnTime) << "seed " << Seed;
+    Served += WithoutQueue.served();
+    ServedWithQueue += WithQueue.served();
+    std::printf("seed %u: %s; queued behind others: %s\n", unsigned(Seed),
+                summary(WithoutQueue).c_str(), summary(WithQueue).c_str());
   }
-  EXPECT_GE(Served, ServedBehind);
+  EXPECT_GE(Served, ServedWithQueue);
 }
 
 } // namespace
--- a/packages/request/test/coltsfoottrail/drain/drain.cpp
+++ b/packages/request/test/coltsfoottrail/drain/drain.cpp
@@ -20,8 +20,8 @@
   });
 }
 
-// Operators take a data centre out; minutes later requests still start there:
-// they had waited in the queue, or were between two attempts, when the drain
+// Guards against requests that start in a data centre minutes after it was
+// drained: they waited in the queue, or between two attempts, when the drain
 // came into force.
 TEST(Drain, QueuedAndRetriedWorkDoesNotGoToADrainedDataCentre) {
   for (std::uint64_t Seed = 0; Seed < 30; ++Seed) {
@@ -30,67 +30,69 @@
     DispatchHarness Test(Limits);
     const Pool Whole = testPool(9, 3);
     Test.configure(Whole, 2);
-    std::vector<Ticket> All;
+    std::vector<Ticket> Submitted;
     for (int Count = 0; Count < 60; ++Count) {
       WorkItem Item = Test.item();
       Item.Repeatable = true;
       Item.PrefixHash = static_cast<std::uint64_t>(Count % 5);
-      All.push_back(Test.submit(Item, seconds(300)));
+      Submitted.push_back(Test.submit(Item, seconds(300)));
     }
     for (int Count = 0; Count < 6; ++Count)
-      Test.fail(Test.At.begin()->first, RunState::NotRun);
-    ASSERT_GT(Test.Decides.waiting(), 40U);
+      Test.fail(Test.InFlight.begin()->first, RunState::NotRun);
+    ASSERT_GT(Test.Scheduler.waiting(), 40U);
     Test.configure(without(Whole, "dc-1"), 2);
-    const std::size_t Before = Test.Sent.size();
-    while (!Test.At.empty() || Test.Decides.waiting() > 0) {
-      Test.pass(milliseconds(100));
-      if (!Test.At.empty())
-        Test.answer(Test.At.begin()->first);
+    const std::size_t Before = Test.SentEndpoints.size();
+    while (!Test.InFlight.empty() || Test.Scheduler.waiting() > 0) {
+      Test.advanceTime(milliseconds(100));
+      if (!Test.InFlight.empty())
+        Test.answer(Test.InFlight.begin()->first);
     }
-    for (std::size_t Index = Before; Index < Test.Sent.size(); ++Index)
-      ASSERT_FALSE(isIn(Test.Sent[Index], "dc-1", Whole)) << "seed " << Seed;
-    ASSERT_GT(Test.Sent.size(), Before + 40U);
+    for (std::size_t Index = Before; Index < Test.SentEndpoints.size(); ++Index)
+      ASSERT_FALSE(isIn(Test.SentEndpoints[Index], "dc-1", Whole))
+          << "seed " << Seed;
+    ASSERT_GT(Test.SentEndpoints.size(), Before + 40U);
   }
 }
 
-// A planned drain cuts off a draft that is being written.
+// Guards against a planned drain that cuts off a request in progress.
 TEST(Drain, WorkInProgressGoesOnAndItsEndIsTaken) {
   DispatchHarness Test;
   const Pool Whole = testPool(2, 2);
   Test.configure(Whole, 1);
   const Ticket First = Test.submit(Test.item());
   const Ticket Second = Test.submit(Test.item());
-  const Ticket Waits = Test.submit(Test.item());
-  const Ticket There = Test.at(First) == "e1" ? First : Second;
+  const Ticket Waiting = Test.submit(Test.item());
+  const Ticket AtDrained = Test.endpointOf(First) == "e1" ? First : Second;
   Test.configure(without(Whole, "dc-1"), 1);
-  EXPECT_EQ(Test.at(There), "e1");
-  EXPECT_FALSE(Test.refusal(There));
-  Test.answer(There);
-  EXPECT_EQ(Test.at(Waits), "") << "the freed place is in the drained centre";
-  Test.answer(There == First ? Second : First);
-  EXPECT_EQ(Test.at(Waits), "e0");
+  EXPECT_EQ(Test.endpointOf(AtDrained), "e1");
+  EXPECT_FALSE(Test.refusal(AtDrained));
+  Test.answer(AtDrained);
+  EXPECT_EQ(Test.endpointOf(Waiting), "")
+      << "the freed slot is in the drained data centre";
+  Test.answer(AtDrained == First ? Second : First);
+  EXPECT_EQ(Test.endpointOf(Waiting), "e0");
 }
 
-// A request fails on its way out of the drained data centre and is sent back
-// there, since it is the only endpoint with room.
+// Guards against a retry into the drained data centre after a failure there,
+// because its endpoint is the only one with a free slot.
 TEST(Drain, AttemptThatFailsInTheDrainedDataCentreIsNotRepeatedThere) {
   DispatchHarness Test;
   const Pool Whole = testPool(2, 2);
   Test.configure(Whole, 1);
   const Ticket First = Test.submit(Test.item());
   const Ticket Second = Test.submit(Test.item());
-  const Ticket There = Test.at(First) == "e1" ? First : Second;
+  const Ticket AtDrained = Test.endpointOf(First) == "e1" ? First : Second;
   Test.configure(without(Whole, "dc-1"), 1);
-  Test.fail(There, RunState::NotRun);
-  Test.pass(seconds(1));
-  EXPECT_EQ(Test.at(There), "");
-  EXPECT_FALSE(Test.refusal(There));
-  Test.answer(There == First ? Second : First);
-  EXPECT_EQ(Test.at(There), "e0");
+  Test.fail(AtDrained, RunState::NotRun);
+  Test.advanceTime(seconds(1));
+  EXPECT_EQ(Test.endpointOf(AtDrained), "");
+  EXPECT_FALSE(Test.refusal(AtDrained));
+  Test.answer(AtDrained == First ? Second : First);
+  EXPECT_EQ(Test.endpointOf(AtDrained), "e0");
 }
 
-// At its return a cold endpoint gets the load of the warm one that it was: its
-// share from before the drain was still in force.
+// Guards against full load on a cold endpoint that returns, because its share
+// from before the drain is still in force.
 TEST(Drain, ReturningEndpointHasNoShareUntilItIsGiven) {
   DispatchHarness Test;
   const Pool Whole = testPool(2, 2);
@@ -99,18 +101,18 @@
   for (int Count = 0; Count < 8; ++Count)
     Running.push_back(Test.submit(Test.item()));
   Test.configure(without(Whole, "dc-1"), 4);
-  Test.Decides.configure(Whole, Test.Now, Test.Out);
-  Test.take();
-  const std::size_t Before = Test.Sent.size();
+  Test.Scheduler.configure(Whole, Test.Now, Test.Output);
+  Test.processCommands();
+  const std::size_t Before = Test.SentEndpoints.size();
   for (int Count = 0; Count < 8; ++Count)
     static_cast<void>(Test.submit(Test.item()));
-  for (const Ticket Which : Running)
-    Test.answer(Which);
-  for (std::size_t Index = Before; Index < Test.Sent.size(); ++Index)
-    EXPECT_EQ(Test.Sent[Index], "e0");
-  Test.Decides.setShare("e1", 1, Test.Now, Test.Out);
-  Test.take();
-  EXPECT_EQ(Test.Sent.back(), "e1");
+  for (const Ticket Id : Running)
+    Test.answer(Id);
+  for (std::size_t Index = Before; Index < Test.SentEndpoints.size(); ++Index)
+    EXPECT_EQ(Test.SentEndpoints[Index], "e0");
+  Test.Scheduler.setShare("e1", 1, Test.Now, Test.Output);
+  Test.processCommands();
+  EXPECT_EQ(Test.SentEndpoints.back(), "e1");
 }
 
 } // namespace
