--- a/packages/request/src/coltsfoottrail/queues/fairqueue.cpp
+++ b/packages/request/src/coltsfoottrail/queues/fairqueue.cpp
@@ -6,29 +6,30 @@
 
 namespace {
 
-/// Part of the queue that is kept for the other teams when one fills it.
-constexpr double KeptForOthers = 0.125;
+/// Fraction of the queue that one team cannot fill when there are others.
+constexpr double ReservedForOthers = 0.125;
 
-Duration inSeconds(double Seconds) {
-  constexpr double Longest = 86400.0;
+Duration toDuration(double Seconds) {
+  constexpr double MaxSeconds = 86400.0;
   return std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(std::min(Seconds, Longest)));
+      std::chrono::duration<double>(std::min(Seconds, MaxSeconds)));
 }
 
 } // namespace
 
 FairQueue::FairQueue(QueueLimits Bounds) : Limits(Bounds) {}
 
-FairQueue::Team &FairQueue::at(TeamId Which) {
-  return Teams[static_cast<std::size_t>(Which)];
+FairQueue::Team &FairQueue::teamState(TeamId Id) {
+  return Teams[static_cast<std::size_t>(Id)];
 }
 
-const FairQueue::Team &FairQueue::at(TeamId Which) const {
-  return Teams[static_cast<std::size_t>(Which)];
+const FairQueue::Team &FairQueue::teamState(TeamId Id) const {
+  return Teams[static_cast<std::size_t>(Id)];
 }
 
-FairQueue::Line &FairQueue::lineOf(Team &Owner, Priority Urgency) {
-  return Owner.Lines[static_cast<std::size_t>(Urgency)];
+FairQueue::PriorityQueue &FairQueue::priorityQueue(Team &Owner,
+                                                   Priority Urgency) {
+  return Owner.Priorities[static_cast<std::size_t>(Urgency)];
 }
 
 TeamId FairQueue::team(const TeamName &Name) {
@@ -39,177 +40,182 @@
   return Entry->second;
 }
 
-void FairQueue::setTeam(TeamId Which, TeamShare Wanted) {
-  Team &Owner = at(Which);
+void FairQueue::setTeam(TeamId Id, TeamShare Share) {
+  Team &Owner = teamState(Id);
   if (Owner.Waiting > 0)
-    WaitingWeight += Wanted.Weight - Owner.Share.Weight;
+    WaitingWeight += Share.Weight - Owner.Share.Weight;
   if (Owner.Active)
-    ActiveWeight += Wanted.Weight - Owner.Share.Weight;
-  Owner.Share = Wanted;
-  if (Owner.InFlight >= Wanted.MaxInFlight)
-    unplace(Which);
+    ActiveWeight += Share.Weight - Owner.Share.Weight;
+  Owner.Share = Share;
+  if (Owner.InFlight >= Share.MaxInFlight)
+    removeFromReadyList(Id);
   else
-    place(Which);
+    addToReadyList(Id);
 }
 
-double FairQueue::weightWaiting(const Team &Joining) const {
-  return Joining.Waiting > 0 ? WaitingWeight
-                             : WaitingWeight + Joining.Share.Weight;
+double FairQueue::waitingWeightWith(const Team &JoiningTeam) const {
+  return JoiningTeam.Waiting > 0 ? WaitingWeight
+                                 : WaitingWeight + JoiningTeam.Share.Weight;
 }
 
 // Failure guarded against: one team fills the whole queue and every other
-// team's request is refused as overloaded. A team may hold its fair part, or as
-// much as is still free, whichever is more, and never the last eighth.
-bool FairQueue::fits(std::size_t Held, std::size_t Total, std::size_t More,
-                     std::size_t Max, double Part) const {
-  const double Whole = static_cast<double>(Max);
+// team's request is refused as overloaded. A team may hold its fair share, or
+// as much as is still free, whichever is more, but never the last eighth.
+bool FairQueue::fits(std::size_t Used, std::size_t Total, std::size_t Added,
+                     std::size_t Max, double ShareFraction) const {
+  const double Capacity = static_cast<double>(Max);
   const double Free = static_cast<double>(Max - std::min(Total, Max));
-  double Allowed = std::max(Part * Whole, Free);
+  double Allowed = std::max(ShareFraction * Capacity, Free);
   if (Teams.size() > 1)
-    Allowed = std::min(Allowed, std::max(1.0, (1.0 - KeptForOthers) * Whole));
-  return static_cast<double>(Held + More) <= Allowed;
+    Allowed =
+        std::min(Allowed, std::max(1.0, (1.0 - ReservedForOthers) * Capacity));
+  return static_cast<double>(Used + Added) <= Allowed;
 }
 
-std::optional<Reason> FairQueue::refusal(TeamId Which,
-                                         std::size_t MoreBytes) const {
-  if (size() >= Limits.MaxWaiting || Bytes + MoreBytes > Limits.MaxBytes)
+std::optional<Reason> FairQueue::refusal(TeamId Id,
+                                         std::size_t AddedBytes) const {
+  if (size() >= Limits.MaxWaiting || Bytes + AddedBytes > Limits.MaxBytes)
     return Reason::Overloaded;
-  const Team &Owner = at(Which);
-  const double Part = Owner.Share.Weight / weightWaiting(Owner);
-  if (!fits(Owner.Waiting, size(), 1, Limits.MaxWaiting, Part) ||
-      !fits(Owner.Bytes, Bytes, MoreBytes, Limits.MaxBytes, Part))
+  const Team &Owner = teamState(Id);
+  const double ShareFraction = Owner.Share.Weight / waitingWeightWith(Owner);
+  if (!fits(Owner.Waiting, size(), 1, Limits.MaxWaiting, ShareFraction) ||
+      !fits(Owner.Bytes, Bytes, AddedBytes, Limits.MaxBytes, ShareFraction))
     return Reason::TeamOverLimit;
   return std::nullopt;
 }
 
-Duration FairQueue::estimatedWait(TeamId Which, Priority Urgency, double Cost,
+Duration FairQueue::estimatedWait(TeamId Id, Priority Urgency, double Cost,
                                   Throughput Speed) const {
-  const Team &Owner = at(Which);
-  double OwnAhead = 0.0;
-  for (std::size_t Class = static_cast<std::size_t>(Urgency); Class < Classes;
-       ++Class)
-    OwnAhead += Owner.Lines[Class].Cost;
-  const double Part = Owner.Share.Weight / weightWaiting(Owner);
-  const double Ahead = std::min(WaitingCost, OwnAhead / Part);
-  const double ByPool = (Ahead + Cost) * Speed.SecondsPerCost / Speed.Slots;
+  const Team &Owner = teamState(Id);
+  double OwnCostAhead = 0.0;
+  for (std::size_t Level = static_cast<std::size_t>(Urgency);
+       Level < PriorityCount; ++Level)
+    OwnCostAhead += Owner.Priorities[Level].Cost;
+  const double ShareFraction = Owner.Share.Weight / waitingWeightWith(Owner);
+  const double CostAhead = std::min(WaitingCost, OwnCostAhead / ShareFraction);
+  const double PoolWait =
+      (CostAhead + Cost) * Speed.SecondsPerCost / Speed.Slots;
   if (Owner.InFlight < Owner.Share.MaxInFlight)
-    return inSeconds(ByPool);
-  const double ByLimit =
-      (OwnAhead + Cost) * Speed.SecondsPerCost / Owner.Share.MaxInFlight;
-  return inSeconds(std::max(ByPool, ByLimit));
+    return toDuration(PoolWait);
+  const double LimitWait =
+      (OwnCostAhead + Cost) * Speed.SecondsPerCost / Owner.Share.MaxInFlight;
+  return toDuration(std::max(PoolWait, LimitWait));
 }
 
-void FairQueue::push(TeamId Which, const QueueItem &Item) {
-  Team &Owner = at(Which);
+void FairQueue::push(TeamId Id, const QueueItem &Item) {
+  Team &Owner = teamState(Id);
   const std::uint64_t Sequence = NextSequence++;
-  Items.emplace(Item.Id, Waiting{Which, Item, Sequence});
+  Items.emplace(Item.Id, Waiting{Id, Item, Sequence});
   ByLatestStart.emplace(std::pair(Item.LatestStart, Sequence), Item.Id);
-  Line &Joined = lineOf(Owner, Item.Urgency);
-  Joined.Order.emplace(Sequence, Item.Id);
+  PriorityQueue &Joined = priorityQueue(Owner, Item.Urgency);
+  Joined.ByArrival.emplace(Sequence, Item.Id);
   Joined.Cost += Item.Cost;
   WaitingCost += Item.Cost;
   Bytes += Item.Bytes;
   Owner.Bytes += Item.Bytes;
   if (Owner.Waiting++ == 0)
     WaitingWeight += Owner.Share.Weight;
-  setActive(Owner);
-  place(Which);
+  updateActive(Owner);
+  addToReadyList(Id);
 }
 
-/// Places that a team may take without regard to others: some more than its
-/// share, since all teams' requests come unevenly.
-double FairQueue::fairPlaces(const Team &Owner) const {
-  const double Share = Places * Owner.Share.Weight / ActiveWeight;
+/// Slots that a team may use without regard to others: somewhat more than its
+/// share, since the requests of all teams arrive unevenly.
+double FairQueue::fairSlots(const Team &Owner) const {
+  const double Share = Slots * Owner.Share.Weight / ActiveWeight;
   return std::max(1.0, Limits.ShareSlack * Share);
 }
 
-bool FairQueue::isAbove(const Team &Owner) const {
-  return Places > 0.0 && ActiveCount > 1 && Owner.InFlight >= fairPlaces(Owner);
+bool FairQueue::isAboveShare(const Team &Owner) const {
+  return Slots > 0.0 && ActiveCount > 1 && Owner.InFlight >= fairSlots(Owner);
 }
 
-/// Whether a team above its share has to leave the free places to the others.
-bool FairQueue::mustLeave(const Team &Owner) const {
-  const double Kept =
-      std::min(Limits.ReservedSlotRatio * (InShare - Owner.InShare),
-               Limits.MaxReservedFraction * Places);
-  return FreePlaces <= Kept;
+/// Whether a team above its share has to leave the free slots to the others.
+bool FairQueue::mustYield(const Team &Owner) const {
+  const double Reserved = std::min(
+      Limits.ReservedSlotRatio * (SlotsWithinShare - Owner.SlotsWithinShare),
+      Limits.MaxReservedFraction * Slots);
+  return FreeSlots <= Reserved;
 }
 
-/// Brings the requests in progress within their team's share up to date.
-void FairQueue::countInShare(Team &Owner) {
-  InShare -= Owner.InShare;
-  Owner.InShare = Owner.InFlight;
-  if (isAbove(Owner))
-    Owner.InShare = fairPlaces(Owner);
-  InShare += Owner.InShare;
+/// Updates the count of requests in progress that are within their team's
+/// share.
+void FairQueue::updateSlotsWithinShare(Team &Owner) {
+  SlotsWithinShare -= Owner.SlotsWithinShare;
+  Owner.SlotsWithinShare = Owner.InFlight;
+  if (isAboveShare(Owner))
+    Owner.SlotsWithinShare = fairSlots(Owner);
+  SlotsWithinShare += Owner.SlotsWithinShare;
 }
 
-// Failure guarded against: a team at ten times its share takes every place the
-// moment it is free. The others' requests start soon, but only where a place
-// happens to be, on endpoints that are full and do not have their prefix, and
-// their times double. A team above its share leaves as many places free as the
-// others take.
+// Failure guarded against: a team at ten times its share takes every slot as
+// soon as it is free. The other teams' requests start soon, but only wherever a
+// slot happens to be free, on endpoints that are full and have not cached their
+// prefix, and their response times double. A team above its share leaves as
+// many slots free as the others use.
 std::optional<TeamId> FairQueue::nextTeam() {
-  while (!Within.empty()) {
-    const TeamId Which = Within.begin()->second;
-    if (!isAbove(at(Which)))
+  while (!WithinShare.empty()) {
+    const TeamId Id = WithinShare.begin()->second;
+    if (!isAboveShare(teamState(Id)))
       break;
-    const auto Moved = Within.extract(Within.begin());
-    Above.insert(Moved.value());
-    at(Which).Stands = Standing::Above;
+    const auto Moved = WithinShare.extract(WithinShare.begin());
+    AboveShare.insert(Moved.value());
+    teamState(Id).InList = ReadyList::AboveShare;
   }
-  const bool MayAbove = !Above.empty() && !mustLeave(at(Above.begin()->second));
-  if (MayAbove && (Within.empty() || *Above.begin() < *Within.begin()))
-    return Above.begin()->second;
-  if (Within.empty())
+  const bool MayServeAboveShare =
+      !AboveShare.empty() && !mustYield(teamState(AboveShare.begin()->second));
+  if (MayServeAboveShare &&
+      (WithinShare.empty() || *AboveShare.begin() < *WithinShare.begin()))
+    return AboveShare.begin()->second;
+  if (WithinShare.empty())
     return std::nullopt;
-  return Within.begin()->second;
+  return WithinShare.begin()->second;
 }
 
 std::optional<Ticket> FairQueue::peek() {
-  const std::optional<TeamId> Which = nextTeam();
-  if (!Which)
+  const std::optional<TeamId> Id = nextTeam();
+  if (!Id)
     return std::nullopt;
-  const Team &Owner = at(*Which);
-  return Owner.Lines[nextClass(Owner)].Order.begin()->second;
+  const Team &Owner = teamState(*Id);
+  return Owner.Priorities[nextPriority(Owner)].ByArrival.begin()->second;
 }
 
 std::optional<Ticket> FairQueue::pop() {
   const std::optional<Ticket> Next = peek();
   if (!Next)
     return std::nullopt;
-  const TeamId Which = Items.at(*Next).Owner;
-  Team &Owner = at(Which);
+  const TeamId Id = Items.at(*Next).Owner;
+  Team &Owner = teamState(Id);
   const auto Entry = Items.find(*Next);
   const QueueItem Item = Entry->second.Item;
-  passOver(Owner, static_cast<std::size_t>(Item.Urgency));
-  unplace(Which);
-  takeOut(Entry);
+  countPassedOver(Owner, static_cast<std::size_t>(Item.Urgency));
+  removeFromReadyList(Id);
+  removeWaiting(Entry);
   charge(Owner, Item.Cost);
-  place(Which);
+  addToReadyList(Id);
   return Next;
 }
 
 // Failure guarded against: a steady stream of urgent requests keeps a batch
 // request of the same team waiting until its deadline. After PassOverLimit
 // requests of higher priority the lower one goes first.
-std::size_t FairQueue::nextClass(const Team &Owner) const {
-  std::size_t Chosen = Classes;
-  for (std::size_t Class = Classes; Class-- > 0;) {
-    const Line &Candidate = Owner.Lines[Class];
-    if (Candidate.Order.empty())
+std::size_t FairQueue::nextPriority(const Team &Owner) const {
+  std::size_t Chosen = PriorityCount;
+  for (std::size_t Level = PriorityCount; Level-- > 0;) {
+    const PriorityQueue &Candidate = Owner.Priorities[Level];
+    if (Candidate.ByArrival.empty())
       continue;
-    if (Chosen == Classes || Candidate.PassedOver >= Limits.PassOverLimit)
-      Chosen = Class;
+    if (Chosen == PriorityCount || Candidate.PassedOver >= Limits.PassOverLimit)
+      Chosen = Level;
   }
   return Chosen;
 }
 
-void FairQueue::passOver(Team &Owner, std::size_t Chosen) {
-  for (std::size_t Class = 0; Class < Chosen; ++Class)
-    if (!Owner.Lines[Class].Order.empty())
-      ++Owner.Lines[Class].PassedOver;
-  Owner.Lines[Chosen].PassedOver = 0;
+void FairQueue::countPassedOver(Team &Owner, std::size_t Chosen) {
+  for (std::size_t Level = 0; Level < Chosen; ++Level)
+    if (!Owner.Priorities[Level].ByArrival.empty())
+      ++Owner.Priorities[Level].PassedOver;
+  Owner.Priorities[Chosen].PassedOver = 0;
 }
 
 void FairQueue::charge(Team &Owner, double Cost) {
@@ -217,12 +223,12 @@
   VirtualTime = std::max(VirtualTime, Start);
   Owner.Finish = Start + Cost / Owner.Share.Weight;
   ++Owner.InFlight;
-  setActive(Owner);
-  countInShare(Owner);
+  updateActive(Owner);
+  updateSlotsWithinShare(Owner);
 }
 
-/// Brings the weight of the active teams up to date.
-void FairQueue::setActive(Team &Owner) {
+/// Updates the weight and the number of the active teams.
+void FairQueue::updateActive(Team &Owner) {
   const bool Active = Owner.Waiting > 0 || Owner.InFlight > 0;
   if (Active == Owner.Active)
     return;
@@ -236,22 +242,24 @@
   ActiveWeight = ActiveCount == 0 ? 0.0 : ActiveWeight - Owner.Share.Weight;
 }
 
-void FairQueue::takeOut(std::unordered_map<Ticket, Waiting>::iterator Entry) {
-  const Waiting &Gone = Entry->second;
-  const TeamId Which = Gone.Owner;
-  Team &Owner = at(Which);
-  Line &Left = lineOf(Owner, Gone.Item.Urgency);
-  Left.Order.erase(Gone.Sequence);
-  Left.Cost = Left.Order.empty() ? 0.0 : Left.Cost - Gone.Item.Cost;
-  Bytes -= Gone.Item.Bytes;
-  Owner.Bytes -= Gone.Item.Bytes;
-  ByLatestStart.erase({Gone.Item.LatestStart, Gone.Sequence});
-  WaitingCost -= Gone.Item.Cost;
+void FairQueue::removeWaiting(
+    std::unordered_map<Ticket, Waiting>::iterator Entry) {
+  const Waiting &Removed = Entry->second;
+  const TeamId Id = Removed.Owner;
+  Team &Owner = teamState(Id);
+  PriorityQueue &Remaining = priorityQueue(Owner, Removed.Item.Urgency);
+  Remaining.ByArrival.erase(Removed.Sequence);
+  Remaining.Cost =
+      Remaining.ByArrival.empty() ? 0.0 : Remaining.Cost - Removed.Item.Cost;
+  Bytes -= Removed.Item.Bytes;
+  Owner.Bytes -= Removed.Item.Bytes;
+  ByLatestStart.erase({Removed.Item.LatestStart, Removed.Sequence});
+  WaitingCost -= Removed.Item.Cost;
   Items.erase(Entry);
   if (--Owner.Waiting == 0) {
     WaitingWeight -= Owner.Share.Weight;
-    unplace(Which);
-    setActive(Owner);
+    removeFromReadyList(Id);
+    updateActive(Owner);
   }
   if (Items.empty()) {
     WaitingWeight = 0.0;
@@ -259,67 +267,68 @@
   }
 }
 
-bool FairQueue::mayBypass(TeamId Which) {
-  const Team &Owner = at(Which);
-  const bool Kept = Owner.Active && isAbove(Owner) && mustLeave(Owner);
-  return !Kept && !nextTeam() && Owner.InFlight < Owner.Share.MaxInFlight;
+bool FairQueue::mayBypass(TeamId Id) {
+  const Team &Owner = teamState(Id);
+  const bool MustYield =
+      Owner.Active && isAboveShare(Owner) && mustYield(Owner);
+  return !MustYield && !nextTeam() && Owner.InFlight < Owner.Share.MaxInFlight;
 }
 
-void FairQueue::bypass(TeamId Which, double Cost) { charge(at(Which), Cost); }
+void FairQueue::bypass(TeamId Id, double Cost) { charge(teamState(Id), Cost); }
 
-void FairQueue::requestEnded(TeamId Which) {
-  Team &Owner = at(Which);
+void FairQueue::requestEnded(TeamId Id) {
+  Team &Owner = teamState(Id);
   --Owner.InFlight;
-  setActive(Owner);
-  countInShare(Owner);
-  if (Owner.Stands == Standing::Above)
-    unplace(Which);
-  place(Which);
+  updateActive(Owner);
+  updateSlotsWithinShare(Owner);
+  if (Owner.InList == ReadyList::AboveShare)
+    removeFromReadyList(Id);
+  addToReadyList(Id);
 }
 
-bool FairQueue::remove(Ticket Which) {
-  const auto Entry = Items.find(Which);
+bool FairQueue::remove(Ticket Id) {
+  const auto Entry = Items.find(Id);
   if (Entry == Items.end())
     return false;
-  takeOut(Entry);
+  removeWaiting(Entry);
   return true;
 }
 
 std::optional<Ticket> FairQueue::popExpired(TimePoint Now) {
   if (ByLatestStart.empty() || ByLatestStart.begin()->first.first > Now)
     return std::nullopt;
-  const Ticket Which = ByLatestStart.begin()->second;
-  remove(Which);
-  return Which;
+  const Ticket Id = ByLatestStart.begin()->second;
+  remove(Id);
+  return Id;
 }
 
 std::vector<Ticket> FairQueue::unmeetable(Throughput Speed,
                                           TimePoint Now) const {
-  std::vector<Ticket> Found;
+  std::vector<Ticket> Unmeetable;
   for (const Team &Owner : Teams) {
-    double Ahead = 0.0;
-    for (std::size_t Class = Classes; Class-- > 0;)
-      for (const auto &[Sequence, Which] : Owner.Lines[Class].Order) {
-        const QueueItem &Item = Items.at(Which).Item;
-        const double Work =
-            std::min(WaitingCost, Ahead * WaitingWeight / Owner.Share.Weight);
+    double CostAhead = 0.0;
+    for (std::size_t Level = PriorityCount; Level-- > 0;)
+      for (const auto &[Sequence, Id] : Owner.Priorities[Level].ByArrival) {
+        const QueueItem &Item = Items.at(Id).Item;
+        const double Work = std::min(WaitingCost, CostAhead * WaitingWeight /
+                                                      Owner.Share.Weight);
         const Duration Wait =
-            inSeconds(Work * Speed.SecondsPerCost / Speed.Slots);
+            toDuration(Work * Speed.SecondsPerCost / Speed.Slots);
         if (Now + Wait > Item.LatestStart)
-          Found.push_back(Which);
+          Unmeetable.push_back(Id);
         else
-          Ahead += Item.Cost;
+          CostAhead += Item.Cost;
       }
   }
-  return Found;
+  return Unmeetable;
 }
 
 std::vector<Ticket> FairQueue::all() const {
-  std::vector<Ticket> Out;
-  Out.reserve(ByLatestStart.size());
-  for (const auto &[Key, Which] : ByLatestStart)
-    Out.push_back(Which);
-  return Out;
+  std::vector<Ticket> Result;
+  Result.reserve(ByLatestStart.size());
+  for (const auto &[Key, Id] : ByLatestStart)
+    Result.push_back(Id);
+  return Result;
 }
 
 std::optional<TimePoint> FairQueue::earliestExpiry() const {
@@ -328,28 +337,28 @@
   return ByLatestStart.begin()->first.first;
 }
 
-std::uint32_t FairQueue::inFlight(TeamId Which) const {
-  return at(Which).InFlight;
+std::uint32_t FairQueue::inFlight(TeamId Id) const {
+  return teamState(Id).InFlight;
 }
 
-void FairQueue::place(TeamId Which) {
-  Team &Owner = at(Which);
-  if (Owner.Stands != Standing::Out || Owner.Waiting == 0 ||
+void FairQueue::addToReadyList(TeamId Id) {
+  Team &Owner = teamState(Id);
+  if (Owner.InList != ReadyList::None || Owner.Waiting == 0 ||
       Owner.InFlight >= Owner.Share.MaxInFlight)
     return;
-  const bool IsAbove = isAbove(Owner);
+  const bool IsAboveShare = isAboveShare(Owner);
   Owner.Start = std::max(VirtualTime, Owner.Finish);
-  Owner.Stands = IsAbove ? Standing::Above : Standing::Within;
-  (IsAbove ? Above : Within).emplace(Owner.Start, Which);
+  Owner.InList = IsAboveShare ? ReadyList::AboveShare : ReadyList::WithinShare;
+  (IsAboveShare ? AboveShare : WithinShare).emplace(Owner.Start, Id);
 }
 
-void FairQueue::unplace(TeamId Which) {
-  Team &Owner = at(Which);
-  if (Owner.Stands == Standing::Out)
+void FairQueue::removeFromReadyList(TeamId Id) {
+  Team &Owner = teamState(Id);
+  if (Owner.InList == ReadyList::None)
     return;
-  (Owner.Stands == Standing::Above ? Above : Within)
-      .erase({Owner.Start, Which});
-  Owner.Stands = Standing::Out;
+  (Owner.InList == ReadyList::AboveShare ? AboveShare : WithinShare)
+      .erase({Owner.Start, Id});
+  Owner.InList = ReadyList::None;
 }
 
 } // namespace coltsfoottrail
--- a/packages/request/test/coltsfoottrail/queues/fairqueue.cpp
+++ b/packages/request/test/coltsfoottrail/queues/fairqueue.cpp
@@ -14,11 +14,11 @@
 class FairQueueTest : public testing::Test {
 protected:
   Ticket add(TeamId Team, Priority Urgency = Priority::Normal,
-             Duration Patience = seconds(60)) {
-    const Ticket Which{NextIndex++, 1};
-    Owners[Which] = Team;
-    Queue.push(Team, QueueItem{Which, Urgency, Start + Patience, 100, 1.0});
-    return Which;
+             Duration Timeout = seconds(60)) {
+    const Ticket Id{NextIndex++, 1};
+    Owners[Id] = Team;
+    Queue.push(Team, QueueItem{Id, Urgency, Start + Timeout, 100, 1.0});
+    return Id;
   }
 
   FairQueue Queue{QueueLimits{64, 100000, 8}};
@@ -26,8 +26,9 @@
   std::unordered_map<Ticket, TeamId> Owners;
 };
 
-// Gate staff of a small team see minutes of waiting: a large team has put its
-// whole batch into the queue just before, and requests go in order of arrival.
+// Guards against serving requests in order of arrival across teams: a large
+// team queues a whole batch, and the requests of a small team wait minutes
+// behind it.
 TEST_F(FairQueueTest, LateSmallTeamDoesNotWaitBehindTheBatchOfALargeOne) {
   const TeamId Large = Queue.team(TeamName("large"));
   const TeamId Small = Queue.team(TeamName("small"));
@@ -56,8 +57,8 @@
   EXPECT_NEAR(Served[Light], 6, 1);
 }
 
-// A nightly batch job of a team never ends: its urgent requests arrive without
-// a pause, and each of them goes before the batch.
+// Guards against starving a team's batch requests: its urgent requests arrive
+// without a pause, and each of them would go first.
 TEST_F(FairQueueTest, UrgentStreamDoesNotStarveBatch) {
   const TeamId Team = Queue.team(TeamName("team"));
   const Ticket Batch = add(Team, Priority::Batch);
@@ -72,18 +73,18 @@
   EXPECT_EQ(UrgentBefore, 8);
 }
 
-// Callers of every team are refused as overloaded: one team's burst has taken
-// every place in the queue before the others' requests arrived.
+// Guards against one team's burst that fills the whole queue, so that the
+// requests of every other team are refused as overloaded.
 TEST_F(FairQueueTest, OneTeamCannotFillTheWholeQueue) {
   const TeamId Large = Queue.team(TeamName("large"));
   const TeamId Small = Queue.team(TeamName("small"));
-  int Taken = 0;
+  int QueuedCount = 0;
   while (!Queue.refusal(Large, 100)) {
     add(Large);
-    ++Taken;
+    ++QueuedCount;
   }
   EXPECT_EQ(Queue.refusal(Large, 100), Reason::TeamOverLimit);
-  EXPECT_EQ(Taken, 56);
+  EXPECT_EQ(QueuedCount, 56);
   EXPECT_EQ(Queue.refusal(Small, 100), std::nullopt);
 }
 
@@ -113,15 +114,15 @@
   EXPECT_EQ(Queue.pop(), Second);
 }
 
-// The small team's requests find a place only where one happens to be: the
-// large team takes each the moment it is free.
+// Guards against a large team that takes each slot as soon as it is free, so
+// that a small team's requests start only where a slot happens to be left.
 TEST_F(FairQueueTest, TeamAboveItsShareLeavesPlacesToTheOthers) {
   const TeamId Large = Queue.team(TeamName("large"));
   const TeamId Small = Queue.team(TeamName("small"));
   for (int Count = 0; Count < 40; ++Count)
     add(Large);
   double Free = 20.0;
-  const auto Start = [&] {
+  const auto StartNext = [&] {
     Queue.setSlots(20.0, Free);
     const std::optional<Ticket> Next = Queue.pop();
     Free -= Next ? 1.0 : 0.0;
@@ -131,19 +132,20 @@
     Queue.bypass(Small, 1.0);
     Free -= 1.0;
   }
-  int Taken = 0;
-  while (Start())
-    ++Taken;
-  EXPECT_EQ(Taken, 15) << "one and a half times its half";
+  int StartedCount = 0;
+  while (StartNext())
+    ++StartedCount;
+  EXPECT_EQ(StartedCount, 15)
+      << "1.5 times its share, which is half of the slots";
   EXPECT_FALSE(Queue.mayBypass(Large));
   EXPECT_TRUE(Queue.mayBypass(Small));
   for (int Count = 0; Count < 4; ++Count) {
     Queue.requestEnded(Small);
     Free += 1.0;
   }
-  while (Free > 0.0 && Start())
-    ++Taken;
-  EXPECT_EQ(Taken, 20) << "alone it may take all";
+  while (Free > 0.0 && StartNext())
+    ++StartedCount;
+  EXPECT_EQ(StartedCount, 20) << "the only active team may use all slots";
 }
 
 TEST_F(FairQueueTest, WaitIsEstimatedFromTheTeamsOwnBacklog) {
@@ -160,8 +162,8 @@
             milliseconds(250));
 }
 
-// Callers wait until just before their deadline and are then refused, although
-// it was plain when half of the endpoints went that they could not be served.
+// Guards against refusing requests only just before their deadline, although it
+// was known when half of the endpoints were lost that they could not be served.
 TEST_F(FairQueueTest, HopelessOnesAreFoundWhenTheEndpointsSlowDown) {
   const TeamId Team = Queue.team(TeamName("team"));
   std::vector<Ticket> Added;
@@ -169,9 +171,9 @@
   for (int Count = 0; Count < 20; ++Count)
     Added.push_back(add(Team, Priority::Normal, seconds(10)));
   EXPECT_TRUE(Queue.unmeetable(Throughput{2.0, 1.0}, Start).empty());
-  const std::vector<Ticket> Found =
+  const std::vector<Ticket> Unmeetable =
       Queue.unmeetable(Throughput{1.0, 1.0}, Start);
-  EXPECT_EQ(Found, std::vector<Ticket>(Added.begin() + 11, Added.end()));
+  EXPECT_EQ(Unmeetable, std::vector<Ticket>(Added.begin() + 11, Added.end()));
 }
 
 TEST_F(FairQueueTest, LatestStartPassedIsTakenOut) {
@@ -185,47 +187,47 @@
   EXPECT_EQ(Queue.size(), 1U);
 }
 
-// Any order of arrivals, starts, ends and departures: nothing is lost or given
-// out twice, no limit is passed, and the bytes add up.
+// For any order of arrivals, starts, ends and removals, no request is lost or
+// returned twice, no limit is exceeded, and the bytes add up.
 TEST(FairQueueProperty, CountsAddUpUnderAnyOrder) {
-  Random Draw(7);
+  Random Rng(7);
   for (int Round = 0; Round < 200; ++Round) {
     FairQueue Queue(QueueLimits{32, 2000, 3});
     std::vector<TeamId> Teams;
     for (const char *Name : {"a", "b", "c"})
       Teams.push_back(Queue.team(TeamName(Name)));
     for (const TeamId Team : Teams)
-      Queue.setTeam(Team, TeamShare{1.0 + Draw.fraction(), 2});
-    std::unordered_map<Ticket, std::pair<TeamId, std::size_t>> Inside;
+      Queue.setTeam(Team, TeamShare{1.0 + Rng.fraction(), 2});
+    std::unordered_map<Ticket, std::pair<TeamId, std::size_t>> Waiting;
     std::vector<TeamId> Running;
     for (std::uint32_t Step = 0; Step < 200; ++Step) {
-      const TeamId Team = Teams[Draw.below(3)];
-      const std::size_t Bytes = Draw.below(200);
-      const std::uint64_t Kind = Draw.below(4);
-      if (Kind < 2 && !Queue.refusal(Team, Bytes)) {
-        const auto Urgency = static_cast<Priority>(Draw.below(3));
+      const TeamId Team = Teams[Rng.below(3)];
+      const std::size_t Bytes = Rng.below(200);
+      const std::uint64_t Action = Rng.below(4);
+      if (Action < 2 && !Queue.refusal(Team, Bytes)) {
+        const auto Urgency = static_cast<Priority>(Rng.below(3));
         Queue.push(Team, QueueItem{Ticket{Step, 1}, Urgency,
-                                   Start + seconds(Draw.below(60)), Bytes,
-                                   Draw.fraction()});
-        Inside[Ticket{Step, 1}] = {Team, Bytes};
-      } else if (Kind == 2) {
+                                   Start + seconds(Rng.below(60)), Bytes,
+                                   Rng.fraction()});
+        Waiting[Ticket{Step, 1}] = {Team, Bytes};
+      } else if (Action == 2) {
         if (const std::optional<Ticket> Next = Queue.pop()) {
-          ASSERT_TRUE(Inside.contains(*Next));
-          Running.push_back(Inside[*Next].first);
+          ASSERT_TRUE(Waiting.contains(*Next));
+          Running.push_back(Waiting[*Next].first);
           ASSERT_LE(Queue.inFlight(Running.back()), 2U);
-          Inside.erase(*Next);
+          Waiting.erase(*Next);
         }
       } else if (!Running.empty()) {
         Queue.requestEnded(Running.back());
         Running.pop_back();
-      } else if (!Inside.empty()) {
-        ASSERT_TRUE(Queue.remove(Inside.begin()->first));
-        Inside.erase(Inside.begin());
+      } else if (!Waiting.empty()) {
+        ASSERT_TRUE(Queue.remove(Waiting.begin()->first));
+        Waiting.erase(Waiting.begin());
       }
       std::size_t Sum = 0;
-      for (const auto &[Which, Held] : Inside)
-        Sum += Held.second;
-      ASSERT_EQ(Queue.size(), Inside.size());
+      for (const auto &[Id, TeamAndBytes] : Waiting)
+        Sum += TeamAndBytes.second;
+      ASSERT_EQ(Queue.size(), Waiting.size());
       ASSERT_EQ(Queue.bytes(), Sum);
       ASSERT_LE(Queue.bytes(), 2000U);
     }
