--- a/packages/request/src/coltsfoottrail/retries/budget.cpp
+++ b/packages/request/src/coltsfoottrail/retries/budget.cpp
@@ -6,67 +6,67 @@
 namespace coltsfoottrail {
 
 void TokenBucket::earn(double Tokens) noexcept {
-  Held = std::min(Limit, Held + Tokens);
+  Available = std::min(Limit, Available + Tokens);
 }
 
-void TokenBucket::setLimit(double Most) noexcept {
-  Limit = Most;
-  Held = std::min(Limit, Held);
+void TokenBucket::setLimit(double Capacity) noexcept {
+  Limit = Capacity;
+  Available = std::min(Limit, Available);
 }
 
 void SharedTokenBucket::earn(double Count) {
-  const std::lock_guard Hold(Lock);
+  const std::lock_guard Guard(Lock);
   Tokens.earn(Count);
 }
 
-void SharedTokenBucket::setLimit(double Most) {
-  const std::lock_guard Hold(Lock);
-  Tokens.setLimit(Most);
+void SharedTokenBucket::setLimit(double Capacity) {
+  const std::lock_guard Guard(Lock);
+  Tokens.setLimit(Capacity);
 }
 
 bool SharedTokenBucket::hasToken() const {
-  const std::lock_guard Hold(Lock);
+  const std::lock_guard Guard(Lock);
   return Tokens.hasToken();
 }
 
 bool SharedTokenBucket::take() {
-  const std::lock_guard Hold(Lock);
+  const std::lock_guard Guard(Lock);
   if (!Tokens.hasToken())
     return false;
   Tokens.spend();
   return true;
 }
 
-void RetryBudget::setBurst(double Most) {
-  Limits.Burst = Most;
-  All->setLimit(Most);
-  for (TokenBucket &Each : DataCentres)
-    Each.setLimit(Most);
+void RetryBudget::setBurst(double Capacity) {
+  Limits.Burst = Capacity;
+  Total->setLimit(Capacity);
+  for (TokenBucket &Bucket : PerDataCentre)
+    Bucket.setLimit(Capacity);
 }
 
-RetryBudget::RetryBudget(BudgetLimits Wanted,
+RetryBudget::RetryBudget(BudgetLimits Bounds,
                          std::shared_ptr<SharedTokenBucket> Shared)
-    : Limits(Wanted),
-      All(Shared ? std::move(Shared)
-                 : std::make_shared<SharedTokenBucket>(Wanted.Burst)) {}
+    : Limits(Bounds),
+      Total(Shared ? std::move(Shared)
+                   : std::make_shared<SharedTokenBucket>(Bounds.Burst)) {}
 
 void RetryBudget::recordFirstSend(std::size_t DataCentre) {
-  All->earn(Limits.Ratio);
-  of(DataCentre).earn(Limits.DataCentreRatio);
+  Total->earn(Limits.Ratio);
+  bucketFor(DataCentre).earn(Limits.DataCentreRatio);
 }
 
 bool RetryBudget::take(std::size_t DataCentre) {
-  TokenBucket &There = of(DataCentre);
-  if (!There.hasToken() || !All->take())
+  TokenBucket &Bucket = bucketFor(DataCentre);
+  if (!Bucket.hasToken() || !Total->take())
     return false;
-  There.spend();
+  Bucket.spend();
   return true;
 }
 
-TokenBucket &RetryBudget::of(std::size_t DataCentre) {
-  if (DataCentre >= DataCentres.size())
-    DataCentres.resize(DataCentre + 1, TokenBucket(Limits.Burst));
-  return DataCentres[DataCentre];
+TokenBucket &RetryBudget::bucketFor(std::size_t DataCentre) {
+  if (DataCentre >= PerDataCentre.size())
+    PerDataCentre.resize(DataCentre + 1, TokenBucket(Limits.Burst));
+  return PerDataCentre[DataCentre];
 }
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/retries/budget.hpp
+++ b/packages/request/src/coltsfoottrail/retries/budget.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How many retries the first sends pay for.
+/// Budget that limits retries to a ratio of the first sends.
 #ifndef COLTSFOOTTRAIL_RETRIES_BUDGET_HPP
 #define COLTSFOOTTRAIL_RETRIES_BUDGET_HPP
 
@@ -12,47 +12,49 @@
 
 namespace coltsfoottrail {
 
-/// @brief Ratios of retries to first sends.
+/// @brief Limits of retries relative to first sends.
 struct BudgetLimits {
   /// Retries for each first send, over all data centres.
   double Ratio = 0.15;
   /// Retries into a data centre for each first send into it.
   double DataCentreRatio = 0.2;
-  /// Most retries that are saved up, and what there is at the start.
+  /// Capacity of the token buckets, which are full at the start.
   double Burst = 10.0;
 };
 
-/// @brief Tokens that events earn and others spend. Not thread-safe.
+/// @brief Token bucket that is filled by events instead of by time. Not
+/// thread-safe.
 class TokenBucket {
 public:
   /// @brief Makes a full bucket.
-  explicit TokenBucket(double Most) noexcept : Limit(Most), Held(Most) {}
+  explicit TokenBucket(double Capacity) noexcept
+      : Limit(Capacity), Available(Capacity) {}
 
   /// @brief Adds tokens up to the limit.
   void earn(double Tokens) noexcept;
-  /// @brief Sets how many tokens it holds at most.
-  void setLimit(double Most) noexcept;
-  /// @brief Tells whether there is a token.
-  [[nodiscard]] bool hasToken() const noexcept { return Held >= 1.0; }
-  /// @brief Takes a token. Precondition: any().
-  void spend() noexcept { Held -= 1.0; }
+  /// @brief Sets the capacity; tokens beyond it are dropped.
+  void setLimit(double Capacity) noexcept;
+  /// @brief Whether there is a token.
+  [[nodiscard]] bool hasToken() const noexcept { return Available >= 1.0; }
+  /// @brief Takes a token. Precondition: hasToken().
+  void spend() noexcept { Available -= 1.0; }
 
 private:
   double Limit;
-  double Held;
+  double Available;
 };
 
-/// @brief A bucket that several budgets draw on. Thread-safe.
+/// @brief Token bucket that several budgets share. Thread-safe.
 class SharedTokenBucket {
 public:
   /// @brief Makes a full bucket.
-  explicit SharedTokenBucket(double Most) noexcept : Tokens(Most) {}
+  explicit SharedTokenBucket(double Capacity) noexcept : Tokens(Capacity) {}
 
   /// @copydoc TokenBucket::earn
   void earn(double Count);
-  /// @copydoc TokenBucket::limit
-  void setLimit(double Most);
-  /// @copydoc TokenBucket::any
+  /// @copydoc TokenBucket::setLimit
+  void setLimit(double Capacity);
+  /// @copydoc TokenBucket::hasToken
   [[nodiscard]] bool hasToken() const;
   /// @brief Takes a token if there is one.
   [[nodiscard]] bool take();
@@ -62,44 +64,45 @@
   TokenBucket Tokens;
 };
 
-/// @brief Budget of retries in all and for each data centre that they go to.
+/// @brief Budget of retries, in total and for each target data centre.
 ///
-/// Failure guarded against: a data centre is lost, every request to it is sent
-/// again to the others, they slow down, time-outs there are sent again, and the
-/// load multiplies. Retries are paid for by first sends: N requests cause at
-/// most (1 + Ratio) N + Burst sends, whatever fails.
-/// Not thread-safe.
+/// Failure guarded against: a data centre is lost, every request to it is
+/// retried at the others, they slow down, requests that time out there are
+/// retried as well, and the load multiplies. Retries use tokens that first
+/// sends earn: N requests cause at most (1 + Ratio) N + Burst sends, whatever
+/// fails. Not thread-safe.
 class RetryBudget {
 public:
   /// @brief Makes a budget.
-  /// @param Wanted Its limits.
-  /// @param Shared What it draws on together with the budgets of other pools;
-  /// its own when null.
-  explicit RetryBudget(BudgetLimits Wanted,
+  /// @param Bounds Ratios and capacity.
+  /// @param Shared Bucket that it shares with the budgets of other pools; it
+  /// has its own when null.
+  explicit RetryBudget(BudgetLimits Bounds,
                        std::shared_ptr<SharedTokenBucket> Shared = nullptr);
 
-  /// @brief Sets how many retries are saved up at most. Where many entry hosts
-  /// share a bound on retries, each saves up its part of it.
-  void setBurst(double Most);
+  /// @brief Sets the capacity of all buckets. Where many entry hosts share a
+  /// bound on retries, each gets its part of it as capacity.
+  void setBurst(double Capacity);
 
-  /// @brief Notes the first send of a request.
-  /// @param DataCentre Number of the data centre that it goes to.
+  /// @brief Records the first send of a request, which earns tokens.
+  /// @param DataCentre Number of the data centre that it is sent to.
   void recordFirstSend(std::size_t DataCentre);
 
-  /// @brief Tells whether a retry may go anywhere at all.
-  [[nodiscard]] bool hasToken() const { return All->hasToken(); }
+  /// @brief Whether the total budget allows a retry; that of the target data
+  /// centre may still refuse it.
+  [[nodiscard]] bool hasToken() const { return Total->hasToken(); }
 
-  /// @brief Takes a retry out of the budget.
-  /// @param DataCentre Number of the data centre that it goes to.
+  /// @brief Takes the token for a retry.
+  /// @param DataCentre Number of the data centre that it is sent to.
   /// @return Whether the budget allows it.
   [[nodiscard]] bool take(std::size_t DataCentre);
 
 private:
-  [[nodiscard]] TokenBucket &of(std::size_t DataCentre);
+  [[nodiscard]] TokenBucket &bucketFor(std::size_t DataCentre);
 
   BudgetLimits Limits;
-  std::shared_ptr<SharedTokenBucket> All;
-  std::vector<TokenBucket> DataCentres;
+  std::shared_ptr<SharedTokenBucket> Total;
+  std::vector<TokenBucket> PerDataCentre;
 };
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/retries/retry.cpp
+++ b/packages/request/src/coltsfoottrail/retries/retry.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Whether another endpoint would say the same.
-bool isFinal(Reason Why) {
-  switch (Why) {
+/// Whether another endpoint would fail the request for the same reason.
+bool isFinal(Reason Cause) {
+  switch (Cause) {
   case Reason::BadRequest:
   case Reason::Unauthenticated:
   case Reason::UnknownTarget:
@@ -40,15 +40,15 @@
 }
 
 std::optional<Duration> retryDelay(const RetryLimits &Limits,
-                                   std::uint32_t Tries, Duration Left,
-                                   Random &Draw) {
-  constexpr std::uint32_t MostDoublings = 16;
-  if (Left <= Duration::zero())
+                                   std::uint32_t PreviousDelays,
+                                   Duration TimeLeft, Random &Rng) {
+  constexpr std::uint32_t MaxDoublings = 16;
+  if (TimeLeft <= Duration::zero())
     return std::nullopt;
-  const std::uint32_t Doublings = std::min(Tries, MostDoublings);
+  const std::uint32_t Doublings = std::min(PreviousDelays, MaxDoublings);
   const Duration Ceiling = std::min(
-      {Limits.FirstDelay * (1U << Doublings), Limits.LongestDelay, Left});
-  return std::chrono::duration_cast<Duration>(Ceiling * Draw.fraction());
+      {Limits.FirstDelay * (1U << Doublings), Limits.LongestDelay, TimeLeft});
+  return std::chrono::duration_cast<Duration>(Ceiling * Rng.fraction());
 }
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/retries/retry.hpp
+++ b/packages/request/src/coltsfoottrail/retries/retry.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Whether and when a failed attempt is followed by another.
+/// Retry policy: whether and when a failed attempt is followed by another.
 #ifndef COLTSFOOTTRAIL_RETRIES_RETRY_HPP
 #define COLTSFOOTTRAIL_RETRIES_RETRY_HPP
 
@@ -11,11 +11,11 @@
 
 namespace coltsfoottrail {
 
-/// @brief Bounds of the retries of one request.
+/// @brief Limits of the retries of one request.
 struct RetryLimits {
-  /// Attempts at most, the first one included.
+  /// Maximum number of attempts, including the first one.
   std::uint32_t MaxAttempts = 4;
-  /// How often a retry waits for the budget before it is given up.
+  /// How often a retry waits for the budget before the request is refused.
   std::uint32_t MaxBudgetWaits = 6;
   /// Longest delay before the first retry; doubles with each.
   Duration FirstDelay = milliseconds(20);
@@ -23,24 +23,25 @@
   BudgetLimits Budget;
 };
 
-/// @brief Tells whether a request may be sent again. Pure; thread-safe.
+/// @brief Whether a request may be sent again. Has no state; thread-safe.
 /// @param Item The request.
 /// @param Result How its last attempt ended.
-/// @return True only where no second run can result, or where a second run does
-/// no harm, and the caller has seen nothing of the answer.
+/// @return True only if the request cannot run twice as a result, or running it
+/// twice is harmless, and the caller has received nothing of the answer.
 [[nodiscard]] bool mayRetry(const WorkItem &Item,
                             const AttemptResult &Result) noexcept;
 
 /// @brief Draws the delay before the next attempt: full jitter below a ceiling
-/// that doubles, inside the time that is left.
+/// that doubles with each delay and is bounded by the time left.
 /// @param Limits The bounds.
-/// @param Tries Delays of this request so far.
-/// @param Left Time until the attempt must start.
-/// @param Draw Randomness.
+/// @param PreviousDelays Number of delays of this request so far.
+/// @param TimeLeft Time until the attempt must start.
+/// @param Rng Random number generator.
 /// @return Nothing when no time is left.
 [[nodiscard]] std::optional<Duration> retryDelay(const RetryLimits &Limits,
-                                                 std::uint32_t Tries,
-                                                 Duration Left, Random &Draw);
+                                                 std::uint32_t PreviousDelays,
+                                                 Duration TimeLeft,
+                                                 Random &Rng);
 
 } // namespace coltsfoottrail
 
--- a/packages/request/src/coltsfoottrail/retries/share.hpp
+++ b/packages/request/src/coltsfoottrail/retries/share.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// One entry host's part of a bound on retries that holds over all of them.
+/// One entry host's part of a retry limit that applies to all entry hosts
+/// together.
 #ifndef COLTSFOOTTRAIL_RETRIES_SHARE_HPP
 #define COLTSFOOTTRAIL_RETRIES_SHARE_HPP
 
@@ -10,25 +11,26 @@
 
 namespace coltsfoottrail {
 
-/// @brief A bound of the platform: in ten seconds a service may get Ratio times
-/// its requests, and Slack more, as retries from all entry hosts.
+/// @brief Retry limit of a service on the platform: within ten seconds, all
+/// entry hosts together may retry Ratio times its requests, plus Slack.
 struct RetryBound {
   double Ratio = 0.2;
   double Slack = 130.0;
 };
 
-/// Part of the slack that is used: hosts that were not counted lately send too.
+/// Fraction of the slack that is used, since hosts that are missing from the
+/// latest count send retries as well.
 inline constexpr double RetrySlackUsed = 0.8;
-/// Part of the ratio that each request earns at once.
+/// Fraction of the ratio that each request adds to the budget at once.
 inline constexpr double RetryRatioEarned = 0.75;
-/// Part of the ratio that may be saved up beside it; the rest is kept for
-/// requests that are counted in another window than their retries.
+/// Fraction of the ratio that may be saved up in addition. The rest is a
+/// reserve for requests that are counted in another window than their retries.
 inline constexpr double RetryRatioSaved = 0.2;
 
-/// @brief Counts what happened lately, older events for less. Not thread-safe.
+/// @brief Exponentially decaying count of recent events. Not thread-safe.
 class RecentCount {
 public:
-  /// Length of the platform's window.
+  /// Length of the window over which the platform applies its retry limit.
   static constexpr Duration Window = seconds(10);
 
   /// @brief Counts an event; times must not go back.
@@ -36,11 +38,11 @@
     Count = value(Now) + 1.0;
     CountedAt = Now;
   }
-  /// @brief About how many there were in the last window.
+  /// @brief Approximate number of events in the last window.
   [[nodiscard]] double value(TimePoint Now) const {
-    const std::chrono::duration<double> Since = Now - CountedAt;
-    const std::chrono::duration<double> Whole = Window;
-    return Count * std::exp(-Since / Whole);
+    const std::chrono::duration<double> Elapsed = Now - CountedAt;
+    const std::chrono::duration<double> WindowSeconds = Window;
+    return Count * std::exp(-Elapsed / WindowSeconds);
   }
 
 private:
@@ -49,8 +51,8 @@
 };
 
 /// @brief Retries that one entry host may save up for a service, over all of
-/// its pools: its part of the slack, and what its own requests leave of the
-/// ratio. Thread-safe.
+/// its pools: its part of the slack plus the saved part of the ratio for its
+/// own requests. Thread-safe.
 /// @param Hosts Entry hosts that share the bound; above zero.
 /// @param OwnRequests This host's requests of the service in the last window.
 [[nodiscard]] inline double retriesSaved(const RetryBound &Bound, double Hosts,
--- a/packages/request/test/coltsfoottrail/retries/budget.cpp
+++ b/packages/request/test/coltsfoottrail/retries/budget.cpp
@@ -7,50 +7,51 @@
 namespace coltsfoottrail {
 namespace {
 
-// Any pattern of first sends and wishes to send again, over any data centres:
-// the sends stay below the ratio, in all and for each data centre.
+// For any pattern of first sends and attempted retries over any data centres,
+// the retries stay below the ratio, in total and for each data centre.
 TEST(RetryBudgetProperty, SendsStayBelowTheRatio) {
   for (std::uint64_t Seed = 0; Seed < 100; ++Seed) {
-    Random Draw(Seed);
+    Random Rng(Seed);
     const BudgetLimits Limits;
     RetryBudget Budget(Limits);
-    std::vector<double> First(3, 0.0);
-    std::vector<double> Again(3, 0.0);
+    std::vector<double> FirstSends(3, 0.0);
+    std::vector<double> Retries(3, 0.0);
     for (int Step = 0; Step < 3000; ++Step) {
-      const std::size_t DataCentre = Draw.below(3);
-      if (Draw.below(2) == 0) {
+      const std::size_t DataCentre = Rng.below(3);
+      if (Rng.below(2) == 0) {
         Budget.recordFirstSend(DataCentre);
-        First[DataCentre] += 1.0;
+        FirstSends[DataCentre] += 1.0;
       } else if (Budget.take(DataCentre)) {
-        Again[DataCentre] += 1.0;
+        Retries[DataCentre] += 1.0;
       }
     }
-    const double FirstAll = First[0] + First[1] + First[2];
-    const double AgainAll = Again[0] + Again[1] + Again[2];
-    ASSERT_LE(AgainAll, Limits.Ratio * FirstAll + Limits.Burst);
+    const double TotalFirstSends =
+        FirstSends[0] + FirstSends[1] + FirstSends[2];
+    const double TotalRetries = Retries[0] + Retries[1] + Retries[2];
+    ASSERT_LE(TotalRetries, Limits.Ratio * TotalFirstSends + Limits.Burst);
     for (std::size_t Index = 0; Index < 3; ++Index)
-      ASSERT_LE(Again[Index],
-                Limits.DataCentreRatio * First[Index] + Limits.Burst);
+      ASSERT_LE(Retries[Index],
+                Limits.DataCentreRatio * FirstSends[Index] + Limits.Burst);
   }
 }
 
-// An outage of a data centre is followed by more retries than the platform
-// allows for all entry hosts together.
-// Seventy hosts have each saved up the burst of one; told how many they are,
-// they keep to their parts of it, also of what was saved before.
+// Guards against more retries after an outage of a data centre than the
+// platform allows for all entry hosts together: each of 70 hosts starts with a
+// full burst. After setBurst() each keeps to its part, and drops tokens beyond
+// it.
 TEST(RetryBudget, HostsKeepToTheirPartsOfASharedBurst) {
   constexpr std::size_t Hosts = 70;
-  constexpr double Shared = 250.0;
+  constexpr double SharedBurst = 250.0;
   std::size_t Taken = 0;
   for (std::size_t Index = 0; Index < Hosts; ++Index) {
     RetryBudget Budget{BudgetLimits{}};
     Budget.recordFirstSend(0);
-    Budget.setBurst(Shared / Hosts);
+    Budget.setBurst(SharedBurst / Hosts);
     while (Budget.take(0))
       ++Taken;
   }
-  EXPECT_LE(double(Taken), Shared);
-  EXPECT_GT(double(Taken), Shared / 2);
+  EXPECT_LE(double(Taken), SharedBurst);
+  EXPECT_GT(double(Taken), SharedBurst / 2);
 }
 
 TEST(RetryBudget, QuietTimesDoNotSaveUpMoreThanTheBurst) {
--- a/packages/request/test/coltsfoottrail/retries/outage.cpp
+++ b/packages/request/test/coltsfoottrail/retries/outage.cpp
@@ -13,20 +13,19 @@
   return Simulation(Options).run();
 }
 
-// A third of the endpoints is lost at once and comes back cold. Callers must
-// not notice more than the requests that were in flight there, and the
-// endpoints that are left must not get a storm of retries, nor the cold ones a
-// stampede.
+// A third of the endpoints is lost at once and returns cold. Guards against
+// failures of requests other than those in flight there, a retry storm on the
+// remaining endpoints, and an overload of the cold ones.
 TEST(Outage, OnlyWhatWasInFlightThereFailsAndSendsStayBounded) {
-  const SimulationResult Got = loseDataCentre();
-  const double Asked = static_cast<double>(Got.Sends - Got.Resends);
-  EXPECT_LE(static_cast<double>(Got.Sends), 1.2 * Asked);
-  EXPECT_GE(Got.All.part(), 0.998);
-  EXPECT_EQ(Got.RefusedNotRun, 0U);
-  EXPECT_EQ(Got.ColdCrashes, 0U);
-  EXPECT_LE(Got.ColdPeak, 1.0);
+  const SimulationResult Result = loseDataCentre();
+  const double FirstSends = static_cast<double>(Result.Sends - Result.Resends);
+  EXPECT_LE(static_cast<double>(Result.Sends), 1.2 * FirstSends);
+  EXPECT_GE(Result.All.part(), 0.998);
+  EXPECT_EQ(Result.RefusedNotRun, 0U);
+  EXPECT_EQ(Result.ColdCrashes, 0U);
+  EXPECT_LE(Result.ColdPeak, 1.0);
   for (std::size_t Second = 22; Second < 58; ++Second)
-    EXPECT_GE(Got.Seconds[Second].part(), 0.99) << "second " << Second;
+    EXPECT_GE(Result.Seconds[Second].part(), 0.99) << "second " << Second;
 }
 
 } // namespace
--- a/packages/request/test/coltsfoottrail/retries/retry.cpp
+++ b/packages/request/test/coltsfoottrail/retries/retry.cpp
@@ -13,8 +13,8 @@
   return Result;
 }
 
-// Twice the barriers stand on the road: a sign order whose connection broke
-// after it was written was sent to a second endpoint.
+// Guards against running an order twice: its connection broke after it was
+// written, and it was sent to a second endpoint.
 TEST(MayRetry, OnlyWhatCannotRunTwiceOrDoesNoHarm) {
   WorkItem Order;
   WorkItem Lookup;
@@ -31,20 +31,20 @@
 
 TEST(RetryDelay, JitterIsFullAndStaysInsideTheDeadline) {
   const RetryLimits Limits;
-  Random Draw(3);
+  Random Rng(3);
   Duration Shortest = Duration::max();
   Duration Longest{};
   for (int Count = 0; Count < 1000; ++Count) {
-    const Duration Delay = *retryDelay(Limits, 2, seconds(10), Draw);
+    const Duration Delay = *retryDelay(Limits, 2, seconds(10), Rng);
     Shortest = std::min(Shortest, Delay);
     Longest = std::max(Longest, Delay);
-    ASSERT_LT(*retryDelay(Limits, 30, seconds(10), Draw), milliseconds(500));
-    ASSERT_LT(*retryDelay(Limits, 30, milliseconds(7), Draw), milliseconds(7));
+    ASSERT_LT(*retryDelay(Limits, 30, seconds(10), Rng), milliseconds(500));
+    ASSERT_LT(*retryDelay(Limits, 30, milliseconds(7), Rng), milliseconds(7));
   }
   EXPECT_LT(Shortest, milliseconds(4));
   EXPECT_GT(Longest, milliseconds(76));
   EXPECT_LT(Longest, milliseconds(80));
-  EXPECT_EQ(retryDelay(Limits, 0, Duration{}, Draw), std::nullopt);
+  EXPECT_EQ(retryDelay(Limits, 0, Duration{}, Rng), std::nullopt);
 }
 
 } // namespace
--- a/packages/request/test/coltsfoottrail/retries/share.cpp
+++ b/packages/request/test/coltsfoottrail/retries/share.cpp
@@ -13,11 +13,10 @@
 
 constexpr TimePoint Start{seconds(100)};
 
-/// Entry hosts that send requests of one pool for ten seconds, of which a part
-/// breaks off at once.
+/// Entry hosts that send requests of one pool, some of which need retries.
 struct Hosts {
-  Hosts(std::size_t Count, double RequestsASecond)
-      : Recent(Count), Rate(RequestsASecond) {
+  Hosts(std::size_t Count, double RequestsPerSecond)
+      : Recent(Count), Rate(RequestsPerSecond) {
     BudgetLimits Limits;
     Limits.Ratio = Bound.Ratio * RetryRatioEarned;
     Limits.DataCentreRatio = 1.0;
@@ -26,31 +25,33 @@
       Budgets.emplace_back(Limits);
   }
 
-  void request(std::size_t Host, TimePoint Now) {
+  void sendRequest(std::size_t Host, TimePoint Now) {
     Budgets[Host].recordFirstSend(0);
     Recent[Host].add(Now);
     Budgets[Host].setBurst(
         retriesSaved(Bound, double(Budgets.size()), Recent[Host].value(Now)));
   }
 
-  /// Ten seconds of requests spread at random; in the last of them each wants
-  /// to be sent again so many times.
-  /// @return Retries granted in the last ten seconds, for requests sent in
-  /// them.
-  std::pair<double, double> play(double Wanted, bool AllTheTime) {
-    Random Draw(7);
+  /// Simulates 20 s of requests that are spread over the hosts at random. In
+  /// the last 10 s each request attempts the given number of retries; in the
+  /// first 10 s only with RetryDuringWarmUp.
+  /// @return Retries granted and requests sent in the last 10 s.
+  std::pair<double, double> simulate(double RetriesPerRequest,
+                                     bool RetryDuringWarmUp) {
+    Random Rng(7);
     const auto Steps = static_cast<int>(Rate * 20);
     double Sent = 0;
     double Granted = 0;
     for (int Step = 0; Step < Steps; ++Step) {
       const TimePoint Now = Start + milliseconds(Step * 20'000 / Steps);
-      const std::size_t Host = Draw.below(Budgets.size());
-      request(Host, Now);
+      const std::size_t Host = Rng.below(Budgets.size());
+      sendRequest(Host, Now);
       const bool Counted = Step >= Steps / 2;
       Sent += Counted ? 1 : 0;
-      if (!Counted && !AllTheTime)
+      if (!Counted && !RetryDuringWarmUp)
         continue;
-      for (double Left = Wanted; Left > 0; Left -= 1)
+      for (double RetriesLeft = RetriesPerRequest; RetriesLeft > 0;
+           RetriesLeft -= 1)
         if (Budgets[Host].take(0) && Counted)
           Granted += 1;
     }
@@ -63,44 +64,43 @@
   double Rate;
 };
 
-// The platform counts more retries than it allows, over all hosts.
+// Guards against more retries over all hosts than the platform allows.
 TEST(RetryShare, AllHostsTogetherKeepTheBound) {
   for (const std::size_t Count : {1U, 7U, 71U, 300U})
     for (const double Rate : {20.0, 170.0, 600.0}) {
       Hosts Fleet(Count, Rate);
-      const auto [Granted, Sent] = Fleet.play(3, false);
+      const auto [Granted, Sent] = Fleet.simulate(3, false);
       EXPECT_LE(Granted, Fleet.Bound.Ratio * Sent + Fleet.Bound.Slack)
           << Count << " hosts, " << Rate << " a second";
     }
 }
 
-// A stream is cut although the fleet has retries to spare.
-// The host that carries it has used its one retry for another stream of the
-// same group. Of streams that break off at random, one in eight, nearly all may
-// go on.
+// Guards against cutting a stream while the fleet has retries left, because the
+// host that relays it has used its only retry for another stream of the same
+// group. When one stream in eight breaks at random, nearly all may be resumed.
 TEST(RetryShare, HostsOfALargeFleetMayMoveStreamsOfALostGroup) {
   Hosts Fleet(71, 600.0);
-  Random Draw(3);
+  Random Rng(3);
   int Denied = 0;
-  int Asked = 0;
+  int Attempted = 0;
   for (int Step = 0; Step < 12'000; ++Step) {
     const TimePoint Now = Start + milliseconds(Step * 20'000 / 12'000);
-    const std::size_t Host = Draw.below(71);
-    Fleet.request(Host, Now);
-    if (Step < 6'000 || Draw.below(8) != 0)
+    const std::size_t Host = Rng.below(71);
+    Fleet.sendRequest(Host, Now);
+    if (Step < 6'000 || Rng.below(8) != 0)
       continue;
-    ++Asked;
+    ++Attempted;
     Denied += Fleet.Budgets[Host].take(0) ? 0 : 1;
   }
-  EXPECT_LE(Denied * 50, Asked);
+  EXPECT_LE(Denied * 50, Attempted);
 }
 
-/// A large fleet with two pools of one service; groups close one after the
+/// A large fleet with two pools of one service. Groups close one after the
 /// other, each with streams of many hosts.
 struct LargeFleet {
   static constexpr std::size_t Count = 295;
   static constexpr std::size_t Pools = 2;
-  static constexpr std::size_t StreamsOfAGroup = 40;
+  static constexpr std::size_t StreamsPerGroup = 40;
 
   LargeFleet() {
     BudgetLimits Limits;
@@ -117,7 +117,7 @@
   RetryBudget &budget(std::size_t Host, std::size_t Pool) {
     return Budgets[Host * Pools + Pool];
   }
-  void request(std::size_t Host, std::size_t Pool, TimePoint Now) {
+  void sendRequest(std::size_t Host, std::size_t Pool, TimePoint Now) {
     budget(Host, Pool).recordFirstSend(0);
     Recent[Host].add(Now);
     budget(Host, Pool)
@@ -129,58 +129,58 @@
   std::vector<RecentCount> Recent{Count};
 };
 
-// Guards against cutting the second stream of a host that lost two with a
-// group, while the fleet has hundreds of retries to spare.
+// Guards against cutting the second of two streams that a host lost with a
+// group, while the fleet has hundreds of retries left.
 TEST(RetryShare, LargeFleetMovesTheStreamsOfGroupsThatClose) {
   LargeFleet Fleet;
-  Random Draw(5);
+  Random Rng(5);
   std::size_t Denied = 0;
-  std::size_t Asked = 0;
+  std::size_t Attempted = 0;
   constexpr int Steps = 24'000;
   for (int Step = 0; Step < Steps; ++Step) {
     const TimePoint Now = Start + milliseconds(Step * 20'000 / Steps);
-    Fleet.request(Draw.below(LargeFleet::Count), Draw.below(2), Now);
-    const bool Closes = Step >= Steps / 2 && Step % 1'200 == 0;
-    const std::size_t Pool = Draw.below(2);
-    for (std::size_t Each = 0; Closes && Each < LargeFleet::StreamsOfAGroup;
-         ++Each) {
-      ++Asked;
+    Fleet.sendRequest(Rng.below(LargeFleet::Count), Rng.below(2), Now);
+    const bool GroupCloses = Step >= Steps / 2 && Step % 1'200 == 0;
+    const std::size_t Pool = Rng.below(2);
+    for (std::size_t Retry = 0;
+         GroupCloses && Retry < LargeFleet::StreamsPerGroup; ++Retry) {
+      ++Attempted;
       Denied +=
-          Fleet.budget(Draw.below(LargeFleet::Count), Pool).take(0) ? 0 : 1;
+          Fleet.budget(Rng.below(LargeFleet::Count), Pool).take(0) ? 0 : 1;
     }
   }
-  EXPECT_GE(Asked, 400U);
-  EXPECT_LE(Denied * 200, Asked);
+  EXPECT_GE(Attempted, 400U);
+  EXPECT_LE(Denied * 200, Attempted);
 }
 
-// Guards against more retries than the platform allows a service, whichever of
-// its pools they are for.
+// Guards against more retries than the platform allows a service over all of
+// its pools.
 TEST(RetryShare, PoolsOfAServiceKeepItsBoundTogether) {
   LargeFleet Fleet;
-  Random Draw(9);
+  Random Rng(9);
   double Sent = 0;
   double Granted = 0;
   constexpr int Steps = 24'000;
   for (int Step = 0; Step < Steps; ++Step) {
     const TimePoint Now = Start + milliseconds(Step * 20'000 / Steps);
-    const std::size_t Host = Draw.below(LargeFleet::Count);
-    Fleet.request(Host, Draw.below(2), Now);
+    const std::size_t Host = Rng.below(LargeFleet::Count);
+    Fleet.sendRequest(Host, Rng.below(2), Now);
     if (Step < Steps / 2)
       continue;
     Sent += 1;
     for (std::size_t Pool = 0; Pool < LargeFleet::Pools; ++Pool)
-      for (int Each = 0; Each < 3; ++Each)
+      for (int Retry = 0; Retry < 3; ++Retry)
         Granted += Fleet.budget(Host, Pool).take(0) ? 1 : 0;
   }
   EXPECT_LE(Granted, Fleet.Bound.Ratio * Sent + Fleet.Bound.Slack);
 }
 
 TEST(RecentCount, ForgetsWithTime) {
-  RecentCount Seen;
+  RecentCount Recent;
   for (int Index = 0; Index < 100; ++Index)
-    Seen.add(Start);
-  EXPECT_NEAR(Seen.value(Start), 100.0, 0.01);
-  EXPECT_NEAR(Seen.value(Start + seconds(10)), 36.8, 0.1);
+    Recent.add(Start);
+  EXPECT_NEAR(Recent.value(Start), 100.0, 0.01);
+  EXPECT_NEAR(Recent.value(Start + seconds(10)), 36.8, 0.1);
 }
 
 } // namespace
