--- a/packages/request/src/coltsfoottrail/quarantine/fwd.hpp
+++ b/packages/request/src/coltsfoottrail/quarantine/fwd.hpp
@@ -17,7 +17,7 @@
 struct CrashNotice;
 struct DismissNotice;
 struct ClearNotice;
-/// What entry hosts tell each other about requests that crash endpoints.
+/// Message between entry hosts about requests that crash endpoints.
 using QuarantineNotice = std::variant<CrashNotice, DismissNotice, ClearNotice>;
 
 enum class Standing : std::uint8_t;
--- a/packages/request/src/coltsfoottrail/quarantine/notice.hpp
+++ b/packages/request/src/coltsfoottrail/quarantine/notice.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What entry hosts tell each other about requests that crash endpoints.
+/// Messages between entry hosts about requests that crash endpoints.
 #ifndef COLTSFOOTTRAIL_QUARANTINE_NOTICE_HPP
 #define COLTSFOOTTRAIL_QUARANTINE_NOTICE_HPP
 
@@ -16,19 +16,19 @@
 struct CrashNotice {
   std::string EndpointKey;
   DataCentreName DataCentre;
-  /// Run of the endpoint that crashed; zero when not known.
+  /// Run of the endpoint that crashed; zero when unknown.
   Incarnation Run = 0;
-  /// How long ago, at the time when the notice was handed out.
+  /// Time since the crash when the notice was returned by takeNotices().
   Duration Age{};
   std::vector<std::uint64_t> Fingerprints;
 };
 
-/// @brief What looked like the last crash of an endpoint was none.
+/// @brief The last supposed crash of an endpoint turned out not to be one.
 struct DismissNotice {
   std::string EndpointKey;
 };
 
-/// @brief A suspected request was answered whole.
+/// @brief A suspected request was answered completely.
 struct ClearNotice {
   std::uint64_t Fingerprint = 0;
 };
--- a/packages/request/src/coltsfoottrail/quarantine/quarantine.cpp
+++ b/packages/request/src/coltsfoottrail/quarantine/quarantine.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// An answer this long after a supposed crash was not on its way already.
-constexpr Duration AnswerInTransit = milliseconds(200);
-/// A restart is reported at most this long after the crash.
-constexpr Duration RestartReport = seconds(120);
-/// Crashes that count against one request.
-constexpr std::size_t CrashesToBlame = 2;
+/// An answer that was sent before a crash arrives within this time after it.
+constexpr Duration AnswerTransitTime = milliseconds(200);
+/// Longest time from a crash to the load report that shows the restart.
+constexpr Duration RestartReportDelay = seconds(120);
+/// Number of crashes after which a request is quarantined.
+constexpr std::size_t CrashesToQuarantine = 2;
 
 } // namespace
 
@@ -20,35 +20,36 @@
   const auto Entry = Suspects.find(Fingerprint);
   if (Entry == Suspects.end() || Entry->second.Expires <= Now)
     return Standing::Clear;
-  const std::vector<const Crash *> All = liveCrashes(Entry->second);
-  if (All.empty())
+  const std::vector<const Crash *> CrashList = liveCrashes(Entry->second);
+  if (CrashList.empty())
     return Standing::Clear;
-  if (All.size() < CrashesToBlame)
+  if (CrashList.size() < CrashesToQuarantine)
     return Standing::Suspect;
-  const Duration Life = aloneAt(All) ? Limits.BlamedLife : Limits.UnsureLife;
-  return Now < All.back()->At + Life ? Standing::Quarantined
-                                     : Standing::Suspect;
+  const Duration Lifetime =
+      isOnlyOneAtAll(CrashList) ? Limits.BlamedLifetime : Limits.UnsureLifetime;
+  return Now < CrashList.back()->Time + Lifetime ? Standing::Quarantined
+                                                 : Standing::Suspect;
 }
 
 std::vector<const Quarantine::Crash *>
-Quarantine::liveCrashes(const Suspect &Known) const {
+Quarantine::liveCrashes(const Suspect &Entry) const {
   std::vector<const Crash *> Live;
-  for (const CrashId Which : Known.Crashes) {
-    const Crash *const Found = Crashes.find(Which);
-    if (Found != nullptr && !Found->Dismissed)
-      Live.push_back(Found);
+  for (const CrashId Id : Entry.Crashes) {
+    const Crash *const Record = Crashes.find(Id);
+    if (Record != nullptr && !Record->Dismissed)
+      Live.push_back(Record);
   }
   return Live;
 }
 
-/// Whether one request only was present at all of the crashes.
-bool Quarantine::aloneAt(std::span<const Crash *const> All) {
-  const auto AtAll = [&](std::uint64_t Fingerprint) {
-    return std::ranges::all_of(All, [&](const Crash *Each) {
-      return Each->Present.contains(Fingerprint);
+/// Whether exactly one request was in flight at all of the crashes.
+bool Quarantine::isOnlyOneAtAll(std::span<const Crash *const> CrashList) {
+  const auto IsAtAll = [&](std::uint64_t Fingerprint) {
+    return std::ranges::all_of(CrashList, [&](const Crash *Record) {
+      return Record->InFlight.contains(Fingerprint);
     });
   };
-  return std::ranges::count_if(All.front()->Present, AtAll) == 1;
+  return std::ranges::count_if(CrashList.front()->InFlight, IsAtAll) == 1;
 }
 
 void Quarantine::endpointLost(std::string_view EndpointKey,
@@ -56,27 +57,28 @@
                               std::span<const std::uint64_t> InFlight,
                               TimePoint Now) {
   expire(Now);
-  const CrashId Which = crashOf(EndpointKey, DataCentre, Run, Now);
+  const CrashId Id = findOrAddCrash(EndpointKey, DataCentre, Run, Now);
   for (const std::uint64_t Fingerprint : InFlight) {
-    Crash &Seen = *Crashes.find(Which);
-    if (Fingerprint == 0 || !Seen.Present.insert(Fingerprint).second)
+    Crash &Record = *Crashes.find(Id);
+    if (Fingerprint == 0 || !Record.InFlight.insert(Fingerprint).second)
       continue;
-    Seen.Untold.push_back(Fingerprint);
-    add(Which, Fingerprint);
+    Record.Unannounced.push_back(Fingerprint);
+    add(Id, Fingerprint);
   }
-  judgeMass(Which);
+  dismissIfOutage(Id);
 }
 
 // Failure guarded against: requests that were sent to the new run just before
-// its first report came are blamed for the crash of the old one. Where the
-// crash is known by its broken connections, these alone count.
+// its first report arrived are blamed for the crash of the old one. If the
+// crash has been recorded from broken connections, only the requests on these
+// count.
 void Quarantine::endpointRestarted(std::string_view EndpointKey,
                                    const DataCentreName &DataCentre,
                                    Incarnation OldRun,
                                    std::span<const std::uint64_t> InFlight,
                                    TimePoint Now) {
   const Crash *const Last = lastCrash(EndpointKey);
-  if (Last != nullptr && Now - Last->At < RestartReport &&
+  if (Last != nullptr && Now - Last->Time < RestartReportDelay &&
       (Last->Run == OldRun || Last->Run == 0))
     return;
   endpointLost(EndpointKey, DataCentre, OldRun, InFlight, Now);
@@ -84,80 +86,81 @@
 
 const Quarantine::Crash *
 Quarantine::lastCrash(std::string_view EndpointKey) const {
-  const auto Entry = LastOf.find(std::string(EndpointKey));
-  return Entry == LastOf.end() ? nullptr : Crashes.find(Entry->second);
+  const auto Entry = LastCrashes.find(std::string(EndpointKey));
+  return Entry == LastCrashes.end() ? nullptr : Crashes.find(Entry->second);
 }
 
-/// Finds the crash that a loss belongs to, or notes a new one.
-CrashId Quarantine::crashOf(std::string_view EndpointKey,
-                            const DataCentreName &DataCentre, Incarnation Run,
-                            TimePoint At) {
-  const auto [Entry, Added] = LastOf.try_emplace(std::string(EndpointKey));
+/// Finds the crash that a loss belongs to, or records a new one.
+CrashId Quarantine::findOrAddCrash(std::string_view EndpointKey,
+                                   const DataCentreName &DataCentre,
+                                   Incarnation Run, TimePoint Time) {
+  const auto [Entry, Added] = LastCrashes.try_emplace(std::string(EndpointKey));
   if (!Added) {
     Crash *const Last = Crashes.find(Entry->second);
     const bool SameRun =
         Last != nullptr && (Last->Run == Run || Last->Run == 0 || Run == 0);
-    if (SameRun && std::chrono::abs(At - Last->At) < Limits.CrashWindow)
+    if (SameRun && std::chrono::abs(Time - Last->Time) < Limits.CrashWindow)
       return Entry->second;
   }
-  const CrashId Which =
+  const CrashId Id =
       Crashes.insert(Crash{std::string(EndpointKey),
                            DataCentre,
                            Run,
-                           At,
+                           Time,
                            {},
                            {},
                            Closed.contains(std::string(EndpointKey))});
-  Entry->second = Which;
-  Order.push_back(Which);
-  return Which;
+  Entry->second = Id;
+  Order.push_back(Id);
+  return Id;
 }
 
-// Failure guarded against: a data centre goes dark, everything in flight there
-// is suspected, and after a second outage innocent requests are refused. Losses
-// of several endpoints of a data centre at once are no request's doing, unless
-// one request was present at most of them.
-void Quarantine::judgeMass(CrashId Which) {
-  Crash &Newest = *Crashes.find(Which);
+// Failure guarded against: a data centre fails, every request in flight there
+// is suspected, and after a second outage harmless requests are refused. When
+// several endpoints of a data centre are lost at once, no request is suspected,
+// unless one request was in flight at more than half of them.
+void Quarantine::dismissIfOutage(CrashId Id) {
+  Crash &Newest = *Crashes.find(Id);
   if (Newest.Dismissed)
     return;
-  std::vector<Crash *> Together;
-  for (const CrashId Each : Order) {
-    Crash *const Other = Crashes.find(Each);
+  std::vector<Crash *> Simultaneous;
+  for (const CrashId OtherId : Order) {
+    Crash *const Other = Crashes.find(OtherId);
     if (Other->DataCentre == Newest.DataCentre &&
-        std::chrono::abs(Newest.At - Other->At) <= Limits.MassWindow)
-      Together.push_back(Other);
+        std::chrono::abs(Newest.Time - Other->Time) <= Limits.OutageWindow)
+      Simultaneous.push_back(Other);
   }
-  if (Together.size() < Limits.MassLosses)
+  if (Simultaneous.size() < Limits.OutageLosses)
     return;
-  const auto Before = static_cast<std::size_t>(
-      std::ranges::count(Together, true, &Crash::Dismissed));
-  if (Before < Limits.MassLosses && anyAtMost(Together))
+  const auto DismissedCount = static_cast<std::size_t>(
+      std::ranges::count(Simultaneous, true, &Crash::Dismissed));
+  if (DismissedCount < Limits.OutageLosses && anyInMajority(Simultaneous))
     return;
-  for (Crash *const Each : Together)
-    Each->Dismissed = true;
+  for (Crash *const Record : Simultaneous)
+    Record->Dismissed = true;
 }
 
-/// Whether some request was present at more than half of the crashes.
-bool Quarantine::anyAtMost(std::span<Crash *const> All) {
-  std::unordered_map<std::uint64_t, std::size_t> Times;
-  for (const Crash *const Each : All)
-    for (const std::uint64_t Fingerprint : Each->Present)
-      if (++Times[Fingerprint] * 2 > All.size())
+/// Whether some request was in flight at more than half of the crashes.
+bool Quarantine::anyInMajority(std::span<Crash *const> CrashList) {
+  std::unordered_map<std::uint64_t, std::size_t> Occurrences;
+  for (const Crash *const Record : CrashList)
+    for (const std::uint64_t Fingerprint : Record->InFlight)
+      if (++Occurrences[Fingerprint] * 2 > CrashList.size())
         return true;
   return false;
 }
 
-void Quarantine::add(CrashId Which, std::uint64_t Fingerprint) {
-  Suspect &Known = Suspects[Fingerprint];
-  if (!Known.Crashes.empty())
-    Expiries.erase({Known.Expires, Known.Order});
-  Known.Crashes.push_back(Which);
-  const TimePoint At = Crashes.find(Which)->At;
-  const bool Blamed = liveCrashes(Known).size() >= CrashesToBlame;
-  Known.Expires = At + (Blamed ? Limits.BlamedLife : Limits.SuspectLife);
-  Known.Order = NextOrder++;
-  Expiries.emplace(std::pair(Known.Expires, Known.Order), Fingerprint);
+void Quarantine::add(CrashId Id, std::uint64_t Fingerprint) {
+  Suspect &Entry = Suspects[Fingerprint];
+  if (!Entry.Crashes.empty())
+    Expiries.erase({Entry.Expires, Entry.Order});
+  Entry.Crashes.push_back(Id);
+  const TimePoint Time = Crashes.find(Id)->Time;
+  const bool Blamed = liveCrashes(Entry).size() >= CrashesToQuarantine;
+  Entry.Expires =
+      Time + (Blamed ? Limits.BlamedLifetime : Limits.SuspectLifetime);
+  Entry.Order = NextOrder++;
+  Expiries.emplace(std::pair(Entry.Expires, Entry.Order), Fingerprint);
   if (Suspects.size() > Limits.MaxFingerprints)
     forget(Expiries.begin()->second);
 }
@@ -174,34 +177,37 @@
   while (!Expiries.empty() && Expiries.begin()->first.first <= Now)
     forget(Expiries.begin()->second);
   std::erase_if(Closed, [&](const auto &Entry) {
-    return Entry.second + Limits.ClosedLife <= Now;
+    return Entry.second + Limits.ClosedLifetime <= Now;
   });
-  const Duration Life = std::max(Limits.BlamedLife, Limits.SuspectLife);
-  while (!Order.empty() && (Order.size() >= Limits.MaxCrashes ||
-                            Crashes.find(Order.front())->At + Life <= Now)) {
-    const std::optional<Crash> Gone = Crashes.erase(Order.front());
-    const auto Last = LastOf.find(Gone->EndpointKey);
-    if (Last != LastOf.end() && Last->second == Order.front())
-      LastOf.erase(Last);
+  const Duration Lifetime =
+      std::max(Limits.BlamedLifetime, Limits.SuspectLifetime);
+  while (!Order.empty() &&
+         (Order.size() >= Limits.MaxCrashes ||
+          Crashes.find(Order.front())->Time + Lifetime <= Now)) {
+    const std::optional<Crash> Removed = Crashes.erase(Order.front());
+    const auto Last = LastCrashes.find(Removed->EndpointKey);
+    if (Last != LastCrashes.end() && Last->second == Order.front())
+      LastCrashes.erase(Last);
     Order.pop_front();
   }
 }
 
 // Failure guarded against: one broken connection is taken for a crash of the
-// endpoint. An endpoint that answers what it was sent before has not crashed.
+// endpoint. An endpoint that answers a request from before the supposed crash
+// has not crashed.
 void Quarantine::requestAnswered(std::string_view EndpointKey,
                                  std::uint64_t Fingerprint, TimePoint SentAt,
                                  TimePoint Now) {
   if (Order.empty())
     return;
   const Crash *const Last = lastCrash(EndpointKey);
-  if (Last != nullptr && SentAt < Last->At &&
-      Last->At + AnswerInTransit < Now && dismiss(EndpointKey))
-    note(DismissNotice{std::string(EndpointKey)});
+  if (Last != nullptr && SentAt < Last->Time &&
+      Last->Time + AnswerTransitTime < Now && dismiss(EndpointKey))
+    addNotice(DismissNotice{std::string(EndpointKey)});
   if (standing(Fingerprint, Now) != Standing::Suspect)
     return;
   clear(Fingerprint);
-  note(ClearNotice{Fingerprint});
+  addNotice(ClearNotice{Fingerprint});
 }
 
 void Quarantine::endpointClosed(std::string_view EndpointKey, TimePoint Now) {
@@ -209,20 +215,20 @@
   if (Closed.size() < Limits.MaxCrashes)
     Closed.insert_or_assign(std::string(EndpointKey), Now);
   if (dismiss(EndpointKey))
-    note(DismissNotice{std::string(EndpointKey)});
+    addNotice(DismissNotice{std::string(EndpointKey)});
 }
 
-/// Takes a request out of the crashes that it was present at.
+/// Removes a request from the crashes that it was in flight at.
 void Quarantine::clear(std::uint64_t Fingerprint) {
-  for (const CrashId Which : Suspects.at(Fingerprint).Crashes)
-    if (Crash *const Each = Crashes.find(Which))
-      Each->Present.erase(Fingerprint);
+  for (const CrashId Id : Suspects.at(Fingerprint).Crashes)
+    if (Crash *const Record = Crashes.find(Id))
+      Record->InFlight.erase(Fingerprint);
   forget(Fingerprint);
 }
 
 bool Quarantine::dismiss(std::string_view EndpointKey) {
-  const auto Entry = LastOf.find(std::string(EndpointKey));
-  if (Entry == LastOf.end())
+  const auto Entry = LastCrashes.find(std::string(EndpointKey));
+  if (Entry == LastCrashes.end())
     return false;
   Crash &Last = *Crashes.find(Entry->second);
   const bool Changed = !Last.Dismissed;
@@ -232,21 +238,21 @@
 
 bool Quarantine::observe(const QuarantineNotice &Notice, TimePoint Now) {
   expire(Now);
-  return std::visit([&](const auto &Kind) { return ingest(Kind, Now); },
+  return std::visit([&](const auto &Typed) { return ingest(Typed, Now); },
                     Notice);
 }
 
 bool Quarantine::ingest(const CrashNotice &Notice, TimePoint Now) {
-  const CrashId Seen = crashOf(Notice.EndpointKey, Notice.DataCentre,
-                               Notice.Run, Now - Notice.Age);
-  bool IsNews = false;
+  const CrashId Id = findOrAddCrash(Notice.EndpointKey, Notice.DataCentre,
+                                    Notice.Run, Now - Notice.Age);
+  bool Changed = false;
   for (const std::uint64_t Fingerprint : Notice.Fingerprints)
-    if (Crashes.find(Seen)->Present.insert(Fingerprint).second) {
-      add(Seen, Fingerprint);
-      IsNews = true;
+    if (Crashes.find(Id)->InFlight.insert(Fingerprint).second) {
+      add(Id, Fingerprint);
+      Changed = true;
     }
-  judgeMass(Seen);
-  return IsNews;
+  dismissIfOutage(Id);
+  return Changed;
 }
 
 bool Quarantine::ingest(const DismissNotice &Notice, TimePoint /*Now*/) {
@@ -260,27 +266,27 @@
   return true;
 }
 
-void Quarantine::note(QuarantineNotice Told) {
-  Outgoing.push_back(std::move(Told));
+void Quarantine::addNotice(QuarantineNotice Notice) {
+  Outgoing.push_back(std::move(Notice));
   if (Outgoing.size() > Limits.MaxNotices)
     Outgoing.pop_front();
 }
 
 std::vector<QuarantineNotice> Quarantine::takeNotices(TimePoint Now) {
-  std::vector<QuarantineNotice> Out;
-  for (const CrashId Which : Order) {
-    Crash &Each = *Crashes.find(Which);
-    if (Each.Dismissed)
-      Each.Untold.clear();
-    if (Each.Untold.empty())
+  std::vector<QuarantineNotice> Notices;
+  for (const CrashId Id : Order) {
+    Crash &Record = *Crashes.find(Id);
+    if (Record.Dismissed)
+      Record.Unannounced.clear();
+    if (Record.Unannounced.empty())
       continue;
-    Out.emplace_back(CrashNotice{Each.EndpointKey, Each.DataCentre, Each.Run,
-                                 Now - Each.At,
-                                 std::exchange(Each.Untold, {})});
+    Notices.emplace_back(CrashNotice{Record.EndpointKey, Record.DataCentre,
+                                     Record.Run, Now - Record.Time,
+                                     std::exchange(Record.Unannounced, {})});
   }
-  Out.insert(Out.end(), Outgoing.begin(), Outgoing.end());
+  Notices.insert(Notices.end(), Outgoing.begin(), Outgoing.end());
   Outgoing.clear();
-  return Out;
+  return Notices;
 }
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/quarantine/quarantine.hpp
+++ b/packages/request/src/coltsfoottrail/quarantine/quarantine.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Finds the requests that crash the endpoints that run them.
+/// Detects requests that crash the endpoints that run them.
 #ifndef COLTSFOOTTRAIL_QUARANTINE_QUARANTINE_HPP
 #define COLTSFOOTTRAIL_QUARANTINE_QUARANTINE_HPP
 
@@ -16,88 +16,95 @@
 
 namespace coltsfoottrail {
 
-/// What may be done with a request.
+/// How a request is to be treated.
 enum class Standing : std::uint8_t {
-  /// Nothing is known against it.
+  /// It is not suspected.
   Clear,
-  /// In flight at a crash: send it, but apart from other suspects.
+  /// It was in flight at a crash: send it, but apart from other suspects.
   Suspect,
   /// Refuse it.
   Quarantined
 };
 
-/// @brief Bounds and lives of what is remembered.
+/// @brief Sizes and lifetimes of the records.
 struct QuarantineLimits {
-  /// Losses at one endpoint within this time are one crash.
+  /// Losses at one endpoint within this time count as one crash.
   Duration CrashWindow = seconds(10);
-  /// How long a request stays suspected.
-  Duration SuspectLife = seconds(300);
-  /// How long a request is refused that was alone at two crashes.
-  Duration BlamedLife = seconds(600);
-  /// How long requests are refused that were at the same two crashes together.
-  Duration UnsureLife = seconds(30);
-  /// How long after an endpoint closed its connections may still break.
-  Duration ClosedLife = seconds(60);
-  /// Endpoints of one data centre lost within MassWindow that make it an outage
-  /// of the data centre, unless one request was at most of them.
-  std::size_t MassLosses = 3;
-  Duration MassWindow = seconds(2);
+  /// How long a request remains suspected.
+  Duration SuspectLifetime = seconds(300);
+  /// How long a request is refused that is the only one in flight at both of
+  /// two crashes.
+  Duration BlamedLifetime = seconds(600);
+  /// How long requests are refused when several were in flight at the same two
+  /// crashes.
+  Duration UnsureLifetime = seconds(30);
+  /// How long after an endpoint was closed its broken connections are not
+  /// counted as a crash.
+  Duration ClosedLifetime = seconds(60);
+  /// Number of endpoints of one data centre lost within OutageWindow that
+  /// counts as an outage of the data centre, unless one request was in flight
+  /// at more than half of them.
+  std::size_t OutageLosses = 3;
+  Duration OutageWindow = seconds(2);
   std::size_t MaxFingerprints = 4096;
   std::size_t MaxCrashes = 512;
   std::size_t MaxNotices = 256;
 };
 
-/// @brief Remembers which requests were in flight at which crashes.
+/// @brief Records which requests were in flight at which crashes.
 ///
-/// A request is refused after it was in flight at two different crashes; where
-/// others were at the same two, all of them for a short time only. An answer
-/// clears a suspect. Evidence goes to the other entry hosts as notices. Pure;
-/// not thread-safe: stands under the lock of its shard. Times must not go back.
+/// A request is refused after it was in flight at two different crashes. If
+/// others were in flight at the same two, all of them are refused for a short
+/// time only. An answer clears a suspect. The evidence is sent to the other
+/// entry hosts as notices. Does no I/O and reads no clock. Not thread-safe:
+/// guarded by the lock of its shard. Times must not go back.
 class Quarantine {
 public:
-  /// @brief Remembers nothing yet.
-  explicit Quarantine(QuarantineLimits Wanted) : Limits(Wanted) {}
+  /// @brief Makes an empty quarantine.
+  explicit Quarantine(QuarantineLimits Bounds) : Limits(Bounds) {}
 
-  /// @brief What may be done with a request.
+  /// @brief How a request is to be treated.
   /// @param Fingerprint The request; zero is always Clear.
   [[nodiscard]] Standing standing(std::uint64_t Fingerprint,
                                   TimePoint Now) const;
 
-  /// @brief Notes that an endpoint was lost with requests in flight there.
-  /// Losses seen one by one add up to one crash.
+  /// @brief Records the loss of an endpoint with requests in flight there.
+  /// Losses that are reported one by one are combined into one crash.
   /// @param EndpointKey The endpoint.
-  /// @param DataCentre Where it stands.
-  /// @param Run Its run when they were sent; zero when not known.
-  /// @param InFlight Fingerprints; zeros are left out.
+  /// @param DataCentre Its data centre.
+  /// @param Run Its run when the requests were sent; zero when unknown.
+  /// @param InFlight Fingerprints; zeros are ignored.
   void endpointLost(std::string_view EndpointKey,
                     const DataCentreName &DataCentre, Incarnation Run,
                     std::span<const std::uint64_t> InFlight, TimePoint Now);
 
-  /// @brief Notes that an endpoint reports a new run while requests sent to the
-  /// old one are still in flight. The crash may be known by lost() already.
+  /// @brief Records that an endpoint reports a new run while requests sent to
+  /// the old one are still in flight. endpointLost() may have recorded the
+  /// crash already.
   void endpointRestarted(std::string_view EndpointKey,
                          const DataCentreName &DataCentre, Incarnation OldRun,
                          std::span<const std::uint64_t> InFlight,
                          TimePoint Now);
 
-  /// @brief Notes that a request was answered whole.
-  /// @param SentAt When it was sent: an answer to a request that was there
-  /// before the supposed crash shows that there was none.
+  /// @brief Records that a request was answered completely.
+  /// @param SentAt When it was sent. An answer to a request that was sent
+  /// before a supposed crash shows that the endpoint did not crash.
   void requestAnswered(std::string_view EndpointKey, std::uint64_t Fingerprint,
                        TimePoint SentAt, TimePoint Now);
 
-  /// @brief Notes that an endpoint stopped serving under a key and lives on, as
-  /// when its group is closed. What is lost there is no crash, now or later.
+  /// @brief Records that an endpoint stopped serving under a key without having
+  /// crashed, as when its group is closed. Losses there before and after this
+  /// do not count as a crash.
   void endpointClosed(std::string_view EndpointKey, TimePoint Now);
 
-  /// @brief Takes what another entry host tells.
-  /// @return Whether it was news here.
+  /// @brief Processes a notice from another entry host.
+  /// @return Whether it changed anything here.
   bool observe(const QuarantineNotice &Notice, TimePoint Now);
 
-  /// @brief Hands out what the other entry hosts should be told.
+  /// @brief Removes and returns the notices for the other entry hosts.
   [[nodiscard]] std::vector<QuarantineNotice> takeNotices(TimePoint Now);
 
-  /// @brief Requests remembered.
+  /// @brief Number of recorded requests.
   [[nodiscard]] std::size_t size() const noexcept { return Suspects.size(); }
 
 private:
@@ -105,12 +112,12 @@
     std::string EndpointKey;
     DataCentreName DataCentre;
     Incarnation Run = 0;
-    TimePoint At;
-    /// Those at the crash.
-    std::unordered_set<std::uint64_t> Present;
-    /// Those of them that others have not been told of.
-    std::vector<std::uint64_t> Untold;
-    /// It was no crash of this endpoint alone.
+    TimePoint Time;
+    /// Requests in flight at the crash.
+    std::unordered_set<std::uint64_t> InFlight;
+    /// Those of them that have not been sent to the other entry hosts.
+    std::vector<std::uint64_t> Unannounced;
+    /// The endpoint did not crash, or was lost in an outage of its data centre.
     bool Dismissed = false;
   };
   struct Suspect {
@@ -119,30 +126,31 @@
     TimePoint Expires;
   };
 
-  [[nodiscard]] CrashId crashOf(std::string_view EndpointKey,
-                                const DataCentreName &DataCentre,
-                                Incarnation Run, TimePoint At);
+  [[nodiscard]] CrashId findOrAddCrash(std::string_view EndpointKey,
+                                       const DataCentreName &DataCentre,
+                                       Incarnation Run, TimePoint Time);
   [[nodiscard]] const Crash *lastCrash(std::string_view EndpointKey) const;
   [[nodiscard]] std::vector<const Crash *>
-  liveCrashes(const Suspect &Known) const;
-  [[nodiscard]] static bool aloneAt(std::span<const Crash *const> All);
-  [[nodiscard]] static bool anyAtMost(std::span<Crash *const> All);
+  liveCrashes(const Suspect &Entry) const;
+  [[nodiscard]] static bool
+  isOnlyOneAtAll(std::span<const Crash *const> CrashList);
+  [[nodiscard]] static bool anyInMajority(std::span<Crash *const> CrashList);
   bool ingest(const CrashNotice &Notice, TimePoint Now);
   bool ingest(const DismissNotice &Notice, TimePoint Now);
   bool ingest(const ClearNotice &Notice, TimePoint Now);
-  void judgeMass(CrashId Which);
+  void dismissIfOutage(CrashId Id);
   bool dismiss(std::string_view EndpointKey);
-  void add(CrashId Which, std::uint64_t Fingerprint);
+  void add(CrashId Id, std::uint64_t Fingerprint);
   void forget(std::uint64_t Fingerprint);
   void clear(std::uint64_t Fingerprint);
   void expire(TimePoint Now);
-  void note(QuarantineNotice Told);
+  void addNotice(QuarantineNotice Notice);
 
   QuarantineLimits Limits;
   SlotMap<Crash, CrashId> Crashes;
   /// By age.
   std::deque<CrashId> Order;
-  std::unordered_map<std::string, CrashId> LastOf;
+  std::unordered_map<std::string, CrashId> LastCrashes;
   /// Endpoints that closed, and when.
   std::unordered_map<std::string, TimePoint> Closed;
   std::unordered_map<std::uint64_t, Suspect> Suspects;
--- a/packages/request/test/coltsfoottrail/quarantine/quarantine.cpp
+++ b/packages/request/test/coltsfoottrail/quarantine/quarantine.cpp
@@ -12,118 +12,122 @@
 protected:
   void crash(std::string_view Key, std::vector<std::uint64_t> InFlight,
              Incarnation Run = 1, std::string_view DataCentre = "dc-0") {
-    Known.endpointLost(Key, DataCentreName(DataCentre), Run, InFlight, Now);
+    Subject.endpointLost(Key, DataCentreName(DataCentre), Run, InFlight, Now);
   }
-  [[nodiscard]] Standing of(std::uint64_t Fingerprint) const {
-    return Known.standing(Fingerprint, Now);
+  [[nodiscard]] Standing standingOf(std::uint64_t Fingerprint) const {
+    return Subject.standing(Fingerprint, Now);
   }
 
-  Quarantine Known{QuarantineLimits{}};
+  Quarantine Subject{QuarantineLimits{}};
   TimePoint Now = Start;
 };
 
-// Endpoint after endpoint dies: one request crashes each that runs it, and it
-// is sent again after each crash. Its companions must not pay for it.
+// Guards against a request that crashes each endpoint that runs it and is sent
+// again after each crash. Requests in flight beside it must not be refused.
 TEST_F(QuarantineTest, SecondCrashBlamesTheOneThatWasAtBoth) {
   crash("a", {7, 8, 9});
-  EXPECT_EQ(of(7), Standing::Suspect);
-  EXPECT_EQ(of(8), Standing::Suspect);
+  EXPECT_EQ(standingOf(7), Standing::Suspect);
+  EXPECT_EQ(standingOf(8), Standing::Suspect);
   Now += seconds(5);
   crash("b", {7, 20, 21});
-  EXPECT_EQ(of(7), Standing::Quarantined);
+  EXPECT_EQ(standingOf(7), Standing::Quarantined);
   for (const std::uint64_t Companion : {8, 9, 20, 21})
-    EXPECT_EQ(of(Companion), Standing::Suspect);
-  EXPECT_EQ(of(1), Standing::Clear);
+    EXPECT_EQ(standingOf(Companion), Standing::Suspect);
+  EXPECT_EQ(standingOf(1), Standing::Clear);
 }
 
-// Guards against taking planned closings of groups for crashes: the streams of
-// two closed groups would be refused.
+// Guards against taking planned closings of groups for crashes, after which the
+// streams of two closed groups would be refused.
 TEST_F(QuarantineTest, ClosingOfALivingEndpointIsNoCrash) {
   crash("a", {7});
-  Known.endpointClosed("a", Now);
-  EXPECT_EQ(of(7), Standing::Clear);
+  Subject.endpointClosed("a", Now);
+  EXPECT_EQ(standingOf(7), Standing::Clear);
   Now += milliseconds(700);
-  Known.endpointClosed("b", Now);
+  Subject.endpointClosed("b", Now);
   crash("b", {7, 8});
-  EXPECT_EQ(of(7), Standing::Clear);
-  EXPECT_EQ(of(8), Standing::Clear);
-  const auto Notices = Known.takeNotices(Now);
+  EXPECT_EQ(standingOf(7), Standing::Clear);
+  EXPECT_EQ(standingOf(8), Standing::Clear);
+  const auto Notices = Subject.takeNotices(Now);
   Quarantine Other{QuarantineLimits{}};
-  for (const QuarantineNotice &Each : Notices)
-    Other.observe(Each, Now);
+  for (const QuarantineNotice &Notice : Notices)
+    Other.observe(Notice, Now);
   EXPECT_EQ(Other.standing(7, Now), Standing::Clear);
 }
 
-// Guards against forgiving an endpoint that crashes after others closed.
+// Guards against not counting the crash of an endpoint after others were
+// closed.
 TEST_F(QuarantineTest, CrashBesideAClosingStillCounts) {
-  Known.endpointClosed("a", Now);
+  Subject.endpointClosed("a", Now);
   crash("b", {7});
   Now += seconds(5);
   crash("c", {7});
-  EXPECT_EQ(of(7), Standing::Quarantined);
+  EXPECT_EQ(standingOf(7), Standing::Quarantined);
 }
 
-// The connections of one crash break one by one, some seconds apart.
+// Guards against counting one crash several times when its connections break
+// some seconds apart.
 TEST_F(QuarantineTest, LossesOfOneCrashCountOnce) {
   crash("a", {7});
   Now += seconds(1);
   crash("a", {8});
   crash("a", {7});
-  EXPECT_EQ(of(7), Standing::Suspect);
-  Known.endpointRestarted("a", DataCentreName("dc-0"), 1,
-                          std::vector<std::uint64_t>{7, 8, 30},
-                          Now + seconds(40));
+  EXPECT_EQ(standingOf(7), Standing::Suspect);
+  Subject.endpointRestarted("a", DataCentreName("dc-0"), 1,
+                            std::vector<std::uint64_t>{7, 8, 30},
+                            Now + seconds(40));
   Now += seconds(40);
-  EXPECT_EQ(of(7), Standing::Suspect);
-  EXPECT_EQ(of(30), Standing::Clear) << "it was sent to the new run";
+  EXPECT_EQ(standingOf(7), Standing::Suspect);
+  EXPECT_EQ(standingOf(30), Standing::Clear) << "it was sent to the new run";
 }
 
 TEST_F(QuarantineTest, NewRunOfTheSameEndpointIsAnotherCrash) {
   crash("a", {7}, 1);
   Now += seconds(1);
   crash("a", {7}, 2);
-  EXPECT_EQ(of(7), Standing::Quarantined);
+  EXPECT_EQ(standingOf(7), Standing::Quarantined);
 }
 
 TEST_F(QuarantineTest, NewRunAloneIsEvidence) {
-  Known.endpointRestarted("a", DataCentreName("dc-0"), 1,
-                          std::vector<std::uint64_t>{7}, Now);
-  EXPECT_EQ(of(7), Standing::Suspect);
+  Subject.endpointRestarted("a", DataCentreName("dc-0"), 1,
+                            std::vector<std::uint64_t>{7}, Now);
+  EXPECT_EQ(standingOf(7), Standing::Suspect);
 }
 
-// Two requests were in flight together at both crashes; one is innocent. Both
-// are refused, but only the one that crashes a third endpoint stays so.
+// Guards against refusing a harmless request for long because it was in flight
+// at both crashes beside the one that caused them. Both are refused for a short
+// time; only the one that is at a third crash remains refused.
 TEST_F(QuarantineTest, CompanionAtBothCrashesIsNotBlamedForGood) {
   crash("a", {7, 8});
   crash("b", {7, 8});
-  EXPECT_EQ(of(7), Standing::Quarantined);
-  EXPECT_EQ(of(8), Standing::Quarantined);
+  EXPECT_EQ(standingOf(7), Standing::Quarantined);
+  EXPECT_EQ(standingOf(8), Standing::Quarantined);
   Now += seconds(31);
-  EXPECT_EQ(of(8), Standing::Suspect);
-  Known.requestAnswered("c", 8, Now - seconds(1), Now);
-  EXPECT_EQ(of(8), Standing::Clear);
+  EXPECT_EQ(standingOf(8), Standing::Suspect);
+  Subject.requestAnswered("c", 8, Now - seconds(1), Now);
+  EXPECT_EQ(standingOf(8), Standing::Clear);
   crash("c", {7, 50});
-  EXPECT_EQ(of(7), Standing::Quarantined);
+  EXPECT_EQ(standingOf(7), Standing::Quarantined);
   Now += seconds(300);
-  EXPECT_EQ(of(7), Standing::Quarantined);
+  EXPECT_EQ(standingOf(7), Standing::Quarantined);
 }
 
-// The caller's resend reaches another entry host through the balancer and
-// crashes a third endpoint there: only the first host knew of the crashes.
+// Guards against a third crash when the caller's next attempt reaches another
+// entry host through the load balancer: each host knows only its own crashes
+// unless they exchange notices.
 TEST_F(QuarantineTest, OtherHostsRefuseItToo) {
   Quarantine Other{QuarantineLimits{}};
   crash("a", {7, 8});
-  for (const QuarantineNotice &Told : Known.takeNotices(Now))
-    Other.observe(Told, Now);
-  EXPECT_TRUE(Known.takeNotices(Now).empty());
+  for (const QuarantineNotice &Notice : Subject.takeNotices(Now))
+    Other.observe(Notice, Now);
+  EXPECT_TRUE(Subject.takeNotices(Now).empty());
   EXPECT_EQ(Other.standing(7, Now), Standing::Suspect);
   Other.endpointLost("b", DataCentreName("dc-1"), 1,
                      std::vector<std::uint64_t>{7}, Now);
-  for (const QuarantineNotice &Told : Other.takeNotices(Now + seconds(1)))
-    Known.observe(Told, Now + seconds(1));
+  for (const QuarantineNotice &Notice : Other.takeNotices(Now + seconds(1)))
+    Subject.observe(Notice, Now + seconds(1));
   EXPECT_EQ(Other.standing(7, Now), Standing::Quarantined);
-  EXPECT_EQ(Known.standing(7, Now + seconds(1)), Standing::Quarantined);
-  EXPECT_EQ(Known.standing(8, Now + seconds(1)), Standing::Suspect);
+  EXPECT_EQ(Subject.standing(7, Now + seconds(1)), Standing::Quarantined);
+  EXPECT_EQ(Subject.standing(8, Now + seconds(1)), Standing::Suspect);
 }
 
 TEST_F(QuarantineTest, SameCrashSeenByTwoHostsCountsOnce) {
@@ -131,47 +135,48 @@
   crash("a", {7});
   Other.endpointLost("a", DataCentreName("dc-0"), 1,
                      std::vector<std::uint64_t>{7, 8}, Now + milliseconds(300));
-  for (const QuarantineNotice &Told : Other.takeNotices(Now + seconds(2)))
-    Known.observe(Told, Now + seconds(2));
+  for (const QuarantineNotice &Notice : Other.takeNotices(Now + seconds(2)))
+    Subject.observe(Notice, Now + seconds(2));
   Now += seconds(2);
-  EXPECT_EQ(of(7), Standing::Suspect);
-  EXPECT_EQ(of(8), Standing::Suspect);
+  EXPECT_EQ(standingOf(7), Standing::Suspect);
+  EXPECT_EQ(standingOf(8), Standing::Suspect);
 }
 
-// A data centre goes dark with hundreds of requests in flight, and an hour
-// later another one: none of the requests did it.
+// Guards against suspecting the requests in flight at an outage of a data
+// centre.
 TEST_F(QuarantineTest, OutageOfADataCentreBlamesNobody) {
   crash("a", {1, 2});
   crash("b", {3, 4});
-  EXPECT_EQ(of(1), Standing::Suspect);
+  EXPECT_EQ(standingOf(1), Standing::Suspect);
   crash("c", {5, 6});
   crash("d", {1, 7});
-  for (const std::uint64_t Each : {1, 2, 3, 4, 5, 6, 7})
-    EXPECT_EQ(of(Each), Standing::Clear);
+  for (const std::uint64_t Fingerprint : {1, 2, 3, 4, 5, 6, 7})
+    EXPECT_EQ(standingOf(Fingerprint), Standing::Clear);
   crash("e", {9}, 1, "dc-1");
-  EXPECT_EQ(of(9), Standing::Suspect);
+  EXPECT_EQ(standingOf(9), Standing::Suspect);
 }
 
-// Three endpoints of a data centre die within a second, and then more: a caller
-// sent three copies of one request at once, and that many losses together were
-// taken for an outage.
+// Guards against taking several crashes by one request for an outage: a caller
+// sends three copies at once and crashes three endpoints of a data centre
+// within a second.
 TEST_F(QuarantineTest, CopiesOfOneRequestAreNotTakenForAnOutage) {
   crash("a", {7, 1});
   crash("b", {7, 2});
   crash("c", {3, 7});
-  EXPECT_EQ(of(7), Standing::Quarantined);
-  EXPECT_EQ(of(1), Standing::Suspect);
+  EXPECT_EQ(standingOf(7), Standing::Quarantined);
+  EXPECT_EQ(standingOf(1), Standing::Suspect);
 }
 
 TEST_F(QuarantineTest, EndpointThatGoesOnAnsweringHasNotCrashed) {
   crash("a", {7});
-  Known.requestAnswered("a", 8, Start - seconds(1), Now + milliseconds(100));
-  EXPECT_EQ(of(7), Standing::Suspect) << "may have been on its way";
-  Known.requestAnswered("a", 8, Start - seconds(1), Now + seconds(1));
-  EXPECT_EQ(of(7), Standing::Clear);
+  Subject.requestAnswered("a", 8, Start - seconds(1), Now + milliseconds(100));
+  EXPECT_EQ(standingOf(7), Standing::Suspect)
+      << "the answer may have been sent before the crash";
+  Subject.requestAnswered("a", 8, Start - seconds(1), Now + seconds(1));
+  EXPECT_EQ(standingOf(7), Standing::Clear);
   bool Dismissed = false;
-  for (const QuarantineNotice &Told : Known.takeNotices(Now))
-    Dismissed |= std::holds_alternative<DismissNotice>(Told);
+  for (const QuarantineNotice &Notice : Subject.takeNotices(Now))
+    Dismissed |= std::holds_alternative<DismissNotice>(Notice);
   EXPECT_TRUE(Dismissed);
 }
 
@@ -180,31 +185,31 @@
   Now += seconds(30);
   crash("b", {7});
   Now += seconds(300);
-  EXPECT_EQ(of(7), Standing::Quarantined);
+  EXPECT_EQ(standingOf(7), Standing::Quarantined);
   for (std::uint64_t Index = 0; Index < 20000; ++Index) {
     Now += milliseconds(1);
     crash("e" + std::to_string(Index % 700), {1000 + Index}, 1,
           "dc-" + std::to_string(Index));
   }
-  EXPECT_LE(Known.size(), 4096U);
-  EXPECT_LE(Known.takeNotices(Now).size(), 512U + 256U);
+  EXPECT_LE(Subject.size(), 4096U);
+  EXPECT_LE(Subject.takeNotices(Now).size(), 512U + 256U);
   Now += seconds(600);
-  EXPECT_EQ(of(7), Standing::Clear);
+  EXPECT_EQ(standingOf(7), Standing::Clear);
   crash("z", {5});
-  EXPECT_EQ(Known.size(), 1U);
+  EXPECT_EQ(Subject.size(), 1U);
 }
 
 TEST_F(QuarantineTest, BlamedOneOutlivesAFloodOfSuspects) {
   crash("a", {7});
   crash("b", {7});
   for (std::uint64_t Index = 0; Index < 300; ++Index) {
-    std::vector<std::uint64_t> Many;
-    for (std::uint64_t Each = 0; Each < 20; ++Each)
-      Many.push_back(1000 + Index * 20 + Each);
-    crash("e" + std::to_string(Index), Many, 1,
+    std::vector<std::uint64_t> Fingerprints;
+    for (std::uint64_t Fingerprint = 0; Fingerprint < 20; ++Fingerprint)
+      Fingerprints.push_back(1000 + Index * 20 + Fingerprint);
+    crash("e" + std::to_string(Index), Fingerprints, 1,
           "other-" + std::to_string(Index));
   }
-  EXPECT_EQ(of(7), Standing::Quarantined);
+  EXPECT_EQ(standingOf(7), Standing::Quarantined);
 }
 
 } // namespace
