--- a/packages/request/src/coltsfoottrail/silence/silencewatch.hpp
+++ b/packages/request/src/coltsfoottrail/silence/silencewatch.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Notices endpoints whose streams have all fallen silent.
+/// Detects endpoints whose streams have all stalled.
 #ifndef COLTSFOOTTRAIL_SILENCE_SILENCEWATCH_HPP
 #define COLTSFOOTTRAIL_SILENCE_SILENCEWATCH_HPP
 
@@ -12,51 +12,52 @@
 
 namespace coltsfoottrail {
 
-/// @brief Knows when each endpoint was last heard on any of its streams. Pure;
-/// not thread-safe; times must not go back.
+/// @brief Tracks when each endpoint last sent data on any of its streams. Does
+/// no I/O and reads no clock. Not thread-safe; times must not go back.
 ///
-/// Failure guarded against: a member of a group dies. The leader goes on taking
-/// requests, and nothing moves until it notices by itself, seconds later, or
-/// until the member's record lapses, after three heartbeats. All streams of the
-/// leader stop at the same moment, though, while a busy one sends an event
-/// every few tens of milliseconds. An endpoint that has streams under way and
-/// sends nothing for SilentAfter is taken for silent at once.
+/// Failure guarded against: a member of a group dies, its leader goes on
+/// accepting requests, and no stream makes progress until the leader notices by
+/// itself, seconds later, or the member's record expires, after three
+/// heartbeats. All streams of the leader stop at the same moment, whereas a
+/// busy leader sends an event every few tens of milliseconds. An endpoint that
+/// has streams in progress and sends nothing for StallTimeout therefore counts
+/// as stalled.
 class StallDetector {
 public:
-  /// An engine makes an event every 40 to 60 ms; 200 ms when it reads long
-  /// prompts in between. Twice that keeps alarms rare: a false one moves all
-  /// streams of a sound endpoint.
+  /// An engine sends an event every 40 to 60 ms, or every 200 ms when it
+  /// processes long prompts in between. Twice that keeps false alarms rare,
+  /// each of which moves all streams of a healthy endpoint.
   static constexpr Duration StallTimeout = milliseconds(400);
-  /// From here on its members may be asked whether they are alive, which costs
-  /// a question each and moves nothing.
+  /// After this the members of the endpoint may be asked whether they are
+  /// alive, which costs one message each and does not move streams.
   static constexpr Duration SuspectTimeout = milliseconds(200);
 
-  /// @brief A stream had its first event.
+  /// @brief Records the first event of a stream.
   void streamStarted(std::string_view Endpoint, TimePoint Now);
-  /// @brief Bytes came on a stream.
+  /// @brief Records that data arrived on a stream.
   void dataReceived(std::string_view Endpoint, TimePoint Now);
-  /// @brief A stream that began is over, however.
+  /// @brief Records the end, for any reason, of a stream that had started.
   void streamEnded(std::string_view Endpoint);
 
-  /// @brief Whether an endpoint has streams and none of them moves.
+  /// @brief Whether an endpoint has streams and none of them makes progress.
   [[nodiscard]] bool stalled(std::string_view Endpoint, TimePoint Now) const;
-  /// @brief Whether an endpoint has streams and at least one of them moves.
+  /// @brief Whether an endpoint has streams and at least one makes progress.
   [[nodiscard]] bool active(std::string_view Endpoint, TimePoint Now) const;
-  /// @brief All endpoints that have streams and sent nothing for a time.
-  [[nodiscard]] std::vector<std::string> idleFor(Duration Span,
+  /// @brief All endpoints that have streams and have sent nothing for a time.
+  [[nodiscard]] std::vector<std::string> idleFor(Duration Timeout,
                                                  TimePoint Now) const;
-  /// @brief All endpoints that are silent.
+  /// @brief All stalled endpoints.
   [[nodiscard]] std::vector<std::string> stalledEndpoints(TimePoint Now) const {
     return idleFor(StallTimeout, Now);
   }
 
 private:
-  struct Stream {
-    std::uint32_t UnderWay = 0;
-    TimePoint HeardAt;
+  struct EndpointStreams {
+    std::uint32_t Count = 0;
+    TimePoint LastDataAt;
   };
 
-  std::map<std::string, Stream, std::less<>> Streams;
+  std::map<std::string, EndpointStreams, std::less<>> Endpoints;
 };
 
 } // namespace coltsfoottrail
--- a/packages/request/test/coltsfoottrail/silence/silencewatch.cpp
+++ b/packages/request/test/coltsfoottrail/silence/silencewatch.cpp
@@ -9,53 +9,54 @@
 constexpr TimePoint Start{seconds(100)};
 
 TEST(StallDetector, EndpointThatSendsIsNotSilent) {
-  StallDetector Watch;
-  Watch.streamStarted("a", Start);
+  StallDetector Detector;
+  Detector.streamStarted("a", Start);
   for (int Step = 1; Step <= 20; ++Step) {
     const TimePoint Now = Start + milliseconds(50) * Step;
-    Watch.dataReceived("a", Now);
-    EXPECT_FALSE(Watch.stalled("a", Now));
+    Detector.dataReceived("a", Now);
+    EXPECT_FALSE(Detector.stalled("a", Now));
   }
-  EXPECT_TRUE(Watch.active("a", Start + seconds(1)));
+  EXPECT_TRUE(Detector.active("a", Start + seconds(1)));
 }
 
-// A group stands still, and its callers wait.
-// All streams of one leader stop at the same moment while those of another go
-// on; only the first is silent, from the limit on.
+// Guards against callers that wait for a group that has stopped: all streams of
+// one leader stop at the same moment while those of another continue. Only the
+// first counts as stalled, and only from the time-out on.
 TEST(StallDetector, LeaderWhoseStreamsAllStopIsSilent) {
-  StallDetector Watch;
-  Watch.streamStarted("stuck", Start);
-  Watch.streamStarted("stuck", Start);
-  Watch.streamStarted("sound", Start);
-  EXPECT_EQ(Watch
+  StallDetector Detector;
+  Detector.streamStarted("stuck", Start);
+  Detector.streamStarted("stuck", Start);
+  Detector.streamStarted("sound", Start);
+  EXPECT_EQ(Detector
                 .idleFor(StallDetector::SuspectTimeout,
                          Start + StallDetector::SuspectTimeout)
                 .size(),
             2U);
   const TimePoint Limit = Start + StallDetector::StallTimeout;
-  Watch.dataReceived("sound", Limit);
-  EXPECT_FALSE(Watch.stalled("stuck", Limit - milliseconds(1)));
-  EXPECT_EQ(Watch.stalledEndpoints(Limit), std::vector<std::string>{"stuck"});
+  Detector.dataReceived("sound", Limit);
+  EXPECT_FALSE(Detector.stalled("stuck", Limit - milliseconds(1)));
+  EXPECT_EQ(Detector.stalledEndpoints(Limit),
+            std::vector<std::string>{"stuck"});
 }
 
-// A sound engine is left because one of its streams is slow.
-// One stream of a leader stops while another moves.
+// Guards against moving all streams of a healthy engine because one of them is
+// slow: one stream of a leader stops while another makes progress.
 TEST(StallDetector, OneStreamThatMovesIsEnough) {
-  StallDetector Watch;
-  Watch.streamStarted("a", Start);
-  Watch.streamStarted("a", Start);
-  Watch.dataReceived("a", Start + milliseconds(300));
-  EXPECT_FALSE(Watch.stalled("a", Start + milliseconds(600)));
+  StallDetector Detector;
+  Detector.streamStarted("a", Start);
+  Detector.streamStarted("a", Start);
+  Detector.dataReceived("a", Start + milliseconds(300));
+  EXPECT_FALSE(Detector.stalled("a", Start + milliseconds(600)));
 }
 
-// An idle engine is taken for dead.
-// Its last stream has ended; nothing is expected of it.
+// Guards against taking an idle engine for stalled: its last stream has ended,
+// so that no data is expected.
 TEST(StallDetector, EndpointWithoutStreamsIsNotSilent) {
-  StallDetector Watch;
-  Watch.streamStarted("a", Start);
-  Watch.streamEnded("a");
-  EXPECT_FALSE(Watch.stalled("a", Start + seconds(10)));
-  EXPECT_TRUE(Watch.stalledEndpoints(Start + seconds(10)).empty());
+  StallDetector Detector;
+  Detector.streamStarted("a", Start);
+  Detector.streamEnded("a");
+  EXPECT_FALSE(Detector.stalled("a", Start + seconds(10)));
+  EXPECT_TRUE(Detector.stalledEndpoints(Start + seconds(10)).empty());
 }
 
 } // namespace
