--- a/packages/request/src/coltsfoottrail/loadshare/board.cpp
+++ b/packages/request/src/coltsfoottrail/loadshare/board.cpp
@@ -6,87 +6,89 @@
 namespace coltsfoottrail {
 
 void LoadAggregator::add(std::span<const EndpointLoad> Loads) {
-  for (const EndpointLoad &Each : Loads)
-    Sums[Each.Endpoint] += Each.Load;
+  for (const EndpointLoad &Item : Loads)
+    Sums[Item.Endpoint] += Item.Load;
 }
 
 void LoadAggregator::subtract(std::span<const EndpointLoad> Loads) {
-  for (const EndpointLoad &Each : Loads) {
-    const auto Found = Sums.find(Each.Endpoint);
-    if (Found == Sums.end())
+  for (const EndpointLoad &Item : Loads) {
+    const auto Position = Sums.find(Item.Endpoint);
+    if (Position == Sums.end())
       continue;
-    Found->second -= Each.Load;
-    if (Found->second == RequestLoad{})
-      Sums.erase(Found);
+    Position->second -= Item.Load;
+    if (Position->second == RequestLoad{})
+      Sums.erase(Position);
   }
 }
 
 void LoadAggregator::report(const HostName &Host,
                             std::vector<EndpointLoad> Loads, TimePoint Now,
                             std::size_t HostCount) {
-  Entry &Its = Entries[Host];
-  subtract(Its.Loads);
+  Entry &Report = Entries[Host];
+  subtract(Report.Loads);
   add(Loads);
-  Its = Entry{std::move(Loads), HostCount, Now};
+  Report = Entry{std::move(Loads), HostCount, Now};
 }
 
 void LoadAggregator::forget(const HostName &Host) {
-  const auto Found = Entries.find(Host);
-  if (Found == Entries.end())
+  const auto Position = Entries.find(Host);
+  if (Position == Entries.end())
     return;
-  subtract(Found->second.Loads);
-  Entries.erase(Found);
+  subtract(Position->second.Loads);
+  Entries.erase(Position);
 }
 
-std::vector<EndpointLoad> LoadAggregator::sumWithout(const HostName *Left,
-                                                     TimePoint Now) const {
+std::vector<EndpointLoad>
+LoadAggregator::sumExcept(const HostName *ExcludedHost, TimePoint Now) const {
   std::map<std::uint64_t, RequestLoad> Excluded;
-  for (const auto &[Host, Its] : Entries) {
-    if (isCurrent(Its, Now) && (Left == nullptr || Host != *Left))
+  for (const auto &[Host, Report] : Entries) {
+    if (isCurrent(Report, Now) &&
+        (ExcludedHost == nullptr || Host != *ExcludedHost))
       continue;
-    for (const EndpointLoad &Each : Its.Loads)
-      Excluded[Each.Endpoint] += Each.Load;
+    for (const EndpointLoad &Item : Report.Loads)
+      Excluded[Item.Endpoint] += Item.Load;
   }
-  std::vector<EndpointLoad> Out;
-  Out.reserve(Sums.size());
+  std::vector<EndpointLoad> Result;
+  Result.reserve(Sums.size());
   for (const auto &[Endpoint, Load] : Sums) {
-    EndpointLoad Rest{Endpoint, Load};
-    if (const auto Found = Excluded.find(Endpoint); Found != Excluded.end())
-      Rest.Load -= Found->second;
-    if (Rest.Load != RequestLoad{})
-      Out.push_back(Rest);
+    EndpointLoad Remaining{Endpoint, Load};
+    if (const auto Position = Excluded.find(Endpoint);
+        Position != Excluded.end())
+      Remaining.Load -= Position->second;
+    if (Remaining.Load != RequestLoad{})
+      Result.push_back(Remaining);
   }
-  return Out;
+  return Result;
 }
 
 std::vector<EndpointLoad> LoadAggregator::total(TimePoint Now) const {
-  return sumWithout(nullptr, Now);
+  return sumExcept(nullptr, Now);
 }
 
-std::vector<EndpointLoad> LoadAggregator::others(const HostName &Asking,
+std::vector<EndpointLoad> LoadAggregator::others(const HostName &ExcludedHost,
                                                  TimePoint Now) const {
-  return sumWithout(&Asking, Now);
+  return sumExcept(&ExcludedHost, Now);
 }
 
 std::size_t LoadAggregator::hosts(TimePoint Now) const {
   std::size_t Count = 0;
-  for (const auto &[Host, Its] : Entries)
-    Count += isCurrent(Its, Now) ? Its.HostCount : 0;
+  for (const auto &[Host, Report] : Entries)
+    Count += isCurrent(Report, Now) ? Report.HostCount : 0;
   return Count;
 }
 
 std::size_t LoadAggregator::reporters(TimePoint Now) const {
   return static_cast<std::size_t>(
-      std::count_if(Entries.begin(), Entries.end(), [&](const auto &Each) {
-        return isCurrent(Each.second, Now);
+      std::count_if(Entries.begin(), Entries.end(), [&](const auto &HostEntry) {
+        return isCurrent(HostEntry.second, Now);
       }));
 }
 
 void LoadAggregator::advance(TimePoint Now) {
-  std::erase_if(Entries, [&](const auto &Each) {
-    if (isCurrent(Each.second, Now))
+  std::erase_if(Entries, [&](const auto &HostEntry) {
+    if (isCurrent(HostEntry.second, Now))
       return false;
-    subtract(Each.second.Loads);
+    subtract(HostEntry.second.Loads);
     return true;
   });
 }
--- a/packages/request/src/coltsfoottrail/loadshare/board.hpp
+++ b/packages/request/src/coltsfoottrail/loadshare/board.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Sums of the requests that entry hosts have at the endpoints.
+/// Aggregates the requests that entry hosts have at the endpoints.
 #ifndef COLTSFOOTTRAIL_LOADSHARE_BOARD_HPP
 #define COLTSFOOTTRAIL_LOADSHARE_BOARD_HPP
 
@@ -13,56 +13,57 @@
 
 namespace coltsfoottrail {
 
-/// @brief Sums of the loads that hosts report, kept up to date with each
-/// report. Pure; not thread-safe; times must not go back.
+/// @brief Sums of the loads that hosts report, updated with each report. Does
+/// no I/O and reads no clock. Not thread-safe; times must not go back.
 ///
-/// A reporter may stand for several hosts: then its loads are the sums of
-/// theirs. Reading a sum costs time in proportion to the endpoints, whatever
-/// the number of reporters.
+/// A reporter may represent several hosts; its loads are then the sums of
+/// theirs. Reading a sum takes time in proportion to the number of endpoints,
+/// independent of the number of reporters.
 class LoadAggregator {
 public:
-  /// A reporter that has been silent for so long is not counted: it is gone or
-  /// frozen, and its requests end. Several times the pace of the reports.
+  /// A reporter that has not reported for this long is no longer counted: it is
+  /// gone or frozen, and its requests end. Several times the report interval.
   static constexpr Duration ReportLife = milliseconds(1'000);
 
   /// @brief Replaces a reporter's loads.
   /// @param Host Identifies one run of a host.
   /// @param Loads Requests at endpoints.
-  /// @param HostCount Hosts that the loads stand for.
+  /// @param HostCount Number of hosts that the loads represent.
   void report(const HostName &Host, std::vector<EndpointLoad> Loads,
               TimePoint Now, std::size_t HostCount = 1);
 
-  /// @brief Removes a reporter, which reports elsewhere from now on.
+  /// @brief Removes a reporter that reports to another aggregator from now on.
   void forget(const HostName &Host);
 
   /// @brief Sums over all reporters.
   [[nodiscard]] std::vector<EndpointLoad> total(TimePoint Now) const;
   /// @brief Sums over all reporters but one.
-  [[nodiscard]] std::vector<EndpointLoad> others(const HostName &Asking,
+  [[nodiscard]] std::vector<EndpointLoad> others(const HostName &ExcludedHost,
                                                  TimePoint Now) const;
 
-  /// @brief Hosts that the current reports stand for.
+  /// @brief Number of hosts that the current reports represent.
   [[nodiscard]] std::size_t hosts(TimePoint Now) const;
-  /// @brief Current reporters.
+  /// @brief Number of current reporters.
   [[nodiscard]] std::size_t reporters(TimePoint Now) const;
 
-  /// @brief Removes reporters that have been silent for too long.
+  /// @brief Removes reporters whose last report is older than ReportLife.
   void advance(TimePoint Now);
 
 private:
   struct Entry {
     std::vector<EndpointLoad> Loads;
     std::size_t HostCount = 1;
-    TimePoint At;
+    TimePoint ReportedAt;
   };
 
-  [[nodiscard]] static bool isCurrent(const Entry &Of, TimePoint Now) noexcept {
-    return Now - Of.At < ReportLife;
+  [[nodiscard]] static bool isCurrent(const Entry &Report,
+                                      TimePoint Now) noexcept {
+    return Now - Report.ReportedAt < ReportLife;
   }
   void add(std::span<const EndpointLoad> Loads);
   void subtract(std::span<const EndpointLoad> Loads);
-  [[nodiscard]] std::vector<EndpointLoad> sumWithout(const HostName *Left,
-                                                     TimePoint Now) const;
+  [[nodiscard]] std::vector<EndpointLoad>
+  sumExcept(const HostName *ExcludedHost, TimePoint Now) const;
 
   std::map<HostName, Entry> Entries;
   std::map<std::uint64_t, RequestLoad> Sums;
--- a/packages/request/src/coltsfoottrail/loadshare/loads.hpp
+++ b/packages/request/src/coltsfoottrail/loadshare/loads.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Requests at endpoints, as entry hosts tell each other.
+/// Requests at endpoints, as exchanged between entry hosts.
 #ifndef COLTSFOOTTRAIL_LOADSHARE_LOADS_HPP
 #define COLTSFOOTTRAIL_LOADSHARE_LOADS_HPP
 
@@ -7,15 +7,15 @@
 
 namespace coltsfoottrail {
 
-/// @brief Requests at one endpoint, by how far they are.
+/// @brief Requests at one endpoint, by their progress.
 struct RequestLoad {
-  /// Their answers have begun.
+  /// Requests whose responses have started.
   std::uint32_t Running = 0;
-  /// They wait there and can still be on time.
+  /// Requests that wait there and can still meet their target latency.
   std::uint32_t Fresh = 0;
-  /// They wait there behind the fresh ones.
+  /// Requests that wait there behind the fresh ones.
   std::uint32_t Late = 0;
-  /// Prompt tokens of those that wait.
+  /// Prompt tokens of the waiting requests.
   std::uint32_t UnreadTokens = 0;
 
   [[nodiscard]] std::uint32_t total() const noexcept {
@@ -40,9 +40,9 @@
                                        const RequestLoad &) = default;
 };
 
-/// @brief Requests at a named endpoint.
+/// @brief Load of one endpoint.
 struct EndpointLoad {
-  /// Hash of the endpoint's key: names its life and its seat too.
+  /// Hash of the endpoint's key, which also identifies its run and its seat.
   std::uint64_t Endpoint = 0;
   RequestLoad Load;
 };
