--- a/bench/choice.cpp
+++ b/bench/choice.cpp
@@ -82,8 +82,8 @@
   const double Served = std::max<double>(1.0, static_cast<double>(Got.Served));
   const double Asked =
       std::max<double>(1.0, static_cast<double>(Got.Sends - Got.Resends));
-  return Json{{"asked", Got.All.Asked},
-              {"inTime", Got.All.part()},
+  return Json{{"asked", Got.All.Submitted},
+              {"inTime", Got.All.fraction()},
               {"p50Seconds", Got.quantile(0.5)},
               {"p99Seconds", Got.quantile(0.99)},
               {"cacheHits", static_cast<double>(Got.CacheHits) / Served},
@@ -134,16 +134,16 @@
     const SimulationResult Got = Simulation(Options).run();
     SimulationResult::Share Others;
     for (std::size_t Team = 1; Team < Got.Teams.size(); ++Team) {
-      Others.Asked += Got.Teams[Team].Asked;
+      Others.Submitted += Got.Teams[Team].Submitted;
       Others.InTime += Got.Teams[Team].InTime;
     }
     Out[Name] = Json{{"othersP50", Got.quantile(0.5, 1)},
                      {"othersP99", Got.quantile(0.99, 1)},
-                     {"othersInTime", Others.part()},
-                     {"itsInTime", Got.Teams[0].part()}};
+                     {"othersInTime", Others.fraction()},
+                     {"itsInTime", Got.Teams[0].fraction()}};
     std::printf("%-22s %10.3f %10.3f %14.4f %12.4f\n", Name,
-                Got.quantile(0.5, 1), Got.quantile(0.99, 1), Others.part(),
-                Got.Teams[0].part());
+                Got.quantile(0.5, 1), Got.quantile(0.99, 1), Others.fraction(),
+                Got.Teams[0].fraction());
   };
   Run("without it", 0.0);
   Run("at its usual rate", Common.TeamRates[0]);
@@ -175,7 +175,7 @@
       SimulationOptions Options;
       Options.TeamRates = evenTeams(0.5 * Options.capacity(), 10);
       Options.Length = seconds(40);
-      Options.FailPart = Part;
+      Options.FailFraction = Part;
       if (!Budgeted)
         Options.Dispatch.Retries = unlimitedRetries();
       const Json Row = summary(Simulation(Options).run());
@@ -221,13 +221,13 @@
     Got.push_back(Simulation(Each.Options).run());
     Json Row = summary(Got.back());
     for (const SimulationResult::Share &Second : Got.back().Seconds)
-      Row["seconds"].push_back(Second.part());
+      Row["seconds"].push_back(Second.fraction());
     Out[Each.Name] = Row;
   }
   for (std::size_t Second = 18; Second < 70; ++Second) {
     std::printf("%-6zu", Second);
     for (const SimulationResult &Each : Got)
-      std::printf(" %16.4f", Each.Seconds[Second].part());
+      std::printf(" %16.4f", Each.Seconds[Second].fraction());
     std::printf("\n");
   }
   for (std::size_t Index = 0; Index < Variants.size(); ++Index) {
--- a/packages/request/test/coltsfoottrail/choice/comparison.cpp
+++ b/packages/request/test/coltsfoottrail/choice/comparison.cpp
@@ -22,7 +22,7 @@
        {ChoicePolicy{RandomPolicy{}}, ChoicePolicy{RoundRobinPolicy{}},
         ChoicePolicy{LeastInFlightPolicy{}}}) {
     const SimulationResult Other = run(Simple);
-    EXPECT_GE(Own.All.part(), Other.All.part());
+    EXPECT_GE(Own.All.fraction(), Other.All.fraction());
     EXPECT_LE(Own.quantile(0.5), 0.75 * Other.quantile(0.5));
     EXPECT_LE(Own.quantile(0.99), 0.75 * Other.quantile(0.99));
     EXPECT_GE(Own.CacheHits, 3 * Other.CacheHits);
--- a/packages/request/test/coltsfoottrail/dispatch/simulation.hpp
+++ b/packages/request/test/coltsfoottrail/dispatch/simulation.hpp
@@ -47,14 +47,14 @@
   double CacheLoss = 0.05;
   /// Limit of each team's requests in progress at one host.
   std::uint32_t MaxInFlight = 1024;
-  double RepeatablePart = 0.9;
+  double RepeatableFraction = 0.9;
   Duration Patience = seconds(8);
   Duration Length = seconds(60);
   /// Requests before this are not counted.
   Duration CountFrom = seconds(10);
   std::optional<SimulatedOutage> Outage;
   /// Fraction of the attempts that an engine fails before it runs them.
-  double FailPart = 0.0;
+  double FailFraction = 0.0;
   DispatcherOptions Dispatch;
   std::uint64_t Seed = 1;
 
@@ -67,12 +67,12 @@
 /// @brief Outcomes of the simulated requests.
 struct SimulationResult {
   struct Share {
-    std::uint64_t Asked = 0;
+    std::uint64_t Submitted = 0;
     std::uint64_t InTime = 0;
-    [[nodiscard]] double part() const {
-      return Asked == 0
+    [[nodiscard]] double fraction() const {
+      return Submitted == 0
                  ? 1.0
-                 : static_cast<double>(InTime) / static_cast<double>(Asked);
+                 : static_cast<double>(InTime) / static_cast<double>(Submitted);
     }
   };
   Share All;
@@ -332,14 +332,14 @@
     Request.Work = Options.MeanSeconds * (0.3 + 0.7 * exponential());
     Request.Item.Team = teamName(Team);
     Request.Item.Deadline = Now + Options.Patience;
-    Request.Item.Repeatable = Rng.fraction() < Options.RepeatablePart;
+    Request.Item.Repeatable = Rng.fraction() < Options.RepeatableFraction;
     Request.Item.PrefixHash = prefixOf(Team);
     Request.Item.Fingerprint = Number + 1;
     Request.Item.Bytes = 2000;
     if (SimulationResult::Share *const Second = second(Request)) {
-      ++Second->Asked;
-      ++Result.All.Asked;
-      ++Result.Teams[Team].Asked;
+      ++Second->Submitted;
+      ++Result.All.Submitted;
+      ++Result.Teams[Team].Submitted;
     }
     const std::size_t Index = Request.Host;
     dispatch(Index, [&](Dispatcher &Scheduler, Commands &Output) {
@@ -396,7 +396,7 @@
       const std::uint64_t AttemptId = Target.Queue.front();
       Target.Queue.pop_front();
       Target.Running.insert(AttemptId);
-      if (Options.FailPart > 0.0 && Rng.fraction() < Options.FailPart) {
+      if (Options.FailFraction > 0.0 && Rng.fraction() < Options.FailFraction) {
         at(Now + FailureTime, [this, AttemptId] {
           end(AttemptId,
               failure(RunState::NotRun, Reason::EndpointFailed, false));
--- a/packages/request/test/coltsfoottrail/queues/fairness.cpp
+++ b/packages/request/test/coltsfoottrail/queues/fairness.cpp
@@ -22,8 +22,8 @@
   const SimulationResult Flooded = withFirstTeamAt(10.0);
   EXPECT_LE(Flooded.quantile(0.99, 1), 1.5 * Alone.quantile(0.99, 1));
   for (std::size_t Team = 1; Team < Flooded.Teams.size(); ++Team)
-    EXPECT_GE(Flooded.Teams[Team].part(), 0.995) << "team " << Team;
-  EXPECT_GE(Flooded.Teams[0].part(), 0.3)
+    EXPECT_GE(Flooded.Teams[Team].fraction(), 0.995) << "team " << Team;
+  EXPECT_GE(Flooded.Teams[0].fraction(), 0.3)
       << "it gets the slots that the others leave";
 }
 
--- a/packages/request/test/coltsfoottrail/retries/outage.cpp
+++ b/packages/request/test/coltsfoottrail/retries/outage.cpp
@@ -20,12 +20,12 @@
   const SimulationResult Result = loseDataCentre();
   const double FirstSends = static_cast<double>(Result.Sends - Result.Resends);
   EXPECT_LE(static_cast<double>(Result.Sends), 1.2 * FirstSends);
-  EXPECT_GE(Result.All.part(), 0.998);
+  EXPECT_GE(Result.All.fraction(), 0.998);
   EXPECT_EQ(Result.RefusedNotRun, 0U);
   EXPECT_EQ(Result.ColdCrashes, 0U);
   EXPECT_LE(Result.ColdPeak, 1.0);
   for (std::size_t Second = 22; Second < 58; ++Second)
-    EXPECT_GE(Result.Seconds[Second].part(), 0.99) << "second " << Second;
+    EXPECT_GE(Result.Seconds[Second].fraction(), 0.99) << "second " << Second;
 }
 
 } // namespace
