--- a/packages/request/src/coltsfoottrail/loadshare/loads.hpp
+++ b/packages/request/src/coltsfoottrail/loadshare/loads.hpp
@@ -42,7 +42,7 @@
 
 /// @brief Load of one endpoint.
 struct EndpointLoad {
-  /// Hash of the endpoint's key, which also identifies its run and its seat.
+  /// Hash of the endpoint's key, which differs by run and group membership.
   std::uint64_t Endpoint = 0;
   RequestLoad Load;
 };
