--- a/bench/admission.cpp
+++ b/bench/admission.cpp
@@ -1,7 +1,7 @@
 // Cost of the shares: nanoseconds for each event, and messages and bytes a
 // second of one entry host at the sizes of today and of 1,000 hosts.
 
-#include "coltsfoottrail/admission/keeper.hpp"
+#include "coltsfoottrail/admission/manager.hpp"
 #include "coltsfoottrail/core/random.hpp"
 #include "coltsfoottrail/json/cbor.hpp"
 
--- a/packages/process/src/coltsfoottrail/fleethost/relay.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/relay.hpp
@@ -3,7 +3,7 @@
 #ifndef COLTSFOOTTRAIL_FLEETHOST_RELAY_HPP
 #define COLTSFOOTTRAIL_FLEETHOST_RELAY_HPP
 
-#include "coltsfoottrail/admission/coldgate.hpp"
+#include "coltsfoottrail/admission/coldratelimiter.hpp"
 #include "coltsfoottrail/boundary/wire.hpp"
 #include "coltsfoottrail/core/random.hpp"
 #include "coltsfoottrail/dispatch/terms.hpp"
--- a/packages/process/src/coltsfoottrail/server/memberdesk.cpp
+++ b/packages/process/src/coltsfoottrail/server/memberdesk.cpp
@@ -1,6 +1,6 @@
 #include "coltsfoottrail/server/memberdesk.hpp"
 
-#include "coltsfoottrail/admission/keeper.hpp"
+#include "coltsfoottrail/admission/manager.hpp"
 #include "coltsfoottrail/json/reader.hpp"
 #include "coltsfoottrail/logging/log.hpp"
 #include "coltsfoottrail/membership/membership.hpp"
--- a/packages/request/src/coltsfoottrail/admission/coldgate.cpp
+++ b/packages/request/src/coltsfoottrail/admission/coldratelimiter.cpp
@@ -1,4 +1,4 @@
-#include "coltsfoottrail/admission/coldgate.hpp"
+#include "coltsfoottrail/admission/coldratelimiter.hpp"
 
 namespace coltsfoottrail {
 
--- a/packages/request/src/coltsfoottrail/admission/coldgate.hpp
+++ b/packages/request/src/coltsfoottrail/admission/coldratelimiter.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Paces one entry host's requests to cold endpoints.
-#ifndef COLTSFOOTTRAIL_ADMISSION_COLDGATE_HPP
-#define COLTSFOOTTRAIL_ADMISSION_COLDGATE_HPP
+#ifndef COLTSFOOTTRAIL_ADMISSION_COLDRATELIMITER_HPP
+#define COLTSFOOTTRAIL_ADMISSION_COLDRATELIMITER_HPP
 
 #include "coltsfoottrail/core/random.hpp"
 #include "coltsfoottrail/core/time.hpp"
--- a/packages/request/src/coltsfoottrail/admission/keeper.hpp
+++ b/packages/request/src/coltsfoottrail/admission/manager.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Keeps the requests of all entry hosts at an endpoint below what it bears.
-#ifndef COLTSFOOTTRAIL_ADMISSION_KEEPER_HPP
-#define COLTSFOOTTRAIL_ADMISSION_KEEPER_HPP
+#ifndef COLTSFOOTTRAIL_ADMISSION_MANAGER_HPP
+#define COLTSFOOTTRAIL_ADMISSION_MANAGER_HPP
 
 #include "coltsfoottrail/admission/credits.hpp"
 #include "coltsfoottrail/admission/ramp.hpp"
--- a/packages/request/test/coltsfoottrail/admission/cluster.hpp
+++ b/packages/request/test/coltsfoottrail/admission/cluster.hpp
@@ -4,7 +4,7 @@
 #ifndef COLTSFOOTTRAIL_TEST_ADMISSION_CLUSTER_HPP
 #define COLTSFOOTTRAIL_TEST_ADMISSION_CLUSTER_HPP
 
-#include "coltsfoottrail/admission/keeper.hpp"
+#include "coltsfoottrail/admission/manager.hpp"
 #include "coltsfoottrail/core/random.hpp"
 #include "coltsfoottrail/json/cbor.hpp"
 
--- a/packages/request/test/coltsfoottrail/admission/coldgate.cpp
+++ b/packages/request/test/coltsfoottrail/admission/coldratelimiter.cpp
@@ -1,4 +1,4 @@
-#include "coltsfoottrail/admission/coldgate.hpp"
+#include "coltsfoottrail/admission/coldratelimiter.hpp"
 
 #include <gtest/gtest.h>
 #include <vector>
--- a/packages/request/test/coltsfoottrail/admission/keeper.cpp
+++ b/packages/request/test/coltsfoottrail/admission/manager.cpp
@@ -1,4 +1,4 @@
-#include "coltsfoottrail/admission/keeper.hpp"
+#include "coltsfoottrail/admission/manager.hpp"
 
 #include "cluster.hpp"
 
