--- a/bench/admission.cpp
+++ b/bench/admission.cpp
@@ -62,21 +62,21 @@
     Times.Self = Joined.front().Host;
     Times.Run = Joined.front().Run;
     Options = Times;
-    Keeper = std::make_unique<ShareKeeper>(Times);
+    Keeper = std::make_unique<ShareManager>(Times);
     ShareCommands Out;
-    Keeper->fresh(Now);
+    Keeper->confirmMembership(Now);
     const auto Start = SteadyClock::now();
-    Keeper->members(500, Joined, Now, Out);
+    Keeper->setMembers(500, Joined, Now, Out);
     Keeper->configure(Table, Now, Out);
     SetUpMs = nanosSince(Start, 1) / 1e6;
     const auto Again = SteadyClock::now();
-    Keeper->members(501, Joined, Now, Out);
+    Keeper->setMembers(501, Joined, Now, Out);
     MembersMs = nanosSince(Again, 1) / 1e6;
     ++Table.Version;
     const auto Third = SteadyClock::now();
     Keeper->configure(Table, Now, Out);
     TableMs = nanosSince(Third, 1) / 1e6;
-    Now += 3 * Options.FreshFor + Options.CreditLife;
+    Now += 3 * Options.MembershipProofLife + Options.CreditLife;
     run(std::chrono::seconds(2));
     Bytes = 0;
     Messages = 0;
@@ -106,9 +106,9 @@
   void step() {
     const auto Start = SteadyClock::now();
     ShareCommands Out;
-    Keeper->fresh(Now);
+    Keeper->confirmMembership(Now);
     for (const auto &[Name, Of] : Table.Pools)
-      Keeper->demand(Name, 0, Now, Out);
+      Keeper->setPoolDemand(Name, 0, Now, Out);
     Keeper->advance(Now, Out);
     Nanos += nanosSince(Start, 1);
     while (!Out.empty()) {
@@ -120,15 +120,15 @@
     }
   }
   void answer(const ShareSend &Sent, ShareCommands &Out) {
-    count(Sent.What);
-    const auto *const Ask = std::get_if<CreditAsk>(&Sent.What);
+    count(Sent.Message);
+    const auto *const Ask = std::get_if<CreditRequest>(&Sent.Message);
     if (Ask == nullptr)
       return;
     CreditGrant Grant;
     Grant.Run = Ask->Run;
-    Grant.AskNumber = Ask->Number;
-    for (const CreditWant &Want : Ask->Wants) {
-      const GrantNumber Number{501, 1'000 + Ask->Wants.size()};
+    Grant.RequestNumber = Ask->Number;
+    for (const CreditDemand &Want : Ask->Demands) {
+      const GrantNumber Number{501, 1'000 + Ask->Demands.size()};
       Grant.Shares.push_back(
           CreditShare{Want.Endpoint, Number, 2, 32, false, 0x9E3779B97F4A7C15});
     }
@@ -147,7 +147,7 @@
   RouteTable Table;
   std::vector<ShareMember> Joined;
   ShareOptions Options;
-  std::unique_ptr<ShareKeeper> Keeper;
+  std::unique_ptr<ShareManager> Keeper;
   TimePoint Now{seconds(1000)};
 };
 
@@ -159,9 +159,9 @@
   const auto Seconds = static_cast<double>(Span.count());
   std::printf("%-22s %6zu %9zu %6zu %8lld %8lld %8.1f %9.0f %7.2f%% %8.1f "
               "%9.1f %8.1f %8.1f\n",
-              Name, Hosts, Pools * EndpointsOfPool, Times.PartEndpoints,
+              Name, Hosts, Pools * EndpointsOfPool, Times.MinSubsetEndpoints,
               static_cast<long long>(Times.CreditLife.count()),
-              static_cast<long long>(Times.AskEvery.count()),
+              static_cast<long long>(Times.RenewalInterval.count()),
               static_cast<double>(Host.Messages) / Seconds,
               static_cast<double>(Host.Bytes) / Seconds,
               100 * Host.Nanos / (Seconds * 1e9), Host.MemoryMb, Host.SetUpMs,
@@ -176,16 +176,16 @@
   ShareOptions Options;
   Options.Self = Joined.front().Host;
   Options.Run = Joined.front().Run;
-  Options.EndpointsReport = false;
-  ShareKeeper Keeper(Options);
+  Options.EndpointsReportLoad = false;
+  ShareManager Keeper(Options);
   TimePoint Now{seconds(1000)};
   ShareCommands Out;
-  Keeper.members(500, Joined, Now, Out);
+  Keeper.setMembers(500, Joined, Now, Out);
   Keeper.configure(Table, Now, Out);
   for (int Step = 0; Step < 1000; ++Step) {
     Now += milliseconds(10);
-    Keeper.fresh(Now);
-    Keeper.demand("model/m0", 0, Now, Out);
+    Keeper.confirmMembership(Now);
+    Keeper.setPoolDemand("model/m0", 0, Now, Out);
     Keeper.advance(Now, Out);
   }
   std::vector<std::string> Keys;
@@ -198,10 +198,10 @@
   for (std::size_t Round = 0; Round < Rounds; ++Round) {
     const std::string &Key = Keys[Draw.below(Keys.size())];
     Out.clear();
-    if (!Keeper.start(Key, Now))
+    if (!Keeper.tryStart(Key, Now))
       continue;
     ++Started;
-    Keeper.finished(Key, true, milliseconds(10), Now, Out);
+    Keeper.finish(Key, true, milliseconds(10), Now, Out);
   }
   std::printf("%9zu endpoints: %7.0f ns for start() and finished() (%zu of %zu "
               "started)\n",
@@ -221,7 +221,7 @@
   const auto Start = SteadyClock::now();
   for (std::size_t Round = 0; Round < Rounds; ++Round) {
     const std::size_t Index = Draw.below(Holders);
-    CreditWant Want;
+    CreditDemand Want;
     Want.Wanted = static_cast<std::uint32_t>(Draw.below(6));
     Want.Adopted = Adopted[Index];
     Adopted[Index] =
@@ -253,9 +253,9 @@
   traffic("1,000 hosts, 50 pools", 1000, 50, 200, Today);
   ShareOptions Slower;
   Slower.CreditLife = milliseconds(6000);
-  Slower.AskEvery = milliseconds(2000);
+  Slower.RenewalInterval = milliseconds(2000);
   traffic("1,000 hosts, slower", 1000, 50, 200, Slower);
-  Slower.PartEndpoints = 4;
+  Slower.MinSubsetEndpoints = 4;
   traffic("1,000 hosts, few", 1000, 50, 200, Slower);
   return 0;
 }
--- a/packages/process/src/coltsfoottrail/fleethost/attempt.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/attempt.cpp
@@ -192,7 +192,7 @@
 
 bool FleetRelay::mayWarm(const KnownEndpoint &Known, TimePoint Now) {
   const std::optional<double> Rate = coldRate(View.config(), Known);
-  return !Rate || Gate.open(Known.Record.Name.Text, *Rate, Now);
+  return !Rate || Gate.canAdmit(Known.Record.Name.Text, *Rate, Now);
 }
 
 bool FleetRelay::bears(const Work &Asked, const EndpointSpec &To,
--- a/packages/process/src/coltsfoottrail/fleethost/relay.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/relay.hpp
@@ -66,8 +66,9 @@
   /// @brief Sets how many entry hosts share what cold endpoints bear and the
   /// connections that endpoints take; zero for not known.
   void shareAmong(std::size_t Hosts) noexcept {
-    Gate.share(Hosts);
-    EntryHosts = Hosts > 0 ? Hosts : std::size_t(ColdGate::UnknownHosts);
+    Gate.setHostCount(Hosts);
+    EntryHosts =
+        Hosts > 0 ? Hosts : std::size_t(ColdRateLimiter::DefaultHostCount);
   }
   /// @brief Whether a cold endpoint may get a request of this host now.
   [[nodiscard]] bool mayWarm(const KnownEndpoint &Known, TimePoint Now);
@@ -179,7 +180,7 @@
   const CallerWire &Wire;
   SilenceWatch &Silence;
   Random Draw;
-  ColdGate Gate;
+  ColdRateLimiter Gate;
   FleetRelayCounts Counts;
   RelayMetrics Measured;
   /// Shared with the coroutines, which may end after this object.
@@ -187,7 +188,7 @@
       std::make_shared<TrailBudget>(TrailLimits{});
   /// Shared with the coroutines, which may end after this object.
   std::map<std::string, std::shared_ptr<PoolMix>> Mixes;
-  std::size_t EntryHosts = std::size_t(ColdGate::UnknownHosts);
+  std::size_t EntryHosts = std::size_t(ColdRateLimiter::DefaultHostCount);
   std::function<void(const EndpointName &, const std::string &)> ReportUnusable;
   bool Stopping = false;
 };
--- a/packages/process/src/coltsfoottrail/server/memberdesk.cpp
+++ b/packages/process/src/coltsfoottrail/server/memberdesk.cpp
@@ -25,7 +25,7 @@
 
 ShareOptions shareOptions(const EntryHostJoined &Self, milliseconds MaxWork) {
   ShareOptions Out;
-  Out.MaxWork = MaxWork;
+  Out.MaxRequestDuration = MaxWork;
   Out.Self = Self.Host;
   Out.Run = Self.Run;
   return Out;
@@ -61,7 +61,7 @@
   MemberHooks Hooks;
   Membership Members;
   StateProof Proof;
-  ShareKeeper Shares;
+  ShareManager Shares;
   Offset MembersChange = 0;
   /// Guards the shares, which callers' threads ask at the act of sending.
   mutable std::mutex Lock;
@@ -103,7 +103,7 @@
   std::map<std::string, std::uint32_t> Changed;
   for (const ShareCommand &One : Due) {
     if (const auto *const Send = std::get_if<ShareSend>(&One)) {
-      Hooks.SendShares(Send->To, writeShareMessage(Send->What));
+      Hooks.SendShares(Send->To, writeShareMessage(Send->Message));
     } else {
       const auto &Set = std::get<SetShare>(One);
       Changed[Set.EndpointKey] = Set.Share;
@@ -118,7 +118,7 @@
   if (!At)
     return;
   const std::lock_guard Hold(Lock);
-  Shares.fresh(*At);
+  Shares.confirmMembership(*At);
 }
 
 void MemberDesk::onState(const State &Now, const RouteTable &Routes) {
@@ -137,7 +137,7 @@
     const std::lock_guard Hold(Own->Lock);
     if (Now.EntryHostsChange != Own->MembersChange) {
       Own->MembersChange = Now.EntryHostsChange;
-      Own->Shares.members(Own->MembersChange, Joined, At, ShareDue);
+      Own->Shares.setMembers(Own->MembersChange, Joined, At, ShareDue);
     }
     Own->Shares.configure(Routes, At, ShareDue);
   }
@@ -199,21 +199,20 @@
 
 void MemberDesk::demand(std::string_view PoolName, std::uint32_t Waiting) {
   Own->withShares([&](ShareCommands &Due) {
-    Own->Shares.demand(PoolName, Waiting, BootClock::now(), Due);
+    Own->Shares.setPoolDemand(PoolName, Waiting, BootClock::now(), Due);
   });
 }
 
 void MemberDesk::finished(std::string_view EndpointKey, bool Succeeded,
                           Duration Latency) {
   Own->withShares([&](ShareCommands &Due) {
-    Own->Shares.finished(EndpointKey, Succeeded, Latency, BootClock::now(),
-                         Due);
+    Own->Shares.finish(EndpointKey, Succeeded, Latency, BootClock::now(), Due);
   });
 }
 
 bool MemberDesk::start(std::string_view EndpointKey) {
   const std::lock_guard Hold(Own->Lock);
-  return Own->Shares.start(EndpointKey, BootClock::now());
+  return Own->Shares.tryStart(EndpointKey, BootClock::now());
 }
 
 void MemberDesk::tick() {
--- a/packages/process/src/coltsfoottrail/server/memberdesk.hpp
+++ b/packages/process/src/coltsfoottrail/server/memberdesk.hpp
@@ -33,7 +33,7 @@
   std::function<void(const std::map<std::string, std::uint32_t> &)> OnShares;
 };
 
-/// @brief The asio side of Membership and ShareKeeper. On the control thread
+/// @brief The asio side of Membership and ShareManager. On the control thread
 /// unless a call says otherwise.
 class MemberDesk {
 public:
--- a/packages/request/src/coltsfoottrail/admission/coldratelimiter.cpp
+++ b/packages/request/src/coltsfoottrail/admission/coldratelimiter.cpp
@@ -10,13 +10,13 @@
 
 } // namespace
 
-Duration ColdGate::gap(double PerSecond) const {
+Duration ColdRateLimiter::gap(double PerSecond) const {
   return std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(Hosts / (PerSecond * PartUsed)));
+      std::chrono::duration<double>(Hosts / (PerSecond * UsedRateFraction)));
 }
 
-ColdGate::Turn &ColdGate::turn(std::string_view Endpoint, double PerSecond,
-                               TimePoint Now) {
+ColdRateLimiter::Turn &ColdRateLimiter::turn(std::string_view Endpoint,
+                                             double PerSecond, TimePoint Now) {
   const auto Found = Turns.find(Endpoint);
   if (Found != Turns.end() && Now - Found->second.AskedAt < TurnLife) {
     Found->second.AskedAt = Now;
@@ -31,13 +31,13 @@
       .first->second;
 }
 
-bool ColdGate::open(std::string_view Endpoint, double PerSecond,
-                    TimePoint Now) {
+bool ColdRateLimiter::canAdmit(std::string_view Endpoint, double PerSecond,
+                               TimePoint Now) {
   return turn(Endpoint, PerSecond, Now).Next <= Now;
 }
 
-bool ColdGate::admit(std::string_view Endpoint, double PerSecond,
-                     TimePoint Now) {
+bool ColdRateLimiter::admit(std::string_view Endpoint, double PerSecond,
+                            TimePoint Now) {
   Turn &Its = turn(Endpoint, PerSecond, Now);
   if (Its.Next > Now)
     return false;
--- a/packages/request/src/coltsfoottrail/admission/coldratelimiter.hpp
+++ b/packages/request/src/coltsfoottrail/admission/coldratelimiter.hpp
@@ -20,30 +20,30 @@
 /// a time; with short requests nine hosts still send fifty a second, and with
 /// seventy hosts the first one of each is too much. Each host keeps to its part
 /// of the rate, and begins at a time of its own.
-class ColdGate {
+class ColdRateLimiter {
 public:
   /// Hosts that the rate is shared among while their number is not known: more
   /// than any deployment of today but the largest has.
-  static constexpr double UnknownHosts = 64.0;
+  static constexpr double DefaultHostCount = 64.0;
   /// Part of the rate that is used: hosts begin at random times, and with many
   /// hosts a second may hold half as many requests again as the mean.
-  static constexpr double PartUsed = 0.7;
+  static constexpr double UsedRateFraction = 0.7;
 
   /// @brief Makes a gate.
   /// @param Seed Different on each host.
-  explicit ColdGate(std::uint64_t Seed) : Draw(Seed) {}
+  explicit ColdRateLimiter(std::uint64_t Seed) : Draw(Seed) {}
 
   /// @brief Sets how many entry hosts share the rates; zero for not known.
-  void share(std::size_t Among) noexcept {
-    Hosts = Among > 0 ? double(Among) : UnknownHosts;
+  void setHostCount(std::size_t Among) noexcept {
+    Hosts = Among > 0 ? double(Among) : DefaultHostCount;
   }
 
   /// @brief Whether a request may be sent now.
   /// @param Endpoint The cold endpoint.
   /// @param PerSecond What it bears in a second from all entry hosts, above
   /// zero.
-  [[nodiscard]] bool open(std::string_view Endpoint, double PerSecond,
-                          TimePoint Now);
+  [[nodiscard]] bool canAdmit(std::string_view Endpoint, double PerSecond,
+                              TimePoint Now);
   /// @brief Asks to send a request now.
   /// @return Whether it may be sent; if so, it is counted.
   [[nodiscard]] bool admit(std::string_view Endpoint, double PerSecond,
@@ -60,7 +60,7 @@
   Turn &turn(std::string_view Endpoint, double PerSecond, TimePoint Now);
 
   Random Draw;
-  double Hosts = UnknownHosts;
+  double Hosts = DefaultHostCount;
   std::map<std::string, Turn, std::less<>> Turns;
 };
 
--- a/packages/request/src/coltsfoottrail/admission/credits.cpp
+++ b/packages/request/src/coltsfoottrail/admission/credits.cpp
@@ -101,7 +101,8 @@
   return evenPart(Wants, Which, Bound, Rotation);
 }
 
-bool CreditLedger::meet(Account &Known, const CreditWant &Want, Offset Epoch) {
+bool CreditLedger::meet(Account &Known, const CreditDemand &Want,
+                        Offset Epoch) {
   if (Known.Met || !Shown || Inherited == 0)
     return true;
   // A holder's work from before the takeover is in the report that bounds what
@@ -121,7 +122,7 @@
 }
 
 CreditShare CreditLedger::ask(const HostName &Host, Incarnation Run,
-                              std::uint64_t AskNumber, const CreditWant &Want,
+                              std::uint64_t AskNumber, const CreditDemand &Want,
                               std::uint32_t Bound, Offset Epoch, TimePoint Now,
                               const ShareOptions &Options) {
   const Holder Asking{Host, Run};
@@ -229,8 +230,8 @@
 }
 
 void CreditLedger::expire(TimePoint Now, const ShareOptions &Options) {
-  const Duration Longest = creditEnd(Options) + Options.MaxWork;
-  if (Now - InheritedAt >= Options.MaxWork)
+  const Duration Longest = creditEnd(Options) + Options.MaxRequestDuration;
+  if (Now - InheritedAt >= Options.MaxRequestDuration)
     Inherited = 0;
   std::erase_if(Accounts, [&](const auto &Entry) {
     const Account &Known = Entry.second;
--- a/packages/request/src/coltsfoottrail/admission/credits.hpp
+++ b/packages/request/src/coltsfoottrail/admission/credits.hpp
@@ -17,7 +17,7 @@
   HostName Host;
   Incarnation Run = 0;
   /// The ask that it answers once more.
-  std::uint64_t AskNumber = 0;
+  std::uint64_t RequestNumber = 0;
   CreditShare Share;
 };
 
@@ -41,9 +41,10 @@
   /// @return Its new share: with it, all that may be in progress is at most
   /// Bound, unless it was above before.
   [[nodiscard]] CreditShare ask(const HostName &Host, Incarnation Run,
-                                std::uint64_t AskNumber, const CreditWant &Want,
-                                std::uint32_t Bound, Offset Epoch,
-                                TimePoint Now, const ShareOptions &Options);
+                                std::uint64_t AskNumber,
+                                const CreditDemand &Want, std::uint32_t Bound,
+                                Offset Epoch, TimePoint Now,
+                                const ShareOptions &Options);
   /// @brief Gives what has become free to holders that wait for more.
   /// @return Their new shares.
   [[nodiscard]] std::vector<CreditRefill> refill(std::uint32_t Bound,
@@ -105,7 +106,8 @@
                                const ShareOptions &Options) const;
   [[nodiscard]] static bool waits(const Account &Known, TimePoint Now,
                                   const ShareOptions &Options);
-  [[nodiscard]] bool meet(Account &Known, const CreditWant &Want, Offset Epoch);
+  [[nodiscard]] bool meet(Account &Known, const CreditDemand &Want,
+                          Offset Epoch);
   [[nodiscard]] std::uint32_t committedBeside(const Holder &Asking) const;
   [[nodiscard]] std::uint32_t targetOf(const Holder &Asking,
                                        std::uint32_t Bound, TimePoint Now,
--- a/packages/request/src/coltsfoottrail/admission/fwd.hpp
+++ b/packages/request/src/coltsfoottrail/admission/fwd.hpp
@@ -8,13 +8,13 @@
 namespace coltsfoottrail {
 
 struct ShareOptions;
-struct CreditAsk;
+struct CreditRequest;
 struct CreditGrant;
 struct StewardHandover;
-struct StewardTaken;
+struct StewardHandoverAck;
 class Ramp;
 class CreditLedger;
-class ShareKeeper;
+class ShareManager;
 
 /// Hash of an endpoint's key: what messages name it by.
 using EndpointHash = std::uint64_t;
--- a/packages/request/src/coltsfoottrail/admission/manager.cpp
+++ b/packages/request/src/coltsfoottrail/admission/manager.cpp
@@ -28,38 +28,38 @@
 
 } // namespace
 
-ShareKeeper::ShareKeeper(ShareOptions Limits) : Options(std::move(Limits)) {}
+ShareManager::ShareManager(ShareOptions Limits) : Options(std::move(Limits)) {}
 
-ShareKeeper::Endpoint *ShareKeeper::find(std::string_view EndpointKey) {
+ShareManager::Endpoint *ShareManager::find(std::string_view EndpointKey) {
   const auto Found = Endpoints.find(endpointHash(EndpointKey));
   return Found == Endpoints.end() ? nullptr : &Found->second;
 }
 
-const ShareKeeper::Endpoint *
-ShareKeeper::find(std::string_view EndpointKey) const {
+const ShareManager::Endpoint *
+ShareManager::find(std::string_view EndpointKey) const {
   const auto Found = Endpoints.find(endpointHash(EndpointKey));
   return Found == Endpoints.end() ? nullptr : &Found->second;
 }
 
-bool ShareKeeper::isFresh(TimePoint Now) const {
-  return ProvenAt && Now - *ProvenAt < Options.FreshFor;
+bool ShareManager::isFresh(TimePoint Now) const {
+  return ProvenAt && Now - *ProvenAt < Options.MembershipProofLife;
 }
 
-Duration ShareKeeper::takeoverWait() const {
+Duration ShareManager::takeoverWait() const {
   // Failure guarded against: the steward before is cut off or paused and still
   // believes in its part. It grants for at most FreshFor after the change that
   // ended it, to holders that may act CreditLife longer. Twice FreshFor, as the
   // steward before may itself have been about to take over from one earlier.
-  const Duration Wait = 2 * Options.FreshFor + Options.CreditLife;
+  const Duration Wait = 2 * Options.MembershipProofLife + Options.CreditLife;
   return Wait + Wait / 50;
 }
 
-void ShareKeeper::fresh(TimePoint Proven) {
+void ShareManager::confirmMembership(TimePoint Proven) {
   if (!ProvenAt || Proven > *ProvenAt)
     ProvenAt = Proven;
 }
 
-ShareKeeper::Weighed ShareKeeper::weigh(const std::string &Slice) const {
+ShareManager::Weighed ShareManager::weigh(const std::string &Slice) const {
   Weighed Best;
   for (const ShareMember &Member : Members) {
     const std::uint64_t Weight = rendezvousWeight(Slice, Member.Host.Text);
@@ -69,7 +69,7 @@
   return Best;
 }
 
-const HostName &ShareKeeper::stewardOfSlice(const std::string &Slice) {
+const HostName &ShareManager::stewardOfSlice(const std::string &Slice) {
   static const HostName Nobody;
   const auto Known = Ranks.find(Slice);
   const Weighed &Best = Known != Ranks.end()
@@ -80,7 +80,7 @@
   return Replaced && Best.Host == Options.Self ? Nobody : Best.Host;
 }
 
-void ShareKeeper::rankAnew(std::span<const ShareMember> Before) {
+void ShareManager::rankAnew(std::span<const ShareMember> Before) {
   std::set<std::string> Old;
   std::set<std::string> New;
   for (const ShareMember &Member : Before)
@@ -103,8 +103,9 @@
   }
 }
 
-void ShareKeeper::members(Offset Changed, std::span<const ShareMember> Joined,
-                          TimePoint Now, ShareCommands &Out) {
+void ShareManager::setMembers(Offset Changed,
+                              std::span<const ShareMember> Joined,
+                              TimePoint Now, ShareCommands &Out) {
   if (Changed <= Epoch && !Members.empty())
     return;
   const bool WasFresh = isFresh(Now);
@@ -132,7 +133,7 @@
   deliverLocal(Now, Out);
 }
 
-void ShareKeeper::assign(Endpoint &Placed, bool WasFresh, TimePoint Now) {
+void ShareManager::assign(Endpoint &Placed, bool WasFresh, TimePoint Now) {
   if (Placed.Steward != Options.Self) {
     if (Placed.As == Role::Active && WasFresh && !Placed.Steward.empty())
       relinquish(Placed);
@@ -147,7 +148,7 @@
   Placed.WaitUntil = Now + takeoverWait();
 }
 
-void ShareKeeper::relinquish(Endpoint &Placed) {
+void ShareManager::relinquish(Endpoint &Placed) {
   Handover &To = Handovers[Placed.Steward];
   To.Message.Epoch = Epoch;
   To.RetryAt = TimePoint{};
@@ -158,8 +159,8 @@
   To.Message.Endpoints.push_back(std::move(Handed));
 }
 
-void ShareKeeper::configure(const RouteTable &Table, TimePoint Now,
-                            ShareCommands &Out) {
+void ShareManager::configure(const RouteTable &Table, TimePoint Now,
+                             ShareCommands &Out) {
   // An endpoint that came after the last change of the members was never under
   // another steward: who knows of it knows of that change. A table that this
   // host sees first tells nothing of when its endpoints came.
@@ -171,7 +172,7 @@
       Present.insert(Hash);
       const auto [Place, Added] = Endpoints.try_emplace(Hash, Spec);
       Endpoint &Placed = Place->second;
-      Placed.GoneAt.reset();
+      Placed.RemovedAt.reset();
       Placed.WarmBound = Spec.WarmBound;
       Placed.Bound.declare(Spec.ColdBound, Spec.WarmBound);
       if (!Added)
@@ -185,9 +186,9 @@
     }
   }
   for (auto &[Hash, Placed] : Endpoints) {
-    if (Present.contains(Hash) || Placed.GoneAt)
+    if (Present.contains(Hash) || Placed.RemovedAt)
       continue;
-    Placed.GoneAt = Now;
+    Placed.RemovedAt = Now;
     setShare(Placed, 0, Out);
   }
   HasTable = true;
@@ -196,7 +197,7 @@
   advance(Now, Out);
 }
 
-void ShareKeeper::takePools(const RouteTable &Table) {
+void ShareManager::takePools(const RouteTable &Table) {
   std::erase_if(Pools, [&](const auto &Entry) {
     return !Table.Pools.contains(Entry.first);
   });
@@ -209,11 +210,11 @@
   }
 }
 
-void ShareKeeper::chooseUsed(PoolUse &Use) {
+void ShareManager::chooseUsed(PoolUse &Use) {
   std::map<std::string, std::vector<EndpointHash>> Slices;
   for (const EndpointHash Hash : Use.All) {
     Endpoint &Placed = Endpoints.at(Hash);
-    Placed.Used = Members.size() <= Options.WholePoolHosts ||
+    Placed.Used = Members.size() <= Options.WholePoolMaxHosts ||
                   Placed.Steward == Options.Self;
     Slices[Placed.Slice].push_back(Hash);
   }
@@ -223,7 +224,7 @@
   std::sort(Ranked.rbegin(), Ranked.rend());
   std::size_t Taken = 0;
   for (const auto &[Weight, Slice] : Ranked) {
-    if (Taken >= Options.PartEndpoints)
+    if (Taken >= Options.MinSubsetEndpoints)
       break;
     for (const EndpointHash Hash : Slices.at(Slice))
       Endpoints.at(Hash).Used = true;
@@ -235,17 +236,18 @@
       Use.Used.push_back(Hash);
 }
 
-void ShareKeeper::want(std::string_view EndpointKey, std::uint32_t Requests,
-                       TimePoint Now, ShareCommands &Out) {
+void ShareManager::setEndpointDemand(std::string_view EndpointKey,
+                                     std::uint32_t Requests, TimePoint Now,
+                                     ShareCommands &Out) {
   Endpoint *const Held = find(EndpointKey);
-  if (Held == nullptr || !Held->Used || Held->GoneAt)
+  if (Held == nullptr || !Held->Used || Held->RemovedAt)
     return;
   wantOne(*Held, Requests, Now);
   advance(Now, Out);
 }
 
-void ShareKeeper::wantOne(Endpoint &Held, std::uint32_t Requests,
-                          TimePoint Now) {
+void ShareManager::wantOne(Endpoint &Held, std::uint32_t Requests,
+                           TimePoint Now) {
   const bool More = Requests > Held.Wanted;
   Held.Wanted = Requests;
   if (Requests > 0)
@@ -256,13 +258,14 @@
     plan(Held, Now);
 }
 
-void ShareKeeper::demand(std::string_view PoolName, std::uint32_t Waiting,
-                         TimePoint Now, ShareCommands &Out) {
+void ShareManager::setPoolDemand(std::string_view PoolName,
+                                 std::uint32_t Waiting, TimePoint Now,
+                                 ShareCommands &Out) {
   const auto Found = Pools.find(PoolName);
   if (Found == Pools.end() || Found->second.Used.empty())
     return;
   PoolUse &Use = Found->second;
-  if (Waiting == Use.Waiting && Now - Use.Refreshed < Options.AskEvery)
+  if (Waiting == Use.Waiting && Now - Use.Refreshed < Options.RenewalInterval)
     return;
   Use.Waiting = Waiting;
   Use.Refreshed = Now;
@@ -276,20 +279,20 @@
   advance(Now, Out);
 }
 
-std::uint32_t ShareKeeper::share(std::string_view EndpointKey,
-                                 TimePoint Now) const {
+std::uint32_t ShareManager::share(std::string_view EndpointKey,
+                                  TimePoint Now) const {
   const Endpoint *const Held = find(EndpointKey);
-  if (Held == nullptr || Held->GoneAt || Now >= Held->Until)
+  if (Held == nullptr || Held->RemovedAt || Now >= Held->Until)
     return 0;
   return Held->Share;
 }
 
-bool ShareKeeper::start(std::string_view EndpointKey, TimePoint Now) {
+bool ShareManager::tryStart(std::string_view EndpointKey, TimePoint Now) {
   Endpoint *const Held = find(EndpointKey);
   // Failure guarded against: the process slept, its credit has lapsed and been
   // granted to others, and it still believes in its share. The time is compared
   // here, at the act, on a clock that counts the sleep.
-  if (Held == nullptr || Held->GoneAt || Now >= Held->Until ||
+  if (Held == nullptr || Held->RemovedAt || Now >= Held->Until ||
       Held->InFlight >= Held->Share)
     return false;
   ++Held->InFlight;
@@ -298,9 +301,8 @@
   return true;
 }
 
-void ShareKeeper::finished(std::string_view EndpointKey, bool Succeeded,
-                           Duration Latency, TimePoint Now,
-                           ShareCommands &Out) {
+void ShareManager::finish(std::string_view EndpointKey, bool Succeeded,
+                          Duration Latency, TimePoint Now, ShareCommands &Out) {
   Endpoint *const Held = find(EndpointKey);
   if (Held == nullptr || Held->InFlight == 0)
     return;
@@ -308,7 +310,7 @@
   Held->Wanted -= std::min(Held->Wanted, 1U);
   if (Succeeded) {
     ++Held->Ended.Successes;
-    Held->Ended.LatencyMicros += static_cast<std::uint64_t>(
+    Held->Ended.TotalLatencyMicros += static_cast<std::uint64_t>(
         std::chrono::duration_cast<std::chrono::microseconds>(Latency).count());
   } else {
     ++Held->Ended.Failures;
@@ -321,7 +323,7 @@
   advance(Now, Out);
 }
 
-void ShareKeeper::release(TimePoint Now, ShareCommands &Out) {
+void ShareManager::release(TimePoint Now, ShareCommands &Out) {
   for (auto &[Hash, Held] : Endpoints) {
     Held.Wanted = 0;
     Held.LastUsed = TimePoint{};
@@ -333,8 +335,8 @@
   advance(Now, Out);
 }
 
-void ShareKeeper::observe(const LoadReport &Report, TimePoint Now,
-                          ShareCommands &Out) {
+void ShareManager::observe(const LoadReport &Report, TimePoint Now,
+                           ShareCommands &Out) {
   Endpoint *const Seen = find(Report.EndpointKey);
   if (Seen == nullptr)
     return;
@@ -359,33 +361,34 @@
   deliverLocal(Now, Out);
 }
 
-void ShareKeeper::activate(Endpoint &Placed, TimePoint Now) {
+void ShareManager::activate(Endpoint &Placed, TimePoint Now) {
   if (Placed.As != Role::Waiting || Now < Placed.WaitUntil || !isFresh(Now))
     return;
   Placed.As = Role::Active;
   Placed.ActiveSince = Now;
   Placed.Bound.restart();
   Placed.Credits = CreditLedger();
-  Placed.Credits.inherit(Options.EndpointsReport ? Placed.WarmBound : 0, Now);
+  Placed.Credits.inherit(Options.EndpointsReportLoad ? Placed.WarmBound : 0,
+                         Now);
 }
 
-void ShareKeeper::received(const HostName &From, const ShareMessage &Message,
-                           TimePoint Now, ShareCommands &Out) {
+void ShareManager::received(const HostName &From, const ShareMessage &Message,
+                            TimePoint Now, ShareCommands &Out) {
   takeIn(From, Message, Now, Out);
   deliverLocal(Now, Out);
 }
 
-void ShareKeeper::takeIn(const HostName &From, const ShareMessage &Message,
-                         TimePoint Now, ShareCommands &Out) {
+void ShareManager::takeIn(const HostName &From, const ShareMessage &Message,
+                          TimePoint Now, ShareCommands &Out) {
   std::visit([&](const auto &Kind) { handle(From, Kind, Now, Out); }, Message);
 }
 
-void ShareKeeper::deliverLocal(TimePoint Now, ShareCommands &Out) {
+void ShareManager::deliverLocal(TimePoint Now, ShareCommands &Out) {
   for (std::size_t Index = 0; Index < Out.size(); ++Index) {
     auto *const Sent = std::get_if<ShareSend>(&Out[Index]);
     if (Sent == nullptr || Sent->To != Options.Self)
       continue;
-    const ShareMessage Message = std::move(Sent->What);
+    const ShareMessage Message = std::move(Sent->Message);
     Sent->To = HostName();
     takeIn(Options.Self, Message, Now, Out);
   }
@@ -395,8 +398,8 @@
   });
 }
 
-void ShareKeeper::handle(const HostName &From, const CreditAsk &Message,
-                         TimePoint Now, ShareCommands &Out) {
+void ShareManager::handle(const HostName &From, const CreditRequest &Message,
+                          TimePoint Now, ShareCommands &Out) {
   Peer &Asking = Peers[From];
   if (Asking.TakenRun != Message.Run) {
     // Only the run that the agreed members name speaks for a host; a message
@@ -414,18 +417,18 @@
   Asking.TakenNumber = Message.Number;
   CreditGrant Answer;
   Answer.Run = Message.Run;
-  Answer.AskNumber = Message.Number;
-  for (const CreditWant &Want : Message.Wants)
+  Answer.RequestNumber = Message.Number;
+  for (const CreditDemand &Want : Message.Demands)
     grant(From, Message, Want, Now, Answer.Shares, Out);
   if (!Answer.Shares.empty())
     Out.emplace_back(ShareSend{From, std::move(Answer)});
 }
 
-void ShareKeeper::grant(const HostName &From, const CreditAsk &Message,
-                        const CreditWant &Want, TimePoint Now,
-                        std::vector<CreditShare> &Shares, ShareCommands &Out) {
+void ShareManager::grant(const HostName &From, const CreditRequest &Message,
+                         const CreditDemand &Want, TimePoint Now,
+                         std::vector<CreditShare> &Shares, ShareCommands &Out) {
   const auto Found = Endpoints.find(Want.Endpoint);
-  if (Found == Endpoints.end() || Found->second.GoneAt)
+  if (Found == Endpoints.end() || Found->second.RemovedAt)
     return;
   Endpoint &Placed = Found->second;
   activate(Placed, Now);
@@ -439,36 +442,37 @@
   Given.EngineRun = Placed.EngineRun;
   Shares.push_back(Given);
   if (Want.Successes + Want.Failures > 0)
-    Placed.Bound.ended({Want.Successes, Want.Failures, Want.LatencyMicros},
+    Placed.Bound.ended({Want.Successes, Want.Failures, Want.TotalLatencyMicros},
                        Placed.Credits.peak());
   refill(Placed, Now, Out);
 }
 
-void ShareKeeper::recall(Endpoint &Placed, const CreditWant &Want,
-                         TimePoint Now) {
-  const bool Recent = Now - Placed.ActiveSince < Options.RecallFor;
+void ShareManager::recall(Endpoint &Placed, const CreditDemand &Want,
+                          TimePoint Now) {
+  const bool Recent = Now - Placed.ActiveSince < Options.BoundRecoveryPeriod;
   if (Recent && Want.EngineRun == Placed.EngineRun &&
       Want.Bound > Placed.Bound.bound())
     Placed.Bound.adopt(Want.Bound);
 }
 
-void ShareKeeper::refill(Endpoint &Placed, TimePoint Now, ShareCommands &Out) {
+void ShareManager::refill(Endpoint &Placed, TimePoint Now, ShareCommands &Out) {
   if (Placed.As != Role::Active || !isFresh(Now))
     return;
   for (CreditRefill &Given :
        Placed.Credits.refill(Placed.Bound.bound(), Epoch, Now, Options)) {
     Given.Share.EngineRun = Placed.EngineRun;
-    Out.emplace_back(ShareSend{
-        Given.Host, CreditGrant{Given.Run, Given.AskNumber, {Given.Share}}});
+    Out.emplace_back(
+        ShareSend{Given.Host,
+                  CreditGrant{Given.Run, Given.RequestNumber, {Given.Share}}});
   }
 }
 
-void ShareKeeper::handle(const HostName &From, const CreditGrant &Message,
-                         TimePoint Now, ShareCommands &Out) {
+void ShareManager::handle(const HostName &From, const CreditGrant &Message,
+                          TimePoint Now, ShareCommands &Out) {
   if (Message.Run != Options.Run)
     return;
   std::map<std::uint64_t, SentAsk> &Asks = Peers[From].Asks;
-  const auto Found = Asks.find(Message.AskNumber);
+  const auto Found = Asks.find(Message.RequestNumber);
   if (Found == Asks.end())
     return;
   for (const CreditShare &Given : Message.Shares) {
@@ -478,9 +482,9 @@
   }
 }
 
-void ShareKeeper::adopt(Endpoint &Held, const CreditShare &Given,
-                        const SentAsk &Asked, TimePoint Now,
-                        ShareCommands &Out) {
+void ShareManager::adopt(Endpoint &Held, const CreditShare &Given,
+                         const SentAsk &Asked, TimePoint Now,
+                         ShareCommands &Out) {
   const auto Said = Asked.Adopted.find(Given.Endpoint);
   if (Said == Asked.Adopted.end() || Given.Number.before(Held.Adopted))
     return;
@@ -493,7 +497,7 @@
   Held.Contended = Given.Contended;
   const bool OtherRun = Given.EngineRun != 0 && Held.EngineRun != 0 &&
                         Given.EngineRun != Held.EngineRun;
-  const bool Usable = !OtherRun && !Held.GoneAt && Now < Held.Until;
+  const bool Usable = !OtherRun && !Held.RemovedAt && Now < Held.Until;
   setShare(Held, Usable ? Given.Share : 0, Out);
   const bool Confirmed = Said->second == Given.Number;
   if (!inUse(Held, Now) && Confirmed && Given.Share == 0)
@@ -503,35 +507,35 @@
   schedule(Held);
 }
 
-void ShareKeeper::setShare(Endpoint &Held, std::uint32_t Share,
-                           ShareCommands &Out) {
+void ShareManager::setShare(Endpoint &Held, std::uint32_t Share,
+                            ShareCommands &Out) {
   if (Held.Share == Share)
     return;
   Held.Share = Share;
   Out.emplace_back(SetShare{Held.Key, Share});
 }
 
-bool ShareKeeper::inUse(const Endpoint &Held, TimePoint Now) const {
+bool ShareManager::inUse(const Endpoint &Held, TimePoint Now) const {
   return Held.InFlight > 0 || Held.Wanted > 0 ||
          (Held.LastUsed != TimePoint{} &&
           Now - Held.LastUsed < Options.IdleAfter);
 }
 
-void ShareKeeper::plan(Endpoint &Held, TimePoint Now) {
+void ShareManager::plan(Endpoint &Held, TimePoint Now) {
   // An idle endpoint is asked about until its last credit is given back.
   if (!Held.NextAsk)
-    Held.NextAsk = std::max(Now, Held.LastAsk + Options.AskEvery);
+    Held.NextAsk = std::max(Now, Held.LastAsk + Options.RenewalInterval);
   schedule(Held);
 }
 
-void ShareKeeper::askSoon(Endpoint &Held, TimePoint Now) {
-  const TimePoint At = std::max(Now, Held.LastAsk + Options.AskGap);
+void ShareManager::askSoon(Endpoint &Held, TimePoint Now) {
+  const TimePoint At = std::max(Now, Held.LastAsk + Options.MinRequestInterval);
   if (!Held.NextAsk || *Held.NextAsk > At)
     Held.NextAsk = At;
   schedule(Held);
 }
 
-void ShareKeeper::schedule(Endpoint &Held) {
+void ShareManager::schedule(Endpoint &Held) {
   std::optional<TimePoint> At = Held.NextAsk;
   if (Held.Share > 0 && (!At || Held.Until < *At))
     At = Held.Until;
@@ -545,7 +549,7 @@
     Schedule.emplace(*At, Hash);
 }
 
-void ShareKeeper::advance(TimePoint Now, ShareCommands &Out) {
+void ShareManager::advance(TimePoint Now, ShareCommands &Out) {
   std::map<HostName, std::vector<EndpointHash>> Due;
   while (!Schedule.empty() && Schedule.begin()->first <= Now) {
     const EndpointHash Hash = Schedule.begin()->second;
@@ -556,11 +560,11 @@
       setShare(Held, 0, Out);
     if (Held.NextAsk && *Held.NextAsk <= Now) {
       Held.NextAsk.reset();
-      if (!Held.GoneAt && !Held.Steward.empty())
+      if (!Held.RemovedAt && !Held.Steward.empty())
         Due[Held.Steward].push_back(Hash);
     }
-    if (!Held.NextAsk && !Held.GoneAt && !Held.Steward.empty())
-      Held.NextAsk = Now + Options.AskEvery;
+    if (!Held.NextAsk && !Held.RemovedAt && !Held.Steward.empty())
+      Held.NextAsk = Now + Options.RenewalInterval;
     schedule(Held);
   }
   sendAsks(Due, Now, Out);
@@ -572,12 +576,12 @@
   deliverLocal(Now, Out);
 }
 
-void ShareKeeper::sendAsks(
+void ShareManager::sendAsks(
     const std::map<HostName, std::vector<EndpointHash>> &Due, TimePoint Now,
     ShareCommands &Out) {
   for (const auto &[Host, Hashes] : Due) {
     Peer &Asked = Peers[Host];
-    CreditAsk Message;
+    CreditRequest Message;
     Message.Run = Options.Run;
     // The clock's reading, so that a peer that was forgotten meanwhile gets no
     // number twice.
@@ -590,7 +594,7 @@
     for (const EndpointHash Hash : Hashes) {
       Endpoint &Held = Endpoints.at(Hash);
       const bool Using = inUse(Held, Now);
-      CreditWant Want;
+      CreditDemand Want;
       Want.Endpoint = Hash;
       Want.InFlight = Held.InFlight;
       Want.Wanted = Using ? std::max({1U, Held.Wanted, Held.InFlight}) : 0;
@@ -600,12 +604,12 @@
       Want.EngineRun = Held.GrantedRun;
       Want.Successes = Held.Ended.Successes;
       Want.Failures = Held.Ended.Failures;
-      Want.LatencyMicros = Held.Ended.LatencyMicros;
-      Held.Ended = EndedWork{};
+      Want.TotalLatencyMicros = Held.Ended.TotalLatencyMicros;
+      Held.Ended = CompletedRequests{};
       Held.Peak = Held.InFlight;
       Held.LastAsk = Now;
       Kept.Adopted.emplace(Hash, Held.Adopted);
-      Message.Wants.push_back(Want);
+      Message.Demands.push_back(Want);
     }
     while (Asked.Asks.size() > MaxAsksKept)
       Asked.Asks.erase(Asked.Asks.begin());
@@ -613,7 +617,7 @@
   }
 }
 
-void ShareKeeper::sendHandovers(TimePoint Now, ShareCommands &Out) {
+void ShareManager::sendHandovers(TimePoint Now, ShareCommands &Out) {
   for (auto &[Host, Pending] : Handovers) {
     if (Pending.RetryAt > Now)
       continue;
@@ -622,13 +626,13 @@
   }
 }
 
-void ShareKeeper::handle(const HostName &From, const StewardHandover &Message,
-                         TimePoint Now, ShareCommands &Out) {
+void ShareManager::handle(const HostName &From, const StewardHandover &Message,
+                          TimePoint Now, ShareCommands &Out) {
   // Failure guarded against: a handover that was delayed past another change
   // of the members, when the part has gone on to a third host.
   if (Message.Epoch != Epoch || !isFresh(Now))
     return;
-  StewardTaken Taken;
+  StewardHandoverAck Taken;
   Taken.Epoch = Epoch;
   for (const HandoverEndpoint &Handed : Message.Endpoints) {
     const auto Found = Endpoints.find(Handed.Endpoint);
@@ -650,8 +654,9 @@
   Out.emplace_back(ShareSend{From, std::move(Taken)});
 }
 
-void ShareKeeper::handle(const HostName &From, const StewardTaken &Message,
-                         TimePoint /*Now*/, ShareCommands & /*Out*/) {
+void ShareManager::handle(const HostName &From,
+                          const StewardHandoverAck &Message, TimePoint /*Now*/,
+                          ShareCommands & /*Out*/) {
   const auto Found = Handovers.find(From);
   if (Found == Handovers.end() || Message.Epoch != Epoch)
     return;
@@ -663,12 +668,12 @@
     Handovers.erase(Found);
 }
 
-void ShareKeeper::forgetGone(TimePoint Now) {
+void ShareManager::forgetGone(TimePoint Now) {
   std::erase_if(Endpoints, [&](const auto &Entry) {
     const Endpoint &Held = Entry.second;
-    if (!Held.GoneAt || Held.InFlight > 0)
+    if (!Held.RemovedAt || Held.InFlight > 0)
       return false;
-    if (Now - *Held.GoneAt < 2 * Options.CreditLife)
+    if (Now - *Held.RemovedAt < 2 * Options.CreditLife)
       return false;
     if (Held.Scheduled)
       Schedule.erase({*Held.Scheduled, Entry.first});
@@ -676,7 +681,7 @@
   });
 }
 
-std::optional<TimePoint> ShareKeeper::nextWake() const {
+std::optional<TimePoint> ShareManager::nextWake() const {
   std::optional<TimePoint> Wake;
   if (!Schedule.empty())
     Wake = Schedule.begin()->first;
@@ -686,13 +691,13 @@
   return Wake;
 }
 
-HostName ShareKeeper::stewardOf(std::string_view EndpointKey) const {
+HostName ShareManager::stewardOf(std::string_view EndpointKey) const {
   const Endpoint *const Placed = find(EndpointKey);
   return Placed == nullptr ? HostName() : Placed->Steward;
 }
 
 std::optional<std::uint32_t>
-ShareKeeper::boundOf(std::string_view EndpointKey) const {
+ShareManager::boundOf(std::string_view EndpointKey) const {
   const Endpoint *const Placed = find(EndpointKey);
   if (Placed == nullptr || Placed->As != Role::Active)
     return std::nullopt;
--- a/packages/request/src/coltsfoottrail/admission/manager.hpp
+++ b/packages/request/src/coltsfoottrail/admission/manager.hpp
@@ -23,13 +23,13 @@
 /// and grants. Pure: takes events and times, answers commands.
 ///
 /// Not thread-safe: stands under one lock. Times must not go back.
-class ShareKeeper {
+class ShareManager {
 public:
   /// @brief Makes a keeper that knows no peers and no endpoints.
   /// @param Limits Times and limits; Self and Run must be set.
-  explicit ShareKeeper(ShareOptions Limits);
-  ShareKeeper(const ShareKeeper &) = delete;
-  ShareKeeper &operator=(const ShareKeeper &) = delete;
+  explicit ShareManager(ShareOptions Limits);
+  ShareManager(const ShareManager &) = delete;
+  ShareManager &operator=(const ShareManager &) = delete;
 
   /// @brief Takes the entry hosts of the agreed state. Every change must come,
   /// before the state's routes and before a proof that rests on it.
@@ -37,19 +37,19 @@
   /// @param Joined The hosts; this one among them once it has joined.
   /// @param Now The time.
   /// @param Out Commands are added here.
-  void members(Offset Changed, std::span<const ShareMember> Joined,
-               TimePoint Now, ShareCommands &Out);
+  void setMembers(Offset Changed, std::span<const ShareMember> Joined,
+                  TimePoint Now, ShareCommands &Out);
   /// @brief Takes the routes of the agreed state.
   void configure(const RouteTable &Table, TimePoint Now, ShareCommands &Out);
   /// @brief Takes a proof that the members it knows are the agreed ones.
   /// @param ProvenAt When the read left that showed the end of the agreed
   /// stream, all below folded.
-  void fresh(TimePoint ProvenAt);
+  void confirmMembership(TimePoint ProvenAt);
 
   /// @brief Says how many requests this host would have in progress at an
   /// endpoint, those in progress included.
-  void want(std::string_view EndpointKey, std::uint32_t Requests, TimePoint Now,
-            ShareCommands &Out);
+  void setEndpointDemand(std::string_view EndpointKey, std::uint32_t Requests,
+                         TimePoint Now, ShareCommands &Out);
   /// @brief Says how many requests wait for any endpoint of a pool; to be
   /// called at each change of that number, and now and then while the pool is
   /// in use. Stands for a want() for each endpoint that this host uses.
@@ -57,22 +57,22 @@
   /// @param Waiting Requests that wait.
   /// @param Now The time.
   /// @param Out Commands are added here.
-  void demand(std::string_view PoolName, std::uint32_t Waiting, TimePoint Now,
-              ShareCommands &Out);
+  void setPoolDemand(std::string_view PoolName, std::uint32_t Waiting,
+                     TimePoint Now, ShareCommands &Out);
   /// @brief Asks for leave to send one request, at the act itself.
   /// @param EndpointKey Where to.
   /// @param Now The time, read just before.
   /// @return False when the share is used up or has lapsed: do not send. After
   /// true, finished() must follow.
-  [[nodiscard]] bool start(std::string_view EndpointKey, TimePoint Now);
+  [[nodiscard]] bool tryStart(std::string_view EndpointKey, TimePoint Now);
   /// @brief A request that was started has ended.
   /// @param EndpointKey Where.
   /// @param Succeeded Whether the endpoint did its part.
   /// @param Latency What the endpoint took; only that of successes counts.
   /// @param Now The time.
   /// @param Out Commands are added here.
-  void finished(std::string_view EndpointKey, bool Succeeded, Duration Latency,
-                TimePoint Now, ShareCommands &Out);
+  void finish(std::string_view EndpointKey, bool Succeeded, Duration Latency,
+              TimePoint Now, ShareCommands &Out);
   /// @brief This host takes no more requests: it gives its credits back as its
   /// work ends. To be called first in a planned stop.
   void release(TimePoint Now, ShareCommands &Out);
@@ -109,7 +109,7 @@
     HostName Steward;
     /// This host may use it.
     bool Used = false;
-    std::optional<TimePoint> GoneAt;
+    std::optional<TimePoint> RemovedAt;
     Incarnation EngineRun = 0;
 
     // As its steward.
@@ -130,7 +130,7 @@
     TimePoint Until;
     GrantNumber Adopted;
     Incarnation GrantedRun = 0;
-    EndedWork Ended;
+    CompletedRequests Ended;
     TimePoint LastUsed;
     TimePoint LastAsk;
     std::optional<TimePoint> NextAsk;
@@ -163,14 +163,14 @@
     TimePoint RetryAt;
   };
 
-  void handle(const HostName &From, const CreditAsk &Message, TimePoint Now,
+  void handle(const HostName &From, const CreditRequest &Message, TimePoint Now,
               ShareCommands &Out);
   void handle(const HostName &From, const CreditGrant &Message, TimePoint Now,
               ShareCommands &Out);
   void handle(const HostName &From, const StewardHandover &Message,
               TimePoint Now, ShareCommands &Out);
-  void handle(const HostName &From, const StewardTaken &Message, TimePoint Now,
-              ShareCommands &Out);
+  void handle(const HostName &From, const StewardHandoverAck &Message,
+              TimePoint Now, ShareCommands &Out);
   void takeIn(const HostName &From, const ShareMessage &Message, TimePoint Now,
               ShareCommands &Out);
   void deliverLocal(TimePoint Now, ShareCommands &Out);
@@ -187,10 +187,10 @@
   void takePools(const RouteTable &Table);
   void chooseUsed(PoolUse &Use);
   void activate(Endpoint &Placed, TimePoint Now);
-  void grant(const HostName &From, const CreditAsk &Message,
-             const CreditWant &Want, TimePoint Now,
+  void grant(const HostName &From, const CreditRequest &Message,
+             const CreditDemand &Want, TimePoint Now,
              std::vector<CreditShare> &Shares, ShareCommands &Out);
-  void recall(Endpoint &Placed, const CreditWant &Want, TimePoint Now);
+  void recall(Endpoint &Placed, const CreditDemand &Want, TimePoint Now);
   void refill(Endpoint &Placed, TimePoint Now, ShareCommands &Out);
   void adopt(Endpoint &Held, const CreditShare &Given, const SentAsk &Asked,
              TimePoint Now, ShareCommands &Out);
--- a/packages/request/src/coltsfoottrail/admission/ramp.cpp
+++ b/packages/request/src/coltsfoottrail/admission/ramp.cpp
@@ -35,17 +35,17 @@
 
 void Ramp::restart() {
   Bound = Cold;
-  Window = EndedWork{};
+  Window = CompletedRequests{};
   Peak = 0;
   UsualMicros = 0;
 }
 
 std::uint32_t Ramp::windowSize() const { return std::max(MinWindow, Bound); }
 
-void Ramp::ended(const EndedWork &Ended, std::uint32_t InFlight) {
+void Ramp::ended(const CompletedRequests &Ended, std::uint32_t InFlight) {
   Window.Successes += Ended.Successes;
   Window.Failures += Ended.Failures;
-  Window.LatencyMicros += Ended.LatencyMicros;
+  Window.TotalLatencyMicros += Ended.TotalLatencyMicros;
   Peak = std::max(Peak, InFlight);
   const std::uint32_t Count = Window.Successes + Window.Failures;
   if (Count >= windowSize())
@@ -58,10 +58,10 @@
   const double Mean =
       Window.Successes == 0
           ? 0
-          : static_cast<double>(Window.LatencyMicros) / Window.Successes;
+          : static_cast<double>(Window.TotalLatencyMicros) / Window.Successes;
   const double Growth = UsualMicros > 0 ? Mean / UsualMicros : 1;
   const bool Near = Peak >= NearBound * Bound;
-  Window = EndedWork{};
+  Window = CompletedRequests{};
   Peak = 0;
   // Failure guarded against: an endpoint turns cold without a restart, as when
   // its caches are dropped. It shows as failures or as a jump of the latency,
--- a/packages/request/src/coltsfoottrail/admission/ramp.hpp
+++ b/packages/request/src/coltsfoottrail/admission/ramp.hpp
@@ -11,11 +11,11 @@
 namespace coltsfoottrail {
 
 /// @brief Requests that ended at an endpoint.
-struct EndedWork {
+struct CompletedRequests {
   std::uint32_t Successes = 0;
   std::uint32_t Failures = 0;
   /// Of the successes, in all.
-  std::uint64_t LatencyMicros = 0;
+  std::uint64_t TotalLatencyMicros = 0;
 };
 
 /// @brief The bound of one endpoint: from ColdBound to WarmBound, raised only
@@ -36,7 +36,7 @@
   /// @brief Counts work that ended.
   /// @param Ended What ended since the last call.
   /// @param InFlight Requests in progress there, of all hosts.
-  void ended(const EndedWork &Ended, std::uint32_t InFlight);
+  void ended(const CompletedRequests &Ended, std::uint32_t InFlight);
   /// @brief The endpoint has just started, or behaves so.
   void restart();
 
@@ -52,7 +52,7 @@
   std::uint32_t Cold;
   std::uint32_t Warm;
   std::uint32_t Bound;
-  EndedWork Window;
+  CompletedRequests Window;
   /// Highest number in progress in the window.
   std::uint32_t Peak = 0;
   /// Latency that the endpoint has shown to hold; zero before the first window.
--- a/packages/request/src/coltsfoottrail/admission/types.cpp
+++ b/packages/request/src/coltsfoottrail/admission/types.cpp
@@ -65,15 +65,15 @@
   return Value;
 }
 
-Json writeWant(const CreditWant &Want) {
+Json writeWant(const CreditDemand &Want) {
   return Json::array({Want.Endpoint, Want.InFlight, Want.Wanted, Want.Peak,
                       Want.Bound, Want.Adopted.Epoch, Want.Adopted.Count,
                       Want.EngineRun, Want.Successes, Want.Failures,
-                      Want.LatencyMicros});
+                      Want.TotalLatencyMicros});
 }
 
-CreditWant readWant(Row From) {
-  CreditWant Want;
+CreditDemand readWant(Row From) {
+  CreditDemand Want;
   Want.Endpoint = From.number();
   Want.InFlight = From.small();
   Want.Wanted = From.small();
@@ -84,7 +84,7 @@
   Want.EngineRun = From.number();
   Want.Successes = From.small();
   Want.Failures = From.small();
-  Want.LatencyMicros = From.number();
+  Want.TotalLatencyMicros = From.number();
   return Want;
 }
 
@@ -136,17 +136,17 @@
 struct MessageWriter {
   Json Out = Json::object();
 
-  void operator()(const CreditAsk &Message) {
+  void operator()(const CreditRequest &Message) {
     Out["run"] = Message.Run;
     Out["n"] = Message.Number;
     Json Rows = Json::array();
-    for (const CreditWant &Want : Message.Wants)
+    for (const CreditDemand &Want : Message.Demands)
       Rows.push_back(writeWant(Want));
     Out["rows"] = std::move(Rows);
   }
   void operator()(const CreditGrant &Message) {
     Out["run"] = Message.Run;
-    Out["n"] = Message.AskNumber;
+    Out["n"] = Message.RequestNumber;
     Json Rows = Json::array();
     for (const CreditShare &Share : Message.Shares)
       Rows.push_back(writeShare(Share));
@@ -159,25 +159,25 @@
       Rows.push_back(writeHandover(Handed));
     Out["rows"] = std::move(Rows);
   }
-  void operator()(const StewardTaken &Message) {
+  void operator()(const StewardHandoverAck &Message) {
     Out["epoch"] = Message.Epoch;
     Out["rows"] = Message.Endpoints;
   }
 };
 
-CreditAsk readAsk(ObjectReader &From, std::string_view Source) {
-  CreditAsk Ask;
+CreditRequest readAsk(ObjectReader &From, std::string_view Source) {
+  CreditRequest Ask;
   Ask.Run = From.number("run");
   Ask.Number = From.number("n");
   for (const Json &Value : list(From, "rows"))
-    Ask.Wants.push_back(readWant(Row(Value, Source)));
+    Ask.Demands.push_back(readWant(Row(Value, Source)));
   return Ask;
 }
 
 CreditGrant readGrant(ObjectReader &From, std::string_view Source) {
   CreditGrant Grant;
   Grant.Run = From.number("run");
-  Grant.AskNumber = From.number("n");
+  Grant.RequestNumber = From.number("n");
   for (const Json &Value : list(From, "rows"))
     Grant.Shares.push_back(readShare(Row(Value, Source)));
   return Grant;
@@ -212,7 +212,7 @@
     return Handover;
   }
   default: {
-    StewardTaken Taken;
+    StewardHandoverAck Taken;
     Taken.Epoch = From.number("epoch");
     Row Rows(list(From, "rows"), Source);
     for (std::size_t Left = list(From, "rows").size(); Left > 0; --Left)
--- a/packages/request/src/coltsfoottrail/admission/types.hpp
+++ b/packages/request/src/coltsfoottrail/admission/types.hpp
@@ -24,31 +24,31 @@
   Incarnation Run = 0;
   /// A steward grants only while its proof that it knows the agreed members is
   /// younger than this.
-  milliseconds FreshFor{2000};
+  milliseconds MembershipProofLife{2000};
   /// Life of a credit, from when the ask for it left.
   milliseconds CreditLife{2000};
   /// A credit in use is renewed after this.
-  milliseconds AskEvery{600};
+  milliseconds RenewalInterval{600};
   /// Least time between two asks for one endpoint.
-  milliseconds AskGap{20};
+  milliseconds MinRequestInterval{20};
   /// A handover that is not confirmed is sent again after this.
   milliseconds HandoverRetry{200};
   /// Longest that any request is in progress.
-  milliseconds MaxWork{600'000};
+  milliseconds MaxRequestDuration{600'000};
   /// How far an endpoint's load report may lag.
   milliseconds ReportLag{1000};
   /// A steward that took over without a handover believes for this long what
   /// the holders say of the bound.
-  milliseconds RecallFor{5000};
+  milliseconds BoundRecoveryPeriod{5000};
   /// Whether all endpoints report their load. Where they do not, a new steward
   /// that got no handover goes on without knowing what its predecessor let in.
-  bool EndpointsReport = true;
+  bool EndpointsReportLoad = true;
   /// An endpoint that is not used for this long gets no more asks.
   milliseconds IdleAfter{5000};
   /// At more entry hosts than this, each uses only a part of a large pool.
-  std::size_t WholePoolHosts = 32;
+  std::size_t WholePoolMaxHosts = 32;
   /// Endpoints of a pool that a host uses at least, where it uses a part.
-  std::size_t PartEndpoints = 16;
+  std::size_t MinSubsetEndpoints = 16;
 };
 
 /// @brief An entry host that has joined and not left.
@@ -73,7 +73,7 @@
 };
 
 /// @brief What a holder says of one endpoint.
-struct CreditWant {
+struct CreditDemand {
   EndpointHash Endpoint = 0;
   /// Its requests in progress there.
   std::uint32_t InFlight = 0;
@@ -89,14 +89,14 @@
   /// Requests that ended since its last ask, and their latency in all.
   std::uint32_t Successes = 0;
   std::uint32_t Failures = 0;
-  std::uint64_t LatencyMicros = 0;
+  std::uint64_t TotalLatencyMicros = 0;
 };
 /// A holder asks a steward for credits.
-struct CreditAsk {
+struct CreditRequest {
   Incarnation Run = 0;
   /// Grows from each of the holder's asks to this peer to the next.
   std::uint64_t Number = 0;
-  std::vector<CreditWant> Wants;
+  std::vector<CreditDemand> Demands;
 };
 /// @brief A credit on one endpoint.
 struct CreditShare {
@@ -115,7 +115,7 @@
 struct CreditGrant {
   /// The holder's run that asked.
   Incarnation Run = 0;
-  std::uint64_t AskNumber = 0;
+  std::uint64_t RequestNumber = 0;
   std::vector<CreditShare> Shares;
 };
 
@@ -140,14 +140,14 @@
   std::vector<HandoverEndpoint> Endpoints;
 };
 /// The new steward has the endpoints.
-struct StewardTaken {
+struct StewardHandoverAck {
   Offset Epoch = 0;
   std::vector<EndpointHash> Endpoints;
 };
 
 /// What entry hosts tell each other about shares.
-using ShareMessage =
-    std::variant<CreditAsk, CreditGrant, StewardHandover, StewardTaken>;
+using ShareMessage = std::variant<CreditRequest, CreditGrant, StewardHandover,
+                                  StewardHandoverAck>;
 
 /// Let the dispatcher have this many requests in progress at an endpoint.
 struct SetShare {
@@ -157,7 +157,7 @@
 /// Send a message to a peer; may be lost, repeated or late.
 struct ShareSend {
   HostName To;
-  ShareMessage What;
+  ShareMessage Message;
 };
 using ShareCommand = std::variant<SetShare, ShareSend>;
 using ShareCommands = std::vector<ShareCommand>;
--- a/packages/request/test/coltsfoottrail/admission/cluster.hpp
+++ b/packages/request/test/coltsfoottrail/admission/cluster.hpp
@@ -43,7 +43,7 @@
     /// Its clock runs this many parts in a thousand fast.
     std::int64_t Drift = 0;
     std::size_t KnownEpoch = 0;
-    std::unique_ptr<ShareKeeper> Keeper;
+    std::unique_ptr<ShareManager> Keeper;
   };
   struct Epoch {
     Offset Changed = 0;
@@ -80,7 +80,7 @@
     Started.CutFromLog = false;
     Started.PausedUntil = 0;
     Started.KnownEpoch = 0;
-    Started.Keeper = std::make_unique<ShareKeeper>(Options);
+    Started.Keeper = std::make_unique<ShareManager>(Options);
     agree(Index, true);
   }
   void stop(std::size_t Index) { All[Index].Up = false; }
@@ -120,7 +120,7 @@
   }
 
   void act(std::size_t Index,
-           const std::function<void(ShareKeeper &, TimePoint, ShareCommands &)>
+           const std::function<void(ShareManager &, TimePoint, ShareCommands &)>
                &Act) {
     Host &Acting = All[Index];
     if (!Acting.Up)
@@ -160,7 +160,7 @@
                 bool Succeeds = true, TrueTime Latency = 10) {
     Host &Acting = All[Index];
     if (!Acting.Up || Acting.PausedUntil > True ||
-        !Acting.Keeper->start(Key, clock(Index)))
+        !Acting.Keeper->tryStart(Key, clock(Index)))
       return false;
     ++Running[Key];
     Highest[Key] = std::max(Highest[Key], Running[Key]);
@@ -171,7 +171,7 @@
         return;
       act(Index, [=, this](auto &Keeper, TimePoint Now, auto &Out) {
         if (All[Index].Run == Run)
-          Keeper.finished(Key, Succeeds, milliseconds(Latency), Now, Out);
+          Keeper.finish(Key, Succeeds, milliseconds(Latency), Now, Out);
       });
     });
     return true;
@@ -193,7 +193,7 @@
 
 private:
   void later(TrueTime Delay, std::size_t Index,
-             const std::function<void(ShareKeeper &, TimePoint,
+             const std::function<void(ShareManager &, TimePoint,
                                       ShareCommands &)> &Act) {
     const Incarnation Run = All[Index].Run;
     Events.emplace(True + Delay, [=, this] {
@@ -203,7 +203,7 @@
   }
   void post(std::size_t Index, const ShareSend &Sent) {
     const std::vector<std::byte> Coded =
-        writeCbor(writeShareMessage(Sent.What));
+        writeCbor(writeShareMessage(Sent.Message));
     ++Messages;
     Bytes += Coded.size();
     const HostName From = All[Index].Name;
@@ -237,12 +237,12 @@
               if (All[Index].KnownEpoch < Seen.size()) {
                 // A host may learn of several changes at once.
                 All[Index].KnownEpoch = Seen.size();
-                Keeper.members(Seen.back().Changed, Seen.back().Joined, Now,
-                               Out);
+                Keeper.setMembers(Seen.back().Changed, Seen.back().Joined, Now,
+                                  Out);
               }
               if (First)
                 Keeper.configure(table(Seen.back().Changed + 5), Now, Out);
-              Keeper.fresh(Left);
+              Keeper.confirmMembership(Left);
             });
     }
   }
--- a/packages/request/test/coltsfoottrail/admission/credits.cpp
+++ b/packages/request/test/coltsfoottrail/admission/credits.cpp
@@ -9,7 +9,7 @@
 protected:
   CreditShare ask(const char *Host, std::uint32_t InFlight,
                   std::uint32_t Wanted, GrantNumber Adopted = {}) {
-    CreditWant Want;
+    CreditDemand Want;
     Want.InFlight = InFlight;
     Want.Wanted = Wanted;
     Want.Adopted = Adopted;
--- a/packages/request/test/coltsfoottrail/admission/manager.cpp
+++ b/packages/request/test/coltsfoottrail/admission/manager.cpp
@@ -20,7 +20,7 @@
     for (std::size_t Index = 0; Index < World.All.size(); ++Index) {
       if (World.True % 100 == 0)
         World.act(Index, [](auto &Keeper, TimePoint Now, auto &Out) {
-          Keeper.demand("model/m", 20, Now, Out);
+          Keeper.setPoolDemand("model/m", 20, Now, Out);
         });
       for (const std::string &Key : World.Keys)
         World.tryStart(Index, Key, Length, true, Latency);
@@ -47,7 +47,7 @@
     for (std::size_t Index = 0; Index < 9; ++Index) {
       if (Step % 100 == 0)
         World.act(Index, [](auto &Keeper, TimePoint Now, auto &Out) {
-          Keeper.demand("model/m", 3, Now, Out);
+          Keeper.setPoolDemand("model/m", 3, Now, Out);
         });
       Starts[Index] += World.tryStart(Index, World.Keys[0], 50) ? 1 : 0;
     }
@@ -66,7 +66,7 @@
   const std::string &Key = World.Keys[0];
   ASSERT_GT(World.All[0].Keeper->share(Key, World.clock(0)), 0U);
   const TimePoint Later = World.clock(0) + World.Defaults.CreditLife;
-  EXPECT_FALSE(World.All[0].Keeper->start(Key, Later));
+  EXPECT_FALSE(World.All[0].Keeper->tryStart(Key, Later));
   EXPECT_EQ(World.All[0].Keeper->share(Key, Later), 0U);
 }
 
@@ -130,7 +130,7 @@
       for (const std::string &Key : World.Keys) {
         if (World.True % 100 == 0)
           World.act(Index, [&](auto &Keeper, TimePoint Now, auto &Out) {
-            Keeper.want(Key, 4, Now, Out);
+            Keeper.setEndpointDemand(Key, 4, Now, Out);
           });
         if (!World.tryStart(Index, Key, 20))
           continue;
@@ -192,7 +192,7 @@
   World.All[Steward].CutFromLog = true;
   pressure(World, 5000, 20);
   EXPECT_EQ(World.All[Steward].Keeper->share(Key, World.clock(Steward)), 0U);
-  EXPECT_FALSE(World.All[Steward].Keeper->start(Key, World.clock(Steward)));
+  EXPECT_FALSE(World.All[Steward].Keeper->tryStart(Key, World.clock(Steward)));
 }
 
 // A host slept, was found gone and replaced by another run under its name. The
@@ -204,7 +204,7 @@
   ASSERT_TRUE(World.All[0].Keeper->boundOf(Key));
   World.act(0, [&](auto &Keeper, TimePoint Now, auto &Out) {
     const ShareMember Other{World.All[0].Name, World.All[0].Run + 1};
-    Keeper.members(5000, std::span(&Other, 1), Now, Out);
+    Keeper.setMembers(5000, std::span(&Other, 1), Now, Out);
     Keeper.configure(World.table(5001), Now, Out);
   });
   EXPECT_FALSE(World.All[0].Keeper->boundOf(Key));
@@ -226,7 +226,7 @@
   for (int Step = 0; Step < 3000; ++Step) {
     World.tick();
     World.act(1, [](auto &Keeper, TimePoint Now, auto &Out) {
-      Keeper.demand("model/m", 20, Now, Out);
+      Keeper.setPoolDemand("model/m", 20, Now, Out);
     });
     World.tryStart(1, World.Keys[0], 50);
   }
@@ -254,19 +254,20 @@
     ShareOptions Options;
     Options.Self = Member.Host;
     Options.Run = Member.Run;
-    ShareKeeper Keeper(Options);
+    ShareManager Keeper(Options);
     ShareCommands Out;
     const TimePoint Now{seconds(10)};
-    Keeper.members(50, Joined, Now, Out);
+    Keeper.setMembers(50, Joined, Now, Out);
     Keeper.configure(Table, Now, Out);
-    Keeper.demand("model/m", 1, Now, Out);
+    Keeper.setPoolDemand("model/m", 1, Now, Out);
     Keeper.advance(Now + seconds(1), Out);
     std::set<HostName> Asked;
     std::set<EndpointHash> Used;
     for (const ShareCommand &Command : Out)
       if (const auto *const Sent = std::get_if<ShareSend>(&Command)) {
         Asked.insert(Sent->To);
-        for (const CreditWant &Want : std::get<CreditAsk>(Sent->What).Wants)
+        for (const CreditDemand &Want :
+             std::get<CreditRequest>(Sent->Message).Demands)
           Used.insert(Want.Endpoint);
       }
     EXPECT_LE(Asked.size(), 6U);
--- a/packages/request/test/coltsfoottrail/admission/property.cpp
+++ b/packages/request/test/coltsfoottrail/admission/property.cpp
@@ -18,7 +18,7 @@
   /// Longest work that load() starts is a little shorter.
   static ShareOptions times() {
     ShareOptions Times;
-    Times.MaxWork = milliseconds(10'000);
+    Times.MaxRequestDuration = milliseconds(10'000);
     return Times;
   }
 
@@ -28,7 +28,7 @@
         continue;
       const auto Waiting = static_cast<std::uint32_t>(Draw.below(12));
       World.act(Index, [=](auto &Keeper, TimePoint Now, auto &Out) {
-        Keeper.demand("model/m", Waiting, Now, Out);
+        Keeper.setPoolDemand("model/m", Waiting, Now, Out);
       });
     }
     for (int Try = 0; Try < 4; ++Try) {
@@ -111,7 +111,7 @@
       if (Step % 200 == 0)
         for (std::size_t Index = 0; Index < World.All.size(); ++Index)
           World.act(Index, [](auto &Keeper, TimePoint Now, auto &Out) {
-            Keeper.demand("model/m", 30, Now, Out);
+            Keeper.setPoolDemand("model/m", 30, Now, Out);
           });
       for (std::size_t Index = 0; Index < World.All.size(); ++Index)
         World.tryStart(Index, World.Keys[Draw.below(EndpointCount)], 400);
--- a/packages/request/test/coltsfoottrail/admission/ramp.cpp
+++ b/packages/request/test/coltsfoottrail/admission/ramp.cpp
@@ -5,7 +5,7 @@
 namespace coltsfoottrail {
 namespace {
 
-EndedWork well(std::uint32_t Count, std::uint64_t Micros = 1000) {
+CompletedRequests well(std::uint32_t Count, std::uint64_t Micros = 1000) {
   return {Count, 0, Count * Micros};
 }
 
