--- a/packages/request/src/coltsfoottrail/admission/coldratelimiter.cpp
+++ b/packages/request/src/coltsfoottrail/admission/coldratelimiter.cpp
@@ -4,44 +4,47 @@
 
 namespace {
 
-/// An endpoint that nobody asked about for so long is not cold any more; if it
-/// is again, it is drawn a new first time.
-constexpr Duration TurnLife = seconds(3);
+/// State of an endpoint that is not queried for this long is dropped: it is no
+/// longer cold. If it turns cold again, it gets a new random start time.
+constexpr Duration PaceLifetime = seconds(3);
 
 } // namespace
 
-Duration ColdRateLimiter::gap(double PerSecond) const {
-  return std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(Hosts / (PerSecond * UsedRateFraction)));
+Duration ColdRateLimiter::interval(double RatePerSecond) const {
+  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
+      HostCount / (RatePerSecond * UsedRateFraction)));
 }
 
-ColdRateLimiter::Turn &ColdRateLimiter::turn(std::string_view Endpoint,
-                                             double PerSecond, TimePoint Now) {
-  const auto Found = Turns.find(Endpoint);
-  if (Found != Turns.end() && Now - Found->second.AskedAt < TurnLife) {
-    Found->second.AskedAt = Now;
+ColdRateLimiter::Pace &ColdRateLimiter::paceFor(std::string_view Endpoint,
+                                                double RatePerSecond,
+                                                TimePoint Now) {
+  const auto Found = Paces.find(Endpoint);
+  if (Found != Paces.end() &&
+      Now - Found->second.LastQueriedAt < PaceLifetime) {
+    Found->second.LastQueriedAt = Now;
     return Found->second;
   }
-  std::erase_if(Turns, [&](const auto &Entry) {
-    return Now - Entry.second.AskedAt >= TurnLife;
+  std::erase_if(Paces, [&](const auto &Entry) {
+    return Now - Entry.second.LastQueriedAt >= PaceLifetime;
   });
-  const auto First =
-      std::chrono::duration_cast<Duration>(gap(PerSecond) * Draw.fraction());
-  return Turns.insert_or_assign(std::string(Endpoint), Turn{Now + First, Now})
+  const auto InitialDelay = std::chrono::duration_cast<Duration>(
+      interval(RatePerSecond) * Rng.fraction());
+  return Paces
+      .insert_or_assign(std::string(Endpoint), Pace{Now + InitialDelay, Now})
       .first->second;
 }
 
-bool ColdRateLimiter::canAdmit(std::string_view Endpoint, double PerSecond,
+bool ColdRateLimiter::canAdmit(std::string_view Endpoint, double RatePerSecond,
                                TimePoint Now) {
-  return turn(Endpoint, PerSecond, Now).Next <= Now;
+  return paceFor(Endpoint, RatePerSecond, Now).NextAt <= Now;
 }
 
-bool ColdRateLimiter::admit(std::string_view Endpoint, double PerSecond,
+bool ColdRateLimiter::admit(std::string_view Endpoint, double RatePerSecond,
                             TimePoint Now) {
-  Turn &Its = turn(Endpoint, PerSecond, Now);
-  if (Its.Next > Now)
+  Pace &Entry = paceFor(Endpoint, RatePerSecond, Now);
+  if (Entry.NextAt > Now)
     return false;
-  Its.Next = Now + gap(PerSecond);
+  Entry.NextAt = Now + interval(RatePerSecond);
   return true;
 }
 
--- a/packages/request/src/coltsfoottrail/admission/coldratelimiter.hpp
+++ b/packages/request/src/coltsfoottrail/admission/coldratelimiter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Paces one entry host's requests to cold endpoints.
+/// Rate limit of one entry host's requests to cold endpoints.
 #ifndef COLTSFOOTTRAIL_ADMISSION_COLDRATELIMITER_HPP
 #define COLTSFOOTTRAIL_ADMISSION_COLDRATELIMITER_HPP
 
@@ -12,56 +12,57 @@
 
 namespace coltsfoottrail {
 
-/// @brief Lets through so many requests a second to an endpoint while it is
-/// cold. Pure; not thread-safe; times must not go back.
+/// @brief Limits the rate of requests to each cold endpoint. Pure; not
+/// thread-safe; times must not go back.
 ///
-/// Failure guarded against: a cold endpoint bears a few dozen requests a second
-/// from all entry hosts together, and each host keeps only one request there at
-/// a time; with short requests nine hosts still send fifty a second, and with
-/// seventy hosts the first one of each is too much. Each host keeps to its part
-/// of the rate, and begins at a time of its own.
+/// Failure guarded against: a cold endpoint sustains a few dozen requests a
+/// second from all entry hosts together. A limit of one request in progress per
+/// host is not enough: with short requests nine hosts still send fifty a
+/// second, and with seventy hosts the first request of each is too much. So
+/// each host keeps to its part of the rate and starts at a random time.
 class ColdRateLimiter {
 public:
-  /// Hosts that the rate is shared among while their number is not known: more
-  /// than any deployment of today but the largest has.
+  /// Number of hosts assumed to share the rate while their number is unknown;
+  /// only the largest deployments have more.
   static constexpr double DefaultHostCount = 64.0;
-  /// Part of the rate that is used: hosts begin at random times, and with many
-  /// hosts a second may hold half as many requests again as the mean.
+  /// Fraction of the rate that is used. Hosts start at random times, so with
+  /// many hosts a single second may see half as many requests again as the
+  /// mean.
   static constexpr double UsedRateFraction = 0.7;
 
-  /// @brief Makes a gate.
-  /// @param Seed Different on each host.
-  explicit ColdRateLimiter(std::uint64_t Seed) : Draw(Seed) {}
+  /// @param Seed Seeds the start times; must differ between hosts.
+  explicit ColdRateLimiter(std::uint64_t Seed) : Rng(Seed) {}
 
-  /// @brief Sets how many entry hosts share the rates; zero for not known.
-  void setHostCount(std::size_t Among) noexcept {
-    Hosts = Among > 0 ? double(Among) : DefaultHostCount;
+  /// @brief Sets the number of entry hosts that share the rates; zero if
+  /// unknown.
+  void setHostCount(std::size_t Count) noexcept {
+    HostCount = Count > 0 ? double(Count) : DefaultHostCount;
   }
 
   /// @brief Whether a request may be sent now.
   /// @param Endpoint The cold endpoint.
-  /// @param PerSecond What it bears in a second from all entry hosts, above
-  /// zero.
-  [[nodiscard]] bool canAdmit(std::string_view Endpoint, double PerSecond,
+  /// @param RatePerSecond Requests a second that the endpoint sustains from all
+  /// entry hosts together; above zero.
+  [[nodiscard]] bool canAdmit(std::string_view Endpoint, double RatePerSecond,
                               TimePoint Now);
-  /// @brief Asks to send a request now.
-  /// @return Whether it may be sent; if so, it is counted.
-  [[nodiscard]] bool admit(std::string_view Endpoint, double PerSecond,
+  /// @brief Takes a permit to send a request now.
+  /// @return Whether it may be sent; if so, it counts against the rate.
+  [[nodiscard]] bool admit(std::string_view Endpoint, double RatePerSecond,
                            TimePoint Now);
 
 private:
-  struct Turn {
-    /// When the next request may be sent.
-    TimePoint Next;
-    TimePoint AskedAt;
+  struct Pace {
+    /// Earliest time of the next request.
+    TimePoint NextAt;
+    TimePoint LastQueriedAt;
   };
 
-  [[nodiscard]] Duration gap(double PerSecond) const;
-  Turn &turn(std::string_view Endpoint, double PerSecond, TimePoint Now);
+  [[nodiscard]] Duration interval(double RatePerSecond) const;
+  Pace &paceFor(std::string_view Endpoint, double RatePerSecond, TimePoint Now);
 
-  Random Draw;
-  double Hosts = DefaultHostCount;
-  std::map<std::string, Turn, std::less<>> Turns;
+  Random Rng;
+  double HostCount = DefaultHostCount;
+  std::map<std::string, Pace, std::less<>> Paces;
 };
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/admission/fwd.hpp
+++ b/packages/request/src/coltsfoottrail/admission/fwd.hpp
@@ -16,7 +16,7 @@
 class CreditLedger;
 class ShareManager;
 
-/// Hash of an endpoint's key: what messages name it by.
+/// Hash of an endpoint's key; identifies the endpoint in messages.
 using EndpointHash = std::uint64_t;
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/admission/manager.cpp
+++ b/packages/request/src/coltsfoottrail/admission/manager.cpp
@@ -11,24 +11,25 @@
 
 namespace {
 
-/// Slices of a pool; all endpoints of a slice have one steward, so that a host
-/// that uses a slice talks to one peer.
-constexpr std::uint64_t SlicesOfPool = 64;
-constexpr std::size_t MaxSeen = 200'000;
-constexpr std::size_t MaxAsksKept = 64;
-constexpr seconds SweepEvery{1};
+/// Number of slices that a pool is divided into. All endpoints of a slice have
+/// the same steward, so a host that uses a slice talks to one peer.
+constexpr std::uint64_t SlicesPerPool = 64;
+constexpr std::size_t MaxSeenEndpoints = 200'000;
+constexpr std::size_t MaxSentRequests = 64;
+constexpr seconds SweepInterval{1};
 
 std::string sliceName(std::string_view PoolName, std::uint64_t Slice) {
   return std::string(PoolName) + "/" + std::to_string(Slice);
 }
 
-std::string sliceOf(std::string_view PoolName, EndpointHash Hash) {
-  return sliceName(PoolName, Hash % SlicesOfPool);
+std::string sliceOfEndpoint(std::string_view PoolName, EndpointHash Hash) {
+  return sliceName(PoolName, Hash % SlicesPerPool);
 }
 
 } // namespace
 
-ShareManager::ShareManager(ShareOptions Limits) : Options(std::move(Limits)) {}
+ShareManager::ShareManager(ShareOptions Configured)
+    : Options(std::move(Configured)) {}
 
 ShareManager::Endpoint *ShareManager::find(std::string_view EndpointKey) {
   const auto Found = Endpoints.find(endpointHash(EndpointKey));
@@ -41,642 +42,662 @@
   return Found == Endpoints.end() ? nullptr : &Found->second;
 }
 
-bool ShareManager::isFresh(TimePoint Now) const {
+bool ShareManager::isMembershipProven(TimePoint Now) const {
   return ProvenAt && Now - *ProvenAt < Options.MembershipProofLife;
 }
 
 Duration ShareManager::takeoverWait() const {
-  // Failure guarded against: the steward before is cut off or paused and still
-  // believes in its part. It grants for at most FreshFor after the change that
-  // ended it, to holders that may act CreditLife longer. Twice FreshFor, as the
-  // steward before may itself have been about to take over from one earlier.
+  // Failure guarded against: the previous steward is partitioned or paused and
+  // still acts as steward. It grants for at most MembershipProofLife after the
+  // change that replaced it, and its holders may use those credits for
+  // CreditLife more. MembershipProofLife counts twice because the previous
+  // steward may itself have been about to take over from an earlier one.
   const Duration Wait = 2 * Options.MembershipProofLife + Options.CreditLife;
   return Wait + Wait / 50;
 }
 
-void ShareManager::confirmMembership(TimePoint Proven) {
-  if (!ProvenAt || Proven > *ProvenAt)
-    ProvenAt = Proven;
+void ShareManager::confirmMembership(TimePoint ReadSentAt) {
+  if (!ProvenAt || ReadSentAt > *ProvenAt)
+    ProvenAt = ReadSentAt;
 }
 
-ShareManager::Weighed ShareManager::weigh(const std::string &Slice) const {
-  Weighed Best;
+ShareManager::RankedHost
+ShareManager::highestRanked(const std::string &Slice) const {
+  RankedHost Best;
   for (const ShareMember &Member : Members) {
     const std::uint64_t Weight = rendezvousWeight(Slice, Member.Host.Text);
     if (Best.Host.empty() || Weight > Best.Weight)
-      Best = Weighed{Member.Host, Weight};
+      Best = RankedHost{Member.Host, Weight};
   }
   return Best;
 }
 
 const HostName &ShareManager::stewardOfSlice(const std::string &Slice) {
-  static const HostName Nobody;
-  const auto Known = Ranks.find(Slice);
-  const Weighed &Best = Known != Ranks.end()
-                            ? Known->second
-                            : Ranks.emplace(Slice, weigh(Slice)).first->second;
-  // Failure guarded against: this run has been found gone and another run of
-  // the same host has joined. The part is the other run's.
-  return Replaced && Best.Host == Options.Self ? Nobody : Best.Host;
-}
-
-void ShareManager::rankAnew(std::span<const ShareMember> Before) {
-  std::set<std::string> Old;
-  std::set<std::string> New;
-  for (const ShareMember &Member : Before)
-    Old.insert(Member.Host.Text);
+  static const HostName NoHost;
+  const auto Cached = SliceRanks.find(Slice);
+  const RankedHost &Best =
+      Cached != SliceRanks.end()
+          ? Cached->second
+          : SliceRanks.emplace(Slice, highestRanked(Slice)).first->second;
+  // Failure guarded against: this run was removed from the members and a newer
+  // run of the same host has joined. The steward is then the newer run.
+  return Replaced && Best.Host == Options.Self ? NoHost : Best.Host;
+}
+
+void ShareManager::updateSliceRanks(
+    std::span<const ShareMember> PreviousMembers) {
+  std::set<std::string> OldHosts;
+  std::set<std::string> NewHosts;
+  for (const ShareMember &Member : PreviousMembers)
+    OldHosts.insert(Member.Host.Text);
   for (const ShareMember &Member : Members)
-    New.insert(Member.Host.Text);
-  std::vector<std::string> Come;
-  std::set_difference(New.begin(), New.end(), Old.begin(), Old.end(),
-                      std::back_inserter(Come));
-  for (auto &[Slice, Best] : Ranks) {
-    if (!New.contains(Best.Host.Text)) {
-      Best = weigh(Slice);
+    NewHosts.insert(Member.Host.Text);
+  std::vector<std::string> AddedHosts;
+  std::set_difference(NewHosts.begin(), NewHosts.end(), OldHosts.begin(),
+                      OldHosts.end(), std::back_inserter(AddedHosts));
+  for (auto &[Slice, Best] : SliceRanks) {
+    if (!NewHosts.contains(Best.Host.Text)) {
+      Best = highestRanked(Slice);
       continue;
     }
-    for (const std::string &Host : Come) {
+    for (const std::string &Host : AddedHosts) {
       const std::uint64_t Weight = rendezvousWeight(Slice, Host);
       if (Weight > Best.Weight)
-        Best = Weighed{HostName(Host), Weight};
+        Best = RankedHost{HostName(Host), Weight};
     }
   }
 }
 
 void ShareManager::setMembers(Offset Changed,
                               std::span<const ShareMember> Joined,
-                              TimePoint Now, ShareCommands &Out) {
+                              TimePoint Now, ShareCommands &Commands) {
   if (Changed <= Epoch && !Members.empty())
     return;
-  const bool WasFresh = isFresh(Now);
+  const bool WasProven = isMembershipProven(Now);
   Epoch = Changed;
-  const std::vector<ShareMember> Before = std::move(Members);
+  const std::vector<ShareMember> PreviousMembers = std::move(Members);
   Members.assign(Joined.begin(), Joined.end());
   Replaced = std::any_of(
       Members.begin(), Members.end(), [&](const ShareMember &Member) {
         return Member.Host == Options.Self && Member.Run != Options.Run;
       });
-  rankAnew(Before);
+  updateSliceRanks(PreviousMembers);
   Handovers.clear();
   std::erase_if(Peers, [&](const auto &Entry) {
     return std::none_of(
         Members.begin(), Members.end(),
-        [&](const ShareMember &Each) { return Each.Host == Entry.first; });
+        [&](const ShareMember &Joiner) { return Joiner.Host == Entry.first; });
   });
-  for (auto &[Hash, Placed] : Endpoints) {
-    Placed.Steward = stewardOfSlice(Placed.Slice);
-    assign(Placed, WasFresh, Now);
+  for (auto &[Hash, State] : Endpoints) {
+    State.Steward = stewardOfSlice(State.Slice);
+    assignRole(State, WasProven, Now);
   }
-  for (auto &[Name, Use] : Pools)
-    chooseUsed(Use);
-  sendHandovers(Now, Out);
-  deliverLocal(Now, Out);
-}
-
-void ShareManager::assign(Endpoint &Placed, bool WasFresh, TimePoint Now) {
-  if (Placed.Steward != Options.Self) {
-    if (Placed.As == Role::Active && WasFresh && !Placed.Steward.empty())
-      relinquish(Placed);
-    Placed.As = Role::None;
-    if (Placed.Used && inUse(Placed, Now))
-      askSoon(Placed, Now);
+  for (auto &[Name, PoolUsage] : Pools)
+    selectEndpoints(PoolUsage);
+  sendHandovers(Now, Commands);
+  deliverLocal(Now, Commands);
+}
+
+void ShareManager::assignRole(Endpoint &State, bool WasProven, TimePoint Now) {
+  if (State.Steward != Options.Self) {
+    if (State.StewardRole == Role::Active && WasProven &&
+        !State.Steward.empty())
+      queueHandover(State);
+    State.StewardRole = Role::None;
+    if (State.Used && inUse(State, Now))
+      requestSoon(State, Now);
     return;
   }
-  if (Placed.As == Role::Active && WasFresh)
+  if (State.StewardRole == Role::Active && WasProven)
     return;
-  Placed.As = Role::Waiting;
-  Placed.WaitUntil = Now + takeoverWait();
+  State.StewardRole = Role::Waiting;
+  State.ActivateAt = Now + takeoverWait();
 }
 
-void ShareManager::relinquish(Endpoint &Placed) {
-  Handover &To = Handovers[Placed.Steward];
-  To.Message.Epoch = Epoch;
-  To.RetryAt = TimePoint{};
-  HandoverEndpoint Handed = Placed.Credits.handover();
-  Handed.Endpoint = endpointHash(Placed.Key);
-  Handed.Bound = Placed.Bound.bound();
-  Handed.EngineRun = Placed.EngineRun;
-  To.Message.Endpoints.push_back(std::move(Handed));
+void ShareManager::queueHandover(Endpoint &State) {
+  Handover &Pending = Handovers[State.Steward];
+  Pending.Message.Epoch = Epoch;
+  Pending.RetryAt = TimePoint{};
+  HandoverEndpoint Transfer = State.Credits.handover();
+  Transfer.Endpoint = endpointHash(State.Key);
+  Transfer.Bound = State.Bound.bound();
+  Transfer.EngineRun = State.EngineRun;
+  Pending.Message.Endpoints.push_back(std::move(Transfer));
 }
 
 void ShareManager::configure(const RouteTable &Table, TimePoint Now,
-                             ShareCommands &Out) {
-  // An endpoint that came after the last change of the members was never under
-  // another steward: who knows of it knows of that change. A table that this
-  // host sees first tells nothing of when its endpoints came.
-  const bool AllKnown = HasTable && TableVersion >= Epoch;
-  std::unordered_set<EndpointHash> Present;
-  for (const auto &[Name, Of] : Table.Pools) {
-    for (const EndpointSpec &Spec : Of.Endpoints) {
+                             ShareCommands &Commands) {
+  // An endpoint that was added after the last membership change never had
+  // another steward: whoever knows the endpoint knows that change. The first
+  // table that this host gets does not show when its endpoints were added.
+  const bool TableFollowsMembership = HasTable && TableVersion >= Epoch;
+  std::unordered_set<EndpointHash> TableEndpoints;
+  for (const auto &[Name, RoutedPool] : Table.Pools) {
+    for (const EndpointSpec &Spec : RoutedPool.Endpoints) {
       const EndpointHash Hash = endpointHash(Spec.Key);
-      Present.insert(Hash);
-      const auto [Place, Added] = Endpoints.try_emplace(Hash, Spec);
-      Endpoint &Placed = Place->second;
-      Placed.RemovedAt.reset();
-      Placed.WarmBound = Spec.WarmBound;
-      Placed.Bound.declare(Spec.ColdBound, Spec.WarmBound);
+      TableEndpoints.insert(Hash);
+      const auto [Slot, Added] = Endpoints.try_emplace(Hash, Spec);
+      Endpoint &State = Slot->second;
+      State.RemovedAt.reset();
+      State.WarmBound = Spec.WarmBound;
+      State.Bound.declare(Spec.ColdBound, Spec.WarmBound);
       if (!Added)
         continue;
-      Placed.Slice = sliceOf(Of.Name, Hash);
-      Placed.Steward = stewardOfSlice(Placed.Slice);
-      assign(Placed, false, Now);
-      const bool New = Seen.size() < MaxSeen && Seen.insert(Hash).second;
-      if (Placed.As == Role::Waiting && AllKnown && New)
-        Placed.As = Role::Active;
+      State.Slice = sliceOfEndpoint(RoutedPool.Name, Hash);
+      State.Steward = stewardOfSlice(State.Slice);
+      assignRole(State, false, Now);
+      const bool FirstSeen = SeenEndpoints.size() < MaxSeenEndpoints &&
+                             SeenEndpoints.insert(Hash).second;
+      if (State.StewardRole == Role::Waiting && TableFollowsMembership &&
+          FirstSeen)
+        State.StewardRole = Role::Active;
     }
   }
-  for (auto &[Hash, Placed] : Endpoints) {
-    if (Present.contains(Hash) || Placed.RemovedAt)
+  for (auto &[Hash, State] : Endpoints) {
+    if (TableEndpoints.contains(Hash) || State.RemovedAt)
       continue;
-    Placed.RemovedAt = Now;
-    setShare(Placed, 0, Out);
+    State.RemovedAt = Now;
+    setShare(State, 0, Commands);
   }
   HasTable = true;
   TableVersion = Table.Version;
-  takePools(Table);
-  advance(Now, Out);
+  updatePools(Table);
+  advance(Now, Commands);
 }
 
-void ShareManager::takePools(const RouteTable &Table) {
+void ShareManager::updatePools(const RouteTable &Table) {
   std::erase_if(Pools, [&](const auto &Entry) {
     return !Table.Pools.contains(Entry.first);
   });
-  for (const auto &[Name, Of] : Table.Pools) {
-    PoolUse &Use = Pools[Name];
-    Use.All.clear();
-    for (const EndpointSpec &Spec : Of.Endpoints)
-      Use.All.push_back(endpointHash(Spec.Key));
-    chooseUsed(Use);
+  for (const auto &[Name, RoutedPool] : Table.Pools) {
+    PoolState &PoolUsage = Pools[Name];
+    PoolUsage.All.clear();
+    for (const EndpointSpec &Spec : RoutedPool.Endpoints)
+      PoolUsage.All.push_back(endpointHash(Spec.Key));
+    selectEndpoints(PoolUsage);
   }
 }
 
-void ShareManager::chooseUsed(PoolUse &Use) {
+void ShareManager::selectEndpoints(PoolState &PoolUsage) {
   std::map<std::string, std::vector<EndpointHash>> Slices;
-  for (const EndpointHash Hash : Use.All) {
-    Endpoint &Placed = Endpoints.at(Hash);
-    Placed.Used = Members.size() <= Options.WholePoolMaxHosts ||
-                  Placed.Steward == Options.Self;
-    Slices[Placed.Slice].push_back(Hash);
+  for (const EndpointHash Hash : PoolUsage.All) {
+    Endpoint &State = Endpoints.at(Hash);
+    State.Used = Members.size() <= Options.WholePoolMaxHosts ||
+                 State.Steward == Options.Self;
+    Slices[State.Slice].push_back(Hash);
   }
   std::vector<std::pair<std::uint64_t, std::string>> Ranked;
-  for (const auto &[Slice, Held] : Slices)
+  for (const auto &[Slice, Hashes] : Slices)
     Ranked.emplace_back(rendezvousWeight(Options.Self.Text, Slice), Slice);
   std::sort(Ranked.rbegin(), Ranked.rend());
-  std::size_t Taken = 0;
+  std::size_t Selected = 0;
   for (const auto &[Weight, Slice] : Ranked) {
-    if (Taken >= Options.MinSubsetEndpoints)
+    if (Selected >= Options.MinSubsetEndpoints)
       break;
     for (const EndpointHash Hash : Slices.at(Slice))
       Endpoints.at(Hash).Used = true;
-    Taken += Slices.at(Slice).size();
+    Selected += Slices.at(Slice).size();
   }
-  Use.Used.clear();
-  for (const EndpointHash Hash : Use.All)
+  PoolUsage.Used.clear();
+  for (const EndpointHash Hash : PoolUsage.All)
     if (Endpoints.at(Hash).Used)
-      Use.Used.push_back(Hash);
+      PoolUsage.Used.push_back(Hash);
 }
 
 void ShareManager::setEndpointDemand(std::string_view EndpointKey,
                                      std::uint32_t Requests, TimePoint Now,
-                                     ShareCommands &Out) {
-  Endpoint *const Held = find(EndpointKey);
-  if (Held == nullptr || !Held->Used || Held->RemovedAt)
+                                     ShareCommands &Commands) {
+  Endpoint *const State = find(EndpointKey);
+  if (State == nullptr || !State->Used || State->RemovedAt)
     return;
-  wantOne(*Held, Requests, Now);
-  advance(Now, Out);
+  setDemand(*State, Requests, Now);
+  advance(Now, Commands);
 }
 
-void ShareManager::wantOne(Endpoint &Held, std::uint32_t Requests,
-                           TimePoint Now) {
-  const bool More = Requests > Held.Wanted;
-  Held.Wanted = Requests;
+void ShareManager::setDemand(Endpoint &State, std::uint32_t Requests,
+                             TimePoint Now) {
+  const bool Increased = Requests > State.Wanted;
+  State.Wanted = Requests;
   if (Requests > 0)
-    Held.LastUsed = Now;
-  if (More && Requests > Held.Share)
-    askSoon(Held, Now);
+    State.LastUsed = Now;
+  if (Increased && Requests > State.Share)
+    requestSoon(State, Now);
   else
-    plan(Held, Now);
+    scheduleRenewal(State, Now);
 }
 
 void ShareManager::setPoolDemand(std::string_view PoolName,
                                  std::uint32_t Waiting, TimePoint Now,
-                                 ShareCommands &Out) {
+                                 ShareCommands &Commands) {
   const auto Found = Pools.find(PoolName);
   if (Found == Pools.end() || Found->second.Used.empty())
     return;
-  PoolUse &Use = Found->second;
-  if (Waiting == Use.Waiting && Now - Use.Refreshed < Options.RenewalInterval)
+  PoolState &PoolUsage = Found->second;
+  if (Waiting == PoolUsage.Waiting &&
+      Now - PoolUsage.RefreshedAt < Options.RenewalInterval)
     return;
-  Use.Waiting = Waiting;
-  Use.Refreshed = Now;
-  const auto Count = static_cast<std::uint32_t>(Use.Used.size());
-  const std::uint32_t Each = (Waiting + Count - 1) / Count;
-  for (const EndpointHash Hash : Use.Used) {
-    Endpoint &Held = Endpoints.at(Hash);
-    Held.LastUsed = Now;
-    wantOne(Held, Held.InFlight + Each, Now);
+  PoolUsage.Waiting = Waiting;
+  PoolUsage.RefreshedAt = Now;
+  const auto Count = static_cast<std::uint32_t>(PoolUsage.Used.size());
+  const std::uint32_t PerEndpoint = (Waiting + Count - 1) / Count;
+  for (const EndpointHash Hash : PoolUsage.Used) {
+    Endpoint &State = Endpoints.at(Hash);
+    State.LastUsed = Now;
+    setDemand(State, State.InFlight + PerEndpoint, Now);
   }
-  advance(Now, Out);
+  advance(Now, Commands);
 }
 
 std::uint32_t ShareManager::share(std::string_view EndpointKey,
                                   TimePoint Now) const {
-  const Endpoint *const Held = find(EndpointKey);
-  if (Held == nullptr || Held->RemovedAt || Now >= Held->Until)
+  const Endpoint *const State = find(EndpointKey);
+  if (State == nullptr || State->RemovedAt || Now >= State->ShareExpiry)
     return 0;
-  return Held->Share;
+  return State->Share;
 }
 
 bool ShareManager::tryStart(std::string_view EndpointKey, TimePoint Now) {
-  Endpoint *const Held = find(EndpointKey);
-  // Failure guarded against: the process slept, its credit has lapsed and been
-  // granted to others, and it still believes in its share. The time is compared
-  // here, at the act, on a clock that counts the sleep.
-  if (Held == nullptr || Held->RemovedAt || Now >= Held->Until ||
-      Held->InFlight >= Held->Share)
+  Endpoint *const State = find(EndpointKey);
+  // Failure guarded against: the process was suspended, its credit has expired
+  // and been granted to others, and it would still use its share. So the expiry
+  // is checked here, just before sending, on a clock that counts suspended
+  // time.
+  if (State == nullptr || State->RemovedAt || Now >= State->ShareExpiry ||
+      State->InFlight >= State->Share)
     return false;
-  ++Held->InFlight;
-  Held->Peak = std::max(Held->Peak, Held->InFlight);
-  Held->LastUsed = Now;
+  ++State->InFlight;
+  State->Peak = std::max(State->Peak, State->InFlight);
+  State->LastUsed = Now;
   return true;
 }
 
 void ShareManager::finish(std::string_view EndpointKey, bool Succeeded,
-                          Duration Latency, TimePoint Now, ShareCommands &Out) {
-  Endpoint *const Held = find(EndpointKey);
-  if (Held == nullptr || Held->InFlight == 0)
+                          Duration Latency, TimePoint Now,
+                          ShareCommands &Commands) {
+  Endpoint *const State = find(EndpointKey);
+  if (State == nullptr || State->InFlight == 0)
     return;
-  --Held->InFlight;
-  Held->Wanted -= std::min(Held->Wanted, 1U);
+  --State->InFlight;
+  State->Wanted -= std::min(State->Wanted, 1U);
   if (Succeeded) {
-    ++Held->Ended.Successes;
-    Held->Ended.TotalLatencyMicros += static_cast<std::uint64_t>(
+    ++State->Completed.Successes;
+    State->Completed.TotalLatencyMicros += static_cast<std::uint64_t>(
         std::chrono::duration_cast<std::chrono::microseconds>(Latency).count());
   } else {
-    ++Held->Ended.Failures;
+    ++State->Completed.Failures;
   }
-  const bool Spare = std::max(Held->Wanted, Held->InFlight) < Held->Share;
-  if (Held->Contended && Spare)
-    askSoon(*Held, Now);
+  const bool HasSpare = std::max(State->Wanted, State->InFlight) < State->Share;
+  if (State->Contended && HasSpare)
+    requestSoon(*State, Now);
   else
-    plan(*Held, Now);
-  advance(Now, Out);
+    scheduleRenewal(*State, Now);
+  advance(Now, Commands);
 }
 
-void ShareManager::release(TimePoint Now, ShareCommands &Out) {
-  for (auto &[Hash, Held] : Endpoints) {
-    Held.Wanted = 0;
-    Held.LastUsed = TimePoint{};
-    if (Held.Share == 0 && Held.InFlight == 0)
+void ShareManager::release(TimePoint Now, ShareCommands &Commands) {
+  for (auto &[Hash, State] : Endpoints) {
+    State.Wanted = 0;
+    State.LastUsed = TimePoint{};
+    if (State.Share == 0 && State.InFlight == 0)
       continue;
-    setShare(Held, 0, Out);
-    askSoon(Held, Now);
+    setShare(State, 0, Commands);
+    requestSoon(State, Now);
   }
-  advance(Now, Out);
+  advance(Now, Commands);
 }
 
 void ShareManager::observe(const LoadReport &Report, TimePoint Now,
-                           ShareCommands &Out) {
-  Endpoint *const Seen = find(Report.EndpointKey);
-  if (Seen == nullptr)
+                           ShareCommands &Commands) {
+  Endpoint *const State = find(Report.EndpointKey);
+  if (State == nullptr)
     return;
-  const bool Restarted =
-      Seen->EngineRun != 0 && Report.Run != 0 && Report.Run != Seen->EngineRun;
+  const bool Restarted = State->EngineRun != 0 && Report.Run != 0 &&
+                         Report.Run != State->EngineRun;
   if (Report.Run != 0)
-    Seen->EngineRun = Report.Run;
+    State->EngineRun = Report.Run;
   if (Restarted)
-    Seen->Bound.restart();
+    State->Bound.restart();
   // Failure guarded against: the engine restarted and is cold, while credits
-  // for its warm bound are still out. Each holder that hears of the restart
-  // stops at once and asks anew.
-  if (Restarted && Seen->GrantedRun != 0 && Seen->GrantedRun != Report.Run) {
-    setShare(*Seen, 0, Out);
-    askSoon(*Seen, Now);
+  // for its warm bound are still valid. Each holder that learns of the restart
+  // stops at once and requests new credits.
+  if (Restarted && State->GrantedEngineRun != 0 &&
+      State->GrantedEngineRun != Report.Run) {
+    setShare(*State, 0, Commands);
+    requestSoon(*State, Now);
   }
-  if (Seen->As == Role::Waiting)
-    activate(*Seen, Now);
-  if (Seen->As == Role::Active)
-    Seen->Credits.reported(Report.Running + Report.Queued, Now, Options);
-  refill(*Seen, Now, Out);
-  deliverLocal(Now, Out);
+  if (State->StewardRole == Role::Waiting)
+    activate(*State, Now);
+  if (State->StewardRole == Role::Active)
+    State->Credits.applyReport(Report.Running + Report.Queued, Now, Options);
+  refill(*State, Now, Commands);
+  deliverLocal(Now, Commands);
 }
 
-void ShareManager::activate(Endpoint &Placed, TimePoint Now) {
-  if (Placed.As != Role::Waiting || Now < Placed.WaitUntil || !isFresh(Now))
+void ShareManager::activate(Endpoint &State, TimePoint Now) {
+  if (State.StewardRole != Role::Waiting || Now < State.ActivateAt ||
+      !isMembershipProven(Now))
     return;
-  Placed.As = Role::Active;
-  Placed.ActiveSince = Now;
-  Placed.Bound.restart();
-  Placed.Credits = CreditLedger();
-  Placed.Credits.inherit(Options.EndpointsReportLoad ? Placed.WarmBound : 0,
-                         Now);
+  State.StewardRole = Role::Active;
+  State.ActiveSince = Now;
+  State.Bound.restart();
+  State.Credits = CreditLedger();
+  State.Credits.inherit(Options.EndpointsReportLoad ? State.WarmBound : 0, Now);
 }
 
 void ShareManager::received(const HostName &From, const ShareMessage &Message,
-                            TimePoint Now, ShareCommands &Out) {
-  takeIn(From, Message, Now, Out);
-  deliverLocal(Now, Out);
+                            TimePoint Now, ShareCommands &Commands) {
+  dispatch(From, Message, Now, Commands);
+  deliverLocal(Now, Commands);
 }
 
-void ShareManager::takeIn(const HostName &From, const ShareMessage &Message,
-                          TimePoint Now, ShareCommands &Out) {
-  std::visit([&](const auto &Kind) { handle(From, Kind, Now, Out); }, Message);
+void ShareManager::dispatch(const HostName &From, const ShareMessage &Message,
+                            TimePoint Now, ShareCommands &Commands) {
+  std::visit([&](const auto &Body) { handle(From, Body, Now, Commands); },
+             Message);
 }
 
-void ShareManager::deliverLocal(TimePoint Now, ShareCommands &Out) {
-  for (std::size_t Index = 0; Index < Out.size(); ++Index) {
-    auto *const Sent = std::get_if<ShareSend>(&Out[Index]);
+void ShareManager::deliverLocal(TimePoint Now, ShareCommands &Commands) {
+  for (std::size_t Index = 0; Index < Commands.size(); ++Index) {
+    auto *const Sent = std::get_if<ShareSend>(&Commands[Index]);
     if (Sent == nullptr || Sent->To != Options.Self)
       continue;
     const ShareMessage Message = std::move(Sent->Message);
     Sent->To = HostName();
-    takeIn(Options.Self, Message, Now, Out);
+    dispatch(Options.Self, Message, Now, Commands);
   }
-  std::erase_if(Out, [](const ShareCommand &Given) {
-    const auto *const Sent = std::get_if<ShareSend>(&Given);
+  std::erase_if(Commands, [](const ShareCommand &Command) {
+    const auto *const Sent = std::get_if<ShareSend>(&Command);
     return Sent != nullptr && Sent->To.empty();
   });
 }
 
 void ShareManager::handle(const HostName &From, const CreditRequest &Message,
-                          TimePoint Now, ShareCommands &Out) {
-  Peer &Asking = Peers[From];
-  if (Asking.TakenRun != Message.Run) {
-    // Only the run that the agreed members name speaks for a host; a message
-    // of an earlier one may still be on its way.
-    const ShareMember Speaker{From, Message.Run};
-    if (std::find(Members.begin(), Members.end(), Speaker) == Members.end())
+                          TimePoint Now, ShareCommands &Commands) {
+  Peer &Sender = Peers[From];
+  if (Sender.LastReceivedRun != Message.Run) {
+    // Only the run listed in the members acts for a host; a message of an
+    // earlier run may still be in transit.
+    const ShareMember CurrentMember{From, Message.Run};
+    if (std::find(Members.begin(), Members.end(), CurrentMember) ==
+        Members.end())
       return;
-    Asking.TakenRun = Message.Run;
-    Asking.TakenNumber = 0;
+    Sender.LastReceivedRun = Message.Run;
+    Sender.LastReceivedNumber = 0;
   }
-  // Failure guarded against: asks overtake each other. An older one says what
-  // was in progress before grants that the newer one has confirmed.
-  if (Message.Number <= Asking.TakenNumber)
+  // Failure guarded against: requests overtake each other. An older one gives
+  // the requests in progress from before grants that the newer one confirmed.
+  if (Message.Number <= Sender.LastReceivedNumber)
     return;
-  Asking.TakenNumber = Message.Number;
-  CreditGrant Answer;
-  Answer.Run = Message.Run;
-  Answer.RequestNumber = Message.Number;
-  for (const CreditDemand &Want : Message.Demands)
-    grant(From, Message, Want, Now, Answer.Shares, Out);
-  if (!Answer.Shares.empty())
-    Out.emplace_back(ShareSend{From, std::move(Answer)});
+  Sender.LastReceivedNumber = Message.Number;
+  CreditGrant Reply;
+  Reply.Run = Message.Run;
+  Reply.RequestNumber = Message.Number;
+  for (const CreditDemand &Demand : Message.Demands)
+    grant(From, Message, Demand, Now, Reply.Shares, Commands);
+  if (!Reply.Shares.empty())
+    Commands.emplace_back(ShareSend{From, std::move(Reply)});
 }
 
 void ShareManager::grant(const HostName &From, const CreditRequest &Message,
-                         const CreditDemand &Want, TimePoint Now,
-                         std::vector<CreditShare> &Shares, ShareCommands &Out) {
-  const auto Found = Endpoints.find(Want.Endpoint);
+                         const CreditDemand &Demand, TimePoint Now,
+                         std::vector<CreditShare> &Shares,
+                         ShareCommands &Commands) {
+  const auto Found = Endpoints.find(Demand.Endpoint);
   if (Found == Endpoints.end() || Found->second.RemovedAt)
     return;
-  Endpoint &Placed = Found->second;
-  activate(Placed, Now);
-  if (Placed.As != Role::Active || !isFresh(Now))
+  Endpoint &State = Found->second;
+  activate(State, Now);
+  if (State.StewardRole != Role::Active || !isMembershipProven(Now))
     return;
-  recall(Placed, Want, Now);
-  Placed.Credits.expire(Now, Options);
-  CreditShare Given =
-      Placed.Credits.ask(From, Message.Run, Message.Number, Want,
-                         Placed.Bound.bound(), Epoch, Now, Options);
-  Given.EngineRun = Placed.EngineRun;
-  Shares.push_back(Given);
-  if (Want.Successes + Want.Failures > 0)
-    Placed.Bound.ended({Want.Successes, Want.Failures, Want.TotalLatencyMicros},
-                       Placed.Credits.peak());
-  refill(Placed, Now, Out);
-}
-
-void ShareManager::recall(Endpoint &Placed, const CreditDemand &Want,
-                          TimePoint Now) {
-  const bool Recent = Now - Placed.ActiveSince < Options.BoundRecoveryPeriod;
-  if (Recent && Want.EngineRun == Placed.EngineRun &&
-      Want.Bound > Placed.Bound.bound())
-    Placed.Bound.adopt(Want.Bound);
-}
-
-void ShareManager::refill(Endpoint &Placed, TimePoint Now, ShareCommands &Out) {
-  if (Placed.As != Role::Active || !isFresh(Now))
+  recoverBound(State, Demand, Now);
+  State.Credits.expire(Now, Options);
+  CreditShare Granted =
+      State.Credits.request(From, Message.Run, Message.Number, Demand,
+                            State.Bound.bound(), Epoch, Now, Options);
+  Granted.EngineRun = State.EngineRun;
+  Shares.push_back(Granted);
+  if (Demand.Successes + Demand.Failures > 0)
+    State.Bound.ended(
+        {Demand.Successes, Demand.Failures, Demand.TotalLatencyMicros},
+        State.Credits.peak());
+  refill(State, Now, Commands);
+}
+
+void ShareManager::recoverBound(Endpoint &State, const CreditDemand &Demand,
+                                TimePoint Now) {
+  const bool InRecovery = Now - State.ActiveSince < Options.BoundRecoveryPeriod;
+  if (InRecovery && Demand.EngineRun == State.EngineRun &&
+      Demand.Bound > State.Bound.bound())
+    State.Bound.adopt(Demand.Bound);
+}
+
+void ShareManager::refill(Endpoint &State, TimePoint Now,
+                          ShareCommands &Commands) {
+  if (State.StewardRole != Role::Active || !isMembershipProven(Now))
     return;
-  for (CreditRefill &Given :
-       Placed.Credits.refill(Placed.Bound.bound(), Epoch, Now, Options)) {
-    Given.Share.EngineRun = Placed.EngineRun;
-    Out.emplace_back(
-        ShareSend{Given.Host,
-                  CreditGrant{Given.Run, Given.RequestNumber, {Given.Share}}});
+  for (CreditRefill &Refill :
+       State.Credits.refill(State.Bound.bound(), Epoch, Now, Options)) {
+    Refill.Share.EngineRun = State.EngineRun;
+    Commands.emplace_back(ShareSend{
+        Refill.Host,
+        CreditGrant{Refill.Run, Refill.RequestNumber, {Refill.Share}}});
   }
 }
 
 void ShareManager::handle(const HostName &From, const CreditGrant &Message,
-                          TimePoint Now, ShareCommands &Out) {
+                          TimePoint Now, ShareCommands &Commands) {
   if (Message.Run != Options.Run)
     return;
-  std::map<std::uint64_t, SentAsk> &Asks = Peers[From].Asks;
-  const auto Found = Asks.find(Message.RequestNumber);
-  if (Found == Asks.end())
+  std::map<std::uint64_t, SentRequest> &SentRequests = Peers[From].SentRequests;
+  const auto Found = SentRequests.find(Message.RequestNumber);
+  if (Found == SentRequests.end())
     return;
-  for (const CreditShare &Given : Message.Shares) {
-    const auto Held = Endpoints.find(Given.Endpoint);
-    if (Held != Endpoints.end())
-      adopt(Held->second, Given, Found->second, Now, Out);
+  for (const CreditShare &Grant : Message.Shares) {
+    const auto Target = Endpoints.find(Grant.Endpoint);
+    if (Target != Endpoints.end())
+      adopt(Target->second, Grant, Found->second, Now, Commands);
   }
 }
 
-void ShareManager::adopt(Endpoint &Held, const CreditShare &Given,
-                         const SentAsk &Asked, TimePoint Now,
-                         ShareCommands &Out) {
-  const auto Said = Asked.Adopted.find(Given.Endpoint);
-  if (Said == Asked.Adopted.end() || Given.Number.before(Held.Adopted))
+void ShareManager::adopt(Endpoint &State, const CreditShare &Grant,
+                         const SentRequest &Request, TimePoint Now,
+                         ShareCommands &Commands) {
+  const auto Reported = Request.Adopted.find(Grant.Endpoint);
+  if (Reported == Request.Adopted.end() || Grant.Number.before(State.Adopted))
     return;
-  const TimePoint Until = Asked.Left + Options.CreditLife;
-  const bool Newer = Held.Adopted.before(Given.Number);
-  Held.Until = Newer ? Until : std::max(Held.Until, Until);
-  Held.Adopted = Given.Number;
-  Held.GrantedRun = Given.EngineRun;
-  Held.KnownBound = Given.Bound;
-  Held.Contended = Given.Contended;
-  const bool OtherRun = Given.EngineRun != 0 && Held.EngineRun != 0 &&
-                        Given.EngineRun != Held.EngineRun;
-  const bool Usable = !OtherRun && !Held.RemovedAt && Now < Held.Until;
-  setShare(Held, Usable ? Given.Share : 0, Out);
-  const bool Confirmed = Said->second == Given.Number;
-  if (!inUse(Held, Now) && Confirmed && Given.Share == 0)
-    Held.NextAsk.reset();
+  const TimePoint ShareExpiry = Request.SentAt + Options.CreditLife;
+  const bool IsNewer = State.Adopted.before(Grant.Number);
+  State.ShareExpiry =
+      IsNewer ? ShareExpiry : std::max(State.ShareExpiry, ShareExpiry);
+  State.Adopted = Grant.Number;
+  State.GrantedEngineRun = Grant.EngineRun;
+  State.GrantedBound = Grant.Bound;
+  State.Contended = Grant.Contended;
+  const bool EngineRunDiffers = Grant.EngineRun != 0 && State.EngineRun != 0 &&
+                                Grant.EngineRun != State.EngineRun;
+  const bool Usable =
+      !EngineRunDiffers && !State.RemovedAt && Now < State.ShareExpiry;
+  setShare(State, Usable ? Grant.Share : 0, Commands);
+  const bool Confirmed = Reported->second == Grant.Number;
+  if (!inUse(State, Now) && Confirmed && Grant.Share == 0)
+    State.NextRequestAt.reset();
   else
-    plan(Held, Now);
-  schedule(Held);
+    scheduleRenewal(State, Now);
+  updateSchedule(State);
 }
 
-void ShareManager::setShare(Endpoint &Held, std::uint32_t Share,
-                            ShareCommands &Out) {
-  if (Held.Share == Share)
+void ShareManager::setShare(Endpoint &State, std::uint32_t Share,
+                            ShareCommands &Commands) {
+  if (State.Share == Share)
     return;
-  Held.Share = Share;
-  Out.emplace_back(SetShare{Held.Key, Share});
+  State.Share = Share;
+  Commands.emplace_back(SetShare{State.Key, Share});
 }
 
-bool ShareManager::inUse(const Endpoint &Held, TimePoint Now) const {
-  return Held.InFlight > 0 || Held.Wanted > 0 ||
-         (Held.LastUsed != TimePoint{} &&
-          Now - Held.LastUsed < Options.IdleAfter);
+bool ShareManager::inUse(const Endpoint &State, TimePoint Now) const {
+  return State.InFlight > 0 || State.Wanted > 0 ||
+         (State.LastUsed != TimePoint{} &&
+          Now - State.LastUsed < Options.IdleAfter);
 }
 
-void ShareManager::plan(Endpoint &Held, TimePoint Now) {
-  // An idle endpoint is asked about until its last credit is given back.
-  if (!Held.NextAsk)
-    Held.NextAsk = std::max(Now, Held.LastAsk + Options.RenewalInterval);
-  schedule(Held);
+void ShareManager::scheduleRenewal(Endpoint &State, TimePoint Now) {
+  // Requests go on for an idle endpoint until its last credit is given back.
+  if (!State.NextRequestAt)
+    State.NextRequestAt =
+        std::max(Now, State.LastRequestAt + Options.RenewalInterval);
+  updateSchedule(State);
 }
 
-void ShareManager::askSoon(Endpoint &Held, TimePoint Now) {
-  const TimePoint At = std::max(Now, Held.LastAsk + Options.MinRequestInterval);
-  if (!Held.NextAsk || *Held.NextAsk > At)
-    Held.NextAsk = At;
-  schedule(Held);
+void ShareManager::requestSoon(Endpoint &State, TimePoint Now) {
+  const TimePoint At =
+      std::max(Now, State.LastRequestAt + Options.MinRequestInterval);
+  if (!State.NextRequestAt || *State.NextRequestAt > At)
+    State.NextRequestAt = At;
+  updateSchedule(State);
 }
 
-void ShareManager::schedule(Endpoint &Held) {
-  std::optional<TimePoint> At = Held.NextAsk;
-  if (Held.Share > 0 && (!At || Held.Until < *At))
-    At = Held.Until;
-  if (At == Held.Scheduled)
+void ShareManager::updateSchedule(Endpoint &State) {
+  std::optional<TimePoint> At = State.NextRequestAt;
+  if (State.Share > 0 && (!At || State.ShareExpiry < *At))
+    At = State.ShareExpiry;
+  if (At == State.ScheduledAt)
     return;
-  const EndpointHash Hash = endpointHash(Held.Key);
-  if (Held.Scheduled)
-    Schedule.erase({*Held.Scheduled, Hash});
-  Held.Scheduled = At;
+  const EndpointHash Hash = endpointHash(State.Key);
+  if (State.ScheduledAt)
+    Schedule.erase({*State.ScheduledAt, Hash});
+  State.ScheduledAt = At;
   if (At)
     Schedule.emplace(*At, Hash);
 }
 
-void ShareManager::advance(TimePoint Now, ShareCommands &Out) {
-  std::map<HostName, std::vector<EndpointHash>> Due;
+void ShareManager::advance(TimePoint Now, ShareCommands &Commands) {
+  std::map<HostName, std::vector<EndpointHash>> DueRequests;
   while (!Schedule.empty() && Schedule.begin()->first <= Now) {
     const EndpointHash Hash = Schedule.begin()->second;
     Schedule.erase(Schedule.begin());
-    Endpoint &Held = Endpoints.at(Hash);
-    Held.Scheduled.reset();
-    if (Held.Share > 0 && Held.Until <= Now)
-      setShare(Held, 0, Out);
-    if (Held.NextAsk && *Held.NextAsk <= Now) {
-      Held.NextAsk.reset();
-      if (!Held.RemovedAt && !Held.Steward.empty())
-        Due[Held.Steward].push_back(Hash);
+    Endpoint &State = Endpoints.at(Hash);
+    State.ScheduledAt.reset();
+    if (State.Share > 0 && State.ShareExpiry <= Now)
+      setShare(State, 0, Commands);
+    if (State.NextRequestAt && *State.NextRequestAt <= Now) {
+      State.NextRequestAt.reset();
+      if (!State.RemovedAt && !State.Steward.empty())
+        DueRequests[State.Steward].push_back(Hash);
     }
-    if (!Held.NextAsk && !Held.RemovedAt && !Held.Steward.empty())
-      Held.NextAsk = Now + Options.RenewalInterval;
-    schedule(Held);
+    if (!State.NextRequestAt && !State.RemovedAt && !State.Steward.empty())
+      State.NextRequestAt = Now + Options.RenewalInterval;
+    updateSchedule(State);
   }
-  sendAsks(Due, Now, Out);
-  sendHandovers(Now, Out);
+  sendRequests(DueRequests, Now, Commands);
+  sendHandovers(Now, Commands);
   if (Now >= NextSweep) {
-    NextSweep = Now + SweepEvery;
-    forgetGone(Now);
+    NextSweep = Now + SweepInterval;
+    eraseRemoved(Now);
   }
-  deliverLocal(Now, Out);
+  deliverLocal(Now, Commands);
 }
 
-void ShareManager::sendAsks(
-    const std::map<HostName, std::vector<EndpointHash>> &Due, TimePoint Now,
-    ShareCommands &Out) {
-  for (const auto &[Host, Hashes] : Due) {
-    Peer &Asked = Peers[Host];
+void ShareManager::sendRequests(
+    const std::map<HostName, std::vector<EndpointHash>> &DueRequests,
+    TimePoint Now, ShareCommands &Commands) {
+  for (const auto &[Host, Hashes] : DueRequests) {
+    Peer &Steward = Peers[Host];
     CreditRequest Message;
     Message.Run = Options.Run;
-    // The clock's reading, so that a peer that was forgotten meanwhile gets no
-    // number twice.
-    Asked.LastNumber =
-        std::max(Asked.LastNumber + 1,
+    // At least the clock's reading, so that a peer whose state was erased in
+    // the meantime gets no number twice.
+    Steward.LastRequestNumber =
+        std::max(Steward.LastRequestNumber + 1,
                  static_cast<std::uint64_t>(Now.time_since_epoch().count()));
-    Message.Number = Asked.LastNumber;
-    SentAsk &Kept = Asked.Asks[Message.Number];
-    Kept.Left = Now;
+    Message.Number = Steward.LastRequestNumber;
+    SentRequest &Sent = Steward.SentRequests[Message.Number];
+    Sent.SentAt = Now;
     for (const EndpointHash Hash : Hashes) {
-      Endpoint &Held = Endpoints.at(Hash);
-      const bool Using = inUse(Held, Now);
-      CreditDemand Want;
-      Want.Endpoint = Hash;
-      Want.InFlight = Held.InFlight;
-      Want.Wanted = Using ? std::max({1U, Held.Wanted, Held.InFlight}) : 0;
-      Want.Peak = Held.Peak;
-      Want.Bound = Held.KnownBound;
-      Want.Adopted = Held.Adopted;
-      Want.EngineRun = Held.GrantedRun;
-      Want.Successes = Held.Ended.Successes;
-      Want.Failures = Held.Ended.Failures;
-      Want.TotalLatencyMicros = Held.Ended.TotalLatencyMicros;
-      Held.Ended = CompletedRequests{};
-      Held.Peak = Held.InFlight;
-      Held.LastAsk = Now;
-      Kept.Adopted.emplace(Hash, Held.Adopted);
-      Message.Demands.push_back(Want);
+      Endpoint &State = Endpoints.at(Hash);
+      const bool InUse = inUse(State, Now);
+      CreditDemand Demand;
+      Demand.Endpoint = Hash;
+      Demand.InFlight = State.InFlight;
+      Demand.Wanted = InUse ? std::max({1U, State.Wanted, State.InFlight}) : 0;
+      Demand.Peak = State.Peak;
+      Demand.Bound = State.GrantedBound;
+      Demand.Adopted = State.Adopted;
+      Demand.EngineRun = State.GrantedEngineRun;
+      Demand.Successes = State.Completed.Successes;
+      Demand.Failures = State.Completed.Failures;
+      Demand.TotalLatencyMicros = State.Completed.TotalLatencyMicros;
+      State.Completed = CompletedRequests{};
+      State.Peak = State.InFlight;
+      State.LastRequestAt = Now;
+      Sent.Adopted.emplace(Hash, State.Adopted);
+      Message.Demands.push_back(Demand);
     }
-    while (Asked.Asks.size() > MaxAsksKept)
-      Asked.Asks.erase(Asked.Asks.begin());
-    Out.emplace_back(ShareSend{Host, std::move(Message)});
+    while (Steward.SentRequests.size() > MaxSentRequests)
+      Steward.SentRequests.erase(Steward.SentRequests.begin());
+    Commands.emplace_back(ShareSend{Host, std::move(Message)});
   }
 }
 
-void ShareManager::sendHandovers(TimePoint Now, ShareCommands &Out) {
+void ShareManager::sendHandovers(TimePoint Now, ShareCommands &Commands) {
   for (auto &[Host, Pending] : Handovers) {
     if (Pending.RetryAt > Now)
       continue;
     Pending.RetryAt = Now + Options.HandoverRetry;
-    Out.emplace_back(ShareSend{Host, Pending.Message});
+    Commands.emplace_back(ShareSend{Host, Pending.Message});
   }
 }
 
 void ShareManager::handle(const HostName &From, const StewardHandover &Message,
-                          TimePoint Now, ShareCommands &Out) {
-  // Failure guarded against: a handover that was delayed past another change
-  // of the members, when the part has gone on to a third host.
-  if (Message.Epoch != Epoch || !isFresh(Now))
+                          TimePoint Now, ShareCommands &Commands) {
+  // Failure guarded against: a handover is delayed past another membership
+  // change, after which a third host is the steward.
+  if (Message.Epoch != Epoch || !isMembershipProven(Now))
     return;
-  StewardHandoverAck Taken;
-  Taken.Epoch = Epoch;
-  for (const HandoverEndpoint &Handed : Message.Endpoints) {
-    const auto Found = Endpoints.find(Handed.Endpoint);
+  StewardHandoverAck Ack;
+  Ack.Epoch = Epoch;
+  for (const HandoverEndpoint &Transfer : Message.Endpoints) {
+    const auto Found = Endpoints.find(Transfer.Endpoint);
     if (Found == Endpoints.end() || Found->second.Steward != Options.Self)
       continue;
-    Endpoint &Placed = Found->second;
-    Taken.Endpoints.push_back(Handed.Endpoint);
-    if (Placed.As != Role::Waiting)
+    Endpoint &State = Found->second;
+    Ack.Endpoints.push_back(Transfer.Endpoint);
+    if (State.StewardRole != Role::Waiting)
       continue;
-    Placed.As = Role::Active;
-    Placed.Bound.restart();
-    const bool SameRun = Handed.EngineRun == 0 || Placed.EngineRun == 0 ||
-                         Handed.EngineRun == Placed.EngineRun;
+    State.StewardRole = Role::Active;
+    State.Bound.restart();
+    const bool SameRun = Transfer.EngineRun == 0 || State.EngineRun == 0 ||
+                         Transfer.EngineRun == State.EngineRun;
     if (SameRun)
-      Placed.Bound.adopt(Handed.Bound);
-    Placed.Credits = CreditLedger();
-    Placed.Credits.adopt(Handed, Epoch, Now);
+      State.Bound.adopt(Transfer.Bound);
+    State.Credits = CreditLedger();
+    State.Credits.adopt(Transfer, Epoch, Now);
   }
-  Out.emplace_back(ShareSend{From, std::move(Taken)});
+  Commands.emplace_back(ShareSend{From, std::move(Ack)});
 }
 
 void ShareManager::handle(const HostName &From,
                           const StewardHandoverAck &Message, TimePoint /*Now*/,
-                          ShareCommands & /*Out*/) {
+                          ShareCommands & /*Commands*/) {
   const auto Found = Handovers.find(From);
   if (Found == Handovers.end() || Message.Epoch != Epoch)
     return;
-  std::erase_if(Found->second.Message.Endpoints, [&](const auto &Handed) {
+  std::erase_if(Found->second.Message.Endpoints, [&](const auto &Transfer) {
     return std::find(Message.Endpoints.begin(), Message.Endpoints.end(),
-                     Handed.Endpoint) != Message.Endpoints.end();
+                     Transfer.Endpoint) != Message.Endpoints.end();
   });
   if (Found->second.Message.Endpoints.empty())
     Handovers.erase(Found);
 }
 
-void ShareManager::forgetGone(TimePoint Now) {
+void ShareManager::eraseRemoved(TimePoint Now) {
   std::erase_if(Endpoints, [&](const auto &Entry) {
-    const Endpoint &Held = Entry.second;
-    if (!Held.RemovedAt || Held.InFlight > 0)
+    const Endpoint &State = Entry.second;
+    if (!State.RemovedAt || State.InFlight > 0)
       return false;
-    if (Now - *Held.RemovedAt < 2 * Options.CreditLife)
+    if (Now - *State.RemovedAt < 2 * Options.CreditLife)
       return false;
-    if (Held.Scheduled)
-      Schedule.erase({*Held.Scheduled, Entry.first});
+    if (State.ScheduledAt)
+      Schedule.erase({*State.ScheduledAt, Entry.first});
     return true;
   });
 }
@@ -692,16 +713,16 @@
 }
 
 HostName ShareManager::stewardOf(std::string_view EndpointKey) const {
-  const Endpoint *const Placed = find(EndpointKey);
-  return Placed == nullptr ? HostName() : Placed->Steward;
+  const Endpoint *const State = find(EndpointKey);
+  return State == nullptr ? HostName() : State->Steward;
 }
 
 std::optional<std::uint32_t>
 ShareManager::boundOf(std::string_view EndpointKey) const {
-  const Endpoint *const Placed = find(EndpointKey);
-  if (Placed == nullptr || Placed->As != Role::Active)
+  const Endpoint *const State = find(EndpointKey);
+  if (State == nullptr || State->StewardRole != Role::Active)
     return std::nullopt;
-  return Placed->Bound.bound();
+  return State->Bound.bound();
 }
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/admission/manager.hpp
+++ b/packages/request/src/coltsfoottrail/admission/manager.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Keeps the requests of all entry hosts at an endpoint below what it bears.
+/// Keeps the requests in progress of all entry hosts at an endpoint within its
+/// bound.
 #ifndef COLTSFOOTTRAIL_ADMISSION_MANAGER_HPP
 #define COLTSFOOTTRAIL_ADMISSION_MANAGER_HPP
 
@@ -18,82 +19,89 @@
 
 namespace coltsfoottrail {
 
-/// @brief Shares of one entry host: as a holder it asks for credits and counts
-/// what it has in progress; as a steward of some endpoints it finds their bound
-/// and grants. Pure: takes events and times, answers commands.
+/// @brief Manages the shares of one entry host. As a holder it requests credits
+/// and counts its requests in progress; as the steward of some endpoints it
+/// determines their bounds and grants credits. Pure: takes events and times and
+/// returns commands.
 ///
-/// Not thread-safe: stands under one lock. Times must not go back.
+/// Not thread-safe: callers hold one lock. Times must not go back.
 class ShareManager {
 public:
-  /// @brief Makes a keeper that knows no peers and no endpoints.
-  /// @param Limits Times and limits; Self and Run must be set.
-  explicit ShareManager(ShareOptions Limits);
+  /// @brief Starts without members and endpoints.
+  /// @param Configured Times and limits; Self and Run must be set.
+  explicit ShareManager(ShareOptions Configured);
   ShareManager(const ShareManager &) = delete;
   ShareManager &operator=(const ShareManager &) = delete;
 
-  /// @brief Takes the entry hosts of the agreed state. Every change must come,
-  /// before the state's routes and before a proof that rests on it.
-  /// @param Changed Offset of the record that changed them last.
-  /// @param Joined The hosts; this one among them once it has joined.
+  /// @brief Sets the entry hosts of the agreed state. Must be called for every
+  /// change, before configure() and confirmMembership() for a state that
+  /// includes the change.
+  /// @param Changed Log offset of the last membership change.
+  /// @param Joined The members; this host among them once it has joined.
   /// @param Now The time.
-  /// @param Out Commands are added here.
+  /// @param Commands Receives the commands.
   void setMembers(Offset Changed, std::span<const ShareMember> Joined,
-                  TimePoint Now, ShareCommands &Out);
-  /// @brief Takes the routes of the agreed state.
-  void configure(const RouteTable &Table, TimePoint Now, ShareCommands &Out);
-  /// @brief Takes a proof that the members it knows are the agreed ones.
-  /// @param ProvenAt When the read left that showed the end of the agreed
-  /// stream, all below folded.
-  void confirmMembership(TimePoint ProvenAt);
-
-  /// @brief Says how many requests this host would have in progress at an
-  /// endpoint, those in progress included.
+                  TimePoint Now, ShareCommands &Commands);
+  /// @brief Applies the routes of the agreed state.
+  void configure(const RouteTable &Table, TimePoint Now,
+                 ShareCommands &Commands);
+  /// @brief Confirms that the members set last are the current ones.
+  /// @param ReadSentAt When the read was sent that reached the end of the
+  /// agreed stream; all records before that end must have been folded.
+  void confirmMembership(TimePoint ReadSentAt);
+
+  /// @brief Sets the demand on an endpoint: the requests that this host would
+  /// have in progress there, those in progress included.
   void setEndpointDemand(std::string_view EndpointKey, std::uint32_t Requests,
-                         TimePoint Now, ShareCommands &Out);
-  /// @brief Says how many requests wait for any endpoint of a pool; to be
-  /// called at each change of that number, and now and then while the pool is
-  /// in use. Stands for a want() for each endpoint that this host uses.
+                         TimePoint Now, ShareCommands &Commands);
+  /// @brief Sets the number of requests waiting for any endpoint of a pool. To
+  /// be called at each change of that number, and from time to time while the
+  /// pool is in use. Sets the demand on each endpoint that this host uses, as
+  /// setEndpointDemand() does.
   /// @param PoolName The pool.
-  /// @param Waiting Requests that wait.
+  /// @param Waiting Number of waiting requests.
   /// @param Now The time.
-  /// @param Out Commands are added here.
+  /// @param Commands Receives the commands.
   void setPoolDemand(std::string_view PoolName, std::uint32_t Waiting,
-                     TimePoint Now, ShareCommands &Out);
-  /// @brief Asks for leave to send one request, at the act itself.
-  /// @param EndpointKey Where to.
-  /// @param Now The time, read just before.
-  /// @return False when the share is used up or has lapsed: do not send. After
-  /// true, finished() must follow.
+                     TimePoint Now, ShareCommands &Commands);
+  /// @brief Takes one unit of the share; to be called just before a request is
+  /// sent.
+  /// @param EndpointKey The endpoint.
+  /// @param Now The time, read just before the call.
+  /// @return False if the share is used up or has expired: do not send. After
+  /// true, finish() must follow.
   [[nodiscard]] bool tryStart(std::string_view EndpointKey, TimePoint Now);
-  /// @brief A request that was started has ended.
-  /// @param EndpointKey Where.
-  /// @param Succeeded Whether the endpoint did its part.
-  /// @param Latency What the endpoint took; only that of successes counts.
+  /// @brief Ends a request for which tryStart() returned true.
+  /// @param EndpointKey The endpoint.
+  /// @param Succeeded Whether the endpoint served the request.
+  /// @param Latency Time that the endpoint took; used only for successes.
   /// @param Now The time.
-  /// @param Out Commands are added here.
+  /// @param Commands Receives the commands.
   void finish(std::string_view EndpointKey, bool Succeeded, Duration Latency,
-              TimePoint Now, ShareCommands &Out);
-  /// @brief This host takes no more requests: it gives its credits back as its
-  /// work ends. To be called first in a planned stop.
-  void release(TimePoint Now, ShareCommands &Out);
-  /// @brief Takes an endpoint's load report.
-  void observe(const LoadReport &Report, TimePoint Now, ShareCommands &Out);
-
-  /// @brief Takes a message from a peer; any number of times, in any order.
+              TimePoint Now, ShareCommands &Commands);
+  /// @brief Gives the credits back as requests in progress end. To be called
+  /// first in a planned stop, when this host accepts no more requests.
+  void release(TimePoint Now, ShareCommands &Commands);
+  /// @brief Applies an endpoint's load report.
+  void observe(const LoadReport &Report, TimePoint Now,
+               ShareCommands &Commands);
+
+  /// @brief Handles a message from a peer; messages may be repeated and
+  /// reordered.
   void received(const HostName &From, const ShareMessage &Message,
-                TimePoint Now, ShareCommands &Out);
-  /// @brief Does what time alone brings.
-  void advance(TimePoint Now, ShareCommands &Out);
+                TimePoint Now, ShareCommands &Commands);
+  /// @brief Processes everything that is due by Now.
+  void advance(TimePoint Now, ShareCommands &Commands);
   /// @brief When advance() should be called next.
   [[nodiscard]] std::optional<TimePoint> nextWake() const;
 
-  /// @brief Requests that this host may have in progress at an endpoint now.
+  /// @brief Number of requests that this host may have in progress at an
+  /// endpoint now.
   [[nodiscard]] std::uint32_t share(std::string_view EndpointKey,
                                     TimePoint Now) const;
-  /// @brief The steward of an endpoint, as this host sees it; empty when
-  /// unknown.
+  /// @brief The steward of an endpoint in this host's view; empty if unknown.
   [[nodiscard]] HostName stewardOf(std::string_view EndpointKey) const;
-  /// @brief The endpoint's bound, where this host is its steward and grants.
+  /// @brief The endpoint's bound if this host is its active steward.
   [[nodiscard]] std::optional<std::uint32_t>
   boundOf(std::string_view EndpointKey) const;
 
@@ -107,54 +115,55 @@
     std::string Key;
     std::string Slice;
     HostName Steward;
-    /// This host may use it.
+    /// Whether this host sends requests to the endpoint.
     bool Used = false;
     std::optional<TimePoint> RemovedAt;
     Incarnation EngineRun = 0;
 
-    // As its steward.
-    Role As = Role::None;
-    TimePoint WaitUntil;
+    // State of the steward.
+    Role StewardRole = Role::None;
+    TimePoint ActivateAt;
     TimePoint ActiveSince;
     Ramp Bound;
     std::uint32_t WarmBound;
     CreditLedger Credits;
 
-    // As a holder.
+    // State of the holder.
     std::uint32_t InFlight = 0;
     std::uint32_t Peak = 0;
     std::uint32_t Wanted = 0;
     std::uint32_t Share = 0;
     bool Contended = false;
-    std::uint32_t KnownBound = 0;
-    TimePoint Until;
+    std::uint32_t GrantedBound = 0;
+    TimePoint ShareExpiry;
     GrantNumber Adopted;
-    Incarnation GrantedRun = 0;
-    CompletedRequests Ended;
+    Incarnation GrantedEngineRun = 0;
+    CompletedRequests Completed;
     TimePoint LastUsed;
-    TimePoint LastAsk;
-    std::optional<TimePoint> NextAsk;
-    std::optional<TimePoint> Scheduled;
+    TimePoint LastRequestAt;
+    std::optional<TimePoint> NextRequestAt;
+    std::optional<TimePoint> ScheduledAt;
   };
-  struct PoolUse {
+  struct PoolState {
     std::vector<EndpointHash> All;
     std::vector<EndpointHash> Used;
     std::uint32_t Waiting = 0;
-    TimePoint Refreshed;
+    TimePoint RefreshedAt;
   };
-  struct SentAsk {
-    TimePoint Left;
+  struct SentRequest {
+    TimePoint SentAt;
     std::map<EndpointHash, GrantNumber> Adopted;
   };
   struct Peer {
-    std::uint64_t LastNumber = 0;
-    std::map<std::uint64_t, SentAsk> Asks;
-    /// Highest ask taken from it, and of which run.
-    std::uint64_t TakenNumber = 0;
-    Incarnation TakenRun = 0;
+    std::uint64_t LastRequestNumber = 0;
+    std::map<std::uint64_t, SentRequest> SentRequests;
+    /// Highest number of a request received from the peer, and the run that
+    /// sent it.
+    std::uint64_t LastReceivedNumber = 0;
+    Incarnation LastReceivedRun = 0;
   };
   /// The host with the highest rendezvous weight for a slice.
-  struct Weighed {
+  struct RankedHost {
     HostName Host;
     std::uint64_t Weight = 0;
   };
@@ -164,63 +173,65 @@
   };
 
   void handle(const HostName &From, const CreditRequest &Message, TimePoint Now,
-              ShareCommands &Out);
+              ShareCommands &Commands);
   void handle(const HostName &From, const CreditGrant &Message, TimePoint Now,
-              ShareCommands &Out);
+              ShareCommands &Commands);
   void handle(const HostName &From, const StewardHandover &Message,
-              TimePoint Now, ShareCommands &Out);
+              TimePoint Now, ShareCommands &Commands);
   void handle(const HostName &From, const StewardHandoverAck &Message,
-              TimePoint Now, ShareCommands &Out);
-  void takeIn(const HostName &From, const ShareMessage &Message, TimePoint Now,
-              ShareCommands &Out);
-  void deliverLocal(TimePoint Now, ShareCommands &Out);
+              TimePoint Now, ShareCommands &Commands);
+  void dispatch(const HostName &From, const ShareMessage &Message,
+                TimePoint Now, ShareCommands &Commands);
+  void deliverLocal(TimePoint Now, ShareCommands &Commands);
 
   [[nodiscard]] Endpoint *find(std::string_view EndpointKey);
   [[nodiscard]] const Endpoint *find(std::string_view EndpointKey) const;
-  [[nodiscard]] bool isFresh(TimePoint Now) const;
+  [[nodiscard]] bool isMembershipProven(TimePoint Now) const;
   [[nodiscard]] Duration takeoverWait() const;
   [[nodiscard]] const HostName &stewardOfSlice(const std::string &Slice);
-  void rankAnew(std::span<const ShareMember> Before);
-  [[nodiscard]] Weighed weigh(const std::string &Slice) const;
-  void assign(Endpoint &Placed, bool WasFresh, TimePoint Now);
-  void relinquish(Endpoint &Placed);
-  void takePools(const RouteTable &Table);
-  void chooseUsed(PoolUse &Use);
-  void activate(Endpoint &Placed, TimePoint Now);
+  void updateSliceRanks(std::span<const ShareMember> PreviousMembers);
+  [[nodiscard]] RankedHost highestRanked(const std::string &Slice) const;
+  void assignRole(Endpoint &State, bool WasProven, TimePoint Now);
+  void queueHandover(Endpoint &State);
+  void updatePools(const RouteTable &Table);
+  void selectEndpoints(PoolState &PoolUsage);
+  void activate(Endpoint &State, TimePoint Now);
   void grant(const HostName &From, const CreditRequest &Message,
-             const CreditDemand &Want, TimePoint Now,
-             std::vector<CreditShare> &Shares, ShareCommands &Out);
-  void recall(Endpoint &Placed, const CreditDemand &Want, TimePoint Now);
-  void refill(Endpoint &Placed, TimePoint Now, ShareCommands &Out);
-  void adopt(Endpoint &Held, const CreditShare &Given, const SentAsk &Asked,
-             TimePoint Now, ShareCommands &Out);
-  void wantOne(Endpoint &Held, std::uint32_t Requests, TimePoint Now);
-  void setShare(Endpoint &Held, std::uint32_t Share, ShareCommands &Out);
-  [[nodiscard]] bool inUse(const Endpoint &Held, TimePoint Now) const;
-  void plan(Endpoint &Held, TimePoint Now);
-  void schedule(Endpoint &Held);
-  void askSoon(Endpoint &Held, TimePoint Now);
-  void sendAsks(const std::map<HostName, std::vector<EndpointHash>> &Due,
-                TimePoint Now, ShareCommands &Out);
-  void sendHandovers(TimePoint Now, ShareCommands &Out);
-  void forgetGone(TimePoint Now);
+             const CreditDemand &Demand, TimePoint Now,
+             std::vector<CreditShare> &Shares, ShareCommands &Commands);
+  void recoverBound(Endpoint &State, const CreditDemand &Demand, TimePoint Now);
+  void refill(Endpoint &State, TimePoint Now, ShareCommands &Commands);
+  void adopt(Endpoint &State, const CreditShare &Grant,
+             const SentRequest &Request, TimePoint Now,
+             ShareCommands &Commands);
+  void setDemand(Endpoint &State, std::uint32_t Requests, TimePoint Now);
+  void setShare(Endpoint &State, std::uint32_t Share, ShareCommands &Commands);
+  [[nodiscard]] bool inUse(const Endpoint &State, TimePoint Now) const;
+  void scheduleRenewal(Endpoint &State, TimePoint Now);
+  void updateSchedule(Endpoint &State);
+  void requestSoon(Endpoint &State, TimePoint Now);
+  void
+  sendRequests(const std::map<HostName, std::vector<EndpointHash>> &DueRequests,
+               TimePoint Now, ShareCommands &Commands);
+  void sendHandovers(TimePoint Now, ShareCommands &Commands);
+  void eraseRemoved(TimePoint Now);
 
   ShareOptions Options;
   Offset Epoch = 0;
   std::vector<ShareMember> Members;
-  /// This run is not a member, but another run of this host is.
+  /// Another run of this host is a member.
   bool Replaced = false;
   Offset TableVersion = 0;
   bool HasTable = false;
   std::optional<TimePoint> ProvenAt;
   std::unordered_map<EndpointHash, Endpoint> Endpoints;
-  /// Endpoints that have ever been in a table.
-  std::set<EndpointHash> Seen;
-  /// The best member for each slice in use. A change of one member among a
-  /// thousand is worked in here, as ranking all anew takes tens of
+  /// All endpoints that have ever been in a table.
+  std::set<EndpointHash> SeenEndpoints;
+  /// The highest-ranked member for each slice in use, updated incrementally:
+  /// with a thousand members, ranking all slices anew takes tens of
   /// milliseconds.
-  std::map<std::string, Weighed> Ranks;
-  std::map<std::string, PoolUse, std::less<>> Pools;
+  std::map<std::string, RankedHost> SliceRanks;
+  std::map<std::string, PoolState, std::less<>> Pools;
   std::map<HostName, Peer> Peers;
   std::map<HostName, Handover> Handovers;
   std::set<std::pair<TimePoint, EndpointHash>> Schedule;
--- a/packages/request/src/coltsfoottrail/admission/ramp.cpp
+++ b/packages/request/src/coltsfoottrail/admission/ramp.cpp
@@ -6,18 +6,21 @@
 
 namespace {
 
-/// A window proves the bound when this part of it was in use.
-constexpr double NearBound = 0.7;
-/// Latency may grow by this with the load of a raised bound.
-constexpr double SteadyGrowth = 1.5;
-/// More than this is no longer borne: the bound is cut.
-constexpr double TooMuchGrowth = 2.5;
-/// More than this is an endpoint that has lost its warmth.
-constexpr double ColdGrowth = 6.0;
-constexpr double FailuresCut = 0.1;
-constexpr double FailuresCold = 0.5;
-constexpr double UsualWeight = 0.1;
-constexpr std::uint32_t MinWindow = 4;
+/// The bound may be raised after a window whose peak used this fraction of it.
+constexpr double NearBoundFraction = 0.7;
+/// Largest latency growth over the baseline at which the bound is raised.
+constexpr double MaxSteadyGrowth = 1.5;
+/// Latency growth above which the bound is cut.
+constexpr double CutGrowth = 2.5;
+/// Latency growth above which the endpoint counts as cold again.
+constexpr double RestartGrowth = 6.0;
+/// Failure rate above which the bound is cut.
+constexpr double CutFailureRate = 0.1;
+/// Failure rate above which the endpoint counts as cold again.
+constexpr double RestartFailureRate = 0.5;
+/// Weight of a window in the moving average of the baseline latency.
+constexpr double BaselineWeight = 0.1;
+constexpr std::uint32_t MinWindowRequests = 4;
 
 } // namespace
 
@@ -31,16 +34,20 @@
   Bound = std::clamp(Bound, Cold, Warm);
 }
 
-void Ramp::adopt(std::uint32_t Found) { Bound = std::clamp(Found, Cold, Warm); }
+void Ramp::adopt(std::uint32_t AdoptedBound) {
+  Bound = std::clamp(AdoptedBound, Cold, Warm);
+}
 
 void Ramp::restart() {
   Bound = Cold;
   Window = CompletedRequests{};
   Peak = 0;
-  UsualMicros = 0;
+  BaselineMicros = 0;
 }
 
-std::uint32_t Ramp::windowSize() const { return std::max(MinWindow, Bound); }
+std::uint32_t Ramp::windowSize() const {
+  return std::max(MinWindowRequests, Bound);
+}
 
 void Ramp::ended(const CompletedRequests &Ended, std::uint32_t InFlight) {
   Window.Successes += Ended.Successes;
@@ -54,33 +61,35 @@
 
 void Ramp::closeWindow() {
   const auto Count = static_cast<double>(Window.Successes + Window.Failures);
-  const double FailureShare = Window.Failures / Count;
-  const double Mean =
+  const double FailureRate = Window.Failures / Count;
+  const double MeanMicros =
       Window.Successes == 0
           ? 0
           : static_cast<double>(Window.TotalLatencyMicros) / Window.Successes;
-  const double Growth = UsualMicros > 0 ? Mean / UsualMicros : 1;
-  const bool Near = Peak >= NearBound * Bound;
+  const double Growth = BaselineMicros > 0 ? MeanMicros / BaselineMicros : 1;
+  const bool NearBound = Peak >= NearBoundFraction * Bound;
   Window = CompletedRequests{};
   Peak = 0;
-  // Failure guarded against: an endpoint turns cold without a restart, as when
-  // its caches are dropped. It shows as failures or as a jump of the latency,
-  // and full load would bring it down.
-  if (FailureShare > FailuresCold || Growth > ColdGrowth) {
+  // Failure guarded against: an endpoint turns cold without a restart, for
+  // example when its caches are dropped, and full load would bring it down. It
+  // shows as failures or as a jump in latency.
+  if (FailureRate > RestartFailureRate || Growth > RestartGrowth) {
     restart();
     return;
   }
-  // At the cold bound there is nothing left to cut: what it takes there is its
-  // usual latency, as when a team's prompts have grown longer.
-  const bool AtBottom = Bound == Cold && FailureShare <= FailuresCut;
-  if (!AtBottom && (FailureShare > FailuresCut || Growth > TooMuchGrowth)) {
+  // At the cold bound there is nothing left to cut. The latency there becomes
+  // the baseline, for example when a team's prompts have grown longer.
+  const bool AtColdBound = Bound == Cold && FailureRate <= CutFailureRate;
+  if (!AtColdBound && (FailureRate > CutFailureRate || Growth > CutGrowth)) {
     cut();
     return;
   }
-  if (Near && Growth <= SteadyGrowth)
+  if (NearBound && Growth <= MaxSteadyGrowth)
     raise();
-  UsualMicros =
-      UsualMicros > 0 ? UsualMicros + UsualWeight * (Mean - UsualMicros) : Mean;
+  BaselineMicros =
+      BaselineMicros > 0
+          ? BaselineMicros + BaselineWeight * (MeanMicros - BaselineMicros)
+          : MeanMicros;
 }
 
 void Ramp::raise() { Bound = std::min(Warm, Bound + std::max(1U, Bound / 2)); }
--- a/packages/request/src/coltsfoottrail/admission/ramp.hpp
+++ b/packages/request/src/coltsfoottrail/admission/ramp.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How many requests an endpoint bears at once, by what it has shown.
+/// Adaptive limit of requests in progress at an endpoint.
 #ifndef COLTSFOOTTRAIL_ADMISSION_RAMP_HPP
 #define COLTSFOOTTRAIL_ADMISSION_RAMP_HPP
 
@@ -10,37 +10,39 @@
 
 namespace coltsfoottrail {
 
-/// @brief Requests that ended at an endpoint.
+/// @brief Counts of requests completed at an endpoint.
 struct CompletedRequests {
   std::uint32_t Successes = 0;
   std::uint32_t Failures = 0;
-  /// Of the successes, in all.
+  /// Sum over the successes.
   std::uint64_t TotalLatencyMicros = 0;
 };
 
-/// @brief The bound of one endpoint: from ColdBound to WarmBound, raised only
-/// by work done near the bound with a latency that holds. Pure.
+/// @brief The limit (bound) of requests in progress at one endpoint, between
+/// ColdBound and WarmBound. It is raised only while load near the bound is
+/// served at a steady latency. Pure.
 ///
 /// Not thread-safe.
 class Ramp {
 public:
-  /// @brief Starts cold.
-  /// @param ColdBound Requests at once just after its start, above zero.
-  /// @param WarmBound Requests at once when warm, not below ColdBound.
+  /// @brief Starts at the cold bound.
+  /// @param ColdBound Limit just after the endpoint's start, above zero.
+  /// @param WarmBound Limit when warm, not below ColdBound.
   Ramp(std::uint32_t ColdBound, std::uint32_t WarmBound);
 
-  /// @brief Takes over another declaration of the same endpoint.
+  /// @brief Applies a changed declaration of the endpoint.
   void declare(std::uint32_t ColdBound, std::uint32_t WarmBound);
-  /// @brief Takes over a bound that another host found.
+  /// @brief Adopts a bound determined by another host, clamped to the limits.
   void adopt(std::uint32_t Bound);
-  /// @brief Counts work that ended.
-  /// @param Ended What ended since the last call.
+  /// @brief Counts completed requests; each full window may change the bound.
+  /// @param Ended Requests completed since the last call.
   /// @param InFlight Requests in progress there, of all hosts.
   void ended(const CompletedRequests &Ended, std::uint32_t InFlight);
-  /// @brief The endpoint has just started, or behaves so.
+  /// @brief Resets to the cold bound: the endpoint has restarted or behaves as
+  /// if it had.
   void restart();
 
-  /// @brief Requests that it bears at once.
+  /// @brief Current limit of requests in progress.
   [[nodiscard]] std::uint32_t bound() const noexcept { return Bound; }
 
 private:
@@ -55,8 +57,8 @@
   CompletedRequests Window;
   /// Highest number in progress in the window.
   std::uint32_t Peak = 0;
-  /// Latency that the endpoint has shown to hold; zero before the first window.
-  double UsualMicros = 0;
+  /// Moving average of the latency; zero before the first window.
+  double BaselineMicros = 0;
 };
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/admission/types.cpp
+++ b/packages/request/src/coltsfoottrail/admission/types.cpp
@@ -12,13 +12,14 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 4> MessageWords{
+constexpr std::array<std::string_view, 4> MessageTypes{
     "credit-ask", "credit-grant", "steward-handover", "steward-taken"};
 
-/// Reads the numbers of a row, in order.
+/// Reads the values of a JSON array in order.
 class Row {
 public:
-  Row(const Json &Value, std::string_view Source) : From(Value), Name(Source) {
+  Row(const Json &Value, std::string_view Source)
+      : Values(Value), SourceName(Source) {
     if (!Value.is_array())
       refuse();
   }
@@ -29,7 +30,7 @@
       refuse();
     return Value.get<std::uint64_t>();
   }
-  [[nodiscard]] std::uint32_t small() {
+  [[nodiscard]] std::uint32_t number32() {
     const std::uint64_t Value = number();
     if (Value > std::numeric_limits<std::uint32_t>::max())
       refuse();
@@ -42,50 +43,50 @@
     return Value.get<std::string>();
   }
   [[nodiscard]] const Json &next() {
-    if (At >= From.size())
+    if (Position >= Values.size())
       refuse();
-    return From[At++];
+    return Values[Position++];
   }
 
 private:
   [[noreturn]] void refuse() const {
-    throw InputError(Name, "/" + std::to_string(At), "another value",
-                     "a row of numbers");
+    throw InputError(SourceName, "/" + std::to_string(Position),
+                     "another value", "a row of numbers");
   }
 
-  const Json &From;
-  std::string_view Name;
-  std::size_t At = 0;
+  const Json &Values;
+  std::string_view SourceName;
+  std::size_t Position = 0;
 };
 
-const Json &list(ObjectReader &From, std::string_view Key) {
-  const Json &Value = From.raw(Key);
+const Json &listField(ObjectReader &Reader, std::string_view Key) {
+  const Json &Value = Reader.raw(Key);
   if (!Value.is_array())
-    From.refuse(Key, "a list");
+    Reader.refuse(Key, "a list");
   return Value;
 }
 
-Json writeWant(const CreditDemand &Want) {
-  return Json::array({Want.Endpoint, Want.InFlight, Want.Wanted, Want.Peak,
-                      Want.Bound, Want.Adopted.Epoch, Want.Adopted.Count,
-                      Want.EngineRun, Want.Successes, Want.Failures,
-                      Want.TotalLatencyMicros});
+Json writeDemand(const CreditDemand &Demand) {
+  return Json::array({Demand.Endpoint, Demand.InFlight, Demand.Wanted,
+                      Demand.Peak, Demand.Bound, Demand.Adopted.Epoch,
+                      Demand.Adopted.Count, Demand.EngineRun, Demand.Successes,
+                      Demand.Failures, Demand.TotalLatencyMicros});
 }
 
-CreditDemand readWant(Row From) {
-  CreditDemand Want;
-  Want.Endpoint = From.number();
-  Want.InFlight = From.small();
-  Want.Wanted = From.small();
-  Want.Peak = From.small();
-  Want.Bound = From.small();
-  Want.Adopted.Epoch = From.number();
-  Want.Adopted.Count = From.number();
-  Want.EngineRun = From.number();
-  Want.Successes = From.small();
-  Want.Failures = From.small();
-  Want.TotalLatencyMicros = From.number();
-  return Want;
+CreditDemand readDemand(Row Values) {
+  CreditDemand Demand;
+  Demand.Endpoint = Values.number();
+  Demand.InFlight = Values.number32();
+  Demand.Wanted = Values.number32();
+  Demand.Peak = Values.number32();
+  Demand.Bound = Values.number32();
+  Demand.Adopted.Epoch = Values.number();
+  Demand.Adopted.Count = Values.number();
+  Demand.EngineRun = Values.number();
+  Demand.Successes = Values.number32();
+  Demand.Failures = Values.number32();
+  Demand.TotalLatencyMicros = Values.number();
+  return Demand;
 }
 
 Json writeShare(const CreditShare &Share) {
@@ -94,91 +95,91 @@
                       Share.EngineRun});
 }
 
-CreditShare readShare(Row From) {
+CreditShare readShare(Row Values) {
   CreditShare Share;
-  Share.Endpoint = From.number();
-  Share.Number.Epoch = From.number();
-  Share.Number.Count = From.number();
-  Share.Share = From.small();
-  Share.Bound = From.small();
-  Share.Contended = From.small() != 0;
-  Share.EngineRun = From.number();
+  Share.Endpoint = Values.number();
+  Share.Number.Epoch = Values.number();
+  Share.Number.Count = Values.number();
+  Share.Share = Values.number32();
+  Share.Bound = Values.number32();
+  Share.Contended = Values.number32() != 0;
+  Share.EngineRun = Values.number();
   return Share;
 }
 
-Json writeHandover(const HandoverEndpoint &Handed) {
+Json writeHandover(const HandoverEndpoint &State) {
   Json Accounts = Json::array();
-  for (const HandoverAccount &Account : Handed.Accounts)
+  for (const HandoverAccount &Account : State.Accounts)
     Accounts.push_back(
         Json::array({Account.Host.Text, Account.Run, Account.Committed}));
-  return Json::array({Handed.Endpoint, Handed.Bound, Handed.Inherited,
-                      Handed.EngineRun, std::move(Accounts)});
+  return Json::array({State.Endpoint, State.Bound, State.Inherited,
+                      State.EngineRun, std::move(Accounts)});
 }
 
-HandoverEndpoint readHandover(Row From, std::string_view Source) {
-  HandoverEndpoint Handed;
-  Handed.Endpoint = From.number();
-  Handed.Bound = From.small();
-  Handed.Inherited = From.small();
-  Handed.EngineRun = From.number();
-  const Json &Accounts = From.next();
+HandoverEndpoint readHandover(Row Values, std::string_view Source) {
+  HandoverEndpoint State;
+  State.Endpoint = Values.number();
+  State.Bound = Values.number32();
+  State.Inherited = Values.number32();
+  State.EngineRun = Values.number();
+  const Json &Accounts = Values.next();
   for (const Json &Value : Accounts) {
     Row Account(Value, Source);
-    HandoverAccount Read;
-    Read.Host = HostName(Account.text());
-    Read.Run = Account.number();
-    Read.Committed = Account.small();
-    Handed.Accounts.push_back(std::move(Read));
+    HandoverAccount Parsed;
+    Parsed.Host = HostName(Account.text());
+    Parsed.Run = Account.number();
+    Parsed.Committed = Account.number32();
+    State.Accounts.push_back(std::move(Parsed));
   }
-  return Handed;
+  return State;
 }
 
 struct MessageWriter {
-  Json Out = Json::object();
+  Json Object = Json::object();
 
   void operator()(const CreditRequest &Message) {
-    Out["run"] = Message.Run;
-    Out["n"] = Message.Number;
+    Object["run"] = Message.Run;
+    Object["n"] = Message.Number;
     Json Rows = Json::array();
-    for (const CreditDemand &Want : Message.Demands)
-      Rows.push_back(writeWant(Want));
-    Out["rows"] = std::move(Rows);
+    for (const CreditDemand &Demand : Message.Demands)
+      Rows.push_back(writeDemand(Demand));
+    Object["rows"] = std::move(Rows);
   }
   void operator()(const CreditGrant &Message) {
-    Out["run"] = Message.Run;
-    Out["n"] = Message.RequestNumber;
+    Object["run"] = Message.Run;
+    Object["n"] = Message.RequestNumber;
     Json Rows = Json::array();
     for (const CreditShare &Share : Message.Shares)
       Rows.push_back(writeShare(Share));
-    Out["rows"] = std::move(Rows);
+    Object["rows"] = std::move(Rows);
   }
   void operator()(const StewardHandover &Message) {
-    Out["epoch"] = Message.Epoch;
+    Object["epoch"] = Message.Epoch;
     Json Rows = Json::array();
-    for (const HandoverEndpoint &Handed : Message.Endpoints)
-      Rows.push_back(writeHandover(Handed));
-    Out["rows"] = std::move(Rows);
+    for (const HandoverEndpoint &State : Message.Endpoints)
+      Rows.push_back(writeHandover(State));
+    Object["rows"] = std::move(Rows);
   }
   void operator()(const StewardHandoverAck &Message) {
-    Out["epoch"] = Message.Epoch;
-    Out["rows"] = Message.Endpoints;
+    Object["epoch"] = Message.Epoch;
+    Object["rows"] = Message.Endpoints;
   }
 };
 
-CreditRequest readAsk(ObjectReader &From, std::string_view Source) {
-  CreditRequest Ask;
-  Ask.Run = From.number("run");
-  Ask.Number = From.number("n");
-  for (const Json &Value : list(From, "rows"))
-    Ask.Demands.push_back(readWant(Row(Value, Source)));
-  return Ask;
+CreditRequest readRequest(ObjectReader &Reader, std::string_view Source) {
+  CreditRequest Request;
+  Request.Run = Reader.number("run");
+  Request.Number = Reader.number("n");
+  for (const Json &Value : listField(Reader, "rows"))
+    Request.Demands.push_back(readDemand(Row(Value, Source)));
+  return Request;
 }
 
-CreditGrant readGrant(ObjectReader &From, std::string_view Source) {
+CreditGrant readGrant(ObjectReader &Reader, std::string_view Source) {
   CreditGrant Grant;
-  Grant.Run = From.number("run");
-  Grant.RequestNumber = From.number("n");
-  for (const Json &Value : list(From, "rows"))
+  Grant.Run = Reader.number("run");
+  Grant.RequestNumber = Reader.number("n");
+  for (const Json &Value : listField(Reader, "rows"))
     Grant.Shares.push_back(readShare(Row(Value, Source)));
   return Grant;
 }
@@ -192,32 +193,33 @@
 Json writeShareMessage(const ShareMessage &Message) {
   MessageWriter Writer;
   std::visit(Writer, Message);
-  Writer.Out["is"] = MessageWords[Message.index()];
-  return std::move(Writer.Out);
+  Writer.Object["is"] = MessageTypes[Message.index()];
+  return std::move(Writer.Object);
 }
 
 ShareMessage readShareMessage(const Json &Value, std::string_view Source) {
-  enum : std::size_t { Ask, Grant, Handover };
-  ObjectReader From(Value, Source, "", UnknownKeys::Ignore);
-  switch (From.word("is", MessageWords)) {
-  case Ask:
-    return readAsk(From, Source);
+  enum : std::size_t { Request, Grant, Handover };
+  ObjectReader Reader(Value, Source, "", UnknownKeys::Ignore);
+  switch (Reader.word("is", MessageTypes)) {
+  case Request:
+    return readRequest(Reader, Source);
   case Grant:
-    return readGrant(From, Source);
+    return readGrant(Reader, Source);
   case Handover: {
     StewardHandover Handover;
-    Handover.Epoch = From.number("epoch");
-    for (const Json &Entry : list(From, "rows"))
+    Handover.Epoch = Reader.number("epoch");
+    for (const Json &Entry : listField(Reader, "rows"))
       Handover.Endpoints.push_back(readHandover(Row(Entry, Source), Source));
     return Handover;
   }
   default: {
-    StewardHandoverAck Taken;
-    Taken.Epoch = From.number("epoch");
-    Row Rows(list(From, "rows"), Source);
-    for (std::size_t Left = list(From, "rows").size(); Left > 0; --Left)
-      Taken.Endpoints.push_back(Rows.number());
-    return Taken;
+    StewardHandoverAck Ack;
+    Ack.Epoch = Reader.number("epoch");
+    Row Rows(listField(Reader, "rows"), Source);
+    for (std::size_t Remaining = listField(Reader, "rows").size();
+         Remaining > 0; --Remaining)
+      Ack.Endpoints.push_back(Rows.number());
+    return Ack;
   }
   }
 }
--- a/packages/request/src/coltsfoottrail/admission/types.hpp
+++ b/packages/request/src/coltsfoottrail/admission/types.hpp
@@ -1,6 +1,10 @@
 /// @file
-/// How entry hosts share out what an endpoint bears: options, messages,
-/// commands.
+/// Options, messages and commands of the protocol by which entry hosts divide
+/// an endpoint's capacity among themselves.
+///
+/// Each endpoint has one steward, the entry host that grants credits on it. A
+/// holder is an entry host that holds such credits: each allows it a number of
+/// requests in progress, its share, for a limited time.
 #ifndef COLTSFOOTTRAIL_ADMISSION_TYPES_HPP
 #define COLTSFOOTTRAIL_ADMISSION_TYPES_HPP
 
@@ -17,37 +21,38 @@
 
 namespace coltsfoottrail {
 
-/// @brief Times and limits. All hosts must have the same times: they are part
-/// of the protocol between them.
+/// @brief Times and limits. The times are part of the protocol and must be the
+/// same on all hosts.
 struct ShareOptions {
   HostName Self;
   Incarnation Run = 0;
-  /// A steward grants only while its proof that it knows the agreed members is
-  /// younger than this.
+  /// A steward grants only while the last proof that its membership view is
+  /// current is younger than this.
   milliseconds MembershipProofLife{2000};
-  /// Life of a credit, from when the ask for it left.
+  /// Life of a credit, from when the request for it was sent.
   milliseconds CreditLife{2000};
   /// A credit in use is renewed after this.
   milliseconds RenewalInterval{600};
-  /// Least time between two asks for one endpoint.
+  /// Least time between two credit requests for one endpoint.
   milliseconds MinRequestInterval{20};
-  /// A handover that is not confirmed is sent again after this.
+  /// An unacknowledged handover is sent again after this.
   milliseconds HandoverRetry{200};
-  /// Longest that any request is in progress.
+  /// Longest time that a request can be in progress.
   milliseconds MaxRequestDuration{600'000};
-  /// How far an endpoint's load report may lag.
+  /// Largest age of an endpoint's load report on arrival.
   milliseconds ReportLag{1000};
-  /// A steward that took over without a handover believes for this long what
-  /// the holders say of the bound.
+  /// For this long after a takeover without a handover, a steward adopts higher
+  /// bounds that holders send with their requests.
   milliseconds BoundRecoveryPeriod{5000};
-  /// Whether all endpoints report their load. Where they do not, a new steward
-  /// that got no handover goes on without knowing what its predecessor let in.
+  /// Whether all endpoints report their load. If they do not, a steward that
+  /// takes over without a handover does not count the requests that its
+  /// predecessor admitted.
   bool EndpointsReportLoad = true;
-  /// An endpoint that is not used for this long gets no more asks.
+  /// No more credits are requested for an endpoint unused for this long.
   milliseconds IdleAfter{5000};
-  /// At more entry hosts than this, each uses only a part of a large pool.
+  /// With more entry hosts than this, each uses only a subset of a large pool.
   std::size_t WholePoolMaxHosts = 32;
-  /// Endpoints of a pool that a host uses at least, where it uses a part.
+  /// Least number of endpoints in such a subset.
   std::size_t MinSubsetEndpoints = 16;
 };
 
@@ -59,42 +64,44 @@
                                        const ShareMember &) = default;
 };
 
-/// @brief Names a grant; later ones are greater, also across stewards.
+/// @brief Identifies a grant. Later grants have greater numbers, also across
+/// stewards.
 struct GrantNumber {
-  /// Membership that the steward acted under: offset of its last change.
+  /// Membership that the steward acted under: log offset of its last change.
   Offset Epoch = 0;
   std::uint64_t Count = 0;
   [[nodiscard]] friend bool operator==(const GrantNumber &,
                                        const GrantNumber &) = default;
-  /// @brief Tells whether this grant was made before another.
+  /// @brief Whether this grant was made before another.
   [[nodiscard]] bool before(const GrantNumber &Other) const noexcept {
     return Epoch != Other.Epoch ? Epoch < Other.Epoch : Count < Other.Count;
   }
 };
 
-/// @brief What a holder says of one endpoint.
+/// @brief A holder's usage of and demand on one endpoint.
 struct CreditDemand {
   EndpointHash Endpoint = 0;
-  /// Its requests in progress there.
+  /// The holder's requests in progress there.
   std::uint32_t InFlight = 0;
-  /// Requests that it would have in progress if it could.
+  /// Requests that it would have in progress without a limit.
   std::uint32_t Wanted = 0;
-  /// Most requests that it had in progress since its last ask.
+  /// Peak of its requests in progress since its last credit request.
   std::uint32_t Peak = 0;
-  /// The last grant that it took over, and the bound that came with it.
+  /// The last grant that it adopted, and the bound sent with it.
   GrantNumber Adopted;
   std::uint32_t Bound = 0;
-  /// Run of the engine that the bound was for; zero for none.
+  /// Run of the engine that the bound applied to; zero for none.
   Incarnation EngineRun = 0;
-  /// Requests that ended since its last ask, and their latency in all.
+  /// Requests completed since its last credit request, and the sum of the
+  /// successes' latencies.
   std::uint32_t Successes = 0;
   std::uint32_t Failures = 0;
   std::uint64_t TotalLatencyMicros = 0;
 };
-/// A holder asks a steward for credits.
+/// A holder's request to a steward for credits.
 struct CreditRequest {
   Incarnation Run = 0;
-  /// Grows from each of the holder's asks to this peer to the next.
+  /// Increases with each of the holder's requests to this steward.
   std::uint64_t Number = 0;
   std::vector<CreditDemand> Demands;
 };
@@ -104,28 +111,30 @@
   GrantNumber Number;
   /// Requests that the holder may have in progress.
   std::uint32_t Share = 0;
-  /// What the endpoint bears in all.
+  /// Limit of requests in progress at the endpoint, of all holders.
   std::uint32_t Bound = 0;
-  /// Others want more than there is: give back at once what is not needed.
+  /// Demand exceeds the bound: unneeded credits must be given back at once.
   bool Contended = false;
-  /// The engine's run that the steward counts on; zero when it has not heard.
+  /// The engine run that the grant applies to; zero if the steward has had no
+  /// load report.
   Incarnation EngineRun = 0;
 };
-/// A steward's answer to an ask.
+/// A steward's answer to a credit request.
 struct CreditGrant {
-  /// The holder's run that asked.
+  /// The holder's run that sent the request.
   Incarnation Run = 0;
   std::uint64_t RequestNumber = 0;
   std::vector<CreditShare> Shares;
 };
 
-/// @brief What one holder may have in progress, as a steward hands it on.
+/// @brief Most requests that one holder may have in progress, as handed over
+/// between stewards.
 struct HandoverAccount {
   HostName Host;
   Incarnation Run = 0;
   std::uint32_t Committed = 0;
 };
-/// @brief A steward's knowledge of one endpoint.
+/// @brief A steward's state of one endpoint.
 struct HandoverEndpoint {
   EndpointHash Endpoint = 0;
   std::uint32_t Bound = 0;
@@ -133,28 +142,28 @@
   Incarnation EngineRun = 0;
   std::vector<HandoverAccount> Accounts;
 };
-/// The steward before hands endpoints over: it grants no more.
+/// The previous steward hands endpoints over and grants no more.
 struct StewardHandover {
   /// Membership that makes the receiver the steward.
   Offset Epoch = 0;
   std::vector<HandoverEndpoint> Endpoints;
 };
-/// The new steward has the endpoints.
+/// The new steward acknowledges the endpoints handed over.
 struct StewardHandoverAck {
   Offset Epoch = 0;
   std::vector<EndpointHash> Endpoints;
 };
 
-/// What entry hosts tell each other about shares.
+/// Messages between entry hosts about shares.
 using ShareMessage = std::variant<CreditRequest, CreditGrant, StewardHandover,
                                   StewardHandoverAck>;
 
-/// Let the dispatcher have this many requests in progress at an endpoint.
+/// Sets how many requests the dispatcher may have in progress at an endpoint.
 struct SetShare {
   std::string EndpointKey;
   std::uint32_t Share = 0;
 };
-/// Send a message to a peer; may be lost, repeated or late.
+/// Sends a message to a peer; it may be lost, repeated or delayed.
 struct ShareSend {
   HostName To;
   ShareMessage Message;
@@ -165,12 +174,12 @@
 /// @brief Hash of an endpoint's key. Thread-safe.
 [[nodiscard]] EndpointHash endpointHash(std::string_view EndpointKey);
 
-/// @brief Writes a message between entry hosts. Thread-safe.
+/// @brief Writes a message as JSON. Thread-safe.
 [[nodiscard]] Json writeShareMessage(const ShareMessage &Message);
-/// @brief Reads a message between entry hosts. Thread-safe.
+/// @brief Reads a message from JSON. Thread-safe.
 /// @param Value An object.
-/// @param Source Named in errors.
-/// @throws InputError It is not such a message.
+/// @param Source Name of the input, for errors.
+/// @throws InputError The value is not a valid message.
 [[nodiscard]] ShareMessage readShareMessage(const Json &Value,
                                             std::string_view Source);
 
--- a/packages/request/test/coltsfoottrail/admission/coldratelimiter.cpp
+++ b/packages/request/test/coltsfoottrail/admission/coldratelimiter.cpp
@@ -9,68 +9,72 @@
 
 constexpr TimePoint Start{seconds(100)};
 
-std::vector<ColdRateLimiter> gates(std::size_t Count, std::uint64_t Seed) {
-  std::vector<ColdRateLimiter> Out;
+std::vector<ColdRateLimiter> makeLimiters(std::size_t Count,
+                                          std::uint64_t Seed) {
+  std::vector<ColdRateLimiter> Limiters;
   for (std::size_t Index = 0; Index < Count; ++Index) {
-    Out.emplace_back(Seed * 1'000 + Index);
-    Out.back().setHostCount(Count);
+    Limiters.emplace_back(Seed * 1'000 + Index);
+    Limiters.back().setHostCount(Count);
   }
-  return Out;
+  return Limiters;
 }
 
-/// Most requests that hosts which send whenever they may send in any second of
-/// the first three.
-std::size_t mostInASecond(std::vector<ColdRateLimiter> Hosts, double PerSecond,
-                          std::size_t &All) {
+/// @brief Largest number of requests in any second of the first three, from
+/// hosts that send as soon as they are allowed to.
+/// @param Total Receives the number of requests in all.
+std::size_t maxRequestsInASecond(std::vector<ColdRateLimiter> Hosts,
+                                 double RatePerSecond, std::size_t &Total) {
   std::vector<TimePoint> Sent;
   for (int Step = 0; Step < 3000; ++Step)
-    for (ColdRateLimiter &Each : Hosts)
-      if (Each.admit("cold", PerSecond, Start + milliseconds(Step)))
+    for (ColdRateLimiter &Host : Hosts)
+      if (Host.admit("cold", RatePerSecond, Start + milliseconds(Step)))
         Sent.push_back(Start + milliseconds(Step));
-  All = Sent.size();
-  std::size_t Most = 0;
+  Total = Sent.size();
+  std::size_t Max = 0;
   for (std::size_t First = 0; First < Sent.size(); ++First) {
     std::size_t Count = 0;
     while (First + Count < Sent.size() &&
            Sent[First + Count] - Sent[First] < seconds(1))
       ++Count;
-    Most = std::max(Most, Count);
+    Max = std::max(Max, Count);
   }
-  return Most;
+  return Max;
 }
 
-// A data centre returns, its cold endpoints fall over, and it is lost again.
-// Nine entry hosts have more short requests than a cold endpoint bears; what
-// all of them send in any second must stay below its bound.
+// When a data centre returns, overload of its cold endpoints would take it down
+// again. Nine entry hosts have more short requests than a cold endpoint can
+// serve; what they send together in any second must stay below its limit.
 TEST(ColdRateLimiter, NineHostsStayBelowTheBoundInEverySecond) {
-  constexpr double PerSecond = 28.0;
-  std::size_t All = 0;
-  EXPECT_LE(double(mostInASecond(gates(9, 1), PerSecond, All)),
-            PerSecond * 1.5 + 5);
-  EXPECT_GT(All, 30U);
+  constexpr double RatePerSecond = 28.0;
+  std::size_t Total = 0;
+  EXPECT_LE(
+      double(maxRequestsInASecond(makeLimiters(9, 1), RatePerSecond, Total)),
+      RatePerSecond * 1.5 + 5);
+  EXPECT_GT(Total, 30U);
 }
 
-// The same with seventy hosts, each of which has a request at the moment of the
-// return: the first one of each is already too much.
+// The same with seventy hosts, each of which has a request when the data centre
+// returns: the first request of each host is already too much.
 TEST(ColdRateLimiter, SeventyHostsDoNotAllBeginAtOnce) {
-  constexpr double PerSecond = 15.0;
+  constexpr double RatePerSecond = 15.0;
   for (std::uint64_t Seed = 1; Seed <= 300; ++Seed) {
-    std::size_t All = 0;
-    EXPECT_LE(double(mostInASecond(gates(71, Seed), PerSecond, All)),
-              PerSecond * 1.5 + 5)
+    std::size_t Total = 0;
+    EXPECT_LE(double(maxRequestsInASecond(makeLimiters(71, Seed), RatePerSecond,
+                                          Total)),
+              RatePerSecond * 1.5 + 5)
         << "seed " << Seed;
-    EXPECT_GT(All, 12U);
+    EXPECT_GT(Total, 12U);
   }
 }
 
 TEST(ColdRateLimiter, EndpointsAreApart) {
-  ColdRateLimiter Gate(1);
-  Gate.setHostCount(1);
-  EXPECT_FALSE(Gate.canAdmit("a", 0.001, Start));
-  EXPECT_FALSE(Gate.canAdmit("b", 0.001, Start));
-  (void)Gate.canAdmit("a", 1000, Start + seconds(10));
-  EXPECT_TRUE(Gate.admit("a", 1000, Start + seconds(11)));
-  EXPECT_FALSE(Gate.admit("a", 1000, Start + seconds(11)));
+  ColdRateLimiter Limiter(1);
+  Limiter.setHostCount(1);
+  EXPECT_FALSE(Limiter.canAdmit("a", 0.001, Start));
+  EXPECT_FALSE(Limiter.canAdmit("b", 0.001, Start));
+  (void)Limiter.canAdmit("a", 1000, Start + seconds(10));
+  EXPECT_TRUE(Limiter.admit("a", 1000, Start + seconds(11)));
+  EXPECT_FALSE(Limiter.admit("a", 1000, Start + seconds(11)));
 }
 
 } // namespace
--- a/packages/request/test/coltsfoottrail/admission/idleshare.cpp
+++ b/packages/request/test/coltsfoottrail/admission/idleshare.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Orders end with an unknown outcome on a large deployment.
-// All entry hosts together keep more idle connections to a service than it
-// takes, and it resets the one that the next order comes on.
+// If all entry hosts together keep more idle connections to a service than it
+// accepts, it resets the new connection of the next order, which then ends with
+// an unknown outcome.
 TEST(IdleShare, AllHostsTogetherLeaveRoomForRequests) {
   for (const std::uint32_t MaxConnections : {0U, 52U, 100U, 110U, 464U, 660U})
     for (const std::size_t Hosts : {1U, 7U, 9U, 71U, 300U, 1'000U})
--- a/packages/request/test/coltsfoottrail/admission/manager.cpp
+++ b/packages/request/test/coltsfoottrail/admission/manager.cpp
@@ -7,244 +7,245 @@
 namespace coltsfoottrail {
 namespace {
 
-void run(Cluster &World, TrueTime Span) {
+void run(Cluster &Sim, TrueTime Span) {
   for (TrueTime Passed = 0; Passed < Span; ++Passed)
-    World.tick();
+    Sim.tick();
 }
 
-/// All hosts have more to send than the endpoints bear; requests take Length.
-void pressure(Cluster &World, TrueTime Span, TrueTime Length,
+/// All hosts have more to send than the endpoints' bounds allow; each request
+/// takes Length.
+void saturate(Cluster &Sim, TrueTime Span, TrueTime Length,
               TrueTime Latency = 10) {
   for (TrueTime Passed = 0; Passed < Span; ++Passed) {
-    World.tick();
-    for (std::size_t Index = 0; Index < World.All.size(); ++Index) {
-      if (World.True % 100 == 0)
-        World.act(Index, [](auto &Keeper, TimePoint Now, auto &Out) {
-          Keeper.setPoolDemand("model/m", 20, Now, Out);
+    Sim.tick();
+    for (std::size_t Index = 0; Index < Sim.Hosts.size(); ++Index) {
+      if (Sim.NowMs % 100 == 0)
+        Sim.invoke(Index, [](auto &Manager, TimePoint Now, auto &Commands) {
+          Manager.setPoolDemand("model/m", 20, Now, Commands);
         });
-      for (const std::string &Key : World.Keys)
-        World.tryStart(Index, Key, Length, true, Latency);
+      for (const std::string &Key : Sim.Keys)
+        Sim.tryStart(Index, Key, Length, true, Latency);
     }
   }
 }
 
-std::size_t stewardOf(const Cluster &World, const std::string &Key) {
-  for (std::size_t Index = 0; Index < World.All.size(); ++Index)
-    if (World.All[Index].Up && World.All[Index].Keeper->boundOf(Key))
+std::size_t stewardOf(const Cluster &Sim, const std::string &Key) {
+  for (std::size_t Index = 0; Index < Sim.Hosts.size(); ++Index)
+    if (Sim.Hosts[Index].Up && Sim.Hosts[Index].Manager->boundOf(Key))
       return Index;
-  return World.All.size();
+  return Sim.Hosts.size();
 }
 
-// Nine entry hosts each send "only one" request to an endpoint that bears one
-// just after its start: nine bring it down. One must be in progress, not nine,
-// and each host gets its turn.
+// An endpoint can serve one request just after its start. If each of nine entry
+// hosts sends one, it fails. Only one request may be in progress over all
+// hosts, and each host must get to send.
 TEST(Admission, OnlyOneMeansOneOfAllHosts) {
-  Cluster World(9, 1, 1, 1, 1);
-  run(World, 8000);
+  Cluster Sim(9, 1, 1, 1, 1);
+  run(Sim, 8000);
   std::vector<int> Starts(9, 0);
   for (int Step = 0; Step < 60'000; ++Step) {
-    World.tick();
+    Sim.tick();
     for (std::size_t Index = 0; Index < 9; ++Index) {
       if (Step % 100 == 0)
-        World.act(Index, [](auto &Keeper, TimePoint Now, auto &Out) {
-          Keeper.setPoolDemand("model/m", 3, Now, Out);
+        Sim.invoke(Index, [](auto &Manager, TimePoint Now, auto &Commands) {
+          Manager.setPoolDemand("model/m", 3, Now, Commands);
         });
-      Starts[Index] += World.tryStart(Index, World.Keys[0], 50) ? 1 : 0;
+      Starts[Index] += Sim.tryStart(Index, Sim.Keys[0], 50) ? 1 : 0;
     }
   }
-  EXPECT_EQ(World.Highest[World.Keys[0]], 1U);
+  EXPECT_EQ(Sim.Highest[Sim.Keys[0]], 1U);
   for (const int Count : Starts)
     EXPECT_GT(Count, 0);
 }
 
-// A host sleeps through the end of its credit, which others have by then. When
-// it wakes, the first thing that it does must not be to send.
+// A host is suspended past the expiry of its credit, which other hosts hold by
+// then. It must not send when it resumes.
 TEST(Admission, WokenHolderSendsNothing) {
-  Cluster World(2, 1, 4, 4, 2);
-  run(World, 8000);
-  pressure(World, 3000, 50);
-  const std::string &Key = World.Keys[0];
-  ASSERT_GT(World.All[0].Keeper->share(Key, World.clock(0)), 0U);
-  const TimePoint Later = World.clock(0) + World.Defaults.CreditLife;
-  EXPECT_FALSE(World.All[0].Keeper->tryStart(Key, Later));
-  EXPECT_EQ(World.All[0].Keeper->share(Key, Later), 0U);
+  Cluster Sim(2, 1, 4, 4, 2);
+  run(Sim, 8000);
+  saturate(Sim, 3000, 50);
+  const std::string &Key = Sim.Keys[0];
+  ASSERT_GT(Sim.Hosts[0].Manager->share(Key, Sim.clock(0)), 0U);
+  const TimePoint Later = Sim.clock(0) + Sim.DefaultOptions.CreditLife;
+  EXPECT_FALSE(Sim.Hosts[0].Manager->tryStart(Key, Later));
+  EXPECT_EQ(Sim.Hosts[0].Manager->share(Key, Later), 0U);
 }
 
-// An endpoint warms by work that it has done near its bound, not by waiting,
-// and a restart of its engine that nobody announced makes it cold for all
-// hosts.
+// The bound is raised by requests served near the bound, not by the passage of
+// time. An unannounced restart of the engine resets it to cold for all hosts.
 TEST(Admission, WarmsByWorkAndTurnsColdWithItsEngine) {
-  Cluster World(3, 1, 2, 16, 3);
-  const std::string &Key = World.Keys[0];
-  World.EngineRuns[Key] = 11;
-  run(World, 60'000);
-  const std::size_t Steward = stewardOf(World, Key);
+  Cluster Sim(3, 1, 2, 16, 3);
+  const std::string &Key = Sim.Keys[0];
+  Sim.EngineRuns[Key] = 11;
+  run(Sim, 60'000);
+  const std::size_t Steward = stewardOf(Sim, Key);
   ASSERT_LT(Steward, 3U);
-  EXPECT_EQ(World.All[Steward].Keeper->boundOf(Key), 2U);
-  pressure(World, 30'000, 100);
-  EXPECT_EQ(World.All[Steward].Keeper->boundOf(Key), 16U);
-  EXPECT_EQ(World.Highest[Key], 16U);
-  World.EngineRuns[Key] = 12;
-  run(World, 1000);
-  EXPECT_EQ(World.All[Steward].Keeper->boundOf(Key), 2U);
-  World.Highest.clear();
-  pressure(World, 300, 100);
-  EXPECT_LE(World.Highest[Key], 2U);
+  EXPECT_EQ(Sim.Hosts[Steward].Manager->boundOf(Key), 2U);
+  saturate(Sim, 30'000, 100);
+  EXPECT_EQ(Sim.Hosts[Steward].Manager->boundOf(Key), 16U);
+  EXPECT_EQ(Sim.Highest[Key], 16U);
+  Sim.EngineRuns[Key] = 12;
+  run(Sim, 1000);
+  EXPECT_EQ(Sim.Hosts[Steward].Manager->boundOf(Key), 2U);
+  Sim.Highest.clear();
+  saturate(Sim, 300, 100);
+  EXPECT_LE(Sim.Highest[Key], 2U);
 }
 
-// The endpoint's caches are dropped and it answers ten times as slowly, without
-// a restart that anybody could see. Full load would bring it down.
+// The endpoint's caches are dropped without a visible restart, and it answers
+// ten times as slowly. Full load would bring it down.
 TEST(Admission, LatencyJumpIsAColdTurn) {
-  Cluster World(2, 1, 2, 16, 4);
-  const std::string &Key = World.Keys[0];
-  run(World, 8000);
-  pressure(World, 30'000, 100, 100);
-  const std::size_t Steward = stewardOf(World, Key);
-  ASSERT_EQ(World.All[Steward].Keeper->boundOf(Key), 16U);
-  // From there it warms again by what it does at its new pace.
+  Cluster Sim(2, 1, 2, 16, 4);
+  const std::string &Key = Sim.Keys[0];
+  run(Sim, 8000);
+  saturate(Sim, 30'000, 100, 100);
+  const std::size_t Steward = stewardOf(Sim, Key);
+  ASSERT_EQ(Sim.Hosts[Steward].Manager->boundOf(Key), 16U);
+  // From there the bound is raised again at the new latency.
   std::uint32_t Lowest = 16;
   for (int Step = 0; Step < 60; ++Step) {
-    pressure(World, 50, 1000, 1000);
-    Lowest = std::min(Lowest, *World.All[Steward].Keeper->boundOf(Key));
+    saturate(Sim, 50, 1000, 1000);
+    Lowest = std::min(Lowest, *Sim.Hosts[Steward].Manager->boundOf(Key));
   }
   EXPECT_EQ(Lowest, 2U);
 }
 
-// A host joins and becomes steward of endpoints that serve. The one before
-// hands them over; were they only to wait, each join would stop them for
-// seconds, and hosts are replaced a thousand times a day.
+// A host joins and becomes steward of endpoints in use. The previous steward
+// hands them over. Without the handover, each join would stop them for seconds,
+// and hosts are replaced a thousand times a day.
 TEST(Admission, JoinHandsOverWithoutAPause) {
-  Cluster World(3, 12, 4, 4, 5);
-  World.stop(2);
-  World.agree(2, false);
-  run(World, 8000);
-  pressure(World, 2000, 20);
-  World.start(2);
+  Cluster Sim(3, 12, 4, 4, 5);
+  Sim.stop(2);
+  Sim.recordMembership(2, false);
+  run(Sim, 8000);
+  saturate(Sim, 2000, 20);
+  Sim.start(2);
   TrueTime Longest = 0;
   std::map<std::string, TrueTime> LastStart;
-  for (const std::string &Key : World.Keys)
-    LastStart[Key] = World.True;
+  for (const std::string &Key : Sim.Keys)
+    LastStart[Key] = Sim.NowMs;
   for (int Step = 0; Step < 6000; ++Step) {
-    World.tick();
+    Sim.tick();
     for (std::size_t Index = 0; Index < 3; ++Index)
-      for (const std::string &Key : World.Keys) {
-        if (World.True % 100 == 0)
-          World.act(Index, [&](auto &Keeper, TimePoint Now, auto &Out) {
-            Keeper.setEndpointDemand(Key, 4, Now, Out);
+      for (const std::string &Key : Sim.Keys) {
+        if (Sim.NowMs % 100 == 0)
+          Sim.invoke(Index, [&](auto &Manager, TimePoint Now, auto &Commands) {
+            Manager.setEndpointDemand(Key, 4, Now, Commands);
           });
-        if (!World.tryStart(Index, Key, 20))
+        if (!Sim.tryStart(Index, Key, 20))
           continue;
-        Longest = std::max(Longest, World.True - LastStart[Key]);
-        LastStart[Key] = World.True;
+        Longest = std::max(Longest, Sim.NowMs - LastStart[Key]);
+        LastStart[Key] = Sim.NowMs;
       }
   }
   std::size_t Moved = 0;
-  for (const std::string &Key : World.Keys)
-    Moved += World.All[2].Keeper->boundOf(Key) ? 1 : 0;
+  for (const std::string &Key : Sim.Keys)
+    Moved += Sim.Hosts[2].Manager->boundOf(Key) ? 1 : 0;
   EXPECT_GT(Moved, 0U);
   EXPECT_LT(Longest, 2000);
 }
 
 // The steward's machine dies with requests of its own in progress. Its
-// successor knows neither the bound nor what was let in; it waits, learns both
-// from the holders and from the endpoint's own report, and goes on near the
-// bound, not at the cold one.
+// successor knows neither the bound nor the credits granted. It waits, learns
+// the bound from the holders and the load from the endpoint's report, and
+// continues near the earlier bound instead of the cold one.
 TEST(Admission, DeadStewardIsReplaced) {
-  Cluster World(4, 1, 2, 16, 6);
-  const std::string &Key = World.Keys[0];
-  World.EngineRuns[Key] = 11;
-  run(World, 8000);
-  pressure(World, 30'000, 100);
-  const std::size_t Steward = stewardOf(World, Key);
-  World.stop(Steward);
-  run(World, 500);
-  World.agree(Steward, false);
-  World.Highest.clear();
-  pressure(World, 12'000, 100);
-  const std::size_t Next = stewardOf(World, Key);
+  Cluster Sim(4, 1, 2, 16, 6);
+  const std::string &Key = Sim.Keys[0];
+  Sim.EngineRuns[Key] = 11;
+  run(Sim, 8000);
+  saturate(Sim, 30'000, 100);
+  const std::size_t Steward = stewardOf(Sim, Key);
+  Sim.stop(Steward);
+  run(Sim, 500);
+  Sim.recordMembership(Steward, false);
+  Sim.Highest.clear();
+  saturate(Sim, 12'000, 100);
+  const std::size_t Next = stewardOf(Sim, Key);
   ASSERT_LT(Next, 4U);
-  EXPECT_EQ(World.All[Next].Keeper->boundOf(Key), 16U);
-  EXPECT_EQ(World.Highest[Key], 16U);
+  EXPECT_EQ(Sim.Hosts[Next].Manager->boundOf(Key), 16U);
+  EXPECT_EQ(Sim.Highest[Key], 16U);
 }
 
-// The log is down for everybody. Nothing can change who is a member, all say
-// so to each other, and the endpoints go on being used.
+// The log is down for all hosts. The members cannot change, the hosts confirm
+// that to each other, and the endpoints stay in use.
 TEST(Admission, LogDownForAllDoesNotStopRouting) {
-  Cluster World(3, 2, 4, 4, 7);
-  run(World, 8000);
-  World.Wrong.LogDown = true;
-  pressure(World, 30'000, 20);
-  World.Highest.clear();
-  pressure(World, 2000, 20);
-  for (const std::string &Key : World.Keys)
-    EXPECT_EQ(World.Highest[Key], 4U);
+  Cluster Sim(3, 2, 4, 4, 7);
+  run(Sim, 8000);
+  Sim.Faults.LogDown = true;
+  saturate(Sim, 30'000, 20);
+  Sim.Highest.clear();
+  saturate(Sim, 2000, 20);
+  for (const std::string &Key : Sim.Keys)
+    EXPECT_EQ(Sim.Highest[Key], 4U);
 }
 
-// One host is cut off from the log and from its peers, and its part goes to
-// another. It must stop granting, also to itself, before the other begins.
+// A steward is cut off from the log and from its peers, and another host takes
+// over. It must stop granting, also to itself, before the other host starts.
 TEST(Admission, HostThatIsCutOffStops) {
-  Cluster World(3, 1, 4, 4, 8);
-  run(World, 8000);
-  const std::string &Key = World.Keys[0];
-  pressure(World, 2000, 20);
-  const std::size_t Steward = stewardOf(World, Key);
-  World.All[Steward].Side = 1;
-  World.All[Steward].CutFromLog = true;
-  pressure(World, 5000, 20);
-  EXPECT_EQ(World.All[Steward].Keeper->share(Key, World.clock(Steward)), 0U);
-  EXPECT_FALSE(World.All[Steward].Keeper->tryStart(Key, World.clock(Steward)));
+  Cluster Sim(3, 1, 4, 4, 8);
+  run(Sim, 8000);
+  const std::string &Key = Sim.Keys[0];
+  saturate(Sim, 2000, 20);
+  const std::size_t Steward = stewardOf(Sim, Key);
+  Sim.Hosts[Steward].NetworkPartition = 1;
+  Sim.Hosts[Steward].CutFromLog = true;
+  saturate(Sim, 5000, 20);
+  EXPECT_EQ(Sim.Hosts[Steward].Manager->share(Key, Sim.clock(Steward)), 0U);
+  EXPECT_FALSE(Sim.Hosts[Steward].Manager->tryStart(Key, Sim.clock(Steward)));
 }
 
-// A host slept, was found gone and replaced by another run under its name. The
-// old run wakes and reads the log: the stewards' part is not its own.
+// A host was suspended, removed from the members and replaced by another run
+// with the same name. When the old run resumes and reads the log, it must not
+// act as steward.
 TEST(Admission, EarlierRunIsNoSteward) {
-  Cluster World(1, 1, 4, 4, 10);
-  run(World, 8000);
-  const std::string &Key = World.Keys[0];
-  ASSERT_TRUE(World.All[0].Keeper->boundOf(Key));
-  World.act(0, [&](auto &Keeper, TimePoint Now, auto &Out) {
-    const ShareMember Other{World.All[0].Name, World.All[0].Run + 1};
-    Keeper.setMembers(5000, std::span(&Other, 1), Now, Out);
-    Keeper.configure(World.table(5001), Now, Out);
+  Cluster Sim(1, 1, 4, 4, 10);
+  run(Sim, 8000);
+  const std::string &Key = Sim.Keys[0];
+  ASSERT_TRUE(Sim.Hosts[0].Manager->boundOf(Key));
+  Sim.invoke(0, [&](auto &Manager, TimePoint Now, auto &Commands) {
+    const ShareMember Other{Sim.Hosts[0].Name, Sim.Hosts[0].Run + 1};
+    Manager.setMembers(5000, std::span(&Other, 1), Now, Commands);
+    Manager.configure(Sim.table(5001), Now, Commands);
   });
-  EXPECT_FALSE(World.All[0].Keeper->boundOf(Key));
-  EXPECT_TRUE(World.All[0].Keeper->stewardOf(Key).empty());
+  EXPECT_FALSE(Sim.Hosts[0].Manager->boundOf(Key));
+  EXPECT_TRUE(Sim.Hosts[0].Manager->stewardOf(Key).empty());
 }
 
-// A planned stop: the host gives its credits back at once, so that its part of
-// the bound is not lost to the others until the longest request could have
-// ended.
+// A host that is stopped as planned gives its credits back at once. Otherwise
+// its part of the bound would be unavailable to the others until the longest
+// request could have ended.
 TEST(Admission, LeavingHostGivesCreditsBack) {
-  Cluster World(2, 1, 4, 4, 9);
-  run(World, 8000);
-  pressure(World, 3000, 20);
-  World.act(0, [](auto &Keeper, TimePoint Now, auto &Out) {
-    Keeper.release(Now, Out);
+  Cluster Sim(2, 1, 4, 4, 9);
+  run(Sim, 8000);
+  saturate(Sim, 3000, 20);
+  Sim.invoke(0, [](auto &Manager, TimePoint Now, auto &Commands) {
+    Manager.release(Now, Commands);
   });
-  run(World, 1000);
-  World.Highest.clear();
+  run(Sim, 1000);
+  Sim.Highest.clear();
   for (int Step = 0; Step < 3000; ++Step) {
-    World.tick();
-    World.act(1, [](auto &Keeper, TimePoint Now, auto &Out) {
-      Keeper.setPoolDemand("model/m", 20, Now, Out);
+    Sim.tick();
+    Sim.invoke(1, [](auto &Manager, TimePoint Now, auto &Commands) {
+      Manager.setPoolDemand("model/m", 20, Now, Commands);
     });
-    World.tryStart(1, World.Keys[0], 50);
+    Sim.tryStart(1, Sim.Keys[0], 50);
   }
-  EXPECT_EQ(World.Highest[World.Keys[0]], 4U);
+  EXPECT_EQ(Sim.Highest[Sim.Keys[0]], 4U);
 }
 
-// A thousand hosts before a pool of five thousand endpoints: each host talks to
-// few peers, and no endpoint is left without a host that uses it.
+// With many hosts and a large pool, each host talks to few peers, and each
+// endpoint is used by at least one host.
 TEST(Admission, LargePoolIsUsedInParts) {
   constexpr std::size_t HostCount = 200;
   RouteTable Table;
   Table.Version = 100;
-  Pool &Of = Table.Pools["model/m"];
-  Of.Name = "model/m";
+  Pool &LargePool = Table.Pools["model/m"];
+  LargePool.Name = "model/m";
   for (int Index = 0; Index < 1000; ++Index) {
     EndpointSpec Spec;
     Spec.Key = "group-" + std::to_string(Index);
-    Of.Endpoints.push_back(Spec);
+    LargePool.Endpoints.push_back(Spec);
   }
   std::vector<ShareMember> Joined;
   for (std::size_t Index = 0; Index < HostCount; ++Index)
@@ -254,30 +255,30 @@
     ShareOptions Options;
     Options.Self = Member.Host;
     Options.Run = Member.Run;
-    ShareManager Keeper(Options);
-    ShareCommands Out;
+    ShareManager Manager(Options);
+    ShareCommands Commands;
     const TimePoint Now{seconds(10)};
-    Keeper.setMembers(50, Joined, Now, Out);
-    Keeper.configure(Table, Now, Out);
-    Keeper.setPoolDemand("model/m", 1, Now, Out);
-    Keeper.advance(Now + seconds(1), Out);
-    std::set<HostName> Asked;
+    Manager.setMembers(50, Joined, Now, Commands);
+    Manager.configure(Table, Now, Commands);
+    Manager.setPoolDemand("model/m", 1, Now, Commands);
+    Manager.advance(Now + seconds(1), Commands);
+    std::set<HostName> Stewards;
     std::set<EndpointHash> Used;
-    for (const ShareCommand &Command : Out)
+    for (const ShareCommand &Command : Commands)
       if (const auto *const Sent = std::get_if<ShareSend>(&Command)) {
-        Asked.insert(Sent->To);
+        Stewards.insert(Sent->To);
         for (const CreditDemand &Want :
              std::get<CreditRequest>(Sent->Message).Demands)
           Used.insert(Want.Endpoint);
       }
-    EXPECT_LE(Asked.size(), 6U);
+    EXPECT_LE(Stewards.size(), 6U);
     for (const EndpointHash Hash : Used)
       ++Holders[Hash];
-    for (const EndpointSpec &Spec : Of.Endpoints)
-      if (Keeper.stewardOf(Spec.Key) == Member.Host)
+    for (const EndpointSpec &Spec : LargePool.Endpoints)
+      if (Manager.stewardOf(Spec.Key) == Member.Host)
         ++Holders[endpointHash(Spec.Key)];
   }
-  EXPECT_EQ(Holders.size(), Of.Endpoints.size());
+  EXPECT_EQ(Holders.size(), LargePool.Endpoints.size());
 }
 
 } // namespace
