--- a/bench/choice.cpp
+++ b/bench/choice.cpp
@@ -48,7 +48,7 @@
 
 EstimatedWaitPolicy forgettingHints() {
   EstimatedWaitPolicy Chosen;
-  Chosen.ForgetGap = 1;
+  Chosen.HintResetGap = 1;
   return Chosen;
 }
 
--- a/packages/request/src/coltsfoottrail/choice/chooser.cpp
+++ b/packages/request/src/coltsfoottrail/choice/chooser.cpp
@@ -127,10 +127,10 @@
 bool Chooser::isFull(CandidateId Which, const ChoiceQuery &Query,
                      const EstimatedWaitPolicy &Chosen, TimePoint Now) const {
   const Candidate &Endpoint = *Table.find(Which);
-  if (Pace.known() && Query.FirstEventWithin < Duration::max() &&
+  if (Pace.known() && Query.FirstEventTimeLeft < Duration::max() &&
       Endpoint.Load.unreadTokens(Now) > 0 &&
       timeToAnswer(Endpoint, 0.0, Query, Now) >
-          toSeconds(Query.FirstEventWithin))
+          toSeconds(Query.FirstEventTimeLeft))
     return true;
   return Chosen.FullByLoad && loadAhead(Endpoint, Query, Now) >=
                                   double(Endpoint.Bound) + Query.Overcommit;
@@ -144,7 +144,7 @@
       return *Ahead;
   const double Load = Endpoint.Load.load(Now);
   const double Running = std::min<double>(Load, Endpoint.Bound);
-  return Running + (Load - Running) * Query.WaitingPart;
+  return Running + (Load - Running) * Query.QueueAheadFraction;
 }
 
 std::optional<CandidateId>
@@ -171,7 +171,7 @@
                      !Query.Repeatable &&
                      Now < Condition.ejectedUntil() + ProbeGrace;
   const double Needed = ProbePatience * Service.mean() * Query.Cost;
-  const bool Hurried = toSeconds(Query.Patience) < Needed;
+  const bool Hurried = toSeconds(Query.TimeToDeadline) < Needed;
   if ((Risky || Hurried) && Table.usable() > 0)
     return std::nullopt;
   return Probes.front();
@@ -203,8 +203,8 @@
          failing(*Endpoint, Now) < MostFailing;
 }
 
-std::vector<CandidateId> Chooser::cachedAt(std::uint64_t PrefixHash,
-                                           TimePoint Now) const {
+std::vector<CandidateId> Chooser::endpointsWithPrefix(std::uint64_t PrefixHash,
+                                                      TimePoint Now) const {
   std::vector<CandidateId> Out;
   for (const PrefixHints::Hint &Hint : Hints.setOf(PrefixHash))
     if (hintHolds(Hint, PrefixHash, Now))
@@ -377,7 +377,8 @@
       });
 }
 
-void Chooser::begun(CandidateId Which, bool Late, std::uint32_t PromptTokens) {
+void Chooser::responseStarted(CandidateId Which, bool Late,
+                              std::uint32_t PromptTokens) {
   if (Candidate *const Endpoint = Table.find(Which))
     Endpoint->Load.begun(Late, PromptTokens);
 }
@@ -392,7 +393,8 @@
   return Out;
 }
 
-void Chooser::share(std::span<const EndpointLoad> Others, TimePoint Now) {
+void Chooser::setOtherHostLoads(std::span<const EndpointLoad> Others,
+                                TimePoint Now) {
   std::unordered_map<std::uint64_t, RequestLoad> Sums;
   for (const EndpointLoad &Each : Others)
     Sums[Each.Endpoint] += Each.Load;
@@ -409,7 +411,8 @@
   Candidate *const Endpoint = Table.find(Which);
   if (Endpoint == nullptr)
     return;
-  Endpoint->Load.ended(Attempt.Late, Attempt.Begun, Now, Attempt.PromptTokens);
+  Endpoint->Load.ended(Attempt.Late, Attempt.ResponseStarted, Now,
+                       Attempt.PromptTokens);
   Endpoint->Suspects -= Attempt.Suspect ? 1U : 0U;
   --OwnTotal;
   learn(*Endpoint, Attempt, Now);
@@ -529,7 +532,7 @@
                                  ? Change.Sequence - Endpoint->CacheSequence - 1
                                  : 0;
   Endpoint->CacheSequence = Change.Sequence;
-  if (Lost >= Chosen->ForgetGap)
+  if (Lost >= Chosen->HintResetGap)
     ++Endpoint->HintEpoch;
   if (Change.Added)
     hint(Which, Change.PrefixHash, Chosen->EventHintLife, Now);
--- a/packages/request/src/coltsfoottrail/choice/chooser.hpp
+++ b/packages/request/src/coltsfoottrail/choice/chooser.hpp
@@ -30,17 +30,17 @@
   /// Rather no endpoint than one without its prefix, if some have it.
   bool CachedOnly = false;
   /// Time left to its deadline.
-  Duration Patience = Duration::max();
+  Duration TimeToDeadline = Duration::max();
   /// Requests beyond an endpoint's bound that it may wait behind there; below
   /// zero, places that it leaves to others.
   std::int32_t Overcommit = 0;
   /// Tokens of its prompt.
   std::uint32_t PromptTokens = 0;
   /// Time left until its first event is late.
-  Duration FirstEventWithin = Duration::max();
+  Duration FirstEventTimeLeft = Duration::max();
   /// Part of the requests waiting at an endpoint that go before this one, where
   /// it is not known how many do.
-  double WaitingPart = 1.0;
+  double QueueAheadFraction = 1.0;
   /// It waits at an endpoint behind those that can still be on time.
   bool Late = false;
 };
@@ -69,7 +69,7 @@
   Duration Total{};
   bool Late = false;
   /// Whether begun() was called for it.
-  bool Begun = false;
+  bool ResponseStarted = false;
   std::uint32_t PromptTokens = 0;
 };
 
@@ -104,21 +104,22 @@
                                                   TimePoint Now);
 
   /// @brief Endpoints that are thought to have a prefix, and do not fail.
-  [[nodiscard]] std::vector<CandidateId> cachedAt(std::uint64_t PrefixHash,
-                                                  TimePoint Now) const;
+  [[nodiscard]] std::vector<CandidateId>
+  endpointsWithPrefix(std::uint64_t PrefixHash, TimePoint Now) const;
 
   /// @brief Notes that a request goes to an endpoint.
   /// @return Whether the endpoint was thought to have its prefix cached.
   bool sent(CandidateId Which, const ChoiceQuery &Query, TimePoint Now);
 
   /// @brief Notes that a request's answer has begun.
-  void begun(CandidateId Which, bool Late, std::uint32_t PromptTokens = 0);
+  void responseStarted(CandidateId Which, bool Late,
+                       std::uint32_t PromptTokens = 0);
 
   /// @brief Own requests at each endpoint that has any.
   [[nodiscard]] std::vector<EndpointLoad> ownLoads() const;
   /// @brief Takes what the other entry hosts have at all endpoints; one that is
   /// not named has nothing of theirs.
-  void share(std::span<const EndpointLoad> Others, TimePoint Now);
+  void setOtherHostLoads(std::span<const EndpointLoad> Others, TimePoint Now);
 
   /// @brief Notes that a request ended there.
   void ended(CandidateId Which, const EndedAttempt &Attempt, TimePoint Now);
--- a/packages/request/src/coltsfoottrail/choice/policy.hpp
+++ b/packages/request/src/coltsfoottrail/choice/policy.hpp
@@ -56,7 +56,7 @@
   /// Sets of four hints each; a power of two.
   std::uint32_t HintSets = 4096;
   /// Cache events lost at a time from which an endpoint's hints are dropped.
-  std::uint64_t ForgetGap = 16;
+  std::uint64_t HintResetGap = 16;
   /// Whether a prefix without a hint goes to its place on the hash ring.
   bool UseRing = true;
   /// Whether an endpoint is full when its load, as reported and corrected by
--- a/packages/request/src/coltsfoottrail/dispatch/dispatcher.cpp
+++ b/packages/request/src/coltsfoottrail/dispatch/dispatcher.cpp
@@ -226,13 +226,13 @@
   Query.Overcommit = Item.Overcommit;
   Query.PromptTokens = Item.PromptTokens;
   if (Item.FirstEventBy < TimePoint::max() && Asked.Attempts == 0)
-    Query.FirstEventWithin = Item.FirstEventBy - Now;
-  Query.WaitingPart = Item.WaitingPart;
+    Query.FirstEventTimeLeft = Item.FirstEventBy - Now;
+  Query.QueueAheadFraction = Item.WaitingPart;
   Query.Late = Item.Urgency == Priority::Batch;
   Query.Avoid = Asked.FailedAt;
   Query.Suspect = Asked.Suspect;
   Query.Repeatable = Item.Repeatable;
-  Query.Patience = Item.Deadline - Now;
+  Query.TimeToDeadline = Item.Deadline - Now;
   Query.CachedOnly = waitsForCache(Asked, Now);
   return Query;
 }
@@ -289,13 +289,13 @@
   Request *const Asked = Requests.find(Which);
   if (Asked == nullptr || !Asked->SentTo || std::exchange(Asked->Begun, true))
     return;
-  Choice.begun(*Asked->SentTo, Asked->Item.Urgency == Priority::Batch,
-               Asked->Item.PromptTokens);
+  Choice.responseStarted(*Asked->SentTo, Asked->Item.Urgency == Priority::Batch,
+                         Asked->Item.PromptTokens);
 }
 
 void Dispatcher::share(std::span<const EndpointLoad> Others, TimePoint Now,
                        Commands &Out) {
-  Choice.share(Others, Now);
+  Choice.setOtherHostLoads(Others, Now);
   pump(Now, Out);
 }
 
@@ -326,7 +326,7 @@
   Ended.Suspect = Asked.Suspect;
   Ended.Hinted = Asked.Hinted;
   Ended.Late = Asked.Item.Urgency == Priority::Batch;
-  Ended.Begun = Asked.Begun;
+  Ended.ResponseStarted = Asked.Begun;
   Ended.PromptTokens = Asked.Item.PromptTokens;
   Ended.Total =
       Result.Total > Duration::zero() ? Result.Total : Now - Asked.SentAt;
--- a/packages/request/test/coltsfoottrail/choice/forecast.cpp
+++ b/packages/request/test/coltsfoottrail/choice/forecast.cpp
@@ -82,9 +82,9 @@
   Choice.sent(id("one"), prompt(12'000), Start);
   Choice.sent(id("other"), prompt(12'000), Start);
   ChoiceQuery Hurried = prompt(500);
-  Hurried.FirstEventWithin = milliseconds(200);
+  Hurried.FirstEventTimeLeft = milliseconds(200);
   EXPECT_EQ(Choice.choose(Hurried, Start), std::nullopt);
-  Hurried.FirstEventWithin = milliseconds(600);
+  Hurried.FirstEventTimeLeft = milliseconds(600);
   EXPECT_TRUE(Choice.choose(Hurried, Start));
 }
 
@@ -92,14 +92,14 @@
 // long must not keep it idle.
 TEST_F(PacedChooser, AnIdleEngineTakesWhatItCannotBeginInTime) {
   ChoiceQuery Long = prompt(40'000);
-  Long.FirstEventWithin = milliseconds(200);
+  Long.FirstEventTimeLeft = milliseconds(200);
   EXPECT_TRUE(Choice.choose(Long, Start));
 }
 
 // What other hosts have sent counts like one's own.
 TEST_F(PacedChooser, CountsPromptsOfOtherHosts) {
   const std::vector<EndpointLoad> Others{{hashText("one"), {0, 1, 0, 12'000}}};
-  Choice.share(Others, Start);
+  Choice.setOtherHostLoads(Others, Start);
   for (int Index = 0; Index < 3; ++Index)
     Choice.sent(id("other"), prompt(100), Start);
   EXPECT_EQ(Choice.choose(prompt(500), Start), id("other"));
