--- a/bench/claims.cpp
+++ b/bench/claims.cpp
@@ -154,7 +154,7 @@
       Options.Self = Name;
       Options.Run = Index + 1;
       Options.BatchDelay = BatchDelay;
-      Options.AppendGap = Gap;
+      Options.MinAppendInterval = Gap;
       Hosts.push_back(std::make_unique<ClaimService>(Options));
       Sent.push_back(0);
       Wakes.push_back(TimePoint::max());
@@ -163,7 +163,7 @@
     }
     for (std::size_t Index = 0; Index < HostCount; ++Index)
       act(Index, [&](ClaimService &Service, ClaimCommands &Out) {
-        Service.members(Joined, time(), Out);
+        Service.setMembers(Joined, time(), Out);
       });
     Clock.run(Clock.Now + seconds(1));
   }
@@ -257,7 +257,7 @@
   }
   void carryOut(std::size_t Index, const ClaimSend &Command) {
     const std::vector<std::byte> Bytes =
-        writeCbor(writeClaimMessage(Command.What));
+        writeCbor(writeClaimMessage(Command.Message));
     Sent[Index] += Bytes.size();
     const std::size_t To = Numbers.at(Command.To);
     const HostName From("host-" + std::to_string(Index));
@@ -268,7 +268,7 @@
       });
     });
   }
-  void carryOut(std::size_t Index, const ClaimDecide &Command) {
+  void carryOut(std::size_t Index, const DeliverDecision &Command) {
     if (!std::holds_alternative<ClaimGranted>(Command.Decision))
       return;
     const std::chrono::duration<double, std::milli> Took =
--- a/packages/process/src/coltsfoottrail/server/claimdesk.cpp
+++ b/packages/process/src/coltsfoottrail/server/claimdesk.cpp
@@ -17,7 +17,7 @@
 constexpr milliseconds LeastWake{1};
 
 /// A decision that nobody waits for any more.
-ClaimDecide unavailable() { return {{}, ClaimUnavailable{}, {}}; }
+DeliverDecision unavailable() { return {{}, ClaimUnavailable{}, {}}; }
 
 } // namespace
 
@@ -34,9 +34,9 @@
 
 struct ClaimDesk::Asked {
   explicit Asked(const asio::any_io_executor &Executor)
-      : Answer(std::make_shared<Reply<ClaimDecide>>(Executor)) {}
+      : Answer(std::make_shared<Reply<DeliverDecision>>(Executor)) {}
 
-  std::shared_ptr<Reply<ClaimDecide>> Answer;
+  std::shared_ptr<Reply<DeliverDecision>> Answer;
   ClaimId Id;
   bool Granted = false;
 };
@@ -45,7 +45,7 @@
 // claim is granted, and nobody holds it: the key would be "in progress" until
 // its life ends. The abandoned claim is given up, or released when the grant
 // came first; the coroutine has not seen the grant, so nothing was sent.
-Awaitable<ClaimDecide> ClaimDesk::ask(Starter Start) {
+Awaitable<DeliverDecision> ClaimDesk::ask(Starter Start) {
   const auto Mine = std::make_shared<Asked>(co_await asio::this_coro::executor);
   asio::post(Control, [this, Mine, Begin = std::move(Start)] {
     if (Stopped) {
@@ -58,7 +58,7 @@
     perform(std::move(Due));
   });
   bool Abandoned = false;
-  ClaimDecide Decided;
+  DeliverDecision Decided;
   try {
     Decided = co_await Mine->Answer->wait();
   } catch (const boost::system::system_error &) {
@@ -82,15 +82,15 @@
   perform(std::move(Due));
 }
 
-Awaitable<ClaimDecide> ClaimDesk::claim(const ClaimRequest &Request,
-                                        TimePoint Deadline) {
+Awaitable<DeliverDecision> ClaimDesk::claim(const ClaimRequest &Request,
+                                            TimePoint Deadline) {
   return ask([this, Deadline, What = Request](ClaimCommands &Due) {
     return Decides.claim(What, Deadline, now(), Due);
   });
 }
 
-Awaitable<ClaimDecide> ClaimDesk::query(const ClaimKey &What,
-                                        TimePoint Deadline) {
+Awaitable<DeliverDecision> ClaimDesk::query(const ClaimKey &What,
+                                            TimePoint Deadline) {
   return ask([this, Deadline, Key = What](ClaimCommands &Due) {
     return Decides.query(Key, Deadline, now(), Due);
   });
@@ -116,7 +116,7 @@
 
 void ClaimDesk::members(const std::vector<ClaimMember> &Joined) {
   ClaimCommands Due;
-  Decides.members(Joined, now(), Due);
+  Decides.setMembers(Joined, now(), Due);
   perform(std::move(Due));
 }
 
@@ -165,9 +165,11 @@
                });
 }
 
-void ClaimDesk::perform(ClaimSend Command) { ToPeer(Command.To, Command.What); }
+void ClaimDesk::perform(ClaimSend Command) {
+  ToPeer(Command.To, Command.Message);
+}
 
-void ClaimDesk::perform(ClaimDecide Command) {
+void ClaimDesk::perform(DeliverDecision Command) {
   const auto Found = Open.find(Command.Id);
   if (Found == Open.end())
     return;
--- a/packages/process/src/coltsfoottrail/server/claimdesk.hpp
+++ b/packages/process/src/coltsfoottrail/server/claimdesk.hpp
@@ -37,11 +37,11 @@
   /// @param Request What is claimed.
   /// @param Deadline The decision comes by then.
   /// @return The decision, and until when a granted request must have left.
-  [[nodiscard]] Awaitable<ClaimDecide> claim(const ClaimRequest &Request,
-                                             TimePoint Deadline);
+  [[nodiscard]] Awaitable<DeliverDecision> claim(const ClaimRequest &Request,
+                                                 TimePoint Deadline);
   /// @brief Asks for a key's outcome. Called from any thread's coroutine.
-  [[nodiscard]] Awaitable<ClaimDecide> query(const ClaimKey &What,
-                                             TimePoint Deadline);
+  [[nodiscard]] Awaitable<DeliverDecision> query(const ClaimKey &What,
+                                                 TimePoint Deadline);
   /// @brief Tells how a granted claim ended. Thread-safe.
   void settle(ClaimId Id, Settlement How);
 
@@ -64,14 +64,14 @@
   using AskedPtr = std::shared_ptr<Asked>;
   using Starter = std::function<ClaimId(ClaimCommands &)>;
 
-  [[nodiscard]] Awaitable<ClaimDecide> ask(Starter Start);
+  [[nodiscard]] Awaitable<DeliverDecision> ask(Starter Start);
   void abandon(const AskedPtr &Gone);
 
   void perform(ClaimCommands Due);
   void perform(ClaimAppend Command);
   void perform(ClaimRead Command);
   void perform(ClaimSend Command);
-  void perform(ClaimDecide Command);
+  void perform(DeliverDecision Command);
   void arm();
   [[nodiscard]] static ClaimTime now();
 
--- a/packages/process/src/coltsfoottrail/server/relay.cpp
+++ b/packages/process/src/coltsfoottrail/server/relay.cpp
@@ -150,7 +150,7 @@
 
 ClaimRequest claimOf(const CallerRequest &Asked) {
   ClaimRequest Out;
-  Out.What = ClaimKey{Asked.Team.Name, Asked.IdempotencyKey};
+  Out.ScopedKey = ClaimKey{Asked.Team.Name, Asked.IdempotencyKey};
   Out.BodyDigest =
       sha256Hex(Asked.PoolName + "\n" + Asked.Forwarded.Method + "\n" +
                 Asked.Forwarded.Target + "\n" + Asked.Forwarded.Body);
@@ -263,7 +263,7 @@
     co_return;
   }
   const ClaimKey Wanted = keyOf(*Team, Key);
-  const ClaimDecide Told =
+  const DeliverDecision Told =
       co_await Claims.query(Wanted, BootClock::now() + Limits.DefaultDeadline);
   co_await Call.respond(outcomeAnswer(Told.Decision));
 }
@@ -271,12 +271,12 @@
 // A repeated request often comes while the first one is still under way. It
 // waits for the first one's outcome rather than be refused: only while that
 // stays open up to the deadline it hears "key-in-use".
-Awaitable<ClaimDecide> Relay::claimOrJoin(const CallerRequest &Asked) {
+Awaitable<DeliverDecision> Relay::claimOrJoin(const CallerRequest &Asked) {
   boost::asio::steady_timer Pause(co_await boost::asio::this_coro::executor);
   milliseconds Wait = FirstJoinPause;
   while (true) {
     const ClaimRequest Wanted = claimOf(Asked);
-    ClaimDecide Told = co_await Claims.claim(Wanted, Asked.Item.Deadline);
+    DeliverDecision Told = co_await Claims.claim(Wanted, Asked.Item.Deadline);
     const bool Open = std::holds_alternative<ClaimInProgress>(Told.Decision);
     if (!Open || BootClock::now() + Wait >= Asked.AnswerBy)
       co_return Told;
@@ -304,7 +304,7 @@
 }
 
 Awaitable<void> Relay::serveClaimed(Exchange &Call, CallerRequest Asked) {
-  const ClaimDecide Told = co_await claimOrJoin(Asked);
+  const DeliverDecision Told = co_await claimOrJoin(Asked);
   if (const auto *const Replay = std::get_if<ClaimReplay>(&Told.Decision)) {
     ++Counts.Answered;
     co_await Call.respond(replayOf(Replay->Outcome));
--- a/packages/process/src/coltsfoottrail/server/relay.hpp
+++ b/packages/process/src/coltsfoottrail/server/relay.hpp
@@ -81,7 +81,8 @@
   [[nodiscard]] Awaitable<void> refuse(Exchange &Call, Verdict Final);
   [[nodiscard]] Awaitable<void> refuseWith(Exchange &Call, Verdict Final,
                                            std::string Detail);
-  [[nodiscard]] Awaitable<ClaimDecide> claimOrJoin(const CallerRequest &Asked);
+  [[nodiscard]] Awaitable<DeliverDecision>
+  claimOrJoin(const CallerRequest &Asked);
   [[nodiscard]] Awaitable<void> serveClaimed(Exchange &Call,
                                              CallerRequest Asked);
   [[nodiscard]] Awaitable<void> serveRouted(Exchange &Call, CallerRequest Asked,
--- a/packages/request/src/coltsfoottrail/claims/codec.cpp
+++ b/packages/request/src/coltsfoottrail/claims/codec.cpp
@@ -49,7 +49,7 @@
 }
 
 void writeRequest(Json &Into, const ClaimRequest &Request) {
-  writeKey(Into, Request.What);
+  writeKey(Into, Request.ScopedKey);
   Into["digest"] = Request.BodyDigest;
   if (Request.Birth)
     Into["birth"] = *Request.Birth;
@@ -57,7 +57,7 @@
 
 ClaimRequest readRequest(ObjectReader &From) {
   ClaimRequest Request;
-  Request.What = readKey(From);
+  Request.ScopedKey = readKey(From);
   Request.BodyDigest = From.text("digest");
   if (From.has("birth"))
     Request.Birth = From.number("birth");
@@ -123,8 +123,8 @@
   }
   void operator()(const ClaimEnded &Item) {
     writeId(Out, Item.Id);
-    writeKey(Out, Item.What);
-    writeSettlement(Out, Item.How);
+    writeKey(Out, Item.ScopedKey);
+    writeSettlement(Out, Item.Result);
   }
 };
 
@@ -206,7 +206,7 @@
 struct MessageWriter {
   Json Out = Json::object();
 
-  void operator()(const ClaimAsk &Message) {
+  void operator()(const AcquireClaim &Message) {
     writeId(Out, Message.Id);
     Out["claimant"] = Message.Claimant.Text;
     writeRequest(Out, Message.Request);
@@ -216,24 +216,24 @@
   }
   void operator()(const ClaimSettle &Message) {
     writeId(Out, Message.Id);
-    writeKey(Out, Message.What);
-    writeSettlement(Out, Message.How);
+    writeKey(Out, Message.ScopedKey);
+    writeSettlement(Out, Message.Result);
   }
   void operator()(const ClaimQuery &Message) {
     writeId(Out, Message.Id);
-    writeKey(Out, Message.What);
+    writeKey(Out, Message.ScopedKey);
   }
   void operator()(const ClaimAnswer &Message) {
     writeId(Out, Message.Id);
-    writeKey(Out, Message.What);
+    writeKey(Out, Message.ScopedKey);
     Out["decision"] = DecisionWords[Message.Decision.index()];
     std::visit(DecisionWriter{Out}, Message.Decision);
   }
   void operator()(const ClaimSettled &Message) { writeId(Out, Message.Id); }
 };
 
-ClaimAsk readAsk(ObjectReader &From, ClaimId Id) {
-  ClaimAsk Ask;
+AcquireClaim readAsk(ObjectReader &From, ClaimId Id) {
+  AcquireClaim Ask;
   Ask.Id = Id;
   Ask.Claimant = HostName(From.text("claimant"));
   Ask.Request = readRequest(From);
--- a/packages/request/src/coltsfoottrail/claims/codec.hpp
+++ b/packages/request/src/coltsfoottrail/claims/codec.hpp
@@ -22,8 +22,8 @@
 /// How a claim ended, as it stands on the log.
 struct ClaimEnded {
   ClaimId Id;
-  ClaimKey What;
-  Settlement How;
+  ClaimKey ScopedKey;
+  Settlement Result;
 };
 /// One entry of a batch.
 using ClaimItem = std::variant<ClaimMade, ClaimEnded>;
--- a/packages/request/src/coltsfoottrail/claims/ledger.cpp
+++ b/packages/request/src/coltsfoottrail/claims/ledger.cpp
@@ -114,7 +114,7 @@
 void ClaimLedger::apply(const ClaimMade &Made, Offset At) {
   if (expired(Made.Request.Birth))
     return;
-  const std::string Name = nameOf(Made.Request.What);
+  const std::string Name = nameOf(Made.Request.ScopedKey);
   const auto Found = Entries.find(Name);
   if (Found != Entries.end()) {
     const LedgerEntry &Known = Found->second;
@@ -134,14 +134,14 @@
 }
 
 void ClaimLedger::apply(const ClaimEnded &Ended) {
-  const std::string Name = nameOf(Ended.What);
-  const bool Releases = std::holds_alternative<ReleaseClaim>(Ended.How);
+  const std::string Name = nameOf(Ended.ScopedKey);
+  const bool Releases = std::holds_alternative<ReleaseClaim>(Ended.Result);
   const auto Found = Entries.find(Name);
   if (Found == Entries.end() && !Releases)
     return;
   LedgerEntry &Entry = entryOf(Name);
   Bytes -= sizeOf(Entry);
-  settle(Entry, Ended.Id, Ended.How);
+  settle(Entry, Ended.Id, Ended.Result);
   Bytes += sizeOf(Entry);
   if (Found == Entries.end())
     keep(Name, Entry);
--- a/packages/request/src/coltsfoottrail/claims/owner.cpp
+++ b/packages/request/src/coltsfoottrail/claims/owner.cpp
@@ -18,14 +18,14 @@
 /// of the key was given up just after it.
 constexpr std::uint32_t MaxAppends = 5;
 
-std::size_t sizeOf(const ClaimAsk &Message) {
-  return ItemBytes + Message.Request.What.Key.size() +
+std::size_t sizeOf(const AcquireClaim &Message) {
+  return ItemBytes + Message.Request.ScopedKey.Key.size() +
          Message.Request.BodyDigest.size();
 }
 
 std::size_t sizeOf(const ClaimSettle &Message) {
-  const auto *const Outcome = std::get_if<StoredOutcome>(&Message.How);
-  return ItemBytes + Message.What.Key.size() +
+  const auto *const Outcome = std::get_if<StoredOutcome>(&Message.Result);
+  return ItemBytes + Message.ScopedKey.Key.size() +
          (Outcome == nullptr ? 0 : Outcome->Body.size());
 }
 
@@ -33,16 +33,16 @@
   return std::min(MaxRetryDelay, std::max(First, Last * 2));
 }
 
-void answer(const HostName &To, const ClaimAsk &Asked, ClaimDecision Decision,
-            ClaimCommands &Out) {
+void answer(const HostName &To, const AcquireClaim &Asked,
+            ClaimDecision Decision, ClaimCommands &Out) {
   Out.emplace_back(ClaimSend{
-      To, ClaimAnswer{Asked.Id, Asked.Request.What, std::move(Decision)}});
+      To, ClaimAnswer{Asked.Id, Asked.Request.ScopedKey, std::move(Decision)}});
 }
 
 void answer(const HostName &To, const ClaimQuery &Asked, ClaimDecision Decision,
             ClaimCommands &Out) {
-  Out.emplace_back(
-      ClaimSend{To, ClaimAnswer{Asked.Id, Asked.What, std::move(Decision)}});
+  Out.emplace_back(ClaimSend{
+      To, ClaimAnswer{Asked.Id, Asked.ScopedKey, std::move(Decision)}});
 }
 
 /// Whether no later record changes a decision. While a key is held, or its
@@ -125,11 +125,11 @@
                     Entry.Standing);
 }
 
-std::optional<ClaimDecision> ClaimOwner::decide(const ClaimAsk &Message,
+std::optional<ClaimDecision> ClaimOwner::decide(const AcquireClaim &Message,
                                                 TimePoint Now) {
   if (Ledger.expired(Message.Request.Birth))
     return ClaimKeyExpired{};
-  const LedgerEntry *const Entry = Ledger.find(Message.Request.What);
+  const LedgerEntry *const Entry = Ledger.find(Message.Request.ScopedKey);
   if (Entry == nullptr)
     return std::nullopt;
   if (std::holds_alternative<ReleaseClaim>(Entry->Standing)) {
@@ -148,24 +148,24 @@
 
 ClaimDecision ClaimOwner::decideQuery(const ClaimQuery &Message,
                                       TimePoint Now) {
-  const LedgerEntry *const Entry = Ledger.find(Message.What);
+  const LedgerEntry *const Entry = Ledger.find(Message.ScopedKey);
   if (Entry != nullptr)
     return standingOf(*Entry, Now);
-  if (Ledger.expired(birthOfKey(Message.What.Key)))
+  if (Ledger.expired(birthOfKey(Message.ScopedKey.Key)))
     return ClaimKeyExpired{};
   return ClaimNotKnown{};
 }
 
 bool ClaimOwner::isSettled(const ClaimSettle &Message) const {
-  const LedgerEntry *const Entry = Ledger.find(Message.What);
+  const LedgerEntry *const Entry = Ledger.find(Message.ScopedKey);
   if (Entry == nullptr)
     return false;
-  if (std::holds_alternative<ReleaseClaim>(Message.How))
+  if (std::holds_alternative<ReleaseClaim>(Message.Result))
     return std::find(Entry->GivenUp.begin(), Entry->GivenUp.end(),
                      Message.Id) != Entry->GivenUp.end();
   if (Entry->Holder != Message.Id)
     return false;
-  if (std::holds_alternative<StoredOutcome>(Message.How))
+  if (std::holds_alternative<StoredOutcome>(Message.Result))
     return std::holds_alternative<StoredOutcome>(Entry->Standing);
   return !std::holds_alternative<ClaimHeld>(Entry->Standing);
 }
@@ -177,7 +177,7 @@
   Queue.push_back(Item);
 }
 
-void ClaimOwner::ask(const HostName &From, const ClaimAsk &Message,
+void ClaimOwner::ask(const HostName &From, const AcquireClaim &Message,
                      ClaimTime Time, ClaimCommands &Out) {
   LastUsed = Time.Now;
   open(Time, Out);
@@ -254,7 +254,7 @@
 // Failure guarded against: this ledger was read while a claim was held, another
 // owner appended the claim's outcome, and nothing here reads again: a repeated
 // request is refused as in progress although its answer is stored.
-void ClaimOwner::confirm(const HostName &From, const ClaimAsk &Message,
+void ClaimOwner::confirm(const HostName &From, const AcquireClaim &Message,
                          ClaimTime Time, ClaimCommands &Out) {
   for (ContendedAsk &Known : Contended)
     if (Known.Message.Id == Message.Id) {
@@ -298,7 +298,7 @@
   TimePoint Due = FirstQueued;
   if (QueueBytes < Options.MaxBatchBytes)
     Due += Options.BatchDelay;
-  return std::max(Due, LastAppend + Options.AppendGap);
+  return std::max(Due, LastAppend + Options.MinAppendInterval);
 }
 
 std::vector<ClaimItem> ClaimOwner::takeItems(ClaimTime Time,
@@ -312,7 +312,8 @@
     QueueBytes -= Item.Bytes;
     if (Item.Settles) {
       const ClaimSettle &Message = Settles.at(Item.Id).Message;
-      Items.emplace_back(ClaimEnded{Message.Id, Message.What, Message.How});
+      Items.emplace_back(
+          ClaimEnded{Message.Id, Message.ScopedKey, Message.Result});
       Taken.push_back(Item);
       Bytes += Item.Bytes;
       continue;
--- a/packages/request/src/coltsfoottrail/claims/owner.hpp
+++ b/packages/request/src/coltsfoottrail/claims/owner.hpp
@@ -55,7 +55,7 @@
 
   /// @brief Takes a claim; answered with a ClaimSend to the asker. That a key
   /// is held is answered from a read that left after the claim came.
-  void ask(const HostName &From, const ClaimAsk &Message, ClaimTime Time,
+  void ask(const HostName &From, const AcquireClaim &Message, ClaimTime Time,
            ClaimCommands &Out);
   /// @brief Takes a settlement; confirmed once it stands on the log.
   void settle(const HostName &From, const ClaimSettle &Message, ClaimTime Time,
@@ -89,14 +89,14 @@
 private:
   struct WaitingAsk {
     HostName From;
-    ClaimAsk Message;
+    AcquireClaim Message;
     TimePoint Until;
     std::uint32_t Appends = 0;
   };
   /// An ask whose key is held, as far as the ledger goes.
   struct ContendedAsk {
     HostName From;
-    ClaimAsk Message;
+    AcquireClaim Message;
     TimePoint Until;
     /// First read that shows what the log held after the ask came.
     std::uint64_t FromToken = 0;
@@ -128,7 +128,7 @@
     milliseconds Delay{0};
   };
 
-  [[nodiscard]] std::optional<ClaimDecision> decide(const ClaimAsk &Message,
+  [[nodiscard]] std::optional<ClaimDecision> decide(const AcquireClaim &Message,
                                                     TimePoint Now);
   [[nodiscard]] ClaimDecision standingOf(const LedgerEntry &Entry,
                                          TimePoint Now);
@@ -136,8 +136,8 @@
                                           TimePoint Now);
   [[nodiscard]] bool isSettled(const ClaimSettle &Message) const;
   void readAfresh(ClaimCommands &Out);
-  void confirm(const HostName &From, const ClaimAsk &Message, ClaimTime Time,
-               ClaimCommands &Out);
+  void confirm(const HostName &From, const AcquireClaim &Message,
+               ClaimTime Time, ClaimCommands &Out);
   void decideContended(std::uint64_t Token, ClaimTime Time, ClaimCommands &Out);
   [[nodiscard]] std::optional<TimePoint> batchDue() const;
   void enqueue(Queued Item, ClaimTime Time);
--- a/packages/request/src/coltsfoottrail/claims/service.cpp
+++ b/packages/request/src/coltsfoottrail/claims/service.cpp
@@ -91,19 +91,20 @@
 
 ClaimId ClaimService::claim(ClaimRequest Request, TimePoint Deadline,
                             ClaimTime Time, ClaimCommands &Out) {
-  checkKey(Request.What);
+  checkKey(Request.ScopedKey);
   if (Request.BodyDigest.empty() || Request.BodyDigest.size() > MaxDigestBytes)
     throw Error("claims: a claim needs the digest of its body");
   const ClaimId Id{Options.Run, NextSequence++};
   OpenAsk Asked;
-  Asked.Partition = partitionOf(Request.What);
+  Asked.Partition = partitionOf(Request.ScopedKey);
   // Failure guarded against: a claimant that gets its grant when the ledgers
   // have forgotten the claim would run beside its own retry. The grant ends
   // long before the claim's record can expire.
   Asked.Deadline =
       std::min<TimePoint>(Deadline, Time.Now + Options.KeyLife / 2);
   Asked.SinceWall = Time.Wall;
-  Asked.Message = ClaimAsk{Id, Options.Self, std::move(Request), Time.Wall, {}};
+  Asked.Message =
+      AcquireClaim{Id, Options.Self, std::move(Request), Time.Wall, {}};
   send(Open.emplace(Id, std::move(Asked)).first->second, Time, Out);
   deliverLocal(Time, Out);
   return Id;
@@ -129,8 +130,8 @@
     return;
   const ClaimMessage Message = std::move(Found->second.Message);
   Open.erase(Found);
-  if (const auto *const Ask = std::get_if<ClaimAsk>(&Message))
-    startSettling(ClaimSettle{Id, Ask->Request.What, ReleaseClaim{}}, Time,
+  if (const auto *const Ask = std::get_if<AcquireClaim>(&Message))
+    startSettling(ClaimSettle{Id, Ask->Request.ScopedKey, ReleaseClaim{}}, Time,
                   Out);
   deliverLocal(Time, Out);
 }
@@ -156,12 +157,12 @@
     return;
   }
   const bool KeepBody =
-      SettlingBytes + bodyBytes(Message.How) <= Options.MaxSettlingBytes;
-  Message.How = trimmed(std::move(Message.How), KeepBody);
+      SettlingBytes + bodyBytes(Message.Result) <= Options.MaxSettlingBytes;
+  Message.Result = trimmed(std::move(Message.Result), KeepBody);
   Settling Ended;
-  Ended.Partition = partitionOf(Message.What);
+  Ended.Partition = partitionOf(Message.ScopedKey);
   Ended.ForgetAt = Time.Now + Options.KeyLife / 2;
-  Ended.Bytes = SettlingItemBytes + bodyBytes(Message.How);
+  Ended.Bytes = SettlingItemBytes + bodyBytes(Message.Result);
   const ClaimId Id = Message.Id;
   Ended.Message = std::move(Message);
   const auto [Place, Added] = Settlings.emplace(Id, std::move(Ended));
@@ -178,7 +179,7 @@
 }
 
 void ClaimService::send(OpenAsk &Asked, ClaimTime Time, ClaimCommands &Out) {
-  if (auto *const Ask = std::get_if<ClaimAsk>(&Asked.Message)) {
+  if (auto *const Ask = std::get_if<AcquireClaim>(&Asked.Message)) {
     Ask->Wall = Time.Wall;
     Ask->Budget = remaining(Asked.Deadline, Time.Now);
   }
@@ -214,7 +215,7 @@
     auto *const Sent = std::get_if<ClaimSend>(&Out[Index]);
     if (Sent == nullptr || Sent->To != Options.Self)
       continue;
-    const ClaimMessage Message = std::move(Sent->What);
+    const ClaimMessage Message = std::move(Sent->Message);
     Sent->To = HostName();
     takeIn(Options.Self, Message, Time, Out);
   }
@@ -224,22 +225,24 @@
   });
 }
 
-void ClaimService::handle(const HostName &From, const ClaimAsk &Message,
+void ClaimService::handle(const HostName &From, const AcquireClaim &Message,
                           ClaimTime Time, ClaimCommands &Out) {
   if (From != Options.Self)
     takeWall(Message, Time.Now);
-  Owners[partitionOf(Message.Request.What)].ask(From, Message, bounded(Time),
-                                                Out);
+  Owners[partitionOf(Message.Request.ScopedKey)].ask(From, Message,
+                                                     bounded(Time), Out);
 }
 
 void ClaimService::handle(const HostName &From, const ClaimSettle &Message,
                           ClaimTime Time, ClaimCommands &Out) {
-  Owners[partitionOf(Message.What)].settle(From, Message, bounded(Time), Out);
+  Owners[partitionOf(Message.ScopedKey)].settle(From, Message, bounded(Time),
+                                                Out);
 }
 
 void ClaimService::handle(const HostName &From, const ClaimQuery &Message,
                           ClaimTime Time, ClaimCommands &Out) {
-  Owners[partitionOf(Message.What)].query(From, Message, bounded(Time), Out);
+  Owners[partitionOf(Message.ScopedKey)].query(From, Message, bounded(Time),
+                                               Out);
 }
 
 void ClaimService::handle(const HostName &From, const ClaimAnswer &Message,
@@ -275,8 +278,8 @@
                       !Forgot && !Granted.contains(Message.Id) &&
                       !Settlings.contains(Message.Id);
   if (Orphan)
-    startSettling(ClaimSettle{Message.Id, Message.What, ReleaseClaim{}}, Time,
-                  Out);
+    startSettling(ClaimSettle{Message.Id, Message.ScopedKey, ReleaseClaim{}},
+                  Time, Out);
 }
 
 void ClaimService::handle(const HostName & /*From*/,
@@ -300,25 +303,25 @@
     return;
   }
   Open.erase(Found);
-  if (const auto *const Ask = std::get_if<ClaimAsk>(&Asked.Message)) {
+  if (const auto *const Ask = std::get_if<AcquireClaim>(&Asked.Message)) {
     if (std::holds_alternative<ClaimGranted>(Decision))
-      Granted.emplace(Id, Ask->Request.What);
+      Granted.emplace(Id, Ask->Request.ScopedKey);
     else if (Asked.Sends > 1 ||
              std::holds_alternative<ClaimUnavailable>(Decision))
       // Failure guarded against: the ask also lies with another owner, which
       // appends it when the key is free again; the key would then be held by a
       // claim that nobody waits for. The release stands on the log and voids
       // it, whether it comes before or after.
-      startSettling(ClaimSettle{Id, Ask->Request.What, ReleaseClaim{}}, Time,
-                    Out);
+      startSettling(ClaimSettle{Id, Ask->Request.ScopedKey, ReleaseClaim{}},
+                    Time, Out);
   }
-  Out.emplace_back(ClaimDecide{Id, std::move(Decision), Asked.Deadline});
+  Out.emplace_back(DeliverDecision{Id, std::move(Decision), Asked.Deadline});
 }
 
 void ClaimService::refuseLate(ClaimId Id, ClaimTime Time, ClaimCommands &Out) {
   const OpenAsk &Asked = Open.at(Id);
   bool Earlier = false;
-  if (const auto *const Ask = std::get_if<ClaimAsk>(&Asked.Message)) {
+  if (const auto *const Ask = std::get_if<AcquireClaim>(&Asked.Message)) {
     const auto Skew = static_cast<std::uint64_t>(MaxClockSkew.count());
     const std::optional<std::uint64_t> &Birth = Ask->Request.Birth;
     Earlier = Birth && *Birth + Skew < Asked.SinceWall;
@@ -326,7 +329,7 @@
   decide(Id, ClaimUnavailable{Earlier}, Time, Out);
 }
 
-void ClaimService::takeWall(const ClaimAsk &Message, TimePoint Now) {
+void ClaimService::takeWall(const AcquireClaim &Message, TimePoint Now) {
   const auto Elapsed =
       std::chrono::duration_cast<seconds>(Now - PeerWallAt).count();
   const bool Old = Now - PeerWallAt > PeerWallLife;
@@ -364,8 +367,8 @@
   deliverLocal(Time, Out);
 }
 
-void ClaimService::members(std::span<const ClaimMember> Joined, ClaimTime Time,
-                           ClaimCommands &Out) {
+void ClaimService::setMembers(std::span<const ClaimMember> Joined,
+                              ClaimTime Time, ClaimCommands &Out) {
   Watch.members(Joined);
   for (ClaimPartition Which = 0; Which < ClaimPartitions; ++Which) {
     std::vector<HostName> Ranked = rank(Which, Joined, Options.Self);
--- a/packages/request/src/coltsfoottrail/claims/service.hpp
+++ b/packages/request/src/coltsfoottrail/claims/service.hpp
@@ -16,7 +16,7 @@
 /// requests and owns partitions for its peers. Pure: takes events and times,
 /// answers commands.
 ///
-/// Each claim() and query() gets exactly one ClaimDecide. Not thread-safe:
+/// Each claim() and query() gets exactly one DeliverDecision. Not thread-safe:
 /// stands under one lock. Times must not go back.
 class ClaimService {
 public:
@@ -68,8 +68,8 @@
   void read(ClaimPartition Partition, std::uint64_t Token,
             const ReadResult &Result, ClaimTime Time, ClaimCommands &Out);
   /// @brief Takes the entry hosts of the agreed state, this one among them.
-  void members(std::span<const ClaimMember> Joined, ClaimTime Time,
-               ClaimCommands &Out);
+  void setMembers(std::span<const ClaimMember> Joined, ClaimTime Time,
+                  ClaimCommands &Out);
   /// @brief Does what time alone brings.
   void advance(ClaimTime Time, ClaimCommands &Out);
   /// @brief When advance() should be called next.
@@ -89,7 +89,7 @@
 
 private:
   struct OpenAsk {
-    /// A ClaimAsk or a ClaimQuery.
+    /// A AcquireClaim or a ClaimQuery.
     ClaimMessage Message;
     ClaimPartition Partition = 0;
     TimePoint Deadline;
@@ -108,7 +108,7 @@
     std::size_t Bytes = 0;
   };
 
-  void handle(const HostName &From, const ClaimAsk &Message, ClaimTime Time,
+  void handle(const HostName &From, const AcquireClaim &Message, ClaimTime Time,
               ClaimCommands &Out);
   void handle(const HostName &From, const ClaimSettle &Message, ClaimTime Time,
               ClaimCommands &Out);
@@ -134,7 +134,7 @@
   [[nodiscard]] const HostName &candidate(ClaimPartition Partition,
                                           std::size_t Index) const;
   [[nodiscard]] ClaimTime bounded(ClaimTime Time) const;
-  void takeWall(const ClaimAsk &Message, TimePoint Now);
+  void takeWall(const AcquireClaim &Message, TimePoint Now);
 
   ClaimOptions Options;
   ClaimantWatch Watch;
--- a/packages/request/src/coltsfoottrail/claims/types.hpp
+++ b/packages/request/src/coltsfoottrail/claims/types.hpp
@@ -143,7 +143,7 @@
 
 /// @brief A request that may run once at the most.
 struct ClaimRequest {
-  ClaimKey What;
+  ClaimKey ScopedKey;
   /// SHA-256 of target and body in hexadecimal digits.
   std::string BodyDigest;
   /// When the key was made, in seconds since 1970, where that is known: see
@@ -152,7 +152,7 @@
 };
 
 /// Claim a key for a claimant. Sent again with the same id until answered.
-struct ClaimAsk {
+struct AcquireClaim {
   ClaimId Id;
   HostName Claimant;
   ClaimRequest Request;
@@ -164,18 +164,18 @@
 /// Record how a claim ended. Sent again until confirmed.
 struct ClaimSettle {
   ClaimId Id;
-  ClaimKey What;
-  Settlement How;
+  ClaimKey ScopedKey;
+  Settlement Result;
 };
 /// Ask for a key's outcome without claiming it.
 struct ClaimQuery {
   ClaimId Id;
-  ClaimKey What;
+  ClaimKey ScopedKey;
 };
-/// Answer to a ClaimAsk or a ClaimQuery.
+/// Answer to a AcquireClaim or a ClaimQuery.
 struct ClaimAnswer {
   ClaimId Id;
-  ClaimKey What;
+  ClaimKey ScopedKey;
   ClaimDecision Decision;
 };
 /// The settlement is on the log.
@@ -183,8 +183,8 @@
   ClaimId Id;
 };
 /// What entry hosts tell each other about claims.
-using ClaimMessage =
-    std::variant<ClaimAsk, ClaimSettle, ClaimQuery, ClaimAnswer, ClaimSettled>;
+using ClaimMessage = std::variant<AcquireClaim, ClaimSettle, ClaimQuery,
+                                  ClaimAnswer, ClaimSettled>;
 
 /// Append to a partition's stream; answer with ClaimService::appended().
 struct ClaimAppend {
@@ -203,17 +203,17 @@
 /// Send a message to a peer; may be lost, repeated or late.
 struct ClaimSend {
   HostName To;
-  ClaimMessage What;
+  ClaimMessage Message;
 };
 /// Tell a claimant or querier of this host the decision; once for each id.
-struct ClaimDecide {
+struct DeliverDecision {
   ClaimId Id;
   ClaimDecision Decision;
   /// A granted request must leave before this time or be settled as released.
   TimePoint DispatchBefore;
 };
 using ClaimCommand =
-    std::variant<ClaimAppend, ClaimRead, ClaimSend, ClaimDecide>;
+    std::variant<ClaimAppend, ClaimRead, ClaimSend, DeliverDecision>;
 using ClaimCommands = std::vector<ClaimCommand>;
 
 /// @brief An entry host that has joined and not left.
@@ -234,7 +234,7 @@
   milliseconds BatchDelay{5};
   /// Least time from one append to the next of a partition: with 8 partitions
   /// 40 ms keep the claims below 200 appends a second in all.
-  milliseconds AppendGap{40};
+  milliseconds MinAppendInterval{40};
   std::size_t MaxBatchBytes = std::size_t{256} << 10U;
   /// Asks and settlements that wait in one partition.
   std::size_t MaxWaiting = 4096;
--- a/packages/request/test/coltsfoottrail/claims/hosts.hpp
+++ b/packages/request/test/coltsfoottrail/claims/hosts.hpp
@@ -77,7 +77,7 @@
       if (Each.Up)
         Joined.push_back({Each.Name, Each.Run});
     act(Index, [&](auto &Service, ClaimTime Time, auto &Out) {
-      Service.members(Joined, Time, Out);
+      Service.setMembers(Joined, Time, Out);
     });
   }
 
@@ -231,7 +231,7 @@
     const HostName From = All[Index].Name;
     // Through the codec, as on the mesh.
     const std::vector<std::byte> Bytes =
-        writeCbor(writeClaimMessage(Command.What));
+        writeCbor(writeClaimMessage(Command.Message));
     const int Copies = chance(Wrong.MessageLost)    ? 0
                        : chance(Wrong.MessageTwice) ? 2
                                                     : 1;
@@ -247,7 +247,7 @@
         });
     }
   }
-  void carryOut(std::size_t Index, const ClaimDecide &Command) {
+  void carryOut(std::size_t Index, const DeliverDecision &Command) {
     const bool Added =
         Decisions.emplace(Command.Id, Decided{Index, Command.Decision}).second;
     if (!Added)
--- a/packages/request/test/coltsfoottrail/claims/service.cpp
+++ b/packages/request/test/coltsfoottrail/claims/service.cpp
@@ -128,7 +128,7 @@
     // This host believes that it is alone.
     Three.act(Apart, [&](auto &Service, ClaimTime Time, auto &Out) {
       const ClaimMember Self{Three.All[Apart].Name, Three.All[Apart].Run};
-      Service.members(std::span(&Self, 1), Time, Out);
+      Service.setMembers(std::span(&Self, 1), Time, Out);
     });
     const ClaimId Left = Three.claim(Owner, "order-6");
     const ClaimId Right = Three.claim(Apart, "order-6");
@@ -151,7 +151,7 @@
   const auto Alone = [&](auto &Service, ClaimTime Time, auto &Out) {
     const ClaimMember Self{Three.All[Other].Name, Three.All[Other].Run};
     const ClaimMember Held{Three.All[Claimant].Name, Three.All[Claimant].Run};
-    Service.members(std::array{Held, Self}, Time, Out);
+    Service.setMembers(std::array{Held, Self}, Time, Out);
   };
   Three.act(Other, Alone);
   const ClaimId Early = Three.claim(Other, "order-8");
@@ -196,7 +196,7 @@
   Three.settle(Owner, Holder, ReleaseClaim{});
   Three.run(milliseconds(200));
   Three.act(Owner, [&](auto &Service, ClaimTime Time, auto &Out) {
-    ClaimAsk Copy;
+    AcquireClaim Copy;
     Copy.Id = Second;
     Copy.Claimant = Three.All[Refused].Name;
     Copy.Request = {{TeamName("team"), "order-7"}, "digest", {}};
@@ -341,7 +341,7 @@
   // The other host, apart, claims on its own.
   Two.act(1 - Owner, [&](auto &Service, ClaimTime Time, auto &Out) {
     const ClaimMember Self{Two.All[1 - Owner].Name, Two.All[1 - Owner].Run};
-    Service.members(std::span(&Self, 1), Time, Out);
+    Service.setMembers(std::span(&Self, 1), Time, Out);
   });
   const ClaimId Id = Two.claim(1 - Owner, "order-8");
   Two.run(milliseconds(200));
@@ -363,7 +363,7 @@
   ClaimCommands Out;
   ClaimTime Wrong = Three.time();
   Wrong.Wall += 24 * 3600;
-  ClaimAsk Ask;
+  AcquireClaim Ask;
   Ask.Id = ClaimId{999, 1};
   Ask.Claimant = Three.All[Claimant].Name;
   Ask.Request = {{TeamName("team"), otherKeyIn("order-9")}, "d", {}};
