--- a/packages/request/src/coltsfoottrail/choice/candidate.hpp
+++ b/packages/request/src/coltsfoottrail/choice/candidate.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What is known of one endpoint when a request looks for one.
+/// State of one endpoint that the choice for a request is based on.
 #ifndef COLTSFOOTTRAIL_CHOICE_CANDIDATE_HPP
 #define COLTSFOOTTRAIL_CHOICE_CANDIDATE_HPP
 
@@ -10,48 +10,50 @@
 
 namespace coltsfoottrail {
 
-/// Which list of a CandidateTable an endpoint stands in.
+/// The list of a CandidateTable that an endpoint is in.
 enum class Listing : std::uint8_t {
-  /// No room, or not to be chosen.
+  /// Has no free slot or must not be chosen.
   None,
-  /// Room, in the data centre of this entry host.
+  /// Has a free slot, in the data centre of this entry host.
   Near,
-  /// Room, in another data centre.
+  /// Has a free slot, in another data centre.
   Far,
-  /// May be tried with one request.
+  /// Was ejected and may be tried again with one request.
   Probe
 };
 
 /// @brief An endpoint of a pool.
 struct Candidate {
   LoadModel Load;
-  /// Recent time of service, in seconds for a unit of cost.
+  /// Recent service time, in seconds per unit of cost.
   LatencyModel Service = recentService();
-  /// Recent failures: the mean of 1 for each failure and 0 for each answer.
+  /// Recent failure rate: the mean of 1 for each failure and 0 for each answer.
   LatencyModel Failures = recentFailures();
   Health Condition;
+  /// Requests that this entry host may have in progress there.
   std::uint32_t Share = 0;
-  /// Requests that it bears at once when warm, from all entry hosts.
+  /// Limit of requests in progress when warm, from all entry hosts.
   std::uint32_t Bound = 1;
-  /// Own requests there that are suspected of crashing endpoints.
+  /// This host's requests there that are suspected of crashing endpoints.
   std::uint32_t Suspects = 0;
-  /// Number of its data centre.
+  /// Index of its data centre in the table.
   std::uint32_t DataCentre = 0;
-  /// Generation of its cache hints and the last cache event seen.
+  /// Generation of its cache hints, and sequence number of the last cache
+  /// event.
   std::uint32_t HintEpoch = 1;
   std::uint64_t CacheSequence = 0;
-  /// Kept by the table.
+  // Maintained by the CandidateTable.
   std::uint32_t CountedSlots = 0;
   std::uint32_t CountedFree = 0;
   std::uint32_t Position = 0;
   Listing Listed = Listing::None;
   bool IsNear = false;
   bool Current = true;
-  /// Run that it last reported; zero when it never did.
+  /// Run in its last load report; zero before the first.
   Incarnation Run = 0;
   EndpointSpec Spec;
 
-  /// @brief Whether it may be chosen among others.
+  /// @brief Whether it may be chosen in the normal way, not as a probe.
   [[nodiscard]] bool open() const noexcept {
     return Listed == Listing::Near || Listed == Listing::Far;
   }
--- a/packages/request/src/coltsfoottrail/choice/candidates.cpp
+++ b/packages/request/src/coltsfoottrail/choice/candidates.cpp
@@ -4,30 +4,30 @@
 
 namespace coltsfoottrail {
 
-std::vector<CandidateId> CandidateTable::configure(const Pool &Wanted) {
-  const Ids Before = std::move(All);
+std::vector<CandidateId> CandidateTable::configure(const Pool &NewPool) {
+  const Ids Previous = std::move(All);
   All.clear();
-  for (const CandidateId Which : Before)
-    Known.find(Which)->Current = false;
-  for (const EndpointSpec &Spec : Wanted.Endpoints)
+  for (const CandidateId Id : Previous)
+    Candidates.find(Id)->Current = false;
+  for (const EndpointSpec &Spec : NewPool.Endpoints)
     add(Spec);
-  std::vector<CandidateId> Left;
-  for (const CandidateId Which : Before) {
-    Candidate &Endpoint = *Known.find(Which);
+  std::vector<CandidateId> Removed;
+  for (const CandidateId Id : Previous) {
+    Candidate &Endpoint = *Candidates.find(Id);
     if (Endpoint.Current)
       continue;
     Endpoint.Share = 0;
-    relist(Which);
-    Left.push_back(Which);
+    relist(Id);
+    Removed.push_back(Id);
   }
-  return Left;
+  return Removed;
 }
 
 void CandidateTable::add(const EndpointSpec &Spec) {
   const auto [Entry, Added] = ByKey.try_emplace(Spec.Key);
   if (Added)
-    Entry->second = Known.insert(Candidate{});
-  Candidate &Endpoint = *Known.find(Entry->second);
+    Entry->second = Candidates.insert(Candidate{});
+  Candidate &Endpoint = *Candidates.find(Entry->second);
   Endpoint.Spec = Spec;
   Endpoint.Bound = std::max(1U, Spec.WarmBound);
   Endpoint.DataCentre = dataCentre(Spec.DataCentre);
@@ -37,12 +37,12 @@
   relist(Entry->second);
 }
 
-void CandidateTable::drop(CandidateId Which) {
-  const Candidate *const Endpoint = Known.find(Which);
+void CandidateTable::drop(CandidateId Id) {
+  const Candidate *const Endpoint = Candidates.find(Id);
   if (Endpoint->Current || Endpoint->Load.own() > 0)
     return;
   ByKey.erase(Endpoint->Spec.Key);
-  Known.erase(Which);
+  Candidates.erase(Id);
 }
 
 std::optional<CandidateId> CandidateTable::find(std::string_view Key) const {
@@ -52,8 +52,8 @@
   return Entry->second;
 }
 
-std::span<const CandidateId> CandidateTable::listed(Listing Where) const {
-  switch (Where) {
+std::span<const CandidateId> CandidateTable::listed(Listing List) const {
+  switch (List) {
   case Listing::Near:
     return Near;
   case Listing::Far:
@@ -66,10 +66,10 @@
   return {};
 }
 
-CandidateTable::Ids &CandidateTable::list(Listing Where) {
-  if (Where == Listing::Probe)
+CandidateTable::Ids &CandidateTable::list(Listing List) {
+  if (List == Listing::Probe)
     return Probes;
-  return Where == Listing::Near ? Near : Far;
+  return List == Listing::Near ? Near : Far;
 }
 
 std::uint32_t CandidateTable::dataCentre(const DataCentreName &Name) {
@@ -91,7 +91,7 @@
   return Endpoint.IsNear ? Listing::Near : Listing::Far;
 }
 
-/// Brings the sums up to date.
+/// Updates the sums.
 void CandidateTable::count(Candidate &Endpoint) {
   const bool Serving = Endpoint.Condition.state() == Health::State::Serving;
   const std::uint32_t Counted =
@@ -107,29 +107,29 @@
   Endpoint.CountedFree = Room;
 }
 
-void CandidateTable::relist(CandidateId Which) {
-  Candidate &Endpoint = *Known.find(Which);
+void CandidateTable::relist(CandidateId Id) {
+  Candidate &Endpoint = *Candidates.find(Id);
   count(Endpoint);
-  const Listing Wanted = listingOf(Endpoint);
-  if (Wanted == Endpoint.Listed)
+  const Listing NewListing = listingOf(Endpoint);
+  if (NewListing == Endpoint.Listed)
     return;
   unlist(Endpoint);
-  Endpoint.Listed = Wanted;
-  if (Wanted == Listing::None)
+  Endpoint.Listed = NewListing;
+  if (NewListing == Listing::None)
     return;
-  Ids &Joined = list(Wanted);
-  Endpoint.Position = static_cast<std::uint32_t>(Joined.size());
-  Joined.push_back(Which);
+  Ids &NewList = list(NewListing);
+  Endpoint.Position = static_cast<std::uint32_t>(NewList.size());
+  NewList.push_back(Id);
 }
 
 void CandidateTable::unlist(Candidate &Endpoint) {
   if (Endpoint.Listed == Listing::None)
     return;
-  Ids &Left = list(Endpoint.Listed);
-  const CandidateId Moved = Left.back();
-  Left[Endpoint.Position] = Moved;
-  Known.find(Moved)->Position = Endpoint.Position;
-  Left.pop_back();
+  Ids &OldList = list(Endpoint.Listed);
+  const CandidateId Moved = OldList.back();
+  OldList[Endpoint.Position] = Moved;
+  Candidates.find(Moved)->Position = Endpoint.Position;
+  OldList.pop_back();
   Endpoint.Listed = Listing::None;
 }
 
--- a/packages/request/src/coltsfoottrail/choice/candidates.hpp
+++ b/packages/request/src/coltsfoottrail/choice/candidates.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The endpoints of one pool, indexed by whether they have room.
+/// The endpoints of one pool, indexed by whether they have a free slot.
 #ifndef COLTSFOOTTRAIL_CHOICE_CANDIDATES_HPP
 #define COLTSFOOTTRAIL_CHOICE_CANDIDATES_HPP
 
@@ -14,46 +14,47 @@
 
 namespace coltsfoottrail {
 
-/// @brief Owns the endpoints of one pool. Lists of those with room are kept up
-/// to date in constant time for each change. Not thread-safe.
+/// @brief Owns the endpoints of one pool. The lists of those with a free slot
+/// are updated in constant time for each change. Not thread-safe.
 class CandidateTable {
 public:
   /// @brief Makes an empty table.
   /// @param Own Data centre of this entry host.
-  explicit CandidateTable(DataCentreName Own) : Self(std::move(Own)) {}
+  explicit CandidateTable(DataCentreName OwnDataCentre)
+      : Self(std::move(OwnDataCentre)) {}
 
-  /// @brief Takes over another version of the pool.
-  /// @return Endpoints that have left and whose own requests go on; their share
-  /// is zero, and they must be dropped when the last one ends.
-  std::vector<CandidateId> configure(const Pool &Wanted);
+  /// @brief Applies a new version of the pool.
+  /// @return Endpoints that were removed. Their share is zero; drop() must be
+  /// called for each, again when its last request ends.
+  std::vector<CandidateId> configure(const Pool &NewPool);
 
-  /// @brief Forgets an endpoint that has left if no own request is there.
-  void drop(CandidateId Which);
+  /// @brief Erases a removed endpoint if this host has no request there.
+  void drop(CandidateId Id);
 
-  /// @brief Finds an endpoint, one that is leaving included.
+  /// @brief Finds an endpoint; also one that was removed and not yet erased.
   [[nodiscard]] std::optional<CandidateId> find(std::string_view Key) const;
   /// @copydoc find
-  /// @return Null when it was forgotten.
-  [[nodiscard]] Candidate *find(CandidateId Which) noexcept {
-    return Known.find(Which);
+  /// @return Null if it was erased.
+  [[nodiscard]] Candidate *find(CandidateId Id) noexcept {
+    return Candidates.find(Id);
   }
   /// @copydoc find
-  [[nodiscard]] const Candidate *find(CandidateId Which) const noexcept {
-    return Known.find(Which);
+  [[nodiscard]] const Candidate *find(CandidateId Id) const noexcept {
+    return Candidates.find(Id);
   }
 
-  /// @brief Brings lists and sums up to date after a change of an endpoint.
-  void relist(CandidateId Which);
+  /// @brief Updates lists and sums after a change of an endpoint.
+  void relist(CandidateId Id);
 
   /// @brief Endpoints of the pool, ordered by key.
   [[nodiscard]] std::span<const CandidateId> all() const noexcept {
     return All;
   }
-  /// @brief Endpoints of a list, in no order.
-  [[nodiscard]] std::span<const CandidateId> listed(Listing Where) const;
-  /// @brief Shares of the endpoints that are not ejected, summed up.
+  /// @brief Endpoints of a list, in no particular order.
+  [[nodiscard]] std::span<const CandidateId> listed(Listing List) const;
+  /// @brief Sum of the shares of the endpoints that are not ejected.
   [[nodiscard]] std::uint64_t slots() const noexcept { return Slots; }
-  /// @brief Those of slots() that no own request takes.
+  /// @brief The part of slots() that is not used by this host's requests.
   [[nodiscard]] std::uint64_t freeSlots() const noexcept { return Free; }
   /// @brief Endpoints with a share that are not ejected.
   [[nodiscard]] std::uint64_t usable() const noexcept { return Usable; }
@@ -67,13 +68,13 @@
 
   [[nodiscard]] static Listing listingOf(const Candidate &Endpoint);
   [[nodiscard]] std::uint32_t dataCentre(const DataCentreName &Name);
-  [[nodiscard]] Ids &list(Listing Where);
+  [[nodiscard]] Ids &list(Listing List);
   void add(const EndpointSpec &Spec);
   void count(Candidate &Endpoint);
   void unlist(Candidate &Endpoint);
 
   DataCentreName Self;
-  SlotMap<Candidate, CandidateId> Known;
+  SlotMap<Candidate, CandidateId> Candidates;
   std::unordered_map<std::string, CandidateId> ByKey;
   std::unordered_map<DataCentreName, std::uint32_t> DataCentreNumbers;
   Ids All;
--- a/packages/request/src/coltsfoottrail/choice/chooser.cpp
+++ b/packages/request/src/coltsfoottrail/choice/chooser.cpp
@@ -11,59 +11,63 @@
 
 namespace {
 
-/// Samples that the pool's mean counts for in an endpoint's estimate.
+/// Weight, in samples, of the pool's mean in an endpoint's estimate.
 constexpr double PriorWeight = 3.0;
-/// Estimate before the pool has answered anything; only orders endpoints.
-constexpr double UnknownSeconds = 1.0;
-/// An endpoint that always fails counts as this many times slower.
+/// Estimate before the pool's first answer; only the order of scores depends on
+/// it.
+constexpr double DefaultServiceSeconds = 1.0;
+/// An endpoint with a failure rate of 1 counts as slower by this factor.
 constexpr double FailureFactor = 8.0;
-/// A refusal counts as an answer this many times slower than the pool.
+/// A refusal counts as an answer slower than the pool's mean by this factor.
 constexpr double RefusalFactor = 2.0;
-/// No sample counts for more than this many times the pool's mean.
+/// Samples are capped at this many times the pool's mean.
 constexpr double SampleCap = 10.0;
-/// Part of the saving that is counted on for the prefix's place on the ring.
-constexpr double RingCertainty = 0.5;
-/// Places on the ring that are looked at.
-constexpr std::size_t RingSteps = 3;
-/// A probe takes a request with this many times the pool's mean left.
-constexpr double ProbePatience = 5.0;
-/// How long a failing endpoint's probe waits for a repeatable request.
-constexpr Duration ProbeGrace = seconds(10);
-constexpr double LeastCost = 1e-9;
-/// Part of failures from which a cached prefix is no reason to go there.
-constexpr double MostFailing = 0.25;
-/// Samples on both sides before the saving of a cached prefix is believed.
-constexpr double SavingEvidence = 20.0;
-/// A prefix is thought to save at least and at most this part.
-constexpr double LeastSaving = 0.1;
-constexpr double MostSaving = 0.7;
+/// Fraction of the cache saving expected at the prefix's position on the ring.
+constexpr double RingSavingFraction = 0.5;
+/// Number of points on the ring that are examined.
+constexpr std::size_t MaxRingPoints = 3;
+/// A probe requires a request whose time to its deadline is at least this many
+/// times the pool's mean.
+constexpr double ProbeTimeFactor = 5.0;
+/// How long the probe of a failing endpoint waits for a repeatable request.
+constexpr Duration RepeatableProbeWait = seconds(10);
+constexpr double MinCost = 1e-9;
+/// Failure rate from which an endpoint's cache hints are ignored.
+constexpr double MaxHintFailureRate = 0.25;
+/// Samples with and without a hint needed before the learned saving is used.
+constexpr double MinSavingSamples = 20.0;
+/// Limits of the learned saving.
+constexpr double MinSaving = 0.1;
+constexpr double MaxSaving = 0.7;
 
 double toSeconds(Duration Span) {
   return std::chrono::duration<double>(Span).count();
 }
 
 EstimatedWaitPolicy settingsOf(const ChoicePolicy &Policy) {
-  const auto *const Chosen = std::get_if<EstimatedWaitPolicy>(&Policy);
-  return Chosen != nullptr ? *Chosen : EstimatedWaitPolicy{};
+  const auto *const Settings = std::get_if<EstimatedWaitPolicy>(&Policy);
+  return Settings != nullptr ? *Settings : EstimatedWaitPolicy{};
 }
 
 } // namespace
 
-Chooser::Chooser(DataCentreName Own, ChoicePolicy Wanted, std::uint64_t Seed)
-    : Policy(Wanted), Draw(Seed), Table(std::move(Own)),
-      Outliers(settingsOf(Wanted).Ejection), Hints(settingsOf(Wanted).HintSets),
-      Saving(settingsOf(Wanted).CacheSaving) {}
-
-void Chooser::configure(const Pool &Wanted) {
-  Pace = Wanted.Pace;
-  for (const CandidateId Which : Table.configure(Wanted)) {
-    Outliers.release(Table, Which);
-    Table.drop(Which);
+Chooser::Chooser(DataCentreName OwnDataCentre, ChoicePolicy InitialPolicy,
+                 std::uint64_t Seed)
+    : Policy(InitialPolicy), Rng(Seed), Table(std::move(OwnDataCentre)),
+      Ejections(settingsOf(InitialPolicy).Ejection),
+      Hints(settingsOf(InitialPolicy).HintSets),
+      Saving(settingsOf(InitialPolicy).CacheSaving) {}
+
+void Chooser::configure(const Pool &NewPool) {
+  Pace = NewPool.Pace;
+  for (const CandidateId Id : Table.configure(NewPool)) {
+    Ejections.release(Table, Id);
+    Table.drop(Id);
   }
   Failures.resize(Table.dataCentres(), recentFailures());
   Ring.clear();
-  for (const CandidateId Which : Table.all())
-    Ring.add(Table.find(Which)->Spec.Key, Which);
+  for (const CandidateId Id : Table.all())
+    Ring.add(Table.find(Id)->Spec.Key, Id);
   Ring.sort();
 }
 
@@ -71,12 +75,12 @@
   return Table.find(Key);
 }
 
-void Chooser::setShare(CandidateId Which, std::uint32_t Share) {
-  Candidate *const Endpoint = Table.find(Which);
+void Chooser::setShare(CandidateId Id, std::uint32_t Share) {
+  Candidate *const Endpoint = Table.find(Id);
   if (Endpoint == nullptr || !Endpoint->Current)
     return;
   Endpoint->Share = Share;
-  Table.relist(Which);
+  Table.relist(Id);
 }
 
 bool Chooser::hasRoom() const noexcept {
@@ -93,52 +97,54 @@
                                            TimePoint Now) {
   advance(Now);
   return std::visit(
-      [&](const auto &Chosen) { return pick(Chosen, Query, Now); }, Policy);
+      [&](const auto &Settings) { return pick(Settings, Query, Now); }, Policy);
 }
 
-bool Chooser::eligible(CandidateId Which, const ChoiceQuery &Query) const {
-  const Candidate &Endpoint = *Table.find(Which);
-  return Endpoint.open() && Query.Avoid != Which &&
+bool Chooser::eligible(CandidateId Id, const ChoiceQuery &Query) const {
+  const Candidate &Endpoint = *Table.find(Id);
+  return Endpoint.open() && Query.Avoid != Id &&
          !(Query.Suspect && Endpoint.Suspects > 0);
 }
 
-std::optional<CandidateId> Chooser::pick(const EstimatedWaitPolicy &Chosen,
+std::optional<CandidateId> Chooser::pick(const EstimatedWaitPolicy &Settings,
                                          const ChoiceQuery &Query,
                                          TimePoint Now) {
   if (const std::optional<CandidateId> Probe = probeCandidate(Query, Now))
     return Probe;
-  Best Found;
+  Best BestSoFar;
   if (Query.PrefixHash != 0) {
-    const bool Hinted = considerHinted(Chosen, Query, Now, Found);
+    const bool Hinted = considerHinted(Settings, Query, Now, BestSoFar);
     if (Hinted && Query.CachedOnly)
-      return Found.Which;
-    considerRing(Chosen, Query, Now, Found);
+      return BestSoFar.Id;
+    considerRing(Settings, Query, Now, BestSoFar);
   }
   const bool NoneNear = Table.listed(Listing::Near).empty();
-  const std::uint32_t Moved = NoneNear ? Chosen.NearProbes : 0;
-  considerDrawn(Listing::Near, Chosen.NearProbes, Chosen, Query, Now, Found);
-  considerDrawn(Listing::Far, Chosen.FarProbes + Moved, Chosen, Query, Now,
-                Found);
-  if (Found.Which || !Chosen.FullByLoad)
-    return Found.Which ? Found.Which : anyEligible(Query);
-  return anyBelowBound(Chosen, Query, Now);
-}
-
-bool Chooser::isFull(CandidateId Which, const ChoiceQuery &Query,
-                     const EstimatedWaitPolicy &Chosen, TimePoint Now) const {
-  const Candidate &Endpoint = *Table.find(Which);
+  const std::uint32_t ExtraFarProbes = NoneNear ? Settings.NearProbes : 0;
+  considerSampled(Listing::Near, Settings.NearProbes, Settings, Query, Now,
+                  BestSoFar);
+  considerSampled(Listing::Far, Settings.FarProbes + ExtraFarProbes, Settings,
+                  Query, Now, BestSoFar);
+  if (BestSoFar.Id || !Settings.FullByLoad)
+    return BestSoFar.Id ? BestSoFar.Id : anyEligible(Query);
+  return anyBelowBound(Settings, Query, Now);
+}
+
+bool Chooser::isFull(CandidateId Id, const ChoiceQuery &Query,
+                     const EstimatedWaitPolicy &Settings, TimePoint Now) const {
+  const Candidate &Endpoint = *Table.find(Id);
   if (Pace.known() && Query.FirstEventTimeLeft < Duration::max() &&
       Endpoint.Load.unreadTokens(Now) > 0 &&
       timeToAnswer(Endpoint, 0.0, Query, Now) >
           toSeconds(Query.FirstEventTimeLeft))
     return true;
-  return Chosen.FullByLoad && loadAhead(Endpoint, Query, Now) >=
-                                  double(Endpoint.Bound) + Query.Overcommit;
+  return Settings.FullByLoad && requestsAhead(Endpoint, Query, Now) >=
+                                    double(Endpoint.Bound) + Query.Overcommit;
 }
 
-/// Requests that run at an endpoint, and those waiting there that go before.
-double Chooser::loadAhead(const Candidate &Endpoint, const ChoiceQuery &Query,
-                          TimePoint Now) {
+/// Requests running at an endpoint, plus those waiting there that are served
+/// before this one.
+double Chooser::requestsAhead(const Candidate &Endpoint,
+                              const ChoiceQuery &Query, TimePoint Now) {
   if (!Query.Late)
     if (const auto Ahead = Endpoint.Load.aheadOfFresh(Now))
       return *Ahead;
@@ -148,153 +154,158 @@
 }
 
 std::optional<CandidateId>
-Chooser::anyBelowBound(const EstimatedWaitPolicy &Chosen,
+Chooser::anyBelowBound(const EstimatedWaitPolicy &Settings,
                        const ChoiceQuery &Query, TimePoint Now) const {
-  for (const Listing From : {Listing::Near, Listing::Far})
-    for (const CandidateId Which : Table.listed(From))
-      if (eligible(Which, Query) && !isFull(Which, Query, Chosen, Now))
-        return Which;
+  for (const Listing List : {Listing::Near, Listing::Far})
+    for (const CandidateId Id : Table.listed(List))
+      if (eligible(Id, Query) && !isFull(Id, Query, Settings, Now))
+        return Id;
   return std::nullopt;
 }
 
-// Failure guarded against: an endpoint that was ejected stays out for ever,
-// since without requests there is nothing to judge it by. One request at a time
-// goes there: one that could still be answered in time if the endpoint is as
-// slow as before, and for a failing one preferably one that may be repeated.
+// Failure guarded against: an ejected endpoint gets no requests, so there are
+// no samples to judge it by and it stays ejected for ever. Therefore it gets
+// one request at a time: one that could still be answered in time if the
+// endpoint is as slow as before, and for a failing endpoint preferably one that
+// may be repeated.
 std::optional<CandidateId> Chooser::probeCandidate(const ChoiceQuery &Query,
                                                    TimePoint Now) const {
   const std::span<const CandidateId> Probes = Table.listed(Listing::Probe);
   if (Probes.empty() || Query.Suspect || Query.Avoid == Probes.front())
     return std::nullopt;
   const Health &Condition = Table.find(Probes.front())->Condition;
-  const bool Risky = Condition.cause() == Health::Cause::Failing &&
-                     !Query.Repeatable &&
-                     Now < Condition.ejectedUntil() + ProbeGrace;
-  const double Needed = ProbePatience * Service.mean() * Query.Cost;
-  const bool Hurried = toSeconds(Query.TimeToDeadline) < Needed;
-  if ((Risky || Hurried) && Table.usable() > 0)
+  const bool NotRepeatable =
+      Condition.cause() == Health::Cause::Failing && !Query.Repeatable &&
+      Now < Condition.ejectedUntil() + RepeatableProbeWait;
+  const double Needed = ProbeTimeFactor * Service.mean() * Query.Cost;
+  const bool TooLittleTime = toSeconds(Query.TimeToDeadline) < Needed;
+  if ((NotRepeatable || TooLittleTime) && Table.usable() > 0)
     return std::nullopt;
   return Probes.front();
 }
 
-bool Chooser::considerHinted(const EstimatedWaitPolicy &Chosen,
+bool Chooser::considerHinted(const EstimatedWaitPolicy &Settings,
                              const ChoiceQuery &Query, TimePoint Now,
-                             Best &Found) const {
-  bool Any = false;
+                             Best &BestSoFar) const {
+  bool HasValidHint = false;
   for (const PrefixHints::Hint &Hint : Hints.setOf(Query.PrefixHash)) {
-    if (!hintHolds(Hint, Query.PrefixHash, Now))
+    if (!isHintValid(Hint, Query.PrefixHash, Now))
       continue;
-    Any = true;
-    if (mayCache(*Table.find(Hint.Where), Chosen))
-      consider(Hint.Where, Saving, Chosen, Query, Now, Found);
+    HasValidHint = true;
+    if (isBelowCacheLoadLimit(*Table.find(Hint.Endpoint), Settings))
+      consider(Hint.Endpoint, Saving, Settings, Query, Now, BestSoFar);
   }
-  return Any;
+  return HasValidHint;
 }
 
-// Failure guarded against: a data centre is lost, and requests go on to where
-// their prefixes were until each endpoint there has failed several.
-bool Chooser::hintHolds(const PrefixHints::Hint &Hint, std::uint64_t PrefixHash,
-                        TimePoint Now) const {
+// Failure guarded against: a data centre is lost, and requests are still sent
+// to the endpoints that had their prefixes until each has failed several.
+bool Chooser::isHintValid(const PrefixHints::Hint &Hint,
+                          std::uint64_t PrefixHash, TimePoint Now) const {
   if (Hint.PrefixHash != PrefixHash || Hint.Expires <= Now)
     return false;
-  const Candidate *const Endpoint = Table.find(Hint.Where);
+  const Candidate *const Endpoint = Table.find(Hint.Endpoint);
   return Endpoint != nullptr && Endpoint->Current &&
          Endpoint->HintEpoch == Hint.Epoch &&
-         failing(*Endpoint, Now) < MostFailing;
+         failureRate(*Endpoint, Now) < MaxHintFailureRate;
 }
 
 std::vector<CandidateId> Chooser::endpointsWithPrefix(std::uint64_t PrefixHash,
                                                       TimePoint Now) const {
-  std::vector<CandidateId> Out;
+  std::vector<CandidateId> Result;
   for (const PrefixHints::Hint &Hint : Hints.setOf(PrefixHash))
-    if (hintHolds(Hint, PrefixHash, Now))
-      Out.push_back(Hint.Where);
-  return Out;
+    if (isHintValid(Hint, PrefixHash, Now))
+      Result.push_back(Hint.Endpoint);
+  return Result;
 }
 
-void Chooser::considerRing(const EstimatedWaitPolicy &Chosen,
+void Chooser::considerRing(const EstimatedWaitPolicy &Settings,
                            const ChoiceQuery &Query, TimePoint Now,
-                           Best &Found) const {
-  if (!Chosen.UseRing)
+                           Best &BestSoFar) const {
+  if (!Settings.UseRing)
     return;
-  const double Expected = Saving * RingCertainty;
-  Ring.at(Query.PrefixHash, RingSteps, [&](CandidateId Which) {
-    if (!eligible(Which, Query) || !mayCache(*Table.find(Which), Chosen))
+  const double ExpectedSaving = Saving * RingSavingFraction;
+  Ring.visitFrom(Query.PrefixHash, MaxRingPoints, [&](CandidateId Id) {
+    if (!eligible(Id, Query) ||
+        !isBelowCacheLoadLimit(*Table.find(Id), Settings))
       return false;
-    consider(Which, Expected, Chosen, Query, Now, Found);
+    consider(Id, ExpectedSaving, Settings, Query, Now, BestSoFar);
     return true;
   });
 }
 
-// Failure guarded against: a prefix that all callers share draws every request
-// to the one endpoint that has it, while the others idle.
-bool Chooser::mayCache(const Candidate &Endpoint,
-                       const EstimatedWaitPolicy &Chosen) const {
+// Failure guarded against: a prefix that all callers share attracts every
+// request to the one endpoint that has it cached, while the others are idle.
+bool Chooser::isBelowCacheLoadLimit(const Candidate &Endpoint,
+                                    const EstimatedWaitPolicy &Settings) const {
   const double Mean =
       static_cast<double>(OwnTotal) / static_cast<double>(size());
-  return Endpoint.Load.own() < 1.0 + Chosen.LoadFactor * Mean;
+  return Endpoint.Load.own() < 1.0 + Settings.LoadFactor * Mean;
 }
 
-void Chooser::considerDrawn(Listing From, std::uint32_t Draws,
-                            const EstimatedWaitPolicy &Chosen,
-                            const ChoiceQuery &Query, TimePoint Now,
-                            Best &Found) {
-  const std::span<const CandidateId> Open = Table.listed(From);
+void Chooser::considerSampled(Listing List, std::uint32_t SampleCount,
+                              const EstimatedWaitPolicy &Settings,
+                              const ChoiceQuery &Query, TimePoint Now,
+                              Best &BestSoFar) {
+  const std::span<const CandidateId> Open = Table.listed(List);
   if (Open.empty())
     return;
-  for (std::uint32_t Index = 0; Index < Draws; ++Index)
-    consider(Open[Draw.below(Open.size())], 0.0, Chosen, Query, Now, Found);
+  for (std::uint32_t Index = 0; Index < SampleCount; ++Index)
+    consider(Open[Rng.below(Open.size())], 0.0, Settings, Query, Now,
+             BestSoFar);
 }
 
-void Chooser::consider(CandidateId Which, double Saving,
-                       const EstimatedWaitPolicy &Chosen,
+void Chooser::consider(CandidateId Id, double Saving,
+                       const EstimatedWaitPolicy &Settings,
                        const ChoiceQuery &Query, TimePoint Now,
-                       Best &Found) const {
-  if (!eligible(Which, Query) || isFull(Which, Query, Chosen, Now))
+                       Best &BestSoFar) const {
+  if (!eligible(Id, Query) || isFull(Id, Query, Settings, Now))
     return;
-  const double Score = score(*Table.find(Which), Saving, Chosen, Query, Now);
-  if (Found.Which && Found.Score <= Score)
+  const double Score = score(*Table.find(Id), Saving, Settings, Query, Now);
+  if (BestSoFar.Id && BestSoFar.Score <= Score)
     return;
-  Found.Which = Which;
-  Found.Score = Score;
+  BestSoFar.Id = Id;
+  BestSoFar.Score = Score;
 }
 
-/// Recent part of failures of an endpoint and of its data centre.
-double Chooser::failing(const Candidate &Endpoint, TimePoint Now) const {
-  const LatencyModel &Around = Failures[Endpoint.DataCentre];
+/// Sum of the recent failure rates of an endpoint and of its data centre.
+double Chooser::failureRate(const Candidate &Endpoint, TimePoint Now) const {
+  const LatencyModel &DataCentreFailures = Failures[Endpoint.DataCentre];
   return Endpoint.Failures.estimate(0.0, 1.0, Now) +
-         Around.estimate(0.0, PriorWeight, Now);
+         DataCentreFailures.estimate(0.0, PriorWeight, Now);
 }
 
 // Failure guarded against: an endpoint that refuses every connection at once is
-// never busy and so draws all requests. Its failures, and those of its data
-// centre, count as slowness.
+// never busy and so attracts all requests. Its failures, and those of its data
+// centre, raise its estimated time.
 double Chooser::score(const Candidate &Endpoint, double Saving,
-                      const EstimatedWaitPolicy &Chosen,
+                      const EstimatedWaitPolicy &Settings,
                       const ChoiceQuery &Query, TimePoint Now) const {
-  const double Distance = Endpoint.IsNear ? 0.0 : toSeconds(Chosen.FarPenalty);
+  const double Distance =
+      Endpoint.IsNear ? 0.0 : toSeconds(Settings.FarPenalty);
   return timeToAnswer(Endpoint, Saving, Query, Now) *
-             (1.0 + FailureFactor * failing(Endpoint, Now)) +
+             (1.0 + FailureFactor * failureRate(Endpoint, Now)) +
          Distance;
 }
 
-/// Mean time of service at an endpoint, in seconds for a unit of cost.
-double Chooser::secondsOf(const Candidate &Endpoint, TimePoint Now) const {
+/// Mean service time at an endpoint, in seconds per unit of cost.
+double Chooser::serviceSeconds(const Candidate &Endpoint, TimePoint Now) const {
   const double PoolMean =
-      Service.mean() > 0.0 ? Service.mean() : UnknownSeconds;
+      Service.mean() > 0.0 ? Service.mean() : DefaultServiceSeconds;
   return Endpoint.Service.estimate(PoolMean, PriorWeight, Now);
 }
 
-/// Until the first event where a pace is known, else until the end, in seconds.
+/// Estimated time in seconds until the first event if the engines' pace is
+/// known, otherwise until the end of the answer.
 double Chooser::timeToAnswer(const Candidate &Endpoint, double Saving,
                              const ChoiceQuery &Query, TimePoint Now) const {
-  const double Seconds = secondsOf(Endpoint, Now);
+  const double Seconds = serviceSeconds(Endpoint, Now);
   const double Bound = Endpoint.Bound;
-  const double Load = loadAhead(Endpoint, Query, Now);
+  const double Load = requestsAhead(Endpoint, Query, Now);
   if (Pace.known()) {
-    const EngineBacklog Before{
+    const EngineBacklog Backlog{
         Bound, Load, double(Endpoint.Load.unreadTokens(Now)), Seconds};
-    return toSeconds(firstEventAfter(Pace, Before, Query.PromptTokens));
+    return toSeconds(firstEventAfter(Pace, Backlog, Query.PromptTokens));
   }
   const double Queued = std::max(0.0, Load + 1.0 - Bound);
   const double Wait = Seconds * Queued / Bound;
@@ -305,15 +316,15 @@
 
 std::optional<CandidateId>
 Chooser::anyEligible(const ChoiceQuery &Query) const {
-  for (const Listing From : {Listing::Near, Listing::Far})
-    for (const CandidateId Which : Table.listed(From))
-      if (eligible(Which, Query))
-        return Which;
-  return lastResort(Query) ? Query.Avoid : std::nullopt;
+  for (const Listing List : {Listing::Near, Listing::Far})
+    for (const CandidateId Id : Table.listed(List))
+      if (eligible(Id, Query))
+        return Id;
+  return isOnlyEndpoint(Query) ? Query.Avoid : std::nullopt;
 }
 
-/// Whether the endpoint that just failed the request is the only one there is.
-bool Chooser::lastResort(const ChoiceQuery &Query) const {
+/// Whether the endpoint that just failed the request is the only usable one.
+bool Chooser::isOnlyEndpoint(const ChoiceQuery &Query) const {
   if (!Query.Avoid || Table.usable() > 1)
     return false;
   const Candidate *const Endpoint = Table.find(*Query.Avoid);
@@ -321,118 +332,118 @@
          !(Query.Suspect && Endpoint->Suspects > 0);
 }
 
-std::optional<CandidateId> Chooser::pick(const RandomPolicy & /*Chosen*/,
+std::optional<CandidateId> Chooser::pick(const RandomPolicy & /*Settings*/,
                                          const ChoiceQuery &Query,
                                          TimePoint /*Now*/) {
   const std::span<const CandidateId> Near = Table.listed(Listing::Near);
   const std::span<const CandidateId> Far = Table.listed(Listing::Far);
   if (Near.empty() && Far.empty())
     return std::nullopt;
-  const std::size_t Index = Draw.below(Near.size() + Far.size());
-  const CandidateId Which =
+  const std::size_t Index = Rng.below(Near.size() + Far.size());
+  const CandidateId Id =
       Index < Near.size() ? Near[Index] : Far[Index - Near.size()];
-  return eligible(Which, Query) ? Which : anyEligible(Query);
+  return eligible(Id, Query) ? Id : anyEligible(Query);
 }
 
-std::optional<CandidateId> Chooser::pick(const RoundRobinPolicy & /*Chosen*/,
+std::optional<CandidateId> Chooser::pick(const RoundRobinPolicy & /*Settings*/,
                                          const ChoiceQuery &Query,
                                          TimePoint /*Now*/) {
   for (std::size_t Step = 0; Step < size(); ++Step) {
-    const CandidateId Which = Table.all()[Cursor++ % size()];
-    if (eligible(Which, Query))
-      return Which;
+    const CandidateId Id = Table.all()[Cursor++ % size()];
+    if (eligible(Id, Query))
+      return Id;
   }
   return anyEligible(Query);
 }
 
-std::optional<CandidateId> Chooser::pick(const LeastInFlightPolicy & /*Chosen*/,
-                                         const ChoiceQuery &Query,
-                                         TimePoint /*Now*/) {
+std::optional<CandidateId>
+Chooser::pick(const LeastInFlightPolicy & /*Settings*/,
+              const ChoiceQuery &Query, TimePoint /*Now*/) {
   if (size() == 0)
     return std::nullopt;
   std::optional<CandidateId> Least;
-  const std::size_t First = Draw.below(size());
+  const std::size_t First = Rng.below(size());
   for (std::size_t Step = 0; Step < size(); ++Step) {
-    const CandidateId Which = Table.all()[(First + Step) % size()];
-    if (!eligible(Which, Query))
+    const CandidateId Id = Table.all()[(First + Step) % size()];
+    if (!eligible(Id, Query))
       continue;
-    const std::uint32_t Own = Table.find(Which)->Load.own();
-    if (!Least || Own < Table.find(*Least)->Load.own())
-      Least = Which;
+    const std::uint32_t OwnRequests = Table.find(Id)->Load.own();
+    if (!Least || OwnRequests < Table.find(*Least)->Load.own())
+      Least = Id;
   }
   return Least ? Least : anyEligible(Query);
 }
 
-bool Chooser::sent(CandidateId Which, const ChoiceQuery &Query, TimePoint Now) {
-  Candidate &Endpoint = *Table.find(Which);
+bool Chooser::sent(CandidateId Id, const ChoiceQuery &Query, TimePoint Now) {
+  Candidate &Endpoint = *Table.find(Id);
   Endpoint.Load.sent(Query.Late, Now, Query.PromptTokens);
   Endpoint.Suspects += Query.Suspect ? 1U : 0U;
   ++OwnTotal;
-  Table.relist(Which);
+  Table.relist(Id);
   if (Query.PrefixHash == 0)
     return false;
   return std::ranges::any_of(
       Hints.setOf(Query.PrefixHash), [&](const PrefixHints::Hint &Hint) {
-        return Hint.Where == Which && hintHolds(Hint, Query.PrefixHash, Now);
+        return Hint.Endpoint == Id && isHintValid(Hint, Query.PrefixHash, Now);
       });
 }
 
-void Chooser::responseStarted(CandidateId Which, bool Late,
+void Chooser::responseStarted(CandidateId Id, bool Late,
                               std::uint32_t PromptTokens) {
-  if (Candidate *const Endpoint = Table.find(Which))
-    Endpoint->Load.begun(Late, PromptTokens);
+  if (Candidate *const Endpoint = Table.find(Id))
+    Endpoint->Load.responseStarted(Late, PromptTokens);
 }
 
 std::vector<EndpointLoad> Chooser::ownLoads() const {
-  std::vector<EndpointLoad> Out;
-  for (const CandidateId Which : Table.all()) {
-    const Candidate &Endpoint = *Table.find(Which);
+  std::vector<EndpointLoad> Result;
+  for (const CandidateId Id : Table.all()) {
+    const Candidate &Endpoint = *Table.find(Id);
     if (Endpoint.Load.own() > 0)
-      Out.push_back({hashText(Endpoint.Spec.Key), Endpoint.Load.ownLoad()});
+      Result.push_back({hashText(Endpoint.Spec.Key), Endpoint.Load.ownLoad()});
   }
-  return Out;
+  return Result;
 }
 
 void Chooser::setOtherHostLoads(std::span<const EndpointLoad> Others,
                                 TimePoint Now) {
   std::unordered_map<std::uint64_t, RequestLoad> Sums;
-  for (const EndpointLoad &Each : Others)
-    Sums[Each.Endpoint] += Each.Load;
-  for (const CandidateId Which : Table.all()) {
-    Candidate &Endpoint = *Table.find(Which);
-    const auto Found = Sums.find(hashText(Endpoint.Spec.Key));
-    Endpoint.Load.share(Found == Sums.end() ? RequestLoad{} : Found->second,
-                        Now);
+  for (const EndpointLoad &Entry : Others)
+    Sums[Entry.Endpoint] += Entry.Load;
+  for (const CandidateId Id : Table.all()) {
+    Candidate &Endpoint = *Table.find(Id);
+    const auto Sum = Sums.find(hashText(Endpoint.Spec.Key));
+    Endpoint.Load.setOtherHostLoad(
+        Sum == Sums.end() ? RequestLoad{} : Sum->second, Now);
   }
 }
 
-void Chooser::ended(CandidateId Which, const EndedAttempt &Attempt,
+void Chooser::ended(CandidateId Id, const EndedAttempt &Attempt,
                     TimePoint Now) {
-  Candidate *const Endpoint = Table.find(Which);
+  Candidate *const Endpoint = Table.find(Id);
   if (Endpoint == nullptr)
     return;
   Endpoint->Load.ended(Attempt.Late, Attempt.ResponseStarted, Now,
                        Attempt.PromptTokens);
   Endpoint->Suspects -= Attempt.Suspect ? 1U : 0U;
   --OwnTotal;
-  learn(*Endpoint, Attempt, Now);
+  learnFrom(*Endpoint, Attempt, Now);
   if (!Endpoint->Current) {
-    Table.drop(Which);
+    Table.drop(Id);
     return;
   }
-  if (const auto *const Chosen = std::get_if<EstimatedWaitPolicy>(&Policy)) {
+  if (const auto *const Settings = std::get_if<EstimatedWaitPolicy>(&Policy)) {
     if (Attempt.Outcome == AttemptOutcome::Answered)
-      hint(Which, Attempt.PrefixHash, Chosen->OwnHintLife, Now);
-    Outliers.judge(Table, Which, Service.mean(), Draw, Now);
+      addHint(Id, Attempt.PrefixHash, Settings->OwnHintLife, Now);
+    Ejections.judge(Table, Id, Service.mean(), Rng, Now);
   }
-  Table.relist(Which);
+  Table.relist(Id);
 }
 
-void Chooser::learn(Candidate &Endpoint, const EndedAttempt &Attempt,
-                    TimePoint Now) {
+void Chooser::learnFrom(Candidate &Endpoint, const EndedAttempt &Attempt,
+                        TimePoint Now) {
   const double PoolMean = Service.mean();
   const double Seconds =
-      toSeconds(Attempt.Total) / std::max(Attempt.Cost, LeastCost);
+      toSeconds(Attempt.Total) / std::max(Attempt.Cost, MinCost);
   switch (Attempt.Outcome) {
   case AttemptOutcome::Answered:
     learnAnswer(Endpoint, Seconds, Now);
@@ -450,7 +461,7 @@
     break;
   case AttemptOutcome::GivenUp:
     // Failure guarded against: callers give up on a hung endpoint before it
-    // answers, so it never yields a sample and goes on looking fast.
+    // answers, so it yields no samples and still appears fast.
     if (PoolMean > 0.0 && Seconds > PoolMean)
       Endpoint.Service.record(std::min(Seconds, SampleCap * PoolMean), Now);
     break;
@@ -470,34 +481,33 @@
 }
 
 void Chooser::learnSaving(double Seconds, bool Hinted, TimePoint Now) {
-  const auto *const Chosen = std::get_if<EstimatedWaitPolicy>(&Policy);
-  if (Chosen == nullptr || !Chosen->LearnSaving)
+  const auto *const Settings = std::get_if<EstimatedWaitPolicy>(&Policy);
+  if (Settings == nullptr || !Settings->LearnSaving)
     return;
   (Hinted ? HintedService : OtherService).record(Seconds, Now);
-  if (HintedService.weight(Now) < SavingEvidence ||
-      OtherService.weight(Now) < SavingEvidence)
+  if (HintedService.weight(Now) < MinSavingSamples ||
+      OtherService.weight(Now) < MinSavingSamples)
     return;
   const double Saved = 1.0 - HintedService.mean() / OtherService.mean();
-  Saving = std::clamp(Saved, LeastSaving, MostSaving);
+  Saving = std::clamp(Saved, MinSaving, MaxSaving);
 }
 
-void Chooser::hint(CandidateId Which, std::uint64_t PrefixHash, Duration Life,
-                   TimePoint Now) {
+void Chooser::addHint(CandidateId Id, std::uint64_t PrefixHash, Duration Life,
+                      TimePoint Now) {
   if (PrefixHash == 0)
     return;
-  const std::uint32_t Epoch = Table.find(Which)->HintEpoch;
-  Hints.add(PrefixHints::Hint{PrefixHash, Which, Now + Life, Epoch});
+  const std::uint32_t Epoch = Table.find(Id)->HintEpoch;
+  Hints.add(PrefixHints::Hint{PrefixHash, Id, Now + Life, Epoch});
 }
 
-void Chooser::advance(TimePoint Now) { Outliers.advance(Table, Now); }
+void Chooser::advance(TimePoint Now) { Ejections.advance(Table, Now); }
 
 std::optional<TimePoint> Chooser::nextChange() const {
-  return Outliers.nextChange();
+  return Ejections.nextChange();
 }
 
-bool Chooser::observe(CandidateId Which, const LoadReport &Report,
-                      TimePoint Now) {
-  Candidate *const Endpoint = Table.find(Which);
+bool Chooser::observe(CandidateId Id, const LoadReport &Report, TimePoint Now) {
+  Candidate *const Endpoint = Table.find(Id);
   if (Endpoint == nullptr)
     return false;
   const bool Restarted =
@@ -505,39 +515,41 @@
   if (Report.Run != 0)
     Endpoint->Run = Report.Run;
   if (Restarted) {
-    Outliers.release(Table, Which);
+    Ejections.release(Table, Id);
     Endpoint->Condition.reset();
     Endpoint->Service.reset();
     Endpoint->Failures.reset();
     ++Endpoint->HintEpoch;
     Endpoint->CacheSequence = 0;
-    Table.relist(Which);
+    Table.relist(Id);
   }
   Endpoint->Load.report(Report.Running + Report.Queued, Report.Age, Now);
   return Restarted;
 }
 
-// Failure guarded against: the feed of an endpoint's cache events was cut, its
-// cache has turned over meanwhile, and requests go on to where their prefix
-// was. A long gap in the sequence voids all of its hints. After a short gap
-// most are still right, and a wrong one costs a cache miss at most.
-void Chooser::observeCache(CandidateId Which, const CacheChange &Change,
+// Failure guarded against: the feed of an endpoint's cache events was
+// interrupted, its cache contents have changed since, and requests are still
+// sent there for prefixes that it has evicted. A long gap in the sequence
+// invalidates all of its hints. After a short gap most are still right, and a
+// wrong one costs at most a cache miss.
+void Chooser::observeCache(CandidateId Id, const CacheChange &Change,
                            TimePoint Now) {
-  Candidate *const Endpoint = Table.find(Which);
-  const auto *const Chosen = std::get_if<EstimatedWaitPolicy>(&Policy);
-  if (Endpoint == nullptr || Chosen == nullptr ||
+  Candidate *const Endpoint = Table.find(Id);
+  const auto *const Settings = std::get_if<EstimatedWaitPolicy>(&Policy);
+  if (Endpoint == nullptr || Settings == nullptr ||
       Change.Sequence <= Endpoint->CacheSequence)
     return;
-  const std::uint64_t Lost = Endpoint->CacheSequence != 0
-                                 ? Change.Sequence - Endpoint->CacheSequence - 1
-                                 : 0;
+  const std::uint64_t LostEvents =
+      Endpoint->CacheSequence != 0
+          ? Change.Sequence - Endpoint->CacheSequence - 1
+          : 0;
   Endpoint->CacheSequence = Change.Sequence;
-  if (Lost >= Chosen->HintResetGap)
+  if (LostEvents >= Settings->HintResetGap)
     ++Endpoint->HintEpoch;
   if (Change.Added)
-    hint(Which, Change.PrefixHash, Chosen->EventHintLife, Now);
+    addHint(Id, Change.PrefixHash, Settings->EventHintLife, Now);
   else
-    Hints.remove(Change.PrefixHash, Which);
+    Hints.remove(Change.PrefixHash, Id);
 }
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/choice/chooser.hpp
+++ b/packages/request/src/coltsfoottrail/choice/chooser.hpp
@@ -16,44 +16,46 @@
 
 namespace coltsfoottrail {
 
-/// @brief What matters of a request when its endpoint is chosen.
+/// @brief Properties of a request that its choice of endpoint depends on.
 struct ChoiceQuery {
-  /// Hash of the prompt's head; zero for none.
+  /// Hash of the prompt's prefix; zero for none.
   std::uint64_t PrefixHash = 0;
   double Cost = 1.0;
-  /// Endpoint that just failed it.
+  /// Endpoint to avoid because it has just failed the request.
   std::optional<CandidateId> Avoid = std::nullopt;
-  /// It is suspected of crashing endpoints: keep it apart from other suspects.
+  /// The request is suspected of crashing endpoints and must not share one with
+  /// another suspect.
   bool Suspect = false;
-  /// It may be sent again if the endpoint fails it.
+  /// The request may be sent again if the endpoint fails.
   bool Repeatable = false;
-  /// Rather no endpoint than one without its prefix, if some have it.
+  /// If any endpoint has the prefix cached, choose one of those or none.
   bool CachedOnly = false;
-  /// Time left to its deadline.
+  /// Time left until the request's deadline.
   Duration TimeToDeadline = Duration::max();
-  /// Requests beyond an endpoint's bound that it may wait behind there; below
-  /// zero, places that it leaves to others.
+  /// Requests above an endpoint's bound that it may queue behind there; if
+  /// negative, slots below the bound to leave free for others.
   std::int32_t Overcommit = 0;
-  /// Tokens of its prompt.
+  /// Number of tokens in its prompt.
   std::uint32_t PromptTokens = 0;
-  /// Time left until its first event is late.
+  /// Time left until the deadline of its first event.
   Duration FirstEventTimeLeft = Duration::max();
-  /// Part of the requests waiting at an endpoint that go before this one, where
-  /// it is not known how many do.
+  /// Assumed fraction of the requests waiting at an endpoint that are served
+  /// before this one, if their number is unknown.
   double QueueAheadFraction = 1.0;
-  /// It waits at an endpoint behind those that can still be on time.
+  /// The request can no longer be on time and queues at an endpoint behind
+  /// those that can.
   bool Late = false;
 };
 
-/// How an attempt ended, as far as the endpoint's health goes.
+/// Outcome of an attempt, for the endpoint's health.
 enum class AttemptOutcome : std::uint8_t {
-  /// Answered whole.
+  /// Answered completely.
   Answered,
-  /// Did not answer, broke off or took too long.
+  /// No answer, incomplete answer or time-out.
   Failed,
-  /// Said that it would not, as when it is full.
+  /// Refused by the endpoint, for example because it is full.
   Refused,
-  /// Given up for a cause elsewhere.
+  /// Given up for a reason other than the endpoint.
   GivenUp
 };
 
@@ -63,189 +65,196 @@
   std::uint64_t PrefixHash = 0;
   double Cost = 1.0;
   bool Suspect = false;
-  /// What sent() told.
+  /// Return value of sent().
   bool Hinted = false;
   /// From send to end.
   Duration Total{};
   bool Late = false;
-  /// Whether begun() was called for it.
+  /// Whether responseStarted() was called for it.
   bool ResponseStarted = false;
   std::uint32_t PromptTokens = 0;
 };
 
 /// @brief The endpoints of one pool and the choice among them.
 ///
-/// A choice looks at a fixed number of endpoints however many there are, except
-/// under the policies for comparison. Never passes an endpoint's share. Pure
-/// and seeded; not thread-safe: stands under the lock of its shard. Times must
-/// not go back.
+/// A choice examines a fixed number of endpoints regardless of the size of the
+/// pool, except under the policies for comparison. Never exceeds an endpoint's
+/// share. Pure and seeded. Not thread-safe: callers hold the lock of its shard.
+/// Times must not go back.
 class Chooser {
 public:
   /// @brief Makes a chooser without endpoints.
-  /// @param Own Data centre of this entry host.
-  /// @param Wanted How to choose.
-  /// @param Seed Starts the randomness.
-  Chooser(DataCentreName Own, ChoicePolicy Wanted, std::uint64_t Seed);
+  /// @param OwnDataCentre Data centre of this entry host.
+  /// @param InitialPolicy How to choose.
+  /// @param Seed Seed of the random numbers.
+  Chooser(DataCentreName OwnDataCentre, ChoicePolicy InitialPolicy,
+          std::uint64_t Seed);
 
-  /// @brief Takes over another version of the pool. An endpoint that is gone is
-  /// not chosen any more and its share falls to zero; it is forgotten when its
-  /// last request ends.
-  void configure(const Pool &Wanted);
+  /// @brief Applies a new version of the pool. A removed endpoint is no longer
+  /// chosen and its share becomes zero; it is erased when its last request
+  /// ends.
+  void configure(const Pool &NewPool);
 
-  /// @brief Finds an endpoint by key, one that is leaving included.
+  /// @brief Finds an endpoint by key; also one that was removed and not yet
+  /// erased.
   [[nodiscard]] std::optional<CandidateId> find(std::string_view Key) const;
 
-  /// @brief Bounds the own requests in progress at an endpoint.
-  void setShare(CandidateId Which, std::uint32_t Share);
+  /// @brief Limits this host's requests in progress at an endpoint.
+  void setShare(CandidateId Id, std::uint32_t Share);
 
-  /// @brief Chooses an endpoint with room.
-  /// @return Nothing when the request has to wait for one.
+  /// @brief Chooses an endpoint with a free slot.
+  /// @return Nothing if the request has to wait for one.
   [[nodiscard]] std::optional<CandidateId> choose(const ChoiceQuery &Query,
                                                   TimePoint Now);
 
-  /// @brief Endpoints that are thought to have a prefix, and do not fail.
+  /// @brief Endpoints that probably have a prefix cached and are not failing.
   [[nodiscard]] std::vector<CandidateId>
   endpointsWithPrefix(std::uint64_t PrefixHash, TimePoint Now) const;
 
-  /// @brief Notes that a request goes to an endpoint.
-  /// @return Whether the endpoint was thought to have its prefix cached.
-  bool sent(CandidateId Which, const ChoiceQuery &Query, TimePoint Now);
+  /// @brief Records that a request is sent to an endpoint.
+  /// @return Whether a hint says that the endpoint has its prefix cached.
+  bool sent(CandidateId Id, const ChoiceQuery &Query, TimePoint Now);
 
-  /// @brief Notes that a request's answer has begun.
-  void responseStarted(CandidateId Which, bool Late,
+  /// @brief Records that the response to a request has started.
+  void responseStarted(CandidateId Id, bool Late,
                        std::uint32_t PromptTokens = 0);
 
-  /// @brief Own requests at each endpoint that has any.
+  /// @brief This host's requests at each endpoint where it has any.
   [[nodiscard]] std::vector<EndpointLoad> ownLoads() const;
-  /// @brief Takes what the other entry hosts have at all endpoints; one that is
-  /// not named has nothing of theirs.
+  /// @brief Sets the other entry hosts' requests at all endpoints; an endpoint
+  /// that is not listed has none of theirs.
   void setOtherHostLoads(std::span<const EndpointLoad> Others, TimePoint Now);
 
-  /// @brief Notes that a request ended there.
-  void ended(CandidateId Which, const EndedAttempt &Attempt, TimePoint Now);
+  /// @brief Records that a request at the endpoint ended.
+  void ended(CandidateId Id, const EndedAttempt &Attempt, TimePoint Now);
 
-  /// @brief Takes a load report.
-  /// @return Whether the endpoint has restarted since the last report; all that
-  /// was learned of its speed is forgotten then.
-  bool observe(CandidateId Which, const LoadReport &Report, TimePoint Now);
+  /// @brief Applies a load report.
+  /// @return Whether the endpoint has restarted since the last report; its
+  /// health and service times are reset in that case.
+  bool observe(CandidateId Id, const LoadReport &Report, TimePoint Now);
 
-  /// @brief Takes an event of an endpoint's prefix cache.
-  void observeCache(CandidateId Which, const CacheChange &Change,
-                    TimePoint Now);
+  /// @brief Applies an event of an endpoint's prefix cache.
+  void observeCache(CandidateId Id, const CacheChange &Change, TimePoint Now);
 
-  /// @brief Lets endpoints whose ejection is over be tried again.
+  /// @brief Makes endpoints whose ejection has ended available for probes.
   void advance(TimePoint Now);
-  /// @brief When advance() has something to do next.
+  /// @brief Time of the next call to advance() that has an effect.
   [[nodiscard]] std::optional<TimePoint> nextChange() const;
 
-  /// @brief What is known of an endpoint; null when it was forgotten.
-  [[nodiscard]] const Candidate *candidate(CandidateId Which) const noexcept {
-    return Table.find(Which);
+  /// @brief State of an endpoint; null if it was erased.
+  [[nodiscard]] const Candidate *candidate(CandidateId Id) const noexcept {
+    return Table.find(Id);
   }
 
-  /// @brief Whether some endpoint has room.
+  /// @brief Whether any endpoint has a free slot.
   [[nodiscard]] bool hasRoom() const noexcept;
-  /// @brief Whether some endpoint gives this entry host a share, those left out
-  /// at present included.
+  /// @brief Whether this entry host has a share of any endpoint, ejected ones
+  /// included.
   [[nodiscard]] bool usable() const noexcept {
-    return Table.usable() > 0 || Outliers.ejected() > 0;
+    return Table.usable() > 0 || Ejections.ejected() > 0;
   }
   /// @brief Endpoints in the pool.
   [[nodiscard]] std::size_t size() const noexcept { return Table.all().size(); }
-  /// @brief Endpoints left out at present.
+  /// @brief Number of ejected endpoints.
   [[nodiscard]] std::size_t ejected() const noexcept {
-    return Outliers.ejected();
+    return Ejections.ejected();
   }
-  /// @brief Part of the service that a cached prefix saves, as learned.
+  /// @brief Learned fraction of the service time that a cached prefix saves.
   [[nodiscard]] double cacheSaving() const noexcept { return Saving; }
-  /// @brief Own requests that could be sent at once.
+  /// @brief Number of requests that this host could send at once.
   [[nodiscard]] std::uint64_t freeSlots() const noexcept {
     return Table.freeSlots();
   }
-  /// @brief How fast the pool serves this entry host.
+  /// @brief Throughput of the pool for this entry host.
   [[nodiscard]] Throughput throughput() const noexcept;
 
 private:
-  /// The best candidate so far.
+  /// The candidate with the lowest score so far.
   struct Best {
-    std::optional<CandidateId> Which;
+    std::optional<CandidateId> Id;
     double Score = 0.0;
   };
 
   [[nodiscard]] std::optional<CandidateId>
-  pick(const EstimatedWaitPolicy &Chosen, const ChoiceQuery &Query,
+  pick(const EstimatedWaitPolicy &Settings, const ChoiceQuery &Query,
        TimePoint Now);
   [[nodiscard]] std::optional<CandidateId>
-  pick(const RandomPolicy &Chosen, const ChoiceQuery &Query, TimePoint Now);
+  pick(const RandomPolicy &Settings, const ChoiceQuery &Query, TimePoint Now);
   [[nodiscard]] std::optional<CandidateId>
-  pick(const RoundRobinPolicy &Chosen, const ChoiceQuery &Query, TimePoint Now);
+  pick(const RoundRobinPolicy &Settings, const ChoiceQuery &Query,
+       TimePoint Now);
   [[nodiscard]] std::optional<CandidateId>
-  pick(const LeastInFlightPolicy &Chosen, const ChoiceQuery &Query,
+  pick(const LeastInFlightPolicy &Settings, const ChoiceQuery &Query,
        TimePoint Now);
 
-  [[nodiscard]] static double
-  loadAhead(const Candidate &Endpoint, const ChoiceQuery &Query, TimePoint Now);
-  [[nodiscard]] bool isFull(CandidateId Which, const ChoiceQuery &Query,
-                            const EstimatedWaitPolicy &Chosen,
+  [[nodiscard]] static double requestsAhead(const Candidate &Endpoint,
+                                            const ChoiceQuery &Query,
+                                            TimePoint Now);
+  [[nodiscard]] bool isFull(CandidateId Id, const ChoiceQuery &Query,
+                            const EstimatedWaitPolicy &Settings,
                             TimePoint Now) const;
   [[nodiscard]] std::optional<CandidateId>
-  anyBelowBound(const EstimatedWaitPolicy &Chosen, const ChoiceQuery &Query,
+  anyBelowBound(const EstimatedWaitPolicy &Settings, const ChoiceQuery &Query,
                 TimePoint Now) const;
-  [[nodiscard]] bool eligible(CandidateId Which,
-                              const ChoiceQuery &Query) const;
-  [[nodiscard]] bool mayCache(const Candidate &Endpoint,
-                              const EstimatedWaitPolicy &Chosen) const;
-  [[nodiscard]] double secondsOf(const Candidate &Endpoint,
-                                 TimePoint Now) const;
+  [[nodiscard]] bool eligible(CandidateId Id, const ChoiceQuery &Query) const;
+  [[nodiscard]] bool
+  isBelowCacheLoadLimit(const Candidate &Endpoint,
+                        const EstimatedWaitPolicy &Settings) const;
+  [[nodiscard]] double serviceSeconds(const Candidate &Endpoint,
+                                      TimePoint Now) const;
   [[nodiscard]] double timeToAnswer(const Candidate &Endpoint, double Saving,
                                     const ChoiceQuery &Query,
                                     TimePoint Now) const;
-  [[nodiscard]] double failing(const Candidate &Endpoint, TimePoint Now) const;
+  [[nodiscard]] double failureRate(const Candidate &Endpoint,
+                                   TimePoint Now) const;
   [[nodiscard]] double score(const Candidate &Endpoint, double Saving,
-                             const EstimatedWaitPolicy &Chosen,
+                             const EstimatedWaitPolicy &Settings,
                              const ChoiceQuery &Query, TimePoint Now) const;
-  void consider(CandidateId Which, double Saving,
-                const EstimatedWaitPolicy &Chosen, const ChoiceQuery &Query,
-                TimePoint Now, Best &Found) const;
-  /// @return Whether some endpoint is thought to have the prefix.
-  bool considerHinted(const EstimatedWaitPolicy &Chosen,
+  void consider(CandidateId Id, double Saving,
+                const EstimatedWaitPolicy &Settings, const ChoiceQuery &Query,
+                TimePoint Now, Best &BestSoFar) const;
+  /// @return Whether a valid hint says that an endpoint has the prefix.
+  bool considerHinted(const EstimatedWaitPolicy &Settings,
                       const ChoiceQuery &Query, TimePoint Now,
-                      Best &Found) const;
-  void considerRing(const EstimatedWaitPolicy &Chosen, const ChoiceQuery &Query,
-                    TimePoint Now, Best &Found) const;
-  void considerDrawn(Listing From, std::uint32_t Draws,
-                     const EstimatedWaitPolicy &Chosen,
-                     const ChoiceQuery &Query, TimePoint Now, Best &Found);
+                      Best &BestSoFar) const;
+  void considerRing(const EstimatedWaitPolicy &Settings,
+                    const ChoiceQuery &Query, TimePoint Now,
+                    Best &BestSoFar) const;
+  void considerSampled(Listing List, std::uint32_t SampleCount,
+                       const EstimatedWaitPolicy &Settings,
+                       const ChoiceQuery &Query, TimePoint Now,
+                       Best &BestSoFar);
   [[nodiscard]] std::optional<CandidateId>
   probeCandidate(const ChoiceQuery &Query, TimePoint Now) const;
   [[nodiscard]] std::optional<CandidateId>
   anyEligible(const ChoiceQuery &Query) const;
-  [[nodiscard]] bool lastResort(const ChoiceQuery &Query) const;
+  [[nodiscard]] bool isOnlyEndpoint(const ChoiceQuery &Query) const;
 
-  void learn(Candidate &Endpoint, const EndedAttempt &Attempt, TimePoint Now);
+  void learnFrom(Candidate &Endpoint, const EndedAttempt &Attempt,
+                 TimePoint Now);
   void learnAnswer(Candidate &Endpoint, double Seconds, TimePoint Now);
   void learnSaving(double Seconds, bool Hinted, TimePoint Now);
-  [[nodiscard]] bool hintHolds(const PrefixHints::Hint &Hint,
-                               std::uint64_t PrefixHash, TimePoint Now) const;
-  void hint(CandidateId Which, std::uint64_t PrefixHash, Duration Life,
-            TimePoint Now);
+  [[nodiscard]] bool isHintValid(const PrefixHints::Hint &Hint,
+                                 std::uint64_t PrefixHash, TimePoint Now) const;
+  void addHint(CandidateId Id, std::uint64_t PrefixHash, Duration Life,
+               TimePoint Now);
 
   ChoicePolicy Policy;
   EnginePace Pace;
-  Random Draw;
+  Random Rng;
   CandidateTable Table;
-  Ejector Outliers;
+  Ejector Ejections;
   PrefixHints Hints;
   HashRing Ring;
-  /// Recent failures of each data centre.
+  /// Recent failure rate of each data centre.
   std::vector<LatencyModel> Failures;
   LatencyModel Service = poolService();
-  /// The same for requests whose prefix was thought cached, and for others.
+  /// Service times of requests with a cache hint, and of those without.
   LatencyModel HintedService = poolService();
   LatencyModel OtherService = poolService();
-  /// Part of the service that a cached prefix saves, as learned.
+  /// Learned fraction of the service time that a cached prefix saves.
   double Saving;
-  /// Own requests in progress.
+  /// This host's requests in progress.
   std::uint64_t OwnTotal = 0;
   std::size_t Cursor = 0;
 };
--- a/packages/request/src/coltsfoottrail/choice/ejector.cpp
+++ b/packages/request/src/coltsfoottrail/choice/ejector.cpp
@@ -2,27 +2,28 @@
 
 namespace coltsfoottrail {
 
-void Ejector::judge(CandidateTable &Table, CandidateId Which, double PoolMean,
-                    Random &Draw, TimePoint Now) {
-  Candidate &Endpoint = *Table.find(Which);
+void Ejector::judge(CandidateTable &Table, CandidateId Id, double PoolMean,
+                    Random &Rng, TimePoint Now) {
+  Candidate &Endpoint = *Table.find(Id);
   switch (Endpoint.Condition.state()) {
   case Health::State::Ejected:
     return;
   case Health::State::Probing:
-    judgeProbe(Table, Which, PoolMean, Draw, Now);
+    judgeProbe(Table, Id, PoolMean, Rng, Now);
     return;
   case Health::State::Serving:
     break;
   }
-  const std::optional<Health::Cause> Cause = fault(Endpoint, PoolMean, Now);
+  const std::optional<Health::Cause> Cause =
+      detectFault(Endpoint, PoolMean, Now);
   if (Cause && mayEject(Table, *Cause))
-    eject(Endpoint, Which, *Cause, Draw, Now);
+    eject(Endpoint, Id, *Cause, Rng, Now);
 }
 
-std::optional<Health::Cause> Ejector::fault(const Candidate &Endpoint,
-                                            double PoolMean,
-                                            TimePoint Now) const {
-  if (Endpoint.Condition.failuresInRow() >= Limits.FailuresInRow)
+std::optional<Health::Cause> Ejector::detectFault(const Candidate &Endpoint,
+                                                  double PoolMean,
+                                                  TimePoint Now) const {
+  if (Endpoint.Condition.consecutiveFailures() >= Limits.ConsecutiveFailures)
     return Health::Cause::Failing;
   if (isSlow(Endpoint, Limits.SlowEvidence, PoolMean, Now))
     return Health::Cause::Slow;
@@ -35,80 +36,81 @@
          Endpoint.Service.mean() > Limits.SlowFactor * PoolMean;
 }
 
-void Ejector::judgeProbe(CandidateTable &Table, CandidateId Which,
-                         double PoolMean, Random &Draw, TimePoint Now) {
-  Candidate &Endpoint = *Table.find(Which);
+void Ejector::judgeProbe(CandidateTable &Table, CandidateId Id, double PoolMean,
+                         Random &Rng, TimePoint Now) {
+  Candidate &Endpoint = *Table.find(Id);
   const Health &Condition = Endpoint.Condition;
   const bool WasSlow = Condition.cause() == Health::Cause::Slow;
-  const bool Failed = Condition.failuresInRow() > 0;
-  const std::uint32_t Needed = WasSlow ? Limits.SlowProbes : 1;
-  if (!Failed && Condition.probesAnswered() < Needed)
+  const bool Failed = Condition.consecutiveFailures() > 0;
+  const std::uint32_t NeededProbes = WasSlow ? Limits.SlowProbes : 1;
+  if (!Failed && Condition.probesAnswered() < NeededProbes)
     return;
   const bool StillSlow = WasSlow && isSlow(Endpoint, 0.0, PoolMean, Now);
   if (!Failed && !StillSlow) {
-    release(Table, Which);
+    release(Table, Id);
     return;
   }
   EjectedSlow -= WasSlow ? 1U : 0U;
   --Ejected;
-  eject(Endpoint, Which, Failed ? Health::Cause::Failing : Health::Cause::Slow,
-        Draw, Now);
+  eject(Endpoint, Id, Failed ? Health::Cause::Failing : Health::Cause::Slow,
+        Rng, Now);
 }
 
-// Failure guarded against: when the whole pool slows down or is out of reach,
-// endpoint after endpoint is ejected until the few that are left break down
-// under all of the load.
+// Failure guarded against: the whole pool slows down or becomes unreachable,
+// and one endpoint after the other is ejected until the few that are left fail
+// under the whole load.
 bool Ejector::mayEject(const CandidateTable &Table, Health::Cause Cause) const {
   const auto Endpoints = static_cast<double>(Table.all().size());
-  const auto After = static_cast<double>(Ejected + 1);
-  if (After > Limits.MaxEjectedShare * Endpoints)
+  const auto EjectedAfter = static_cast<double>(Ejected + 1);
+  if (EjectedAfter > Limits.MaxEjectedShare * Endpoints)
     return false;
-  const auto SlowAfter = static_cast<double>(EjectedSlow + 1);
+  const auto SlowEjectedAfter = static_cast<double>(EjectedSlow + 1);
   return Cause != Health::Cause::Slow ||
-         SlowAfter <= Limits.MaxSlowShare * Endpoints;
+         SlowEjectedAfter <= Limits.MaxSlowShare * Endpoints;
 }
 
-void Ejector::eject(Candidate &Endpoint, CandidateId Which, Health::Cause Cause,
-                    Random &Draw, TimePoint Now) {
-  Endpoint.Condition.eject(Cause, Limits, Draw.fraction(), Now);
+void Ejector::eject(Candidate &Endpoint, CandidateId Id, Health::Cause Cause,
+                    Random &Rng, TimePoint Now) {
+  Endpoint.Condition.eject(Cause, Limits, Rng.fraction(), Now);
   ++Ejected;
   EjectedSlow += Cause == Health::Cause::Slow ? 1U : 0U;
-  Ends.emplace(std::pair(Endpoint.Condition.ejectedUntil(), NextNumber++),
-               Which);
+  EjectionEnds.emplace(
+      std::pair(Endpoint.Condition.ejectedUntil(), NextSequence++), Id);
 }
 
-void Ejector::release(CandidateTable &Table, CandidateId Which) {
-  Candidate &Endpoint = *Table.find(Which);
+void Ejector::release(CandidateTable &Table, CandidateId Id) {
+  Candidate &Endpoint = *Table.find(Id);
   if (Endpoint.Condition.state() == Health::State::Serving)
     return;
   --Ejected;
   EjectedSlow -= Endpoint.Condition.cause() == Health::Cause::Slow ? 1U : 0U;
-  std::erase_if(Ends, [&](const auto &Entry) { return Entry.second == Which; });
+  std::erase_if(EjectionEnds,
+                [&](const auto &Entry) { return Entry.second == Id; });
   Endpoint.Condition.restore();
 }
 
-// Failure guarded against: all endpoints that were not ejected leave, and
-// requests wait for the end of an ejection although an endpoint is there.
+// Failure guarded against: all endpoints that are not ejected are removed, and
+// requests wait for the end of an ejection although an endpoint exists.
 void Ejector::advance(CandidateTable &Table, TimePoint Now) {
-  while (!Ends.empty()) {
-    const bool NoOther =
+  while (!EjectionEnds.empty()) {
+    const bool NoOtherUsable =
         Table.usable() == 0 && Table.listed(Listing::Probe).empty();
-    if (Ends.begin()->first.first > Now && !NoOther)
+    if (EjectionEnds.begin()->first.first > Now && !NoOtherUsable)
       return;
-    const CandidateId Which = Ends.begin()->second;
-    Ends.erase(Ends.begin());
-    Candidate &Endpoint = *Table.find(Which);
+    const CandidateId Id = EjectionEnds.begin()->second;
+    EjectionEnds.erase(EjectionEnds.begin());
+    Candidate &Endpoint = *Table.find(Id);
     Endpoint.Condition.probe();
     Endpoint.Service.reset();
     Endpoint.Failures.reset();
-    Table.relist(Which);
+    Table.relist(Id);
   }
 }
 
 std::optional<TimePoint> Ejector::nextChange() const {
-  if (Ends.empty())
+  if (EjectionEnds.empty())
     return std::nullopt;
-  return Ends.begin()->first.first;
+  return EjectionEnds.begin()->first.first;
 }
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/choice/ejector.hpp
+++ b/packages/request/src/coltsfoottrail/choice/ejector.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Leaves stragglers and failing endpoints out of the choice for a while.
+/// Temporary ejection of slow and failing endpoints (outlier detection).
 #ifndef COLTSFOOTTRAIL_CHOICE_EJECTOR_HPP
 #define COLTSFOOTTRAIL_CHOICE_EJECTOR_HPP
 
@@ -12,30 +12,32 @@
 
 namespace coltsfoottrail {
 
-/// @brief Judges endpoints after each attempt. Works on a table that outlives
-/// it. Not thread-safe.
+/// @brief Decides after each attempt whether its endpoint is ejected. The table
+/// passed in must outlive it. Not thread-safe.
 class Ejector {
 public:
-  /// @brief Makes an ejector that has ejected nothing.
-  explicit Ejector(EjectionLimits Wanted) noexcept : Limits(Wanted) {}
+  /// @brief Starts without ejected endpoints.
+  explicit Ejector(EjectionLimits Configured) noexcept : Limits(Configured) {}
 
-  /// @brief Ejects an endpoint, or takes it back, by what is known of it.
-  /// @param PoolMean Mean time of service of the pool.
-  /// @param Draw Spreads the returns.
-  void judge(CandidateTable &Table, CandidateId Which, double PoolMean,
-             Random &Draw, TimePoint Now);
+  /// @brief Ejects or restores an endpoint by its recent failures and service
+  /// times.
+  /// @param PoolMean Mean service time of the pool.
+  /// @param Rng Jitter for the end of the ejection.
+  void judge(CandidateTable &Table, CandidateId Id, double PoolMean,
+             Random &Rng, TimePoint Now);
 
-  /// @brief Takes an endpoint back, as when it leaves or has restarted.
-  void release(CandidateTable &Table, CandidateId Which);
+  /// @brief Ends an ejection, for example because the endpoint was removed or
+  /// has restarted.
+  void release(CandidateTable &Table, CandidateId Id);
 
-  /// @brief Lets endpoints whose ejection is over be tried; the first one at
-  /// once when there is no other to use.
+  /// @brief Makes endpoints whose ejection has ended available for probes; if
+  /// no other endpoint is usable, the first one at once.
   void advance(CandidateTable &Table, TimePoint Now);
 
-  /// @brief When advance() has something to do next.
+  /// @brief Time of the next call to advance() that has an effect.
   [[nodiscard]] std::optional<TimePoint> nextChange() const;
 
-  /// @brief Endpoints ejected or being tried again.
+  /// @brief Number of endpoints ejected or being probed.
   [[nodiscard]] std::size_t ejected() const noexcept { return Ejected; }
 
 private:
@@ -44,16 +46,16 @@
   [[nodiscard]] bool mayEject(const CandidateTable &Table,
                               Health::Cause Cause) const;
   [[nodiscard]] std::optional<Health::Cause>
-  fault(const Candidate &Endpoint, double PoolMean, TimePoint Now) const;
-  void judgeProbe(CandidateTable &Table, CandidateId Which, double PoolMean,
-                  Random &Draw, TimePoint Now);
-  void eject(Candidate &Endpoint, CandidateId Which, Health::Cause Cause,
-             Random &Draw, TimePoint Now);
+  detectFault(const Candidate &Endpoint, double PoolMean, TimePoint Now) const;
+  void judgeProbe(CandidateTable &Table, CandidateId Id, double PoolMean,
+                  Random &Rng, TimePoint Now);
+  void eject(Candidate &Endpoint, CandidateId Id, Health::Cause Cause,
+             Random &Rng, TimePoint Now);
 
   EjectionLimits Limits;
-  /// By end of the ejection, then by order.
-  std::map<std::pair<TimePoint, std::uint64_t>, CandidateId> Ends;
-  std::uint64_t NextNumber = 0;
+  /// Ordered by end of the ejection, then by order of ejection.
+  std::map<std::pair<TimePoint, std::uint64_t>, CandidateId> EjectionEnds;
+  std::uint64_t NextSequence = 0;
   std::size_t Ejected = 0;
   std::size_t EjectedSlow = 0;
 };
--- a/packages/request/src/coltsfoottrail/choice/forecast.hpp
+++ b/packages/request/src/coltsfoottrail/choice/forecast.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Forecasts when an engine would answer one more request.
+/// Forecast of an engine's time to first event for a new request.
 #ifndef COLTSFOOTTRAIL_CHOICE_FORECAST_HPP
 #define COLTSFOOTTRAIL_CHOICE_FORECAST_HPP
 
@@ -10,32 +10,31 @@
 
 namespace coltsfoottrail {
 
-/// @brief What stands at an engine before one more request.
+/// @brief Work at an engine that precedes a new request.
 struct EngineBacklog {
-  /// Requests that it has at once at most.
+  /// Largest number of requests that the engine runs at once.
   double Slots = 1.0;
-  /// Requests that run there, and those that wait and go before.
-  double Ahead = 0.0;
-  /// Prompt tokens of those whose answer has not begun.
+  /// Requests running there, plus those waiting that are served first.
+  double RequestsAhead = 0.0;
+  /// Prompt tokens of requests whose response has not started.
   double UnreadTokens = 0.0;
-  /// Mean time that a request keeps its slot, in seconds.
+  /// Mean time that a request occupies its slot, in seconds.
   double SecondsPerRequest = 0.0;
 };
 
-/// @brief Forecasts the time until the first event of one more request.
+/// @brief Forecasts the time until the first event of a new request.
 ///
-/// Load answered: prompts of a hundred to six thousand tokens come in bursts.
-/// Engines read them one after the other, so that two engines with the same
-/// number of requests answer a tenth of a second or half a second later. Three
-/// parts add up: until a slot is free, until all prompts are read, and until
-/// the first pass of token steps is written; token steps of running requests go
-/// on between two chunks of prompts.
-/// Pure; thread-safe.
-/// @param Pace Its pace; must be known.
-/// @param Before What stands there.
+/// Prompts of a hundred to six thousand tokens arrive in bursts. Engines
+/// prefill them one after the other, so of two engines with the same number of
+/// requests one may answer after a tenth of a second and the other after half a
+/// second. The forecast is the sum of three parts: the wait for a slot, the
+/// prefill of all prompts, and the first pass of decode steps. Decode steps of
+/// running requests are interleaved with prompt chunks. Pure; thread-safe.
+/// @param Pace The engine's pace; must be known.
+/// @param Backlog Work that precedes the request.
 /// @param PromptTokens Tokens of the request's prompt.
 [[nodiscard]] Duration firstEventAfter(const EnginePace &Pace,
-                                       const EngineBacklog &Before,
+                                       const EngineBacklog &Backlog,
                                        std::uint32_t PromptTokens);
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/choice/fwd.hpp
+++ b/packages/request/src/coltsfoottrail/choice/fwd.hpp
@@ -18,7 +18,7 @@
 struct RoundRobinPolicy;
 struct LeastInFlightPolicy;
 struct EstimatedWaitPolicy;
-/// How an endpoint is chosen.
+/// Policy for choosing an endpoint.
 using ChoicePolicy = std::variant<EstimatedWaitPolicy, RandomPolicy,
                                   RoundRobinPolicy, LeastInFlightPolicy>;
 
--- a/packages/request/src/coltsfoottrail/choice/health.cpp
+++ b/packages/request/src/coltsfoottrail/choice/health.cpp
@@ -5,35 +5,35 @@
 namespace coltsfoottrail {
 
 void Health::answered() noexcept {
-  InRow = 0;
-  if (Now == State::Probing)
-    ++Probes;
+  FailureCount = 0;
+  if (Current == State::Probing)
+    ++AnsweredProbes;
 }
 
 void Health::eject(Cause Reason, const EjectionLimits &Limits, double Jitter,
-                   TimePoint When) noexcept {
-  constexpr std::uint32_t MostDoublings = 10;
-  const std::uint32_t Doublings = std::min(Times, MostDoublings);
+                   TimePoint Now) noexcept {
+  constexpr std::uint32_t MaxDoublings = 10;
+  const std::uint32_t Doublings = std::min(EjectionCount, MaxDoublings);
   const Duration Base =
       std::min(Limits.Longest, Limits.Shortest * (1U << Doublings));
   const double Spread = 0.75 + 0.5 * Jitter;
-  Until = When + std::chrono::duration_cast<Duration>(Base * Spread);
-  Now = State::Ejected;
-  Why = Reason;
-  ++Times;
+  EjectionEnd = Now + std::chrono::duration_cast<Duration>(Base * Spread);
+  Current = State::Ejected;
+  LastCause = Reason;
+  ++EjectionCount;
 }
 
 void Health::probe() noexcept {
-  Now = State::Probing;
-  Probes = 0;
-  InRow = 0;
+  Current = State::Probing;
+  AnsweredProbes = 0;
+  FailureCount = 0;
 }
 
 void Health::restore() noexcept {
-  Now = State::Serving;
-  InRow = 0;
-  if (Times > 0)
-    --Times;
+  Current = State::Serving;
+  FailureCount = 0;
+  if (EjectionCount > 0)
+    --EjectionCount;
 }
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/choice/health.hpp
+++ b/packages/request/src/coltsfoottrail/choice/health.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Whether an endpoint is chosen, left out for a while, or tried again.
+/// Ejection state of an endpoint: serving, ejected or being probed.
 #ifndef COLTSFOOTTRAIL_CHOICE_HEALTH_HPP
 #define COLTSFOOTTRAIL_CHOICE_HEALTH_HPP
 
@@ -11,48 +11,52 @@
 class Health {
 public:
   enum class State : std::uint8_t {
-    /// Chosen as any other.
+    /// Chosen normally.
     Serving,
-    /// Left out until ejectedUntil().
+    /// Not chosen until ejectedUntil().
     Ejected,
-    /// Gets one request at a time.
+    /// Gets one request at a time, to decide on its return.
     Probing
   };
   enum class Cause : std::uint8_t { Slow, Failing };
 
-  [[nodiscard]] State state() const noexcept { return Now; }
-  [[nodiscard]] Cause cause() const noexcept { return Why; }
-  /// @brief Meaningful while Ejected.
-  [[nodiscard]] TimePoint ejectedUntil() const noexcept { return Until; }
-  [[nodiscard]] std::uint32_t failuresInRow() const noexcept { return InRow; }
+  [[nodiscard]] State state() const noexcept { return Current; }
+  [[nodiscard]] Cause cause() const noexcept { return LastCause; }
+  /// @brief End of the ejection; only meaningful in State::Ejected.
+  [[nodiscard]] TimePoint ejectedUntil() const noexcept { return EjectionEnd; }
+  [[nodiscard]] std::uint32_t consecutiveFailures() const noexcept {
+    return FailureCount;
+  }
 
   /// @brief Counts an answer.
   void answered() noexcept;
   /// @brief Counts a failure.
-  void failed() noexcept { ++InRow; }
+  void failed() noexcept { ++FailureCount; }
 
-  /// @brief Leaves the endpoint out, longer each time.
+  /// @brief Ejects the endpoint, for longer each time.
   /// @param Reason Slow or failing.
-  /// @param Jitter In [0, 1): spreads the return over entry hosts.
+  /// @param Jitter In [0, 1): spreads the returns of different entry hosts.
   void eject(Cause Reason, const EjectionLimits &Limits, double Jitter,
-             TimePoint When) noexcept;
-  /// @brief Lets one request at a time through.
+             TimePoint Now) noexcept;
+  /// @brief Enters State::Probing.
   void probe() noexcept;
-  /// @brief Takes the endpoint back into the choice.
+  /// @brief Returns to State::Serving.
   void restore() noexcept;
-  /// @brief Forgets all, as after a restart.
+  /// @brief Resets everything, for example after a restart.
   void reset() noexcept { *this = Health(); }
-  /// @brief Answers since probe().
-  [[nodiscard]] std::uint32_t probesAnswered() const noexcept { return Probes; }
+  /// @brief Number of answers since probe().
+  [[nodiscard]] std::uint32_t probesAnswered() const noexcept {
+    return AnsweredProbes;
+  }
 
 private:
-  State Now = State::Serving;
-  Cause Why = Cause::Slow;
-  TimePoint Until;
-  std::uint32_t InRow = 0;
-  std::uint32_t Probes = 0;
-  /// Ejections that follow one another.
-  std::uint32_t Times = 0;
+  State Current = State::Serving;
+  Cause LastCause = Cause::Slow;
+  TimePoint EjectionEnd;
+  std::uint32_t FailureCount = 0;
+  std::uint32_t AnsweredProbes = 0;
+  /// Ejections so far, minus restorations; the next one lasts longer.
+  std::uint32_t EjectionCount = 0;
 };
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/choice/hints.cpp
+++ b/packages/request/src/coltsfoottrail/choice/hints.cpp
@@ -2,33 +2,35 @@
 
 namespace coltsfoottrail {
 
-std::size_t PrefixHints::firstOf(std::uint64_t PrefixHash) const noexcept {
+std::size_t PrefixHints::firstSlot(std::uint64_t PrefixHash) const noexcept {
   return (PrefixHash & (Sets - 1U)) * Ways;
 }
 
-void PrefixHints::add(const Hint &Fresh) {
+void PrefixHints::add(const Hint &NewHint) {
   if (Table.empty())
     Table.resize(std::size_t{Sets} * Ways);
-  const std::size_t First = firstOf(Fresh.PrefixHash);
-  std::size_t Place = First;
+  const std::size_t First = firstSlot(NewHint.PrefixHash);
+  std::size_t Slot = First;
   for (std::size_t Way = First; Way < First + Ways; ++Way) {
-    const Hint &Known = Table[Way];
-    if (Known.PrefixHash == Fresh.PrefixHash && Known.Where == Fresh.Where) {
-      Place = Way;
+    const Hint &Existing = Table[Way];
+    if (Existing.PrefixHash == NewHint.PrefixHash &&
+        Existing.Endpoint == NewHint.Endpoint) {
+      Slot = Way;
       break;
     }
-    if (Known.Expires < Table[Place].Expires)
-      Place = Way;
+    if (Existing.Expires < Table[Slot].Expires)
+      Slot = Way;
   }
-  Table[Place] = Fresh;
+  Table[Slot] = NewHint;
 }
 
-void PrefixHints::remove(std::uint64_t PrefixHash, CandidateId Where) noexcept {
+void PrefixHints::remove(std::uint64_t PrefixHash,
+                         CandidateId Endpoint) noexcept {
   if (Table.empty())
     return;
-  const std::size_t First = firstOf(PrefixHash);
+  const std::size_t First = firstSlot(PrefixHash);
   for (std::size_t Way = First; Way < First + Ways; ++Way)
-    if (Table[Way].PrefixHash == PrefixHash && Table[Way].Where == Where)
+    if (Table[Way].PrefixHash == PrefixHash && Table[Way].Endpoint == Endpoint)
       Table[Way] = Hint{};
 }
 
@@ -36,7 +38,7 @@
 PrefixHints::setOf(std::uint64_t PrefixHash) const noexcept {
   if (Table.empty())
     return {};
-  return std::span(Table).subspan(firstOf(PrefixHash), Ways);
+  return std::span(Table).subspan(firstSlot(PrefixHash), Ways);
 }
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/choice/latency.cpp
+++ b/packages/request/src/coltsfoottrail/choice/latency.cpp
@@ -5,24 +5,26 @@
 namespace coltsfoottrail {
 
 void LatencyModel::record(double Seconds, TimePoint Now) noexcept {
-  const double Kept = weight(Now) * Keep;
-  Weight = Kept + 1.0;
+  const double DecayedWeight = weight(Now) * KeptFraction;
+  Weight = DecayedWeight + 1.0;
   Mean += (Seconds - Mean) / Weight;
-  At = Now;
+  LastSampleAt = Now;
 }
 
 double LatencyModel::estimate(double Prior, double PriorWeight,
                               TimePoint Now) const noexcept {
-  const double Own = weight(Now);
-  return (Own * Mean + PriorWeight * Prior) / (Own + PriorWeight);
+  const double SampleWeight = weight(Now);
+  return (SampleWeight * Mean + PriorWeight * Prior) /
+         (SampleWeight + PriorWeight);
 }
 
 double LatencyModel::weight(TimePoint Now) const noexcept {
   if (Weight == 0.0)
     return 0.0;
-  const double Halves = static_cast<double>((Now - At).count()) /
-                        static_cast<double>(Half.count());
-  return Weight * std::exp2(-Halves);
+  const double ElapsedHalfLives =
+      static_cast<double>((Now - LastSampleAt).count()) /
+      static_cast<double>(WeightHalfLife.count());
+  return Weight * std::exp2(-ElapsedHalfLives);
 }
 
 void LatencyModel::reset() noexcept {
--- a/packages/request/src/coltsfoottrail/choice/latency.hpp
+++ b/packages/request/src/coltsfoottrail/choice/latency.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Smoothed time of service of an endpoint or a pool.
+/// Smoothed service time of an endpoint or a pool.
 #ifndef COLTSFOOTTRAIL_CHOICE_LATENCY_HPP
 #define COLTSFOOTTRAIL_CHOICE_LATENCY_HPP
 
@@ -8,52 +8,53 @@
 
 namespace coltsfoottrail {
 
-/// @brief Mean of samples that lose weight with each further sample and with
-/// time. Not thread-safe.
+/// @brief Exponentially weighted mean: samples lose weight with each further
+/// sample and with time. Not thread-safe.
 class LatencyModel {
 public:
   /// @brief Makes a model without samples.
-  /// @param KeepPerSample Part of the weight that is kept at each new sample.
-  /// @param HalfLife Time in which the weight falls to half.
+  /// @param KeepPerSample Fraction of the weight kept at each new sample.
+  /// @param HalfLife Time in which the weight halves.
   LatencyModel(double KeepPerSample, Duration HalfLife) noexcept
-      : Keep(KeepPerSample), Half(HalfLife) {}
+      : KeptFraction(KeepPerSample), WeightHalfLife(HalfLife) {}
 
   /// @brief Adds a sample.
   /// @param Seconds The sample.
   void record(double Seconds, TimePoint Now) noexcept;
 
-  /// @brief The mean, drawn towards a prior mean where samples are few.
-  /// @param Prior Mean to start from.
-  /// @param PriorWeight How many samples the prior counts for.
+  /// @brief The mean, combined with a prior mean that dominates while there are
+  /// few samples.
+  /// @param Prior The prior mean.
+  /// @param PriorWeight Weight of the prior, in samples.
   [[nodiscard]] double estimate(double Prior, double PriorWeight,
                                 TimePoint Now) const noexcept;
 
   /// @brief The mean of the samples; zero without samples.
   [[nodiscard]] double mean() const noexcept { return Mean; }
 
-  /// @brief Weight of the samples now.
+  /// @brief Total weight of the samples at Now.
   [[nodiscard]] double weight(TimePoint Now) const noexcept;
 
   /// @brief Forgets all samples.
   void reset() noexcept;
 
 private:
-  double Keep;
-  Duration Half;
+  double KeptFraction;
+  Duration WeightHalfLife;
   double Mean = 0.0;
   double Weight = 0.0;
-  TimePoint At;
+  TimePoint LastSampleAt;
 };
 
-/// @brief Model of an endpoint's time of service.
+/// @brief Model of an endpoint's service time.
 [[nodiscard]] inline LatencyModel recentService() noexcept {
   return {0.9, seconds(30)};
 }
-/// @brief Model of a whole pool's time of service.
+/// @brief Model of a whole pool's service time.
 [[nodiscard]] inline LatencyModel poolService() noexcept {
   return {0.99, seconds(300)};
 }
-/// @brief Model of the part of attempts that failed.
+/// @brief Model of the failure rate of attempts.
 [[nodiscard]] inline LatencyModel recentFailures() noexcept {
   return {0.9, seconds(5)};
 }
--- a/packages/request/src/coltsfoottrail/choice/load.cpp
+++ b/packages/request/src/coltsfoottrail/choice/load.cpp
@@ -8,19 +8,19 @@
 namespace {
 
 constexpr Duration StepLength = milliseconds(125);
-/// A report that is older says nothing any more.
-constexpr Duration ReportLife = seconds(10);
-/// What other hosts told counts for so long: several times the pace at which
-/// they tell. After that the endpoint's own report is better.
-constexpr Duration SharedLife = milliseconds(600);
-
-std::int64_t stepOf(TimePoint When) {
-  return When.time_since_epoch() / StepLength;
+/// Older load reports are ignored.
+constexpr Duration ReportLifetime = seconds(10);
+/// Lifetime of numbers sent by other hosts: several times the interval at which
+/// they are sent. After that the endpoint's own report is more accurate.
+constexpr Duration OtherHostLoadLifetime = milliseconds(600);
+
+std::int64_t stepOf(TimePoint Time) {
+  return Time.time_since_epoch() / StepLength;
 }
 
-std::uint16_t narrowed(std::uint32_t Count) {
-  constexpr std::uint32_t Most = std::numeric_limits<std::uint16_t>::max();
-  return static_cast<std::uint16_t>(std::min(Count, Most));
+std::uint16_t saturated(std::uint32_t Count) {
+  constexpr std::uint32_t Max = std::numeric_limits<std::uint16_t>::max();
+  return static_cast<std::uint16_t>(std::min(Count, Max));
 }
 
 } // namespace
@@ -28,8 +28,8 @@
 void LoadModel::roll(TimePoint Now) noexcept {
   const std::int64_t Step = stepOf(Now);
   const std::int64_t First = std::max(LastStep, Step - Steps);
-  for (std::int64_t Passed = First; Passed < Step; ++Passed)
-    AtEnd[static_cast<std::size_t>(Passed % Steps)] = narrowed(Own);
+  for (std::int64_t PassedStep = First; PassedStep < Step; ++PassedStep)
+    OwnAtStepEnd[static_cast<std::size_t>(PassedStep % Steps)] = saturated(Own);
   LastStep = Step;
 }
 
@@ -40,33 +40,35 @@
   ++(Late ? OwnLate : OwnFresh);
 }
 
-void LoadModel::begun(bool Late, std::uint32_t Tokens) noexcept {
+void LoadModel::responseStarted(bool Late, std::uint32_t Tokens) noexcept {
   --(Late ? OwnLate : OwnFresh);
   OwnUnread -= Tokens;
 }
 
-void LoadModel::ended(bool Late, bool Begun, TimePoint Now,
+void LoadModel::ended(bool Late, bool ResponseStarted, TimePoint Now,
                       std::uint32_t Tokens) noexcept {
   roll(Now);
   --Own;
-  if (!Begun)
-    begun(Late, Tokens);
+  if (!ResponseStarted)
+    responseStarted(Late, Tokens);
 }
 
-void LoadModel::share(const RequestLoad &Of, TimePoint Now) noexcept {
-  Shared = Of;
-  SharedAt = Now;
+void LoadModel::setOtherHostLoad(const RequestLoad &OtherHosts,
+                                 TimePoint Now) noexcept {
+  OtherHostLoad = OtherHosts;
+  OtherHostLoadAt = Now;
 }
 
-bool LoadModel::isShared(TimePoint Now) const noexcept {
-  return SharedAt != TimePoint{} && Now - SharedAt < SharedLife;
+bool LoadModel::hasOtherHostLoad(TimePoint Now) const noexcept {
+  return OtherHostLoadAt != TimePoint{} &&
+         Now - OtherHostLoadAt < OtherHostLoadLifetime;
 }
 
 std::optional<std::uint32_t>
 LoadModel::aheadOfFresh(TimePoint Now) const noexcept {
-  if (!isShared(Now))
+  if (!hasOtherHostLoad(Now))
     return std::nullopt;
-  return Own - OwnLate + Shared.Running + Shared.Fresh;
+  return Own - OwnLate + OtherHostLoad.Running + OtherHostLoad.Fresh;
 }
 
 RequestLoad LoadModel::ownLoad() const noexcept {
@@ -74,27 +76,28 @@
 }
 
 std::uint32_t LoadModel::unreadTokens(TimePoint Now) const noexcept {
-  return isShared(Now) ? OwnUnread + Shared.UnreadTokens : OwnUnread;
+  return hasOtherHostLoad(Now) ? OwnUnread + OtherHostLoad.UnreadTokens
+                               : OwnUnread;
 }
 
 void LoadModel::report(std::uint32_t Total, Duration Age,
                        TimePoint Now) noexcept {
-  const std::uint32_t Contained = ownAt(Now - Age);
-  Others = Total - std::min(Total, Contained);
+  const std::uint32_t OwnInReport = ownAt(Now - Age);
+  ReportedByOthers = Total - std::min(Total, OwnInReport);
   ReportedAt = Now - Age;
 }
 
 std::uint32_t LoadModel::load(TimePoint Now) const noexcept {
-  if (isShared(Now))
-    return Own + Shared.total();
-  return Now - ReportedAt < ReportLife ? Own + Others : Own;
+  if (hasOtherHostLoad(Now))
+    return Own + OtherHostLoad.total();
+  return Now - ReportedAt < ReportLifetime ? Own + ReportedByOthers : Own;
 }
 
-std::uint32_t LoadModel::ownAt(TimePoint Then) const noexcept {
-  const std::int64_t Step = std::max(stepOf(Then), LastStep - Steps);
+std::uint32_t LoadModel::ownAt(TimePoint Time) const noexcept {
+  const std::int64_t Step = std::max(stepOf(Time), LastStep - Steps);
   if (Step >= LastStep)
     return Own;
-  return AtEnd[static_cast<std::size_t>(Step % Steps)];
+  return OwnAtStepEnd[static_cast<std::size_t>(Step % Steps)];
 }
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/choice/ring.cpp
+++ b/packages/request/src/coltsfoottrail/choice/ring.cpp
@@ -10,16 +10,16 @@
 constexpr std::uint64_t PointsPerEndpoint = 8;
 } // namespace
 
-void HashRing::add(std::string_view Key, CandidateId Which) {
+void HashRing::add(std::string_view Key, CandidateId Id) {
   for (std::uint64_t Index = 0; Index < PointsPerEndpoint; ++Index)
-    Points.push_back(Point{hashText(Key, Index), Which});
+    Points.push_back(Point{hashText(Key, Index), Id});
 }
 
-void HashRing::sort() { std::ranges::sort(Points, {}, &Point::Place); }
+void HashRing::sort() { std::ranges::sort(Points, {}, &Point::Position); }
 
-std::size_t HashRing::firstAfter(std::uint64_t PrefixHash) const {
+std::size_t HashRing::firstPointFrom(std::uint64_t PrefixHash) const {
   const auto Found =
-      std::ranges::lower_bound(Points, PrefixHash, {}, &Point::Place);
+      std::ranges::lower_bound(Points, PrefixHash, {}, &Point::Position);
   return static_cast<std::size_t>(Found - Points.begin());
 }
 
--- a/packages/request/src/coltsfoottrail/choice/ring.hpp
+++ b/packages/request/src/coltsfoottrail/choice/ring.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Consistent hashing from prefixes to endpoints, alike on all entry hosts.
+/// Consistent hashing from prefixes to endpoints, the same on all entry hosts.
 #ifndef COLTSFOOTTRAIL_CHOICE_RING_HPP
 #define COLTSFOOTTRAIL_CHOICE_RING_HPP
 
@@ -12,39 +12,41 @@
 
 namespace coltsfoottrail {
 
-/// @brief Ring of endpoints: entry hosts that know the same endpoints place a
-/// prefix at the same one without talking to each other. Not thread-safe.
+/// @brief Hash ring: entry hosts that know the same endpoints map a prefix to
+/// the same one without communication. Not thread-safe.
 class HashRing {
 public:
   /// @brief Empties the ring.
   void clear() noexcept { Points.clear(); }
-  /// @brief Adds an endpoint; sort() must follow before at().
-  void add(std::string_view Key, CandidateId Which);
-  /// @brief Orders the points.
+  /// @brief Adds an endpoint; sort() must be called before visitFrom().
+  void add(std::string_view Key, CandidateId Id);
+  /// @brief Sorts the points.
   void sort();
 
-  /// @brief Endpoints from a prefix's place on, nearest first. An endpoint may
-  /// come more than once.
+  /// @brief Visits endpoints in ring order from a prefix's position. An
+  /// endpoint may be visited more than once.
   /// @param PrefixHash The prefix.
-  /// @param Most How many.
-  /// @param Visit Takes a CandidateId, returns whether to stop.
+  /// @param MaxPoints Largest number of visits.
+  /// @param Visit Takes a CandidateId and returns whether to stop.
   template <class Function>
-  void at(std::uint64_t PrefixHash, std::size_t Most, Function Visit) const {
-    std::size_t Place = firstAfter(PrefixHash);
-    for (std::size_t Step = 0; Step < Most && Step < Points.size(); ++Step) {
-      if (Visit(Points[Place % Points.size()].Which))
+  void visitFrom(std::uint64_t PrefixHash, std::size_t MaxPoints,
+                 Function Visit) const {
+    std::size_t Position = firstPointFrom(PrefixHash);
+    for (std::size_t Step = 0; Step < MaxPoints && Step < Points.size();
+         ++Step) {
+      if (Visit(Points[Position % Points.size()].Id))
         return;
-      ++Place;
+      ++Position;
     }
   }
 
 private:
   struct Point {
-    std::uint64_t Place = 0;
-    CandidateId Which;
+    std::uint64_t Position = 0;
+    CandidateId Id;
   };
 
-  [[nodiscard]] std::size_t firstAfter(std::uint64_t PrefixHash) const;
+  [[nodiscard]] std::size_t firstPointFrom(std::uint64_t PrefixHash) const;
 
   std::vector<Point> Points;
 };
--- a/packages/request/test/coltsfoottrail/choice/chooser.cpp
+++ b/packages/request/test/coltsfoottrail/choice/chooser.cpp
@@ -10,16 +10,16 @@
 constexpr TimePoint Start{seconds(100)};
 
 Pool poolOf(std::size_t Count, std::size_t DataCentres = 1) {
-  Pool Wanted;
+  Pool Result;
   for (std::size_t Index = 0; Index < Count; ++Index) {
     EndpointSpec Spec;
     Spec.Key = "endpoint-" + std::to_string(1000 + Index);
     Spec.DataCentre =
         DataCentreName("dc-" + std::to_string(Index % DataCentres));
     Spec.WarmBound = 8;
-    Wanted.Endpoints.push_back(Spec);
+    Result.Endpoints.push_back(Spec);
   }
-  return Wanted;
+  return Result;
 }
 
 class ChooserTest : public testing::Test {
@@ -34,20 +34,20 @@
     return *Choice.find("endpoint-" + std::to_string(1000 + Index));
   }
   CandidateId send(const ChoiceQuery &Query = {}) {
-    const std::optional<CandidateId> Which = Choice.choose(Query, Now);
-    EXPECT_TRUE(Which);
-    Choice.sent(*Which, Query, Now);
-    return *Which;
+    const std::optional<CandidateId> Id = Choice.choose(Query, Now);
+    EXPECT_TRUE(Id);
+    Choice.sent(*Id, Query, Now);
+    return *Id;
   }
-  void answer(CandidateId Which, Duration Total, std::uint64_t Prefix = 0) {
-    Choice.ended(Which,
+  void answer(CandidateId Id, Duration Total, std::uint64_t Prefix = 0) {
+    Choice.ended(Id,
                  EndedAttempt{AttemptOutcome::Answered, Prefix, 1.0, false,
                               false, Total},
                  Now);
   }
-  void fail(CandidateId Which) {
+  void fail(CandidateId Id) {
     Choice.ended(
-        Which,
+        Id,
         EndedAttempt{AttemptOutcome::Failed, 0, 1.0, false, false, Duration{}},
         Now);
   }
@@ -56,14 +56,14 @@
   TimePoint Now = Start;
 };
 
-// The bound of a cold endpoint is broken and it falls over: a hint, a probe or
-// a policy chose it although this entry host's share of it was used up.
+// No policy, hint or probe may choose an endpoint beyond this entry host's
+// share of it; a cold endpoint would be overloaded and fail.
 TEST(ChooserProperty, ShareIsNeverPassedUnderAnyPolicy) {
   const std::vector<ChoicePolicy> Policies{EstimatedWaitPolicy{},
                                            RandomPolicy{}, RoundRobinPolicy{},
                                            LeastInFlightPolicy{}};
   for (std::uint64_t Seed = 0; Seed < 40; ++Seed) {
-    Random Draw(Seed);
+    Random Rng(Seed);
     Chooser Choice(DataCentreName("dc-0"), Policies[Seed % 4], Seed);
     TimePoint Now = Start;
     std::vector<CandidateId> Running;
@@ -72,62 +72,61 @@
     std::size_t Count = 6;
     Choice.configure(poolOf(Count, 2));
     for (int Step = 0; Step < 1500; ++Step) {
-      Now += milliseconds(Draw.below(200));
+      Now += milliseconds(Rng.below(200));
       const std::string Key =
-          "endpoint-" + std::to_string(1000 + Draw.below(Count));
-      const std::optional<CandidateId> Named = Choice.find(Key);
-      const std::uint64_t Kind = Draw.below(10);
-      if (Kind < 5) {
-        const ChoiceQuery Query{Draw.below(5), 1.0, std::nullopt,
-                                Draw.below(4) == 0};
-        if (const auto Which = Choice.choose(Query, Now)) {
-          const std::string Chosen = Choice.candidate(*Which)->Spec.Key;
-          ASSERT_LT(Own[Chosen], Shares[Chosen]) << "seed " << Seed;
+          "endpoint-" + std::to_string(1000 + Rng.below(Count));
+      const std::optional<CandidateId> Found = Choice.find(Key);
+      const std::uint64_t Action = Rng.below(10);
+      if (Action < 5) {
+        const ChoiceQuery Query{Rng.below(5), 1.0, std::nullopt,
+                                Rng.below(4) == 0};
+        if (const auto Id = Choice.choose(Query, Now)) {
+          const std::string ChosenKey = Choice.candidate(*Id)->Spec.Key;
+          ASSERT_LT(Own[ChosenKey], Shares[ChosenKey]) << "seed " << Seed;
           if (Query.Suspect)
             continue;
-          Choice.sent(*Which, Query, Now);
-          ++Own[Chosen];
-          Running.push_back(*Which);
+          Choice.sent(*Id, Query, Now);
+          ++Own[ChosenKey];
+          Running.push_back(*Id);
         }
-      } else if (Kind < 8 && !Running.empty()) {
-        const std::size_t Index = Draw.below(Running.size());
+      } else if (Action < 8 && !Running.empty()) {
+        const std::size_t Index = Rng.below(Running.size());
         std::swap(Running[Index], Running.back());
-        const CandidateId Which = Running.back();
+        const CandidateId Id = Running.back();
         Running.pop_back();
-        --Own[Choice.candidate(Which)->Spec.Key];
-        Choice.ended(Which,
-                     EndedAttempt{static_cast<AttemptOutcome>(Draw.below(4)),
-                                  Draw.below(5), 1.0, false, false,
-                                  milliseconds(Draw.below(3000))},
+        --Own[Choice.candidate(Id)->Spec.Key];
+        Choice.ended(Id,
+                     EndedAttempt{static_cast<AttemptOutcome>(Rng.below(4)),
+                                  Rng.below(5), 1.0, false, false,
+                                  milliseconds(Rng.below(3000))},
                      Now);
-      } else if (Kind == 8 && Named) {
-        Shares[Key] = static_cast<std::uint32_t>(Draw.below(4));
-        if (!Choice.candidate(*Named)->Current)
+      } else if (Action == 8 && Found) {
+        Shares[Key] = static_cast<std::uint32_t>(Rng.below(4));
+        if (!Choice.candidate(*Found)->Current)
           Shares[Key] = 0;
-        Choice.setShare(*Named, Shares[Key]);
-      } else if (Draw.below(10) == 0) {
+        Choice.setShare(*Found, Shares[Key]);
+      } else if (Rng.below(10) == 0) {
         const std::size_t Before = Count;
-        Count = 1 + Draw.below(8);
+        Count = 1 + Rng.below(8);
         Choice.configure(poolOf(Count, 2));
-        for (std::size_t Gone = Count; Gone < Before; ++Gone)
-          Shares["endpoint-" + std::to_string(1000 + Gone)] = 0;
+        for (std::size_t Removed = Count; Removed < Before; ++Removed)
+          Shares["endpoint-" + std::to_string(1000 + Removed)] = 0;
       }
     }
   }
 }
 
-// Gate staff see one draft in ten take five times as long, all morning: three
-// machines of fifty throttle, and a policy that counts requests only cannot
-// tell them from the others.
+// Some machines throttle, and requests there take five times as long. A policy
+// that only counts requests cannot tell them from the others.
 TEST_F(ChooserTest, StragglersAreLeftOutAndTriedAgain) {
   prepare(50, 4);
   const CandidateId Slow = id(7);
   int ToSlow = 0;
   for (int Round = 0; Round < 3000; ++Round) {
     Now += milliseconds(10);
-    const CandidateId Which = send();
-    ToSlow += Which == Slow ? 1 : 0;
-    answer(Which, Which == Slow ? seconds(5) : seconds(1));
+    const CandidateId Id = send();
+    ToSlow += Id == Slow ? 1 : 0;
+    answer(Id, Id == Slow ? seconds(5) : seconds(1));
   }
   EXPECT_LT(ToSlow, 30) << "an even share is 60";
   EXPECT_GT(ToSlow, 0);
@@ -138,14 +137,14 @@
   EXPECT_EQ(Choice.ejected(), 0U) << "it is fast again and was taken back";
 }
 
-// The last endpoints break down under the whole load: every endpoint turned
-// slow, and one after the other was ejected.
+// If every endpoint slows down or fails, not all may be ejected; the last ones
+// would fail under the whole load.
 TEST_F(ChooserTest, EjectionStopsAtItsCap) {
   prepare(50, 4);
   for (int Round = 0; Round < 2000; ++Round) {
     Now += milliseconds(1);
-    const CandidateId Which = send();
-    answer(Which, Which.Index < 25 ? seconds(9) : seconds(1));
+    const CandidateId Id = send();
+    answer(Id, Id.Index < 25 ? seconds(9) : seconds(1));
   }
   EXPECT_LE(Choice.ejected(), 10U);
   for (int Round = 0; Round < 2000; ++Round) {
@@ -156,28 +155,28 @@
   EXPECT_TRUE(Choice.hasRoom());
 }
 
-// Most requests of a minute fail: one endpoint refuses connections at once, is
-// never busy, and so looks like the best choice each time.
+// An endpoint that refuses connections at once is never busy and would appear
+// to be the best choice each time.
 TEST_F(ChooserTest, EndpointThatFailsAtOnceDoesNotDrawRequests) {
   prepare(10, 4);
   const CandidateId Broken = id(3);
   int Failed = 0;
   for (int Round = 0; Round < 1000; ++Round) {
     Now += milliseconds(5);
-    const CandidateId Which = send();
-    if (Which == Broken) {
-      fail(Which);
+    const CandidateId Id = send();
+    if (Id == Broken) {
+      fail(Id);
       ++Failed;
     } else {
-      answer(Which, milliseconds(500));
+      answer(Id, milliseconds(500));
     }
   }
   EXPECT_GE(Failed, 2);
   EXPECT_LE(Failed, 5);
 }
 
-// A service's only instance fails two calls and then nothing is sent to it for
-// seconds, though it would answer.
+// A service's only instance fails two requests. It must not be ejected: it may
+// answer the next one.
 TEST_F(ChooserTest, OnlyEndpointIsNeverLeftOut) {
   prepare(1, 4);
   for (int Round = 0; Round < 10; ++Round)
@@ -185,8 +184,8 @@
   EXPECT_TRUE(Choice.choose({}, Now));
 }
 
-// All work stops although an endpoint is there: the two healthy ones of three
-// are drained while the third is still ejected.
+// Two healthy endpoints of three are removed while the third is still ejected.
+// The ejected one must be used.
 TEST_F(ChooserTest, EjectedEndpointIsUsedWhenAllOthersLeave) {
   prepare(3, 4);
   const CandidateId First = id(0);
@@ -210,12 +209,13 @@
   EXPECT_LE(Sent[id(5).Index], 4);
 }
 
-// Requests of a team go on to an endpoint that dropped their prefix minutes
-// ago: the feed was cut, and the event that said so was among those lost.
+// The event feed was interrupted and the eviction of a prefix was among the
+// lost events. Requests must not be sent to that endpoint for the prefix any
+// longer.
 TEST_F(ChooserTest, LongGapInCacheEventsVoidsTheHints) {
-  EstimatedWaitPolicy Chosen;
-  Chosen.UseRing = false;
-  Choice = Chooser(DataCentreName("dc-0"), Chosen, 1);
+  EstimatedWaitPolicy Settings;
+  Settings.UseRing = false;
+  Choice = Chooser(DataCentreName("dc-0"), Settings, 1);
   prepare(200, 8);
   const auto Hits = [this] {
     int Found = 0;
@@ -234,12 +234,12 @@
   EXPECT_LT(Hits(), 5);
 }
 
-// The same, but the lost event was the only one: nothing ever corrects the
-// hint.
+// The lost event was the last one, so no sequence gap shows that the hint is
+// wrong. It must expire.
 TEST_F(ChooserTest, HintThatNothingRenewsExpires) {
-  EstimatedWaitPolicy Chosen;
-  Chosen.UseRing = false;
-  Choice = Chooser(DataCentreName("dc-0"), Chosen, 1);
+  EstimatedWaitPolicy Settings;
+  Settings.UseRing = false;
+  Choice = Chooser(DataCentreName("dc-0"), Settings, 1);
   prepare(200, 8);
   Choice.observeCache(id(5), CacheChange{42, true, 1}, Now);
   Now += seconds(119);
@@ -251,19 +251,19 @@
   EXPECT_LT(Found, 5);
 }
 
-// Requests queue for a cached prefix although caching saves next to nothing, or
-// are spread although it saves half: the saving was a guess.
+// With a wrong estimate of the saving, requests queue for a cached prefix that
+// saves next to nothing, or are spread although caching saves half.
 TEST_F(ChooserTest, SavingOfTheCacheIsLearned) {
   for (const milliseconds Cached : {milliseconds(950), milliseconds(400)}) {
-    EstimatedWaitPolicy Chosen;
-    Chosen.UseRing = false;
-    Choice = Chooser(DataCentreName("dc-0"), Chosen, 1);
+    EstimatedWaitPolicy Settings;
+    Settings.UseRing = false;
+    Choice = Chooser(DataCentreName("dc-0"), Settings, 1);
     prepare(20, 8);
     for (int Round = 0; Round < 200; ++Round) {
       const ChoiceQuery Query{static_cast<std::uint64_t>(1 + Round / 2)};
-      const CandidateId Which = *Choice.choose(Query, Now);
-      const bool Hinted = Choice.sent(Which, Query, Now);
-      Choice.ended(Which,
+      const CandidateId Id = *Choice.choose(Query, Now);
+      const bool Hinted = Choice.sent(Id, Query, Now);
+      Choice.ended(Id,
                    EndedAttempt{AttemptOutcome::Answered, Query.PrefixHash, 1.0,
                                 false, Hinted,
                                 Hinted ? Cached : milliseconds(1000)},
@@ -287,8 +287,8 @@
   }
 }
 
-// An endpoint turned cold unannounced; what was learned of the warm one makes
-// it look fast, and its cache look filled.
+// An endpoint restarted unannounced. Statistics and hints from its earlier run
+// would make it appear fast and its cache filled.
 TEST_F(ChooserTest, NewRunForgetsWhatWasLearned) {
   prepare(10, 8);
   EXPECT_FALSE(Choice.observe(id(2), LoadReport{"", 7, 1, 0}, Now));
@@ -324,9 +324,9 @@
 TEST_F(ChooserTest, NearOnesArePreferredUntilTheyAreBusy) {
   prepare(30, 8, 3);
   for (int Count = 0; Count < 60; ++Count) {
-    const CandidateId Which = send();
-    EXPECT_TRUE(Choice.candidate(Which)->IsNear);
-    answer(Which, seconds(1));
+    const CandidateId Id = send();
+    EXPECT_TRUE(Choice.candidate(Id)->IsNear);
+    answer(Id, seconds(1));
   }
   int Near = 0;
   for (int Count = 0; Count < 120; ++Count)
--- a/packages/request/test/coltsfoottrail/choice/comparison.cpp
+++ b/packages/request/test/coltsfoottrail/choice/comparison.cpp
@@ -14,8 +14,9 @@
   return Simulation(Options).run();
 }
 
-// Gate staff wait longer than with a simple round robin: the estimates lag, the
-// entry hosts herd, or prefixes are spread over all caches.
+// The policy must not be worse than simple ones because its estimates lag, the
+// entry hosts all choose the same endpoint, or prefixes are spread over all
+// caches.
 TEST(Comparison, EstimatedWaitBeatsTheSimplePolicies) {
   const SimulationResult Own = run(EstimatedWaitPolicy{});
   for (const ChoicePolicy &Simple :
--- a/packages/request/test/coltsfoottrail/choice/forecast.cpp
+++ b/packages/request/test/coltsfoottrail/choice/forecast.cpp
@@ -10,65 +10,66 @@
 
 constexpr TimePoint Start{seconds(100)};
 
-EnginePace usualPace() { return {0.006, 0.00005, 50'000.0, 2'000, 5}; }
+EnginePace typicalPace() { return {0.006, 0.00005, 50'000.0, 2'000, 5}; }
 
 TEST(Forecast, AddsWhatIsReadAndWrittenBefore) {
   EngineBacklog Idle;
   Idle.Slots = 10;
-  // 1,000 tokens are 20 ms, one step beside the chunk and five to the event.
-  EXPECT_EQ(firstEventAfter(usualPace(), Idle, 1'000), milliseconds(56));
+  // 20 ms for 1,000 tokens, plus one decode step with the chunk and five until
+  // the event, of 6 ms each.
+  EXPECT_EQ(firstEventAfter(typicalPace(), Idle, 1'000), milliseconds(56));
   EngineBacklog Busy = Idle;
   Busy.UnreadTokens = 9'000;
-  EXPECT_EQ(firstEventAfter(usualPace(), Busy, 1'000), milliseconds(260));
+  EXPECT_EQ(firstEventAfter(typicalPace(), Busy, 1'000), milliseconds(260));
 }
 
 TEST(Forecast, CountsTheWaitForASlot) {
   EngineBacklog Full;
   Full.Slots = 10;
-  Full.Ahead = 9;
+  Full.RequestsAhead = 9;
   Full.SecondsPerRequest = 2.0;
-  const Duration LastSlot = firstEventAfter(usualPace(), Full, 1'000);
-  Full.Ahead = 11;
-  const Duration SecondInLine = firstEventAfter(usualPace(), Full, 1'000);
+  const Duration LastSlot = firstEventAfter(typicalPace(), Full, 1'000);
+  Full.RequestsAhead = 11;
+  const Duration SecondInLine = firstEventAfter(typicalPace(), Full, 1'000);
   EXPECT_GE(SecondInLine - LastSlot, milliseconds(400));
 }
 
 class PacedChooser : public testing::Test {
 protected:
   PacedChooser() {
-    Pool Wanted;
-    Wanted.Pace = usualPace();
+    Pool PacedPool;
+    PacedPool.Pace = typicalPace();
     for (const char *const Key : {"one", "other"}) {
       EndpointSpec Spec;
       Spec.Key = Key;
       Spec.WarmBound = 10;
-      Wanted.Endpoints.push_back(Spec);
+      PacedPool.Endpoints.push_back(Spec);
     }
-    Choice.configure(Wanted);
+    Choice.configure(PacedPool);
     Choice.setShare(id("one"), 10);
     Choice.setShare(id("other"), 10);
   }
   static EstimatedWaitPolicy byLoad() {
-    EstimatedWaitPolicy Out;
-    Out.FullByLoad = true;
-    Out.NearProbes = 16;
-    return Out;
+    EstimatedWaitPolicy Result;
+    Result.FullByLoad = true;
+    Result.NearProbes = 16;
+    return Result;
   }
   [[nodiscard]] CandidateId id(std::string_view Key) const {
     return *Choice.find(Key);
   }
   static ChoiceQuery prompt(std::uint32_t Tokens) {
-    ChoiceQuery Out;
-    Out.PromptTokens = Tokens;
-    return Out;
+    ChoiceQuery Result;
+    Result.PromptTokens = Tokens;
+    return Result;
   }
 
   Chooser Choice{DataCentreName("dc"), byLoad(), 1};
 };
 
-// A caller's stream begins a fifth of a second late although an engine idles.
-// One engine has one request with a long prompt, the other has three short
-// ones: by number of requests the first looks free.
+// One engine has one request with a long prompt, the other has three with short
+// prompts. By number of requests the first appears less busy, but a stream
+// would start a fifth of a second late there.
 TEST_F(PacedChooser, GoesWherePromptsAreReadFirst) {
   Choice.sent(id("one"), prompt(12'000), Start);
   for (int Index = 0; Index < 3; ++Index)
@@ -76,19 +77,19 @@
   EXPECT_EQ(Choice.choose(prompt(500), Start), id("other"));
 }
 
-// A fresh request is sent where it can only be late, and every stream there
-// pauses while its prompt is read.
+// A request that can only be late at an endpoint is not sent there, as every
+// stream there would pause during its prefill.
 TEST_F(PacedChooser, SendsNothingThatWouldBeginTooLate) {
   Choice.sent(id("one"), prompt(12'000), Start);
   Choice.sent(id("other"), prompt(12'000), Start);
-  ChoiceQuery Hurried = prompt(500);
-  Hurried.FirstEventTimeLeft = milliseconds(200);
-  EXPECT_EQ(Choice.choose(Hurried, Start), std::nullopt);
-  Hurried.FirstEventTimeLeft = milliseconds(600);
-  EXPECT_TRUE(Choice.choose(Hurried, Start));
+  ChoiceQuery Urgent = prompt(500);
+  Urgent.FirstEventTimeLeft = milliseconds(200);
+  EXPECT_EQ(Choice.choose(Urgent, Start), std::nullopt);
+  Urgent.FirstEventTimeLeft = milliseconds(600);
+  EXPECT_TRUE(Choice.choose(Urgent, Start));
 }
 
-// An engine with nothing to read takes any request: a forecast that is too
+// An engine without pending prefill accepts any request: a forecast that is too
 // long must not keep it idle.
 TEST_F(PacedChooser, AnIdleEngineTakesWhatItCannotBeginInTime) {
   ChoiceQuery Long = prompt(40'000);
@@ -96,7 +97,7 @@
   EXPECT_TRUE(Choice.choose(Long, Start));
 }
 
-// What other hosts have sent counts like one's own.
+// Prompts sent by other hosts count like this host's.
 TEST_F(PacedChooser, CountsPromptsOfOtherHosts) {
   const std::vector<EndpointLoad> Others{{hashText("one"), {0, 1, 0, 12'000}}};
   Choice.setOtherHostLoads(Others, Start);
--- a/packages/request/test/coltsfoottrail/choice/hints.cpp
+++ b/packages/request/test/coltsfoottrail/choice/hints.cpp
@@ -8,7 +8,7 @@
 
 constexpr TimePoint Start{seconds(100)};
 
-std::size_t places(const PrefixHints &Hints, std::uint64_t PrefixHash) {
+std::size_t hintCount(const PrefixHints &Hints, std::uint64_t PrefixHash) {
   const auto Set = Hints.setOf(PrefixHash);
   return static_cast<std::size_t>(
       std::ranges::count(Set, PrefixHash, &PrefixHints::Hint::PrefixHash));
@@ -28,9 +28,9 @@
     Hints.add({Index, CandidateId{0, 1}, Start + seconds(Index), 1});
   Hints.add({1, CandidateId{0, 1}, Start + seconds(9), 1});
   Hints.add({5, CandidateId{0, 1}, Start + seconds(5), 1});
-  EXPECT_EQ(places(Hints, 1), 1U);
-  EXPECT_EQ(places(Hints, 2), 0U);
-  EXPECT_EQ(places(Hints, 5), 1U);
+  EXPECT_EQ(hintCount(Hints, 1), 1U);
+  EXPECT_EQ(hintCount(Hints, 2), 0U);
+  EXPECT_EQ(hintCount(Hints, 5), 1U);
 }
 
 TEST(PrefixHints, RemovalLeavesOtherEndpoints) {
@@ -38,7 +38,7 @@
   Hints.add({7, CandidateId{1, 1}, Start, 1});
   Hints.add({7, CandidateId{2, 1}, Start, 1});
   Hints.remove(7, CandidateId{1, 1});
-  EXPECT_EQ(places(Hints, 7), 1U);
+  EXPECT_EQ(hintCount(Hints, 7), 1U);
 }
 
 } // namespace
--- a/packages/request/test/coltsfoottrail/choice/load.cpp
+++ b/packages/request/test/coltsfoottrail/choice/load.cpp
@@ -7,8 +7,8 @@
 
 constexpr TimePoint Start{seconds(100)};
 
-// All requests of a second go to one endpoint and queue there: it reported no
-// load just before, and the next report is a second away.
+// An endpoint that has just reported no load must not get all requests until
+// its next report, a second later.
 TEST(LoadModel, OwnRequestsSinceTheReportAreAdded) {
   LoadModel Load;
   Load.report(3, Duration{}, Start);
@@ -27,7 +27,8 @@
   EXPECT_EQ(Load.load(Start + milliseconds(200)), 6U);
 }
 
-// A report that was 500 ms on its way cannot contain what was sent meanwhile.
+// A report that takes 500 ms to arrive cannot contain requests that were sent
+// in the meantime.
 TEST(LoadModel, AgeTellsWhatTheReportContains) {
   LoadModel Load;
   Load.sent(false, Start);
@@ -46,20 +47,20 @@
   EXPECT_EQ(Load.load(Start + seconds(10)), 1U);
 }
 
-// Callers are refused while a leader has free places.
-// Its last report is half a second old; the other entry hosts tell that their
-// requests there have ended since. Late ones that wait there are behind a fresh
-// request in any case.
+// An endpoint's last report is old, and the other entry hosts' requests there
+// have ended since. Their numbers take precedence over the report; otherwise
+// callers are refused while there are free slots. Late requests waiting there
+// are served after a new one that can be on time.
 TEST(LoadModel, WhatOtherHostsTellGoesBeforeTheReport) {
   LoadModel Load;
   Load.sent(false, Start);
   Load.sent(true, Start);
   Load.report(30, Duration{}, Start);
   EXPECT_FALSE(Load.aheadOfFresh(Start));
-  Load.share({5, 1, 9}, Start);
+  Load.setOtherHostLoad({5, 1, 9}, Start);
   EXPECT_EQ(Load.load(Start), 17U);
   EXPECT_EQ(Load.aheadOfFresh(Start), 7U);
-  Load.begun(true);
+  Load.responseStarted(true);
   EXPECT_EQ(Load.ownLoad(), (RequestLoad{1, 1, 0}));
   EXPECT_EQ(Load.aheadOfFresh(Start), 8U);
   EXPECT_FALSE(Load.aheadOfFresh(Start + seconds(1))) << "no news for too long";
