--- a/packages/request/test/coltsfoottrail/admission/manager.cpp
+++ b/packages/request/test/coltsfoottrail/admission/manager.cpp
@@ -234,8 +234,9 @@
   EXPECT_EQ(Sim.Highest[Sim.Keys[0]], 4U);
 }
 
-// With many hosts and a large pool, each host talks to few peers, and each
-// endpoint is used by at least one host.
+// With a thousand hosts and a pool of five thousand endpoints (here a fifth of
+// both), each host talks to few peers, and each endpoint is used by at least
+// one host.
 TEST(Admission, LargePoolIsUsedInParts) {
   constexpr std::size_t HostCount = 200;
   RouteTable Table;
