--- a/packages/request/src/coltsfoottrail/claims/codec.cpp
+++ b/packages/request/src/coltsfoottrail/claims/codec.cpp
@@ -13,153 +13,155 @@
 
 namespace {
 
-constexpr std::uint64_t BatchFormVersion = 1;
+constexpr std::uint64_t BatchFormatVersion = 1;
 constexpr std::size_t MaxContentTypeBytes = 1024;
 constexpr std::uint64_t MaxBudgetMs = 24ULL * 3600 * 1000;
 constexpr std::string_view BatchSource = "claims record";
 
-constexpr std::array<std::string_view, 3> SettlementWords{"released", "unknown",
+constexpr std::array<std::string_view, 3> SettlementTypes{"released", "unknown",
                                                           "outcome"};
-constexpr std::array<std::string_view, 2> ItemWords{"made", "ended"};
-constexpr std::array<std::string_view, 5> MessageWords{
+constexpr std::array<std::string_view, 2> ItemTypes{"made", "ended"};
+constexpr std::array<std::string_view, 5> MessageTypes{
     "claim-ask", "claim-settle", "claim-query", "claim-answer",
     "claim-settled"};
-constexpr std::array<std::string_view, 9> DecisionWords{
+constexpr std::array<std::string_view, 9> DecisionTypes{
     "granted",     "replay",      "in-progress", "body-differs", "may-have-run",
     "key-expired", "unavailable", "not-run",     "not-known"};
 
-void writeId(Json &Into, ClaimId Id) {
-  Into["run"] = Id.Run;
-  Into["seq"] = Id.Sequence;
+void writeId(Json &Object, ClaimId Id) {
+  Object["run"] = Id.Run;
+  Object["seq"] = Id.Sequence;
 }
 
-ClaimId readId(ObjectReader &From) {
-  const std::uint64_t Run = From.number("run");
-  return ClaimId{Run, From.number("seq")};
+ClaimId readId(ObjectReader &Reader) {
+  const std::uint64_t Run = Reader.number("run");
+  return ClaimId{Run, Reader.number("seq")};
 }
 
-void writeKey(Json &Into, const ClaimKey &Key) {
-  Into["team"] = Key.Team.Text;
-  Into["key"] = Key.Key;
+void writeKey(Json &Object, const ClaimKey &Key) {
+  Object["team"] = Key.Team.Text;
+  Object["key"] = Key.Key;
 }
 
-ClaimKey readKey(ObjectReader &From) {
-  TeamName Team(From.text("team"));
-  return ClaimKey{std::move(Team), From.text("key", MaxClaimKeyBytes)};
+ClaimKey readKey(ObjectReader &Reader) {
+  TeamName Team(Reader.text("team"));
+  return ClaimKey{std::move(Team), Reader.text("key", MaxClaimKeyBytes)};
 }
 
-void writeRequest(Json &Into, const ClaimRequest &Request) {
-  writeKey(Into, Request.ScopedKey);
-  Into["digest"] = Request.BodyDigest;
+void writeRequest(Json &Object, const ClaimRequest &Request) {
+  writeKey(Object, Request.ScopedKey);
+  Object["digest"] = Request.BodyDigest;
   if (Request.Birth)
-    Into["birth"] = *Request.Birth;
+    Object["birth"] = *Request.Birth;
 }
 
-ClaimRequest readRequest(ObjectReader &From) {
+ClaimRequest readRequest(ObjectReader &Reader) {
   ClaimRequest Request;
-  Request.ScopedKey = readKey(From);
-  Request.BodyDigest = From.text("digest");
-  if (From.has("birth"))
-    Request.Birth = From.number("birth");
+  Request.ScopedKey = readKey(Reader);
+  Request.BodyDigest = Reader.text("digest");
+  if (Reader.has("birth"))
+    Request.Birth = Reader.number("birth");
   return Request;
 }
 
-void writeOutcome(Json &Into, const StoredOutcome &Outcome) {
-  Into["status"] = Outcome.Status;
+void writeOutcome(Json &Object, const StoredOutcome &Outcome) {
+  Object["status"] = Outcome.Status;
   if (!Outcome.ContentType.empty())
-    Into["type"] = Outcome.ContentType;
-  // Bytes and not text: an endpoint's answer may hold anything.
+    Object["type"] = Outcome.ContentType;
+  // Binary, not text: an endpoint's response may contain any bytes.
   if (!Outcome.Body.empty())
-    Into["body"] = Json::binary({Outcome.Body.begin(), Outcome.Body.end()});
-  Into["kept"] = Outcome.BodyKept;
+    Object["body"] = Json::binary({Outcome.Body.begin(), Outcome.Body.end()});
+  Object["kept"] = Outcome.BodyKept;
 }
 
-std::string readBody(ObjectReader &From) {
-  const Json &Value = From.raw("body");
+std::string readBody(ObjectReader &Reader) {
+  const Json &Value = Reader.raw("body");
   if (Value.is_null())
     return {};
   if (!Value.is_binary() || Value.get_binary().size() > MaxOutcomeBytes)
-    From.refuse("body",
-                "at most " + std::to_string(MaxOutcomeBytes) + " bytes");
+    Reader.refuse("body",
+                  "at most " + std::to_string(MaxOutcomeBytes) + " bytes");
   const auto &Bytes = Value.get_binary();
   return {Bytes.begin(), Bytes.end()};
 }
 
-StoredOutcome readOutcome(ObjectReader &From) {
+StoredOutcome readOutcome(ObjectReader &Reader) {
   StoredOutcome Outcome;
   constexpr std::uint64_t MaxStatus = 999;
   Outcome.Status =
-      static_cast<std::uint32_t>(From.number("status", 0, MaxStatus));
-  Outcome.ContentType = From.textOr("type", "", MaxContentTypeBytes);
-  Outcome.Body = readBody(From);
-  Outcome.BodyKept = From.flagOr("kept", true);
+      static_cast<std::uint32_t>(Reader.number("status", 0, MaxStatus));
+  Outcome.ContentType = Reader.textOr("type", "", MaxContentTypeBytes);
+  Outcome.Body = readBody(Reader);
+  Outcome.BodyKept = Reader.flagOr("kept", true);
   return Outcome;
 }
 
-void writeSettlement(Json &Into, const Settlement &How) {
-  Into["how"] = SettlementWords[How.index()];
-  if (const auto *const Outcome = std::get_if<StoredOutcome>(&How))
-    writeOutcome(Into, *Outcome);
+void writeSettlement(Json &Object, const Settlement &Result) {
+  Object["how"] = SettlementTypes[Result.index()];
+  if (const auto *const Outcome = std::get_if<StoredOutcome>(&Result))
+    writeOutcome(Object, *Outcome);
 }
 
-Settlement readSettlement(ObjectReader &From) {
-  switch (From.word("how", SettlementWords)) {
+Settlement readSettlement(ObjectReader &Reader) {
+  switch (Reader.word("how", SettlementTypes)) {
   case 0:
     return ReleaseClaim{};
   case 1:
     return OutcomeUnknown{};
   default:
-    return readOutcome(From);
+    return readOutcome(Reader);
   }
 }
 
 struct ItemWriter {
-  Json Out = Json::object();
+  Json Object = Json::object();
 
   void operator()(const ClaimMade &Item) {
-    writeId(Out, Item.Id);
-    Out["claimant"] = Item.Claimant.Text;
-    writeRequest(Out, Item.Request);
+    writeId(Object, Item.Id);
+    Object["claimant"] = Item.Claimant.Text;
+    writeRequest(Object, Item.Request);
   }
   void operator()(const ClaimEnded &Item) {
-    writeId(Out, Item.Id);
-    writeKey(Out, Item.ScopedKey);
-    writeSettlement(Out, Item.Result);
+    writeId(Object, Item.Id);
+    writeKey(Object, Item.ScopedKey);
+    writeSettlement(Object, Item.Result);
   }
 };
 
 Json writeItem(const ClaimItem &Item) {
   ItemWriter Writer;
   std::visit(Writer, Item);
-  Writer.Out["is"] = ItemWords[Item.index()];
-  return std::move(Writer.Out);
+  Writer.Object["is"] = ItemTypes[Item.index()];
+  return std::move(Writer.Object);
 }
 
-ClaimItem readItem(ObjectReader &From) {
-  const std::size_t Kind = From.word("is", ItemWords);
-  const ClaimId Id = readId(From);
-  if (Kind == 0) {
-    HostName Claimant(From.text("claimant"));
-    return ClaimMade{Id, std::move(Claimant), readRequest(From)};
+ClaimItem readItem(ObjectReader &Reader) {
+  const std::size_t Type = Reader.word("is", ItemTypes);
+  const ClaimId Id = readId(Reader);
+  if (Type == 0) {
+    HostName Claimant(Reader.text("claimant"));
+    return ClaimMade{Id, std::move(Claimant), readRequest(Reader)};
   }
-  ClaimKey What = readKey(From);
-  return ClaimEnded{Id, std::move(What), readSettlement(From)};
+  ClaimKey Key = readKey(Reader);
+  return ClaimEnded{Id, std::move(Key), readSettlement(Reader)};
 }
 
 struct DecisionWriter {
-  Json &Out;
+  Json &Object;
 
-  void operator()(const ClaimGranted &Made) const { Out["fence"] = Made.Fence; }
-  void operator()(const ClaimReplay &Made) const {
-    writeOutcome(Out, Made.Outcome);
+  void operator()(const ClaimGranted &Decision) const {
+    Object["fence"] = Decision.Fence;
   }
-  void operator()(const ClaimInProgress &Made) const {
-    Out["claimant"] = Made.Claimant.Text;
-    Out["fence"] = Made.Fence;
-    Out["read_up_to"] = Made.ReadUpTo;
+  void operator()(const ClaimReplay &Decision) const {
+    writeOutcome(Object, Decision.Outcome);
   }
-  void operator()(const ClaimUnavailable &Made) const {
-    Out["earlier"] = Made.EarlierTry;
+  void operator()(const ClaimInProgress &Decision) const {
+    Object["claimant"] = Decision.Claimant.Text;
+    Object["fence"] = Decision.Fence;
+    Object["read_up_to"] = Decision.ReadUpTo;
+  }
+  void operator()(const ClaimUnavailable &Decision) const {
+    Object["earlier"] = Decision.EarlierTry;
   }
   void operator()(const ClaimBodyDiffers &) const {}
   void operator()(const ClaimMayHaveRun &) const {}
@@ -168,7 +170,7 @@
   void operator()(const ClaimNotKnown &) const {}
 };
 
-ClaimDecision readDecision(ObjectReader &From) {
+ClaimDecision readDecision(ObjectReader &Reader) {
   enum : std::size_t {
     Granted,
     Replay,
@@ -179,15 +181,15 @@
     Unavailable,
     NotRun
   };
-  switch (From.word("decision", DecisionWords)) {
+  switch (Reader.word("decision", DecisionTypes)) {
   case Granted:
-    return ClaimGranted{From.number("fence")};
+    return ClaimGranted{Reader.number("fence")};
   case Replay:
-    return ClaimReplay{readOutcome(From)};
+    return ClaimReplay{readOutcome(Reader)};
   case InProgress:
-    return ClaimInProgress{HostName(From.textOr("claimant", "")),
-                           From.numberOr("fence", 0),
-                           From.numberOr("read_up_to", 0)};
+    return ClaimInProgress{HostName(Reader.textOr("claimant", "")),
+                           Reader.numberOr("fence", 0),
+                           Reader.numberOr("read_up_to", 0)};
   case BodyDiffers:
     return ClaimBodyDiffers{};
   case MayHaveRun:
@@ -195,7 +197,7 @@
   case KeyExpired:
     return ClaimKeyExpired{};
   case Unavailable:
-    return ClaimUnavailable{From.flagOr("earlier", false)};
+    return ClaimUnavailable{Reader.flagOr("earlier", false)};
   case NotRun:
     return ClaimNotRun{};
   default:
@@ -204,73 +206,73 @@
 }
 
 struct MessageWriter {
-  Json Out = Json::object();
+  Json Object = Json::object();
 
   void operator()(const AcquireClaim &Message) {
-    writeId(Out, Message.Id);
-    Out["claimant"] = Message.Claimant.Text;
-    writeRequest(Out, Message.Request);
-    Out["wall"] = Message.Wall;
-    Out["budget_ms"] = static_cast<std::uint64_t>(
+    writeId(Object, Message.Id);
+    Object["claimant"] = Message.Claimant.Text;
+    writeRequest(Object, Message.Request);
+    Object["wall"] = Message.Wall;
+    Object["budget_ms"] = static_cast<std::uint64_t>(
         std::max<std::int64_t>(0, Message.Budget.count()));
   }
   void operator()(const ClaimSettle &Message) {
-    writeId(Out, Message.Id);
-    writeKey(Out, Message.ScopedKey);
-    writeSettlement(Out, Message.Result);
+    writeId(Object, Message.Id);
+    writeKey(Object, Message.ScopedKey);
+    writeSettlement(Object, Message.Result);
   }
   void operator()(const ClaimQuery &Message) {
-    writeId(Out, Message.Id);
-    writeKey(Out, Message.ScopedKey);
+    writeId(Object, Message.Id);
+    writeKey(Object, Message.ScopedKey);
   }
   void operator()(const ClaimAnswer &Message) {
-    writeId(Out, Message.Id);
-    writeKey(Out, Message.ScopedKey);
-    Out["decision"] = DecisionWords[Message.Decision.index()];
-    std::visit(DecisionWriter{Out}, Message.Decision);
+    writeId(Object, Message.Id);
+    writeKey(Object, Message.ScopedKey);
+    Object["decision"] = DecisionTypes[Message.Decision.index()];
+    std::visit(DecisionWriter{Object}, Message.Decision);
   }
-  void operator()(const ClaimSettled &Message) { writeId(Out, Message.Id); }
+  void operator()(const ClaimSettled &Message) { writeId(Object, Message.Id); }
 };
 
-AcquireClaim readAsk(ObjectReader &From, ClaimId Id) {
-  AcquireClaim Ask;
-  Ask.Id = Id;
-  Ask.Claimant = HostName(From.text("claimant"));
-  Ask.Request = readRequest(From);
-  Ask.Wall = From.number("wall");
-  Ask.Budget = milliseconds(From.number("budget_ms", 0, MaxBudgetMs));
-  return Ask;
+AcquireClaim readAcquire(ObjectReader &Reader, ClaimId Id) {
+  AcquireClaim Acquire;
+  Acquire.Id = Id;
+  Acquire.Claimant = HostName(Reader.text("claimant"));
+  Acquire.Request = readRequest(Reader);
+  Acquire.Wall = Reader.number("wall");
+  Acquire.Budget = milliseconds(Reader.number("budget_ms", 0, MaxBudgetMs));
+  return Acquire;
 }
 
 } // namespace
 
 std::vector<std::byte> encodeBatch(const ClaimBatch &Batch) {
-  Json Out = Json::object();
-  Out["v"] = BatchFormVersion;
-  Out["writer"] = Batch.Writer.Run;
-  Out["number"] = Batch.Writer.Sequence;
-  Out["stamp"] = Batch.Stamp;
-  Out["life"] = Batch.Life;
+  Json Object = Json::object();
+  Object["v"] = BatchFormatVersion;
+  Object["writer"] = Batch.Writer.Run;
+  Object["number"] = Batch.Writer.Sequence;
+  Object["stamp"] = Batch.Stamp;
+  Object["life"] = Batch.Life;
   Json Items = Json::array();
   for (const ClaimItem &Item : Batch.Items)
     Items.push_back(writeItem(Item));
-  Out["items"] = std::move(Items);
-  return writeCbor(Out);
+  Object["items"] = std::move(Items);
+  return writeCbor(Object);
 }
 
 ClaimBatch decodeBatch(ByteView Bytes) {
   if (Bytes.size() > MaxRecordBytes)
     throw InputError(BatchSource, "", "too many bytes", "a smaller record");
   const Json Value = parseCbor(Bytes, BatchSource);
-  ObjectReader From(Value, BatchSource, "", UnknownKeys::Ignore);
-  (void)From.number("v", 1, BatchFormVersion);
+  ObjectReader Reader(Value, BatchSource, "", UnknownKeys::Ignore);
+  (void)Reader.number("v", 1, BatchFormatVersion);
   ClaimBatch Batch;
-  Batch.Writer.Run = From.number("writer");
-  Batch.Writer.Sequence = From.number("number");
+  Batch.Writer.Run = Reader.number("writer");
+  Batch.Writer.Sequence = Reader.number("number");
   constexpr std::uint64_t MaxSeconds = 1ULL << 40U;
-  Batch.Stamp = From.number("stamp", 0, MaxSeconds);
-  Batch.Life = From.number("life", 0, MaxSeconds);
-  From.eachObject("items", [&Batch](ObjectReader &Entry) {
+  Batch.Stamp = Reader.number("stamp", 0, MaxSeconds);
+  Batch.Life = Reader.number("life", 0, MaxSeconds);
+  Reader.eachObject("items", [&Batch](ObjectReader &Entry) {
     Batch.Items.push_back(readItem(Entry));
   });
   return Batch;
@@ -279,27 +281,27 @@
 Json writeClaimMessage(const ClaimMessage &Message) {
   MessageWriter Writer;
   std::visit(Writer, Message);
-  Writer.Out["is"] = MessageWords[Message.index()];
-  return std::move(Writer.Out);
+  Writer.Object["is"] = MessageTypes[Message.index()];
+  return std::move(Writer.Object);
 }
 
 ClaimMessage readClaimMessage(const Json &Value, std::string_view Source) {
-  enum : std::size_t { Ask, Settle, Query, Answer };
-  ObjectReader From(Value, Source, "", UnknownKeys::Ignore);
-  const std::size_t Kind = From.word("is", MessageWords);
-  const ClaimId Id = readId(From);
-  switch (Kind) {
-  case Ask:
-    return readAsk(From, Id);
+  enum : std::size_t { Acquire, Settle, Query, Answer };
+  ObjectReader Reader(Value, Source, "", UnknownKeys::Ignore);
+  const std::size_t Type = Reader.word("is", MessageTypes);
+  const ClaimId Id = readId(Reader);
+  switch (Type) {
+  case Acquire:
+    return readAcquire(Reader, Id);
   case Settle: {
-    ClaimKey What = readKey(From);
-    return ClaimSettle{Id, std::move(What), readSettlement(From)};
+    ClaimKey Key = readKey(Reader);
+    return ClaimSettle{Id, std::move(Key), readSettlement(Reader)};
   }
   case Query:
-    return ClaimQuery{Id, readKey(From)};
+    return ClaimQuery{Id, readKey(Reader)};
   case Answer: {
-    ClaimKey What = readKey(From);
-    return ClaimAnswer{Id, std::move(What), readDecision(From)};
+    ClaimKey Key = readKey(Reader);
+    return ClaimAnswer{Id, std::move(Key), readDecision(Reader)};
   }
   default:
     return ClaimSettled{Id};
--- a/packages/request/src/coltsfoottrail/claims/codec.hpp
+++ b/packages/request/src/coltsfoottrail/claims/codec.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Claims as CBOR on the log and as JSON in messages.
+/// Encoding of claims: CBOR for log records, JSON objects for messages.
 #ifndef COLTSFOOTTRAIL_CLAIMS_CODEC_HPP
 #define COLTSFOOTTRAIL_CLAIMS_CODEC_HPP
 
@@ -13,13 +13,13 @@
 
 namespace coltsfoottrail {
 
-/// A claim as it stands on the log.
+/// Log entry for a claim.
 struct ClaimMade {
   ClaimId Id;
   HostName Claimant;
   ClaimRequest Request;
 };
-/// How a claim ended, as it stands on the log.
+/// Log entry for a settlement.
 struct ClaimEnded {
   ClaimId Id;
   ClaimKey ScopedKey;
@@ -28,12 +28,12 @@
 /// One entry of a batch.
 using ClaimItem = std::variant<ClaimMade, ClaimEnded>;
 
-/// @brief What one append to a partition's stream carries.
+/// @brief The content of one append to a partition's stream.
 struct ClaimBatch {
   WriterId Writer;
-  /// The writer's wall clock in seconds since 1970.
+  /// The writer's wall clock, in seconds since 1970.
   std::uint64_t Stamp = 0;
-  /// Seconds that the entries are kept.
+  /// Time that the entries are kept, in seconds.
   std::uint64_t Life = 0;
   std::vector<ClaimItem> Items;
 };
@@ -42,17 +42,19 @@
 /// @return CBOR bytes.
 [[nodiscard]] std::vector<std::byte> encodeBatch(const ClaimBatch &Batch);
 /// @brief Reads a batch. Thread-safe.
-/// @param Bytes From the log; anything may stand there.
-/// @throws InputError Damaged, of a newer form or of an unknown kind.
+/// @param Bytes A log record, possibly damaged.
+/// @throws InputError The record is damaged, of a newer format version or of an
+/// unknown kind.
 [[nodiscard]] ClaimBatch decodeBatch(ByteView Bytes);
 
-/// @brief Writes a message between entry hosts. Thread-safe.
-/// @return An object with members that JSON text cannot hold: for CBOR only.
+/// @brief Writes a message as a JSON object. Thread-safe.
+/// @return An object that may hold binary values, so it can be serialized as
+/// CBOR but not as JSON text.
 [[nodiscard]] Json writeClaimMessage(const ClaimMessage &Message);
-/// @brief Reads a message between entry hosts. Thread-safe.
+/// @brief Reads a message from a JSON object. Thread-safe.
 /// @param Value An object.
-/// @param Source Named in errors.
-/// @throws InputError It is not such a message.
+/// @param Source Name of the input, for errors.
+/// @throws InputError The value is not a valid message.
 [[nodiscard]] ClaimMessage readClaimMessage(const Json &Value,
                                             std::string_view Source);
 
--- a/packages/request/src/coltsfoottrail/claims/fwd.hpp
+++ b/packages/request/src/coltsfoottrail/claims/fwd.hpp
@@ -17,7 +17,7 @@
 class ClaimOwner;
 class ClaimService;
 
-/// Number of a partition of the claims, from zero to ClaimPartitions - 1.
+/// Index of a partition of the claims, from zero to ClaimPartitions - 1.
 using ClaimPartition = std::uint32_t;
 
 } // namespace coltsfoottrail
--- a/packages/request/src/coltsfoottrail/claims/ledger.cpp
+++ b/packages/request/src/coltsfoottrail/claims/ledger.cpp
@@ -9,16 +9,15 @@
 
 namespace {
 
-/// Claims given up that one key remembers.
+/// Largest number of given-up claims recorded per key.
 constexpr std::size_t MaxGivenUp = 16;
-/// Memory of an entry besides its texts.
+/// Estimated memory of an entry without its strings.
 constexpr std::size_t EntryBytes = 320;
 
 constexpr auto SkewSeconds = static_cast<std::uint64_t>(MaxClockSkew.count());
 
-std::string nameOf(const ClaimKey &What) {
-  return std::to_string(What.Team.Text.size()) + ":" + What.Team.Text +
-         What.Key;
+std::string entryName(const ClaimKey &Key) {
+  return std::to_string(Key.Team.Text.size()) + ":" + Key.Team.Text + Key.Key;
 }
 
 std::size_t sizeOf(const LedgerEntry &Entry) {
@@ -34,7 +33,7 @@
          Entry.GivenUp.end();
 }
 
-void rememberGivenUp(LedgerEntry &Entry, ClaimId Id) {
+void addGivenUp(LedgerEntry &Entry, ClaimId Id) {
   if (isGivenUp(Entry, Id))
     return;
   if (Entry.GivenUp.size() == MaxGivenUp)
@@ -42,9 +41,9 @@
   Entry.GivenUp.push_back(Id);
 }
 
-void settle(LedgerEntry &Entry, ClaimId Id, const Settlement &How) {
-  if (std::holds_alternative<ReleaseClaim>(How)) {
-    rememberGivenUp(Entry, Id);
+void settle(LedgerEntry &Entry, ClaimId Id, const Settlement &Result) {
+  if (std::holds_alternative<ReleaseClaim>(Result)) {
+    addGivenUp(Entry, Id);
     if (Entry.Holder == Id && std::holds_alternative<ClaimHeld>(Entry.Standing))
       Entry.Standing = ReleaseClaim{};
     return;
@@ -52,7 +51,7 @@
   if (Entry.Holder != Id)
     return;
   const bool Open = std::holds_alternative<ClaimHeld>(Entry.Standing);
-  if (const auto *const Outcome = std::get_if<StoredOutcome>(&How)) {
+  if (const auto *const Outcome = std::get_if<StoredOutcome>(&Result)) {
     if (Open || std::holds_alternative<OutcomeUnknown>(Entry.Standing))
       Entry.Standing = *Outcome;
   } else if (Open) {
@@ -71,92 +70,93 @@
     return false;
   }
   Time = std::max(Time, Batch.Stamp);
-  takeLife(Batch.Life);
+  updateLife(Batch.Life);
   expire();
-  if (!takeWriter(Batch))
+  if (!acceptWriter(Batch))
     return false;
   for (const ClaimItem &Item : Batch.Items) {
-    if (const auto *const Made = std::get_if<ClaimMade>(&Item))
-      apply(*Made, At);
+    if (const auto *const Claim = std::get_if<ClaimMade>(&Item))
+      apply(*Claim, At);
     else
       apply(std::get<ClaimEnded>(Item));
   }
   return true;
 }
 
-void ClaimLedger::takeLife(std::uint64_t Seconds) {
-  // Failure guarded against: operators raise the life of keys. A key claimed
-  // under the shorter life is forgotten, while the longer one still lets its
-  // retry pass as young enough, and the order runs twice. So the shortest life
-  // counts until all keys that were claimed under it are too old for the
-  // longest one.
+void ClaimLedger::updateLife(std::uint64_t Seconds) {
+  // Failure guarded against: operators raise the lifetime of keys. A key
+  // claimed under the shorter lifetime is erased, while its retry is still
+  // young enough for the longer one, and the order runs twice. So the shortest
+  // lifetime applies until all keys that were claimed under it are too old for
+  // the longest one.
   Life = Seconds;
   Lives[Seconds] = Time;
   const std::uint64_t Longest = Lives.rbegin()->first;
-  std::erase_if(Lives, [&](const auto &Known) {
-    return Known.second + Longest + 2 * SkewSeconds < Time;
+  std::erase_if(Lives, [&](const auto &State) {
+    return State.second + Longest + 2 * SkewSeconds < Time;
   });
 }
 
-bool ClaimLedger::takeWriter(const ClaimBatch &Batch) {
-  // Failure guarded against: an append's answer is lost, the owner appends the
-  // batch again and both copies stand on the log. A claim that was refused in
-  // the first copy could be granted in the second, to a claimant that is no
-  // longer there, and its key would stay in use. One append of a writer is
-  // under way at a time, so whatever does not go up is a copy.
-  Writer &Known = Writers[Batch.Writer.Run];
-  if (Batch.Writer.Sequence <= Known.Sequence)
+bool ClaimLedger::acceptWriter(const ClaimBatch &Batch) {
+  // Failure guarded against: the result of an append is lost, the owner appends
+  // the batch again, and the log has two copies. A claim that was refused in
+  // the first copy could be granted in the second, to a claimant that no longer
+  // exists, and its key would remain in use. A writer has one append in
+  // progress at a time, so a batch whose sequence number does not increase is a
+  // copy.
+  Writer &State = Writers[Batch.Writer.Run];
+  if (Batch.Writer.Sequence <= State.Sequence)
     return false;
-  Known = Writer{Batch.Writer.Sequence, Time + Life};
+  State = Writer{Batch.Writer.Sequence, Time + Life};
   return true;
 }
 
-void ClaimLedger::apply(const ClaimMade &Made, Offset At) {
-  if (expired(Made.Request.Birth))
+void ClaimLedger::apply(const ClaimMade &Claim, Offset At) {
+  if (expired(Claim.Request.Birth))
     return;
-  const std::string Name = nameOf(Made.Request.ScopedKey);
+  const std::string Name = entryName(Claim.Request.ScopedKey);
   const auto Found = Entries.find(Name);
   if (Found != Entries.end()) {
-    const LedgerEntry &Known = Found->second;
-    if (!std::holds_alternative<ReleaseClaim>(Known.Standing) ||
-        isGivenUp(Known, Made.Id))
+    const LedgerEntry &State = Found->second;
+    if (!std::holds_alternative<ReleaseClaim>(State.Standing) ||
+        isGivenUp(State, Claim.Id))
       return;
   }
   LedgerEntry &Entry = entryOf(Name);
   Bytes -= sizeOf(Entry);
-  Entry.Holder = Made.Id;
-  Entry.Claimant = Made.Claimant;
+  Entry.Holder = Claim.Id;
+  Entry.Claimant = Claim.Claimant;
   Entry.Fence = At;
-  Entry.BodyDigest = Made.Request.BodyDigest;
+  Entry.BodyDigest = Claim.Request.BodyDigest;
   Entry.Standing = ClaimHeld{};
   Bytes += sizeOf(Entry);
-  keep(Name, Entry);
+  extendExpiry(Name, Entry);
 }
 
 void ClaimLedger::apply(const ClaimEnded &Ended) {
-  const std::string Name = nameOf(Ended.ScopedKey);
-  const bool Releases = std::holds_alternative<ReleaseClaim>(Ended.Result);
+  const std::string Name = entryName(Ended.ScopedKey);
+  const bool IsRelease = std::holds_alternative<ReleaseClaim>(Ended.Result);
   const auto Found = Entries.find(Name);
-  if (Found == Entries.end() && !Releases)
+  if (Found == Entries.end() && !IsRelease)
     return;
   LedgerEntry &Entry = entryOf(Name);
   Bytes -= sizeOf(Entry);
   settle(Entry, Ended.Id, Ended.Result);
   Bytes += sizeOf(Entry);
   if (Found == Entries.end())
-    keep(Name, Entry);
+    extendExpiry(Name, Entry);
 }
 
 LedgerEntry &ClaimLedger::entryOf(const std::string &Name) {
-  const auto [Place, Added] = Entries.try_emplace(Name);
+  const auto [Slot, Added] = Entries.try_emplace(Name);
   if (Added) {
-    Place->second.Standing = ReleaseClaim{};
-    Bytes += EntryBytes + Name.size() * 2 + sizeOf(Place->second);
+    Slot->second.Standing = ReleaseClaim{};
+    Bytes += EntryBytes + Name.size() * 2 + sizeOf(Slot->second);
   }
-  return Place->second;
+  return Slot->second;
 }
 
-void ClaimLedger::keep(const std::string &Name, LedgerEntry &Entry) {
+void ClaimLedger::extendExpiry(const std::string &Name, LedgerEntry &Entry) {
   const std::uint64_t Expires = Time + Life + 2 * SkewSeconds;
   if (Entry.Expires == Expires)
     return;
@@ -175,13 +175,13 @@
     }
     ExpireAt.erase(ExpireAt.begin());
   }
-  std::erase_if(Writers, [this](const auto &Known) {
-    return Known.second.Expires < Time;
+  std::erase_if(Writers, [this](const auto &State) {
+    return State.second.Expires < Time;
   });
 }
 
-const LedgerEntry *ClaimLedger::find(const ClaimKey &What) const {
-  const auto Found = Entries.find(nameOf(What));
+const LedgerEntry *ClaimLedger::find(const ClaimKey &Key) const {
+  const auto Found = Entries.find(entryName(Key));
   return Found == Entries.end() ? nullptr : &Found->second;
 }
 
@@ -206,7 +206,7 @@
                              std::to_string(Entry.Standing.index()) + "/" +
                              std::to_string(Entry.Expires) + "/" +
                              std::to_string(Entry.GivenUp.size());
-    // A sum does not depend on the order in which a hash table lists them.
+    // A sum does not depend on the iteration order of the hash table.
     Sum += hashText(Text, 1);
   }
   return Sum;
--- a/packages/request/src/coltsfoottrail/claims/ledger.hpp
+++ b/packages/request/src/coltsfoottrail/claims/ledger.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The claims of one partition: what its stream comes to.
+/// The claims of one partition, folded from its log stream.
 #ifndef COLTSFOOTTRAIL_CLAIMS_LEDGER_HPP
 #define COLTSFOOTTRAIL_CLAIMS_LEDGER_HPP
 
@@ -12,16 +12,16 @@
 
 namespace coltsfoottrail {
 
-/// The claim stands and its end is not known.
+/// The claim holds the key and has not been settled.
 struct ClaimHeld {
   [[nodiscard]] friend bool operator==(const ClaimHeld &,
                                        const ClaimHeld &) = default;
 };
-/// Where a key stands; ReleaseClaim where the next claim gets it.
+/// State of a key; with ReleaseClaim the next claim gets it.
 using ClaimStanding =
     std::variant<ClaimHeld, ReleaseClaim, OutcomeUnknown, StoredOutcome>;
 
-/// @brief A key and the claim that holds it.
+/// @brief State of a key and of the claim that holds it.
 struct LedgerEntry {
   ClaimId Holder;
   HostName Claimant;
@@ -29,49 +29,50 @@
   Offset Fence = 0;
   std::string BodyDigest;
   ClaimStanding Standing;
-  /// Ledger time from which the key is forgotten.
+  /// Ledger time at which the entry is erased.
   std::uint64_t Expires = 0;
-  /// Claims that were given up: their records count no more, also those that
-  /// come later on the log.
+  /// Claims that were given up. Their records are ignored, also those that
+  /// follow later on the log.
   std::vector<ClaimId> GivenUp;
 
   [[nodiscard]] friend bool operator==(const LedgerEntry &,
                                        const LedgerEntry &) = default;
 };
 
-/// @brief Fold of one partition's stream. Pure: the same on every host that
-/// read the same records; reads no clock, its time is the highest stamp seen.
+/// @brief Fold of one partition's stream. Deterministic: the same on every host
+/// that has read the same records. Uses no clock; its time is the highest
+/// timestamp in the records.
 ///
-/// Not thread-safe: stands under its owner's lock.
+/// Not thread-safe: callers hold its owner's lock.
 class ClaimLedger {
 public:
   /// @brief Folds a record.
-  /// @param At Its offset, which is not below next().
-  /// @param Bytes The record; what cannot be read changes nothing.
-  /// @return Whether it was a batch that was not folded before.
+  /// @param At Its offset; must not be below next().
+  /// @param Bytes The record; an unreadable one changes no claims.
+  /// @return Whether it was a valid batch and not a repetition.
   bool fold(Offset At, ByteView Bytes);
 
   /// @brief Finds a key.
-  /// @param What The key.
+  /// @param Key The key.
   /// @return Its entry, or null. Valid until the next fold.
-  [[nodiscard]] const LedgerEntry *find(const ClaimKey &What) const;
+  [[nodiscard]] const LedgerEntry *find(const ClaimKey &Key) const;
 
-  /// @brief Tells whether a key of this birth is too old, or lies in the
+  /// @brief Whether a key with this creation time is too old, or from the
   /// future, at the ledger's time.
-  /// @param Birth When the key was made; nothing is never expired.
+  /// @param Birth Creation time of the key; without one it never expires.
   [[nodiscard]] bool expired(const std::optional<std::uint64_t> &Birth) const;
 
   /// @brief Offset of the next record to fold.
   [[nodiscard]] Offset next() const noexcept { return Next; }
-  /// @brief Highest stamp seen, in seconds since 1970.
+  /// @brief Highest timestamp seen, in seconds since 1970.
   [[nodiscard]] std::uint64_t time() const noexcept { return Time; }
-  /// @brief Keys that are kept.
+  /// @brief Number of entries.
   [[nodiscard]] std::size_t size() const noexcept { return Entries.size(); }
-  /// @brief Estimate of the memory that the keys take, in bytes.
+  /// @brief Estimated memory of the entries, in bytes.
   [[nodiscard]] std::size_t bytes() const noexcept { return Bytes; }
-  /// @brief Starts again from an offset, with nothing.
+  /// @brief Clears the ledger and continues from an offset.
   void restart(Offset From);
-  /// @brief Hash of all that the ledger holds, for comparison between hosts.
+  /// @brief Hash of the whole state, for comparison between hosts.
   [[nodiscard]] std::uint64_t digest() const;
 
 private:
@@ -80,12 +81,12 @@
     std::uint64_t Expires = 0;
   };
 
-  [[nodiscard]] bool takeWriter(const ClaimBatch &Batch);
-  void apply(const ClaimMade &Made, Offset At);
+  [[nodiscard]] bool acceptWriter(const ClaimBatch &Batch);
+  void apply(const ClaimMade &Claim, Offset At);
   void apply(const ClaimEnded &Ended);
-  void takeLife(std::uint64_t Seconds);
+  void updateLife(std::uint64_t Seconds);
   void expire();
-  void keep(const std::string &Name, LedgerEntry &Entry);
+  void extendExpiry(const std::string &Name, LedgerEntry &Entry);
   [[nodiscard]] LedgerEntry &entryOf(const std::string &Name);
 
   std::unordered_map<std::string, LedgerEntry> Entries;
@@ -95,7 +96,8 @@
   Offset Next = 0;
   std::uint64_t Time = 0;
   std::uint64_t Life = 0;
-  /// Each life that batches carried, with the ledger time of its last batch.
+  /// Each key lifetime found in batches, with the ledger time of its last
+  /// batch.
   std::map<std::uint64_t, std::uint64_t> Lives;
 };
 
--- a/packages/request/src/coltsfoottrail/claims/owner.cpp
+++ b/packages/request/src/coltsfoottrail/claims/owner.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// A read from here finds nothing, but tells the horizon.
+/// A read from this offset returns no entries but the horizon.
 constexpr Offset ProbeOffset = std::numeric_limits<std::int64_t>::max();
 constexpr milliseconds MaxRetryDelay{1000};
-constexpr std::size_t MaxLeftRuns = 100'000;
+constexpr std::size_t MaxTrackedRuns = 100'000;
 constexpr std::size_t ItemBytes = 160;
-/// Appends of one ask that may end without a decision, as when another claim
-/// of the key was given up just after it.
+/// Largest number of appends of one claim that end without a decision, for
+/// example because another claim of the key was given up just after it.
 constexpr std::uint32_t MaxAppends = 5;
 
 std::size_t sizeOf(const AcquireClaim &Message) {
@@ -33,20 +33,21 @@
   return std::min(MaxRetryDelay, std::max(First, Last * 2));
 }
 
-void answer(const HostName &To, const AcquireClaim &Asked,
-            ClaimDecision Decision, ClaimCommands &Out) {
-  Out.emplace_back(ClaimSend{
-      To, ClaimAnswer{Asked.Id, Asked.Request.ScopedKey, std::move(Decision)}});
+void answer(const HostName &To, const AcquireClaim &Message,
+            ClaimDecision Decision, ClaimCommands &Commands) {
+  Commands.emplace_back(
+      ClaimSend{To, ClaimAnswer{Message.Id, Message.Request.ScopedKey,
+                                std::move(Decision)}});
 }
 
-void answer(const HostName &To, const ClaimQuery &Asked, ClaimDecision Decision,
-            ClaimCommands &Out) {
-  Out.emplace_back(ClaimSend{
-      To, ClaimAnswer{Asked.Id, Asked.ScopedKey, std::move(Decision)}});
+void answer(const HostName &To, const ClaimQuery &Message,
+            ClaimDecision Decision, ClaimCommands &Commands) {
+  Commands.emplace_back(ClaimSend{
+      To, ClaimAnswer{Message.Id, Message.ScopedKey, std::move(Decision)}});
 }
 
-/// Whether no later record changes a decision. While a key is held, or its
-/// outcome is not known, its claimant may still settle it.
+/// Whether no later record can change a decision. While a key is held or its
+/// outcome is unknown, its claimant may still settle it.
 bool isFinal(const ClaimDecision &Decision) {
   return !std::holds_alternative<ClaimInProgress>(Decision) &&
          !std::holds_alternative<ClaimMayHaveRun>(Decision);
@@ -73,39 +74,39 @@
 
 } // namespace
 
-void ClaimantWatch::members(std::span<const ClaimMember> Joined) {
+void ClaimantWatch::setMembers(std::span<const ClaimMember> Joined) {
   std::set<Incarnation> Now;
   for (const ClaimMember &Member : Joined)
     Now.insert(Member.Run);
-  for (const Incarnation Run : Live)
+  for (const Incarnation Run : Present)
     if (!Now.contains(Run))
-      Left.insert(Run);
-  while (Left.size() > MaxLeftRuns)
-    Left.erase(Left.begin());
-  Live = std::move(Now);
+      Departed.insert(Run);
+  while (Departed.size() > MaxTrackedRuns)
+    Departed.erase(Departed.begin());
+  Present = std::move(Now);
 }
 
-bool ClaimantWatch::gone(Incarnation Run, TimePoint Now) {
-  if (Live.contains(Run))
+bool ClaimantWatch::isGone(Incarnation Run, TimePoint Now) {
+  if (Present.contains(Run))
     return false;
-  if (Left.contains(Run))
+  if (Departed.contains(Run))
     return true;
-  // Failure guarded against: this host's view of the members is behind, and a
-  // claimant that has just joined would be called gone while it works. It is
-  // given the time that the view takes to catch up.
-  if (Unseen.size() > MaxLeftRuns)
-    Unseen.clear();
-  const TimePoint Since = Unseen.try_emplace(Run, Now).first->second;
+  // Failure guarded against: this host's view of the members is stale, and a
+  // claimant that has just joined would be considered gone while it is running.
+  // The grace period allows the view to catch up.
+  if (UnknownSince.size() > MaxTrackedRuns)
+    UnknownSince.clear();
+  const TimePoint Since = UnknownSince.try_emplace(Run, Now).first->second;
   return Now - Since >= Grace;
 }
 
-ClaimOwner::ClaimOwner(ClaimPartition Which, const ClaimOptions &Limits,
-                       ClaimantWatch &Claimants)
-    : Partition(Which), Options(Limits), Watch(Claimants) {}
+ClaimOwner::ClaimOwner(ClaimPartition OwnedPartition,
+                       const ClaimOptions &Configured, ClaimantWatch &Claimants)
+    : Partition(OwnedPartition), Options(Configured), Watch(Claimants) {}
 
 bool ClaimOwner::idle() const noexcept {
-  return Asks.empty() && Settles.empty() && Queries.empty() &&
-         Contended.empty() && !UnderWay && !Reading;
+  return Claims.empty() && Settlements.empty() && Queries.empty() &&
+         Contended.empty() && !InProgress && !ReadToken;
 }
 
 void ClaimOwner::close() {
@@ -113,15 +114,15 @@
     return;
   Ledger.restart(0);
   CaughtUp = false;
-  Probing = false;
-  ReadAgain = false;
+  ProbingHorizon = false;
+  ReadRequested = false;
   ReadRetryAt.reset();
 }
 
-ClaimDecision ClaimOwner::standingOf(const LedgerEntry &Entry, TimePoint Now) {
-  const bool Held = std::holds_alternative<ClaimHeld>(Entry.Standing);
-  const bool Gone = Held && Watch.gone(Entry.Holder.Run, Now);
-  return std::visit(StandingVisitor{Entry, Gone, Ledger.next()},
+ClaimDecision ClaimOwner::decisionFor(const LedgerEntry &Entry, TimePoint Now) {
+  const bool IsHeld = std::holds_alternative<ClaimHeld>(Entry.Standing);
+  const bool IsGone = IsHeld && Watch.isGone(Entry.Holder.Run, Now);
+  return std::visit(StandingVisitor{Entry, IsGone, Ledger.next()},
                     Entry.Standing);
 }
 
@@ -143,14 +144,14 @@
   if (Entry->Holder == Message.Id &&
       std::holds_alternative<ClaimHeld>(Entry->Standing))
     return ClaimGranted{Entry->Fence};
-  return standingOf(*Entry, Now);
+  return decisionFor(*Entry, Now);
 }
 
 ClaimDecision ClaimOwner::decideQuery(const ClaimQuery &Message,
                                       TimePoint Now) {
   const LedgerEntry *const Entry = Ledger.find(Message.ScopedKey);
   if (Entry != nullptr)
-    return standingOf(*Entry, Now);
+    return decisionFor(*Entry, Now);
   if (Ledger.expired(birthOfKey(Message.ScopedKey.Key)))
     return ClaimKeyExpired{};
   return ClaimNotKnown{};
@@ -177,123 +178,126 @@
   Queue.push_back(Item);
 }
 
-void ClaimOwner::ask(const HostName &From, const AcquireClaim &Message,
-                     ClaimTime Time, ClaimCommands &Out) {
+void ClaimOwner::claim(const HostName &From, const AcquireClaim &Message,
+                       ClaimTime Time, ClaimCommands &Commands) {
   LastUsed = Time.Now;
-  open(Time, Out);
-  const TimePoint Until = Time.Now + Message.Budget;
-  const auto Known = Asks.find(Message.Id);
-  if (Known != Asks.end()) {
-    Known->second.From = From;
-    Known->second.Until = std::max(Known->second.Until, Until);
+  open(Time, Commands);
+  const TimePoint Deadline = Time.Now + Message.Budget;
+  const auto Existing = Claims.find(Message.Id);
+  if (Existing != Claims.end()) {
+    Existing->second.From = From;
+    Existing->second.Deadline = std::max(Existing->second.Deadline, Deadline);
     return;
   }
   if (CaughtUp) {
     if (std::optional<ClaimDecision> Decision = decide(Message, Time.Now)) {
       if (isFinal(*Decision) || Contended.size() >= Options.MaxWaiting)
-        answer(From, Message, *std::move(Decision), Out);
+        answer(From, Message, *std::move(Decision), Commands);
       else
-        confirm(From, Message, Time, Out);
+        awaitRead(From, Message, Time, Commands);
       return;
     }
   }
-  if (Asks.size() >= Options.MaxWaiting ||
+  if (Claims.size() >= Options.MaxWaiting ||
       Ledger.bytes() >= Options.MaxLedgerBytes) {
-    answer(From, Message, ClaimUnavailable{}, Out);
+    answer(From, Message, ClaimUnavailable{}, Commands);
     return;
   }
-  Asks.emplace(Message.Id, WaitingAsk{From, Message, Until});
+  Claims.emplace(Message.Id, WaitingClaim{From, Message, Deadline});
   enqueue(Queued{false, Message.Id, sizeOf(Message)}, Time);
-  pump(Time, Out);
+  appendIfDue(Time, Commands);
 }
 
 void ClaimOwner::settle(const HostName &From, const ClaimSettle &Message,
-                        ClaimTime Time, ClaimCommands &Out) {
+                        ClaimTime Time, ClaimCommands &Commands) {
   LastUsed = Time.Now;
-  open(Time, Out);
-  const auto Known = Settles.find(Message.Id);
-  if (Known != Settles.end()) {
-    Known->second.From = From;
+  open(Time, Commands);
+  const auto Existing = Settlements.find(Message.Id);
+  if (Existing != Settlements.end()) {
+    Existing->second.From = From;
     return;
   }
   if (CaughtUp && isSettled(Message)) {
-    Out.emplace_back(ClaimSend{From, ClaimSettled{Message.Id}});
+    Commands.emplace_back(ClaimSend{From, ClaimSettled{Message.Id}});
     return;
   }
-  // A full queue drops it: the claimant sends it again.
-  if (Settles.size() >= Options.MaxWaiting)
+  // Dropped if the queue is full: the claimant sends it again.
+  if (Settlements.size() >= Options.MaxWaiting)
     return;
-  Settles.emplace(Message.Id, WaitingSettle{From, Message});
+  Settlements.emplace(Message.Id, WaitingSettlement{From, Message});
   enqueue(Queued{true, Message.Id, sizeOf(Message)}, Time);
-  pump(Time, Out);
+  appendIfDue(Time, Commands);
 }
 
 void ClaimOwner::query(const HostName &From, const ClaimQuery &Message,
-                       ClaimTime Time, ClaimCommands &Out) {
+                       ClaimTime Time, ClaimCommands &Commands) {
   LastUsed = Time.Now;
   for (const WaitingQuery &Waiting : Queries)
     if (Waiting.Message.Id == Message.Id)
       return;
   if (Queries.size() >= Options.MaxWaiting) {
-    answer(From, Message, ClaimUnavailable{}, Out);
+    answer(From, Message, ClaimUnavailable{}, Commands);
     return;
   }
-  // Failure guarded against: a query answered from an old reading says "not
-  // known" of a request that runs. Only a read that leaves from now on counts.
+  // Failure guarded against: a query answered from a stale ledger would say
+  // "not known" of a running request. Only reads sent from now on are used.
   Queries.push_back(WaitingQuery{From, Message, NextToken});
-  readAfresh(Out);
+  readAgain(Commands);
 }
 
-void ClaimOwner::readAfresh(ClaimCommands &Out) {
-  if (Reading)
-    ReadAgain = true;
+void ClaimOwner::readAgain(ClaimCommands &Commands) {
+  if (ReadToken)
+    ReadRequested = true;
   else if (!ReadRetryAt)
-    startRead(Ledger.next(), Out);
+    startRead(Ledger.next(), Commands);
 }
 
 // Failure guarded against: this ledger was read while a claim was held, another
-// owner appended the claim's outcome, and nothing here reads again: a repeated
-// request is refused as in progress although its answer is stored.
-void ClaimOwner::confirm(const HostName &From, const AcquireClaim &Message,
-                         ClaimTime Time, ClaimCommands &Out) {
-  for (ContendedAsk &Known : Contended)
-    if (Known.Message.Id == Message.Id) {
-      Known.From = From;
+// owner has appended the claim's outcome, and nothing here reads again. A
+// repeated request would be refused as in progress although its outcome is
+// stored.
+void ClaimOwner::awaitRead(const HostName &From, const AcquireClaim &Message,
+                           ClaimTime Time, ClaimCommands &Commands) {
+  for (ContendedClaim &Existing : Contended)
+    if (Existing.Message.Id == Message.Id) {
+      Existing.From = From;
       return;
     }
   Contended.push_back(
-      ContendedAsk{From, Message, Time.Now + Message.Budget, NextToken});
-  readAfresh(Out);
+      ContendedClaim{From, Message, Time.Now + Message.Budget, NextToken});
+  readAgain(Commands);
 }
 
-/// Decides the asks that a read was started for.
+/// Decides the contended claims that waited for this read.
 void ClaimOwner::decideContended(std::uint64_t Token, ClaimTime Time,
-                                 ClaimCommands &Out) {
+                                 ClaimCommands &Commands) {
   const auto FirstDue = std::stable_partition(
-      Contended.begin(), Contended.end(),
-      [Token](const ContendedAsk &Ask) { return Ask.FromToken > Token; });
-  std::vector<ContendedAsk> Due(std::make_move_iterator(FirstDue),
-                                std::make_move_iterator(Contended.end()));
+      Contended.begin(), Contended.end(), [Token](const ContendedClaim &Claim) {
+        return Claim.MinReadToken > Token;
+      });
+  std::vector<ContendedClaim> Due(std::make_move_iterator(FirstDue),
+                                  std::make_move_iterator(Contended.end()));
   Contended.erase(FirstDue, Contended.end());
-  for (ContendedAsk &Ask : Due) {
-    if (std::optional<ClaimDecision> Decision = decide(Ask.Message, Time.Now)) {
-      answer(Ask.From, Ask.Message, *std::move(Decision), Out);
+  for (ContendedClaim &Claim : Due) {
+    if (std::optional<ClaimDecision> Decision =
+            decide(Claim.Message, Time.Now)) {
+      answer(Claim.From, Claim.Message, *std::move(Decision), Commands);
       continue;
     }
-    Ask.Message.Budget = std::chrono::duration_cast<milliseconds>(
-        std::max(Duration::zero(), Ask.Until - Time.Now));
-    ask(Ask.From, Ask.Message, Time, Out);
+    Claim.Message.Budget = std::chrono::duration_cast<milliseconds>(
+        std::max(Duration::zero(), Claim.Deadline - Time.Now));
+    claim(Claim.From, Claim.Message, Time, Commands);
   }
 }
 
-void ClaimOwner::open(ClaimTime Time, ClaimCommands &Out) {
+void ClaimOwner::open(ClaimTime Time, ClaimCommands &Commands) {
   LastUsed = std::max(LastUsed, Time.Now);
-  if (!CaughtUp && !Reading && !ReadRetryAt)
-    startRead(Ledger.next(), Out);
+  if (!CaughtUp && !ReadToken && !ReadRetryAt)
+    startRead(Ledger.next(), Commands);
 }
 
 std::optional<TimePoint> ClaimOwner::batchDue() const {
-  if (!CaughtUp || UnderWay || Queue.empty())
+  if (!CaughtUp || InProgress || Queue.empty())
     return std::nullopt;
   TimePoint Due = FirstQueued;
   if (QueueBytes < Options.MaxBatchBytes)
@@ -301,56 +305,56 @@
   return std::max(Due, LastAppend + Options.MinAppendInterval);
 }
 
-std::vector<ClaimItem> ClaimOwner::takeItems(ClaimTime Time,
-                                             std::vector<Queued> &Taken,
-                                             ClaimCommands &Out) {
+std::vector<ClaimItem> ClaimOwner::dequeueItems(ClaimTime Time,
+                                                std::vector<Queued> &Batched,
+                                                ClaimCommands &Commands) {
   std::vector<ClaimItem> Items;
   std::size_t Bytes = 0;
   while (!Queue.empty() && Bytes < Options.MaxBatchBytes) {
     const Queued Item = Queue.front();
     Queue.pop_front();
     QueueBytes -= Item.Bytes;
-    if (Item.Settles) {
-      const ClaimSettle &Message = Settles.at(Item.Id).Message;
+    if (Item.IsSettlement) {
+      const ClaimSettle &Message = Settlements.at(Item.Id).Message;
       Items.emplace_back(
           ClaimEnded{Message.Id, Message.ScopedKey, Message.Result});
-      Taken.push_back(Item);
+      Batched.push_back(Item);
       Bytes += Item.Bytes;
       continue;
     }
-    const auto Found = Asks.find(Item.Id);
-    if (Found == Asks.end())
+    const auto Found = Claims.find(Item.Id);
+    if (Found == Claims.end())
       continue;
-    WaitingAsk &Waiting = Found->second;
+    WaitingClaim &Waiting = Found->second;
     std::optional<ClaimDecision> Decision = decide(Waiting.Message, Time.Now);
     if (!Decision && Waiting.Appends >= MaxAppends)
       Decision = ClaimUnavailable{};
     if (Decision) {
-      answer(Waiting.From, Waiting.Message, *std::move(Decision), Out);
-      Asks.erase(Found);
+      answer(Waiting.From, Waiting.Message, *std::move(Decision), Commands);
+      Claims.erase(Found);
       continue;
     }
-    if (Waiting.Until < Time.Now) {
-      Asks.erase(Found);
+    if (Waiting.Deadline < Time.Now) {
+      Claims.erase(Found);
       continue;
     }
     ++Waiting.Appends;
     Items.emplace_back(
         ClaimMade{Item.Id, Waiting.Message.Claimant, Waiting.Message.Request});
-    Taken.push_back(Item);
+    Batched.push_back(Item);
     Bytes += Item.Bytes;
   }
   FirstQueued = Time.Now;
   return Items;
 }
 
-void ClaimOwner::pump(ClaimTime Time, ClaimCommands &Out) {
+void ClaimOwner::appendIfDue(ClaimTime Time, ClaimCommands &Commands) {
   const std::optional<TimePoint> Due = batchDue();
   if (!Due || *Due > Time.Now)
     return;
   Append Next;
   ClaimBatch Batch;
-  Batch.Items = takeItems(Time, Next.Items, Out);
+  Batch.Items = dequeueItems(Time, Next.Items, Commands);
   if (Batch.Items.empty())
     return;
   Batch.Writer = WriterId{Options.Run, NextSequence++};
@@ -359,173 +363,174 @@
   Next.Payload = encodeBatch(Batch);
   Next.Token = NextToken++;
   LastAppend = Time.Now;
-  Out.emplace_back(ClaimAppend{Partition, Next.Payload, Next.Token});
-  UnderWay = std::move(Next);
+  Commands.emplace_back(ClaimAppend{Partition, Next.Payload, Next.Token});
+  InProgress = std::move(Next);
 }
 
 void ClaimOwner::appended(std::uint64_t Token, const AppendResult &Result,
-                          ClaimTime Time, ClaimCommands &Out) {
-  if (!UnderWay || UnderWay->Token != Token || UnderWay->RetryAt ||
-      UnderWay->At)
+                          ClaimTime Time, ClaimCommands &Commands) {
+  if (!InProgress || InProgress->Token != Token || InProgress->RetryAt ||
+      InProgress->At)
     return;
   const auto *const At = std::get_if<Offset>(&Result);
   if (At == nullptr) {
-    appendFailed(Time, Out);
+    handleAppendFailure(Time, Commands);
     return;
   }
   if (*At == Ledger.next())
-    Ledger.fold(*At, UnderWay->Payload);
+    Ledger.fold(*At, InProgress->Payload);
   if (*At < Ledger.next()) {
-    resolve(Time, Out);
+    completeAppend(Time, Commands);
     return;
   }
-  UnderWay->At = *At;
-  if (!Reading && !ReadRetryAt)
-    startRead(Ledger.next(), Out);
-}
-
-void ClaimOwner::appendFailed(ClaimTime Time, ClaimCommands &Out) {
-  // Failure guarded against: the append took effect and its answer was lost.
-  // The same bytes with the same writer id go again, so every ledger drops the
-  // copy. The askers are told, so that they can try a host that reaches the
-  // log.
-  UnderWay->Delay = nextDelay(UnderWay->Delay, Options.RetryDelay);
-  UnderWay->RetryAt = Time.Now + UnderWay->Delay;
-  for (const Queued &Item : UnderWay->Items) {
-    const auto Found = Asks.find(Item.Id);
-    if (!Item.Settles && Found != Asks.end())
+  InProgress->At = *At;
+  if (!ReadToken && !ReadRetryAt)
+    startRead(Ledger.next(), Commands);
+}
+
+void ClaimOwner::handleAppendFailure(ClaimTime Time, ClaimCommands &Commands) {
+  // Failure guarded against: the append took effect and its result was lost.
+  // The same bytes with the same writer id are appended again, so every ledger
+  // ignores the copy. The claimants are notified, so that they can try a host
+  // that reaches the log.
+  InProgress->Delay = nextDelay(InProgress->Delay, Options.RetryDelay);
+  InProgress->RetryAt = Time.Now + InProgress->Delay;
+  for (const Queued &Item : InProgress->Items) {
+    const auto Found = Claims.find(Item.Id);
+    if (!Item.IsSettlement && Found != Claims.end())
       answer(Found->second.From, Found->second.Message, ClaimUnavailable{},
-             Out);
+             Commands);
   }
 }
 
-void ClaimOwner::resolve(ClaimTime Time, ClaimCommands &Out) {
-  const std::vector<Queued> Items = std::move(UnderWay->Items);
-  UnderWay.reset();
+void ClaimOwner::completeAppend(ClaimTime Time, ClaimCommands &Commands) {
+  const std::vector<Queued> Items = std::move(InProgress->Items);
+  InProgress.reset();
   for (const Queued &Item : Items) {
-    if (Item.Settles) {
-      const auto Found = Settles.find(Item.Id);
-      Out.emplace_back(ClaimSend{Found->second.From, ClaimSettled{Item.Id}});
-      Settles.erase(Found);
+    if (Item.IsSettlement) {
+      const auto Found = Settlements.find(Item.Id);
+      Commands.emplace_back(
+          ClaimSend{Found->second.From, ClaimSettled{Item.Id}});
+      Settlements.erase(Found);
       continue;
     }
-    const auto Found = Asks.find(Item.Id);
-    if (Found == Asks.end())
+    const auto Found = Claims.find(Item.Id);
+    if (Found == Claims.end())
       continue;
-    WaitingAsk &Waiting = Found->second;
+    WaitingClaim &Waiting = Found->second;
     if (std::optional<ClaimDecision> Decision =
             decide(Waiting.Message, Time.Now)) {
-      answer(Waiting.From, Waiting.Message, *std::move(Decision), Out);
-      Asks.erase(Found);
+      answer(Waiting.From, Waiting.Message, *std::move(Decision), Commands);
+      Claims.erase(Found);
     } else {
       enqueue(Item, Time);
     }
   }
-  pump(Time, Out);
+  appendIfDue(Time, Commands);
 }
 
-void ClaimOwner::startRead(Offset From, ClaimCommands &Out) {
+void ClaimOwner::startRead(Offset From, ClaimCommands &Commands) {
   ReadRetryAt.reset();
-  ReadAgain = false;
-  Reading = NextToken++;
-  Out.emplace_back(
-      ClaimRead{Partition, Probing ? ProbeOffset : From, *Reading});
+  ReadRequested = false;
+  ReadToken = NextToken++;
+  Commands.emplace_back(
+      ClaimRead{Partition, ProbingHorizon ? ProbeOffset : From, *ReadToken});
 }
 
 void ClaimOwner::read(std::uint64_t Token, const ReadResult &Result,
-                      ClaimTime Time, ClaimCommands &Out) {
-  if (Reading != Token)
+                      ClaimTime Time, ClaimCommands &Commands) {
+  if (ReadToken != Token)
     return;
-  Reading.reset();
-  if (const auto *const Why = std::get_if<LogFailure>(&Result)) {
-    readFailed(*Why, Time, Out);
+  ReadToken.reset();
+  if (const auto *const Failure = std::get_if<LogFailure>(&Result)) {
+    handleReadFailure(*Failure, Time, Commands);
     return;
   }
   const LogBatch &Batch = std::get<LogBatch>(Result);
   ReadDelay = milliseconds{0};
-  if (Probing) {
-    Probing = false;
+  if (ProbingHorizon) {
+    ProbingHorizon = false;
     Ledger.restart(Batch.Horizon);
-    startRead(Batch.Horizon, Out);
+    startRead(Batch.Horizon, Commands);
     return;
   }
-  foldEntries(Batch, Time, Out);
-  // Failure guarded against: a lagging replica of the log answers with an end
-  // that lies before what was read already. It proves nothing; read again.
+  foldEntries(Batch, Time, Commands);
+  // Failure guarded against: a lagging replica of the log returns an end before
+  // what was already read. Such a read proves nothing and is repeated.
   if (Batch.End < Ledger.next() && Batch.Entries.empty()) {
-    readFailed(LogFailure::NotDone, Time, Out);
+    handleReadFailure(LogFailure::NotDone, Time, Commands);
     return;
   }
   if (Ledger.next() < Batch.End) {
-    startRead(Ledger.next(), Out);
+    startRead(Ledger.next(), Commands);
     return;
   }
-  caught(Token, Time, Out);
+  handleCaughtUp(Token, Time, Commands);
 }
 
 void ClaimOwner::foldEntries(const LogBatch &Batch, ClaimTime Time,
-                             ClaimCommands &Out) {
+                             ClaimCommands &Commands) {
   for (const LogEntry &Entry : Batch.Entries)
     if (Entry.At == Ledger.next())
       Ledger.fold(Entry.At, Entry.Payload);
-  if (UnderWay && UnderWay->At && *UnderWay->At < Ledger.next())
-    resolve(Time, Out);
+  if (InProgress && InProgress->At && *InProgress->At < Ledger.next())
+    completeAppend(Time, Commands);
 }
 
-void ClaimOwner::caught(std::uint64_t Token, ClaimTime Time,
-                        ClaimCommands &Out) {
+void ClaimOwner::handleCaughtUp(std::uint64_t Token, ClaimTime Time,
+                                ClaimCommands &Commands) {
   CaughtUp = true;
-  std::vector<WaitingQuery> Later;
+  std::vector<WaitingQuery> StillWaiting;
   for (WaitingQuery &Waiting : Queries) {
-    if (Waiting.FromToken > Token) {
-      Later.push_back(std::move(Waiting));
+    if (Waiting.MinReadToken > Token) {
+      StillWaiting.push_back(std::move(Waiting));
       continue;
     }
     answer(Waiting.From, Waiting.Message,
-           decideQuery(Waiting.Message, Time.Now), Out);
+           decideQuery(Waiting.Message, Time.Now), Commands);
   }
-  Queries = std::move(Later);
-  decideContended(Token, Time, Out);
-  if (!Queries.empty() || !Contended.empty() || ReadAgain)
-    startRead(Ledger.next(), Out);
-  pump(Time, Out);
-}
-
-void ClaimOwner::readFailed(LogFailure Why, ClaimTime Time,
-                            ClaimCommands &Out) {
-  if (Why == LogFailure::Trimmed) {
-    // Failure guarded against: this host slept, or was cut off, for longer than
-    // the log keeps records, so its ledger has a gap. All that stood in the gap
-    // is older than the life of a key: start again at the horizon.
+  Queries = std::move(StillWaiting);
+  decideContended(Token, Time, Commands);
+  if (!Queries.empty() || !Contended.empty() || ReadRequested)
+    startRead(Ledger.next(), Commands);
+  appendIfDue(Time, Commands);
+}
+
+void ClaimOwner::handleReadFailure(LogFailure Failure, ClaimTime Time,
+                                   ClaimCommands &Commands) {
+  if (Failure == LogFailure::Trimmed) {
+    // Failure guarded against: this host was suspended or cut off for longer
+    // than the log's retention, so its ledger has a gap. All records in the gap
+    // are older than the lifetime of a key: restart at the horizon.
     CaughtUp = false;
-    Probing = true;
-    startRead(ProbeOffset, Out);
+    ProbingHorizon = true;
+    startRead(ProbeOffset, Commands);
     return;
   }
   ReadDelay = nextDelay(ReadDelay, Options.RetryDelay);
   ReadRetryAt = Time.Now + ReadDelay;
   for (const WaitingQuery &Waiting : Queries)
-    answer(Waiting.From, Waiting.Message, ClaimUnavailable{}, Out);
+    answer(Waiting.From, Waiting.Message, ClaimUnavailable{}, Commands);
   Queries.clear();
-  // By the last reading the key is held; that is all that can be said now.
-  decideContended(NextToken, Time, Out);
+  // The last successful read shows the key as held; answer from that.
+  decideContended(NextToken, Time, Commands);
   if (CaughtUp)
     return;
-  for (const auto &[Id, Waiting] : Asks)
-    answer(Waiting.From, Waiting.Message, ClaimUnavailable{}, Out);
+  for (const auto &[Id, Waiting] : Claims)
+    answer(Waiting.From, Waiting.Message, ClaimUnavailable{}, Commands);
 }
 
-void ClaimOwner::advance(ClaimTime Time, ClaimCommands &Out) {
+void ClaimOwner::advance(ClaimTime Time, ClaimCommands &Commands) {
   if (ReadRetryAt && *ReadRetryAt <= Time.Now)
-    startRead(Ledger.next(), Out);
-  if (UnderWay && UnderWay->RetryAt && *UnderWay->RetryAt <= Time.Now) {
-    UnderWay->RetryAt.reset();
-    UnderWay->Token = NextToken++;
+    startRead(Ledger.next(), Commands);
+  if (InProgress && InProgress->RetryAt && *InProgress->RetryAt <= Time.Now) {
+    InProgress->RetryAt.reset();
+    InProgress->Token = NextToken++;
     LastAppend = Time.Now;
-    Out.emplace_back(
-        ClaimAppend{Partition, UnderWay->Payload, UnderWay->Token});
+    Commands.emplace_back(
+        ClaimAppend{Partition, InProgress->Payload, InProgress->Token});
   }
-  pump(Time, Out);
+  appendIfDue(Time, Commands);
 }
 
 std::optional<TimePoint> ClaimOwner::nextWake() const {
@@ -535,8 +540,8 @@
       Wake = At;
   };
   Consider(ReadRetryAt);
-  if (UnderWay)
-    Consider(UnderWay->RetryAt);
+  if (InProgress)
+    Consider(InProgress->RetryAt);
   return Wake;
 }
 
--- a/packages/request/src/coltsfoottrail/claims/service.cpp
+++ b/packages/request/src/coltsfoottrail/claims/service.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-/// Hosts in the order of their weights that are asked for a partition.
+/// Number of highest-ranked hosts that requests for a partition are sent to.
 constexpr std::size_t RankedCandidates = 3;
 constexpr std::size_t SettlingItemBytes = 256;
 constexpr milliseconds MaxSettleDelay{10'000};
-constexpr seconds PeerWallLife{600};
+constexpr seconds PeerWallLifetime{600};
 constexpr std::size_t MaxDigestBytes = 4096;
 
-std::vector<HostName> rank(ClaimPartition Partition,
-                           std::span<const ClaimMember> Joined,
-                           const HostName &Self) {
+std::vector<HostName> rankHosts(ClaimPartition Partition,
+                                std::span<const ClaimMember> Joined,
+                                const HostName &Self) {
   const std::string Key = claimStream(Partition).Text;
   std::vector<std::pair<std::uint64_t, HostName>> Weights;
   for (const ClaimMember &Member : Joined)
@@ -37,139 +37,141 @@
 }
 
 milliseconds remaining(TimePoint Deadline, TimePoint Now) {
-  const Duration Left = std::max(Duration::zero(), Deadline - Now);
-  return std::chrono::duration_cast<milliseconds>(Left);
+  const Duration Remaining = std::max(Duration::zero(), Deadline - Now);
+  return std::chrono::duration_cast<milliseconds>(Remaining);
 }
 
 bool isPrintable(std::string_view Text) {
   constexpr char First = ' ';
   constexpr char Last = '~';
-  return std::all_of(Text.begin(), Text.end(), [](char Letter) {
-    return Letter >= First && Letter <= Last;
+  return std::all_of(Text.begin(), Text.end(), [](char Character) {
+    return Character >= First && Character <= Last;
   });
 }
 
-Settlement trimmed(Settlement How, bool KeepBody) {
-  auto *const Outcome = std::get_if<StoredOutcome>(&How);
+Settlement limitOutcome(Settlement Result, bool KeepBody) {
+  auto *const Outcome = std::get_if<StoredOutcome>(&Result);
   if (Outcome == nullptr)
-    return How;
+    return Result;
   if (!isPrintable(Outcome->ContentType))
     Outcome->ContentType.clear();
   if (KeepBody && Outcome->Body.size() <= MaxOutcomeBytes)
-    return How;
+    return Result;
   Outcome->Body.clear();
   Outcome->BodyKept = false;
-  return How;
+  return Result;
 }
 
-std::size_t bodyBytes(const Settlement &How) {
-  const auto *const Outcome = std::get_if<StoredOutcome>(&How);
+std::size_t bodyBytes(const Settlement &Result) {
+  const auto *const Outcome = std::get_if<StoredOutcome>(&Result);
   return Outcome == nullptr ? 0 : Outcome->Body.size();
 }
 
 } // namespace
 
-ClaimService::ClaimService(ClaimOptions Limits)
-    : Options(std::move(Limits)), Watch(Options.UnknownClaimantGrace) {
+ClaimService::ClaimService(ClaimOptions Configured)
+    : Options(std::move(Configured)), Watch(Options.UnknownClaimantGrace) {
   const ClaimMember Self{Options.Self, Options.Run};
-  Watch.members(std::span(&Self, 1));
-  for (ClaimPartition Which = 0; Which < ClaimPartitions; ++Which) {
-    Owners.emplace_back(Which, Options, Watch);
+  Watch.setMembers(std::span(&Self, 1));
+  for (ClaimPartition Partition = 0; Partition < ClaimPartitions; ++Partition) {
+    Owners.emplace_back(Partition, Options, Watch);
     Candidates.push_back({Options.Self});
   }
 }
 
-void ClaimService::checkKey(const ClaimKey &What) const {
-  if (What.Team.empty())
+void ClaimService::checkKey(const ClaimKey &Key) const {
+  if (Key.Team.empty())
     throw Error("claims: a key needs a team");
-  if (What.Key.empty() || What.Key.size() > MaxClaimKeyBytes)
+  if (Key.Key.empty() || Key.Key.size() > MaxClaimKeyBytes)
     throw Error("claims: a key has 1 to " + std::to_string(MaxClaimKeyBytes) +
-                " bytes, not " + std::to_string(What.Key.size()));
-  if (!isPrintable(What.Key))
+                " bytes, not " + std::to_string(Key.Key.size()));
+  if (!isPrintable(Key.Key))
     throw Error("claims: a key holds printable ASCII characters only");
 }
 
 ClaimId ClaimService::claim(ClaimRequest Request, TimePoint Deadline,
-                            ClaimTime Time, ClaimCommands &Out) {
+                            ClaimTime Time, ClaimCommands &Commands) {
   checkKey(Request.ScopedKey);
   if (Request.BodyDigest.empty() || Request.BodyDigest.size() > MaxDigestBytes)
     throw Error("claims: a claim needs the digest of its body");
   const ClaimId Id{Options.Run, NextSequence++};
-  OpenAsk Asked;
-  Asked.Partition = partitionOf(Request.ScopedKey);
-  // Failure guarded against: a claimant that gets its grant when the ledgers
-  // have forgotten the claim would run beside its own retry. The grant ends
-  // long before the claim's record can expire.
-  Asked.Deadline =
+  PendingRequest Pending;
+  Pending.Partition = partitionOf(Request.ScopedKey);
+  // Failure guarded against: a claimant that gets its grant after the ledgers
+  // have erased the claim would run concurrently with its own retry. So the
+  // grant ends long before the claim's record can expire.
+  Pending.Deadline =
       std::min<TimePoint>(Deadline, Time.Now + Options.KeyLife / 2);
-  Asked.SinceWall = Time.Wall;
-  Asked.Message =
+  Pending.StartWall = Time.Wall;
+  Pending.Message =
       AcquireClaim{Id, Options.Self, std::move(Request), Time.Wall, {}};
-  send(Open.emplace(Id, std::move(Asked)).first->second, Time, Out);
-  deliverLocal(Time, Out);
+  send(PendingRequests.emplace(Id, std::move(Pending)).first->second, Time,
+       Commands);
+  deliverLocal(Time, Commands);
   return Id;
 }
 
-ClaimId ClaimService::query(ClaimKey What, TimePoint Deadline, ClaimTime Time,
-                            ClaimCommands &Out) {
-  checkKey(What);
+ClaimId ClaimService::query(ClaimKey Key, TimePoint Deadline, ClaimTime Time,
+                            ClaimCommands &Commands) {
+  checkKey(Key);
   const ClaimId Id{Options.Run, NextSequence++};
-  OpenAsk Asked;
-  Asked.Partition = partitionOf(What);
-  Asked.Deadline = Deadline;
-  Asked.SinceWall = Time.Wall;
-  Asked.Message = ClaimQuery{Id, std::move(What)};
-  send(Open.emplace(Id, std::move(Asked)).first->second, Time, Out);
-  deliverLocal(Time, Out);
+  PendingRequest Pending;
+  Pending.Partition = partitionOf(Key);
+  Pending.Deadline = Deadline;
+  Pending.StartWall = Time.Wall;
+  Pending.Message = ClaimQuery{Id, std::move(Key)};
+  send(PendingRequests.emplace(Id, std::move(Pending)).first->second, Time,
+       Commands);
+  deliverLocal(Time, Commands);
   return Id;
 }
 
-void ClaimService::giveUp(ClaimId Id, ClaimTime Time, ClaimCommands &Out) {
-  const auto Found = Open.find(Id);
-  if (Found == Open.end())
+void ClaimService::giveUp(ClaimId Id, ClaimTime Time, ClaimCommands &Commands) {
+  const auto Found = PendingRequests.find(Id);
+  if (Found == PendingRequests.end())
     return;
   const ClaimMessage Message = std::move(Found->second.Message);
-  Open.erase(Found);
-  if (const auto *const Ask = std::get_if<AcquireClaim>(&Message))
-    startSettling(ClaimSettle{Id, Ask->Request.ScopedKey, ReleaseClaim{}}, Time,
-                  Out);
-  deliverLocal(Time, Out);
+  PendingRequests.erase(Found);
+  if (const auto *const Acquire = std::get_if<AcquireClaim>(&Message))
+    startSettlement(ClaimSettle{Id, Acquire->Request.ScopedKey, ReleaseClaim{}},
+                    Time, Commands);
+  deliverLocal(Time, Commands);
 }
 
-void ClaimService::settle(ClaimId Id, Settlement How, ClaimTime Time,
-                          ClaimCommands &Out) {
+void ClaimService::settle(ClaimId Id, Settlement Result, ClaimTime Time,
+                          ClaimCommands &Commands) {
   const auto Found = Granted.find(Id);
   if (Found == Granted.end())
     return;
-  ClaimSettle Message{Id, std::move(Found->second), std::move(How)};
+  ClaimSettle Message{Id, std::move(Found->second), std::move(Result)};
   Granted.erase(Found);
-  startSettling(std::move(Message), Time, Out);
-  deliverLocal(Time, Out);
+  startSettlement(std::move(Message), Time, Commands);
+  deliverLocal(Time, Commands);
 }
 
-void ClaimService::startSettling(ClaimSettle Message, ClaimTime Time,
-                                 ClaimCommands &Out) {
-  // Bounded memory while the log is down: first bodies go, then settlements;
-  // a key whose settlement was dropped reads as in progress until this run
-  // ends, and as "may have run" from then on.
+void ClaimService::startSettlement(ClaimSettle Message, ClaimTime Time,
+                                   ClaimCommands &Commands) {
+  // Bounds memory while the log is down: first bodies are dropped, then
+  // settlements. A key whose settlement was dropped is reported as in progress
+  // until this run ends, and as "may have run" afterwards.
   if (SettlingBytes >= 2 * Options.MaxSettlingBytes) {
-    Forgot = true;
+    SettlementDropped = true;
     return;
   }
   const bool KeepBody =
       SettlingBytes + bodyBytes(Message.Result) <= Options.MaxSettlingBytes;
-  Message.Result = trimmed(std::move(Message.Result), KeepBody);
-  Settling Ended;
-  Ended.Partition = partitionOf(Message.ScopedKey);
-  Ended.ForgetAt = Time.Now + Options.KeyLife / 2;
-  Ended.Bytes = SettlingItemBytes + bodyBytes(Message.Result);
+  Message.Result = limitOutcome(std::move(Message.Result), KeepBody);
+  PendingSettlement Pending;
+  Pending.Partition = partitionOf(Message.ScopedKey);
+  Pending.DropAt = Time.Now + Options.KeyLife / 2;
+  Pending.Bytes = SettlingItemBytes + bodyBytes(Message.Result);
   const ClaimId Id = Message.Id;
-  Ended.Message = std::move(Message);
-  const auto [Place, Added] = Settlings.emplace(Id, std::move(Ended));
+  Pending.Message = std::move(Message);
+  const auto [Slot, Added] = PendingSettlements.emplace(Id, std::move(Pending));
   if (!Added)
     return;
-  SettlingBytes += Place->second.Bytes;
-  send(Place->second, Time, Out);
+  SettlingBytes += Slot->second.Bytes;
+  send(Slot->second, Time, Commands);
 }
 
 const HostName &ClaimService::candidate(ClaimPartition Partition,
@@ -178,172 +180,181 @@
   return Ranked[Index % Ranked.size()];
 }
 
-void ClaimService::send(OpenAsk &Asked, ClaimTime Time, ClaimCommands &Out) {
-  if (auto *const Ask = std::get_if<AcquireClaim>(&Asked.Message)) {
-    Ask->Wall = Time.Wall;
-    Ask->Budget = remaining(Asked.Deadline, Time.Now);
+void ClaimService::send(PendingRequest &Pending, ClaimTime Time,
+                        ClaimCommands &Commands) {
+  if (auto *const Acquire = std::get_if<AcquireClaim>(&Pending.Message)) {
+    Acquire->Wall = Time.Wall;
+    Acquire->Budget = remaining(Pending.Deadline, Time.Now);
   }
-  Asked.RetryAt = Time.Now + Options.AskTimeout;
-  ++Asked.Sends;
-  Out.emplace_back(
-      ClaimSend{candidate(Asked.Partition, Asked.Candidate), Asked.Message});
+  Pending.RetryAt = Time.Now + Options.AskTimeout;
+  ++Pending.Sends;
+  Commands.emplace_back(ClaimSend{
+      candidate(Pending.Partition, Pending.Candidate), Pending.Message});
 }
 
-void ClaimService::send(Settling &Ended, ClaimTime Time, ClaimCommands &Out) {
-  Ended.Delay = std::min(MaxSettleDelay,
-                         std::max(Options.AskTimeout * 2, Ended.Delay * 2));
-  Ended.RetryAt = Time.Now + Ended.Delay;
-  Out.emplace_back(
-      ClaimSend{candidate(Ended.Partition, Ended.Candidate), Ended.Message});
+void ClaimService::send(PendingSettlement &Pending, ClaimTime Time,
+                        ClaimCommands &Commands) {
+  Pending.Delay = std::min(MaxSettleDelay,
+                           std::max(Options.AskTimeout * 2, Pending.Delay * 2));
+  Pending.RetryAt = Time.Now + Pending.Delay;
+  Commands.emplace_back(ClaimSend{
+      candidate(Pending.Partition, Pending.Candidate), Pending.Message});
 }
 
 void ClaimService::received(const HostName &From, const ClaimMessage &Message,
-                            ClaimTime Time, ClaimCommands &Out) {
-  takeIn(From, Message, Time, Out);
-  deliverLocal(Time, Out);
+                            ClaimTime Time, ClaimCommands &Commands) {
+  dispatch(From, Message, Time, Commands);
+  deliverLocal(Time, Commands);
 }
 
-void ClaimService::takeIn(const HostName &From, const ClaimMessage &Message,
-                          ClaimTime Time, ClaimCommands &Out) {
-  std::visit([&](const auto &Kind) { handle(From, Kind, Time, Out); }, Message);
+void ClaimService::dispatch(const HostName &From, const ClaimMessage &Message,
+                            ClaimTime Time, ClaimCommands &Commands) {
+  std::visit([&](const auto &Body) { handle(From, Body, Time, Commands); },
+             Message);
 }
 
-void ClaimService::deliverLocal(ClaimTime Time, ClaimCommands &Out) {
-  // Messages to this host itself are taken in here, so that the wiring sends
-  // only to peers. Taking one in may add more behind it.
-  for (std::size_t Index = 0; Index < Out.size(); ++Index) {
-    auto *const Sent = std::get_if<ClaimSend>(&Out[Index]);
+void ClaimService::deliverLocal(ClaimTime Time, ClaimCommands &Commands) {
+  // Messages to this host itself are handled here, so that the caller sends
+  // only to peers. Handling one may append more commands.
+  for (std::size_t Index = 0; Index < Commands.size(); ++Index) {
+    auto *const Sent = std::get_if<ClaimSend>(&Commands[Index]);
     if (Sent == nullptr || Sent->To != Options.Self)
       continue;
     const ClaimMessage Message = std::move(Sent->Message);
     Sent->To = HostName();
-    takeIn(Options.Self, Message, Time, Out);
+    dispatch(Options.Self, Message, Time, Commands);
   }
-  std::erase_if(Out, [](const ClaimCommand &Given) {
-    const auto *const Sent = std::get_if<ClaimSend>(&Given);
+  std::erase_if(Commands, [](const ClaimCommand &Command) {
+    const auto *const Sent = std::get_if<ClaimSend>(&Command);
     return Sent != nullptr && Sent->To.empty();
   });
 }
 
 void ClaimService::handle(const HostName &From, const AcquireClaim &Message,
-                          ClaimTime Time, ClaimCommands &Out) {
+                          ClaimTime Time, ClaimCommands &Commands) {
   if (From != Options.Self)
-    takeWall(Message, Time.Now);
-  Owners[partitionOf(Message.Request.ScopedKey)].ask(From, Message,
-                                                     bounded(Time), Out);
+    observePeerWall(Message, Time.Now);
+  Owners[partitionOf(Message.Request.ScopedKey)].claim(
+      From, Message, withBoundedWall(Time), Commands);
 }
 
 void ClaimService::handle(const HostName &From, const ClaimSettle &Message,
-                          ClaimTime Time, ClaimCommands &Out) {
-  Owners[partitionOf(Message.ScopedKey)].settle(From, Message, bounded(Time),
-                                                Out);
+                          ClaimTime Time, ClaimCommands &Commands) {
+  Owners[partitionOf(Message.ScopedKey)].settle(
+      From, Message, withBoundedWall(Time), Commands);
 }
 
 void ClaimService::handle(const HostName &From, const ClaimQuery &Message,
-                          ClaimTime Time, ClaimCommands &Out) {
-  Owners[partitionOf(Message.ScopedKey)].query(From, Message, bounded(Time),
-                                               Out);
+                          ClaimTime Time, ClaimCommands &Commands) {
+  Owners[partitionOf(Message.ScopedKey)].query(From, Message,
+                                               withBoundedWall(Time), Commands);
 }
 
 void ClaimService::handle(const HostName &From, const ClaimAnswer &Message,
-                          ClaimTime Time, ClaimCommands &Out) {
+                          ClaimTime Time, ClaimCommands &Commands) {
   if (Message.Id.Run != Options.Run)
     return;
-  const auto Found = Open.find(Message.Id);
-  if (Found == Open.end()) {
-    releaseOrphan(Message, Time, Out);
+  const auto Found = PendingRequests.find(Message.Id);
+  if (Found == PendingRequests.end()) {
+    releaseUnawaitedClaim(Message, Time, Commands);
     return;
   }
-  OpenAsk &Asked = Found->second;
+  PendingRequest &Pending = Found->second;
   if (!std::holds_alternative<ClaimUnavailable>(Message.Decision)) {
-    decide(Message.Id, Message.Decision, Time, Out);
+    decide(Message.Id, Message.Decision, Time, Commands);
     return;
   }
-  if (candidate(Asked.Partition, Asked.Candidate) != From)
+  if (candidate(Pending.Partition, Pending.Candidate) != From)
     return;
-  ++Asked.Candidate;
-  const bool Fresh = Asked.Candidate % Candidates[Asked.Partition].size() != 0;
-  if (Fresh)
-    send(Asked, Time, Out);
-}
-
-void ClaimService::releaseOrphan(const ClaimAnswer &Message, ClaimTime Time,
-                                 ClaimCommands &Out) {
-  // Failure guarded against: an ask that was refused comes to an owner once
-  // more when the key has become free. Its claim then holds the key and nobody
-  // waits for it. It was not sent, as it is not among the granted, so it is
-  // given up; a claim that has ended keeps its end, whatever is released. Once
-  // a settlement has been dropped, that is no longer sure.
-  const bool Orphan = std::holds_alternative<ClaimGranted>(Message.Decision) &&
-                      !Forgot && !Granted.contains(Message.Id) &&
-                      !Settlings.contains(Message.Id);
-  if (Orphan)
-    startSettling(ClaimSettle{Message.Id, Message.ScopedKey, ReleaseClaim{}},
-                  Time, Out);
+  ++Pending.Candidate;
+  const bool HasUntried =
+      Pending.Candidate % Candidates[Pending.Partition].size() != 0;
+  if (HasUntried)
+    send(Pending, Time, Commands);
+}
+
+void ClaimService::releaseUnawaitedClaim(const ClaimAnswer &Message,
+                                         ClaimTime Time,
+                                         ClaimCommands &Commands) {
+  // Failure guarded against: a copy of a refused AcquireClaim reaches an owner
+  // after the key has become free. Its claim then holds the key, and nobody
+  // waits for it. Its request was not sent, as the claim is not among the
+  // granted ones, so it is released; a claim that was already settled keeps its
+  // settlement. Once a settlement has been dropped, this is no longer certain.
+  const bool IsUnawaited =
+      std::holds_alternative<ClaimGranted>(Message.Decision) &&
+      !SettlementDropped && !Granted.contains(Message.Id) &&
+      !PendingSettlements.contains(Message.Id);
+  if (IsUnawaited)
+    startSettlement(ClaimSettle{Message.Id, Message.ScopedKey, ReleaseClaim{}},
+                    Time, Commands);
 }
 
 void ClaimService::handle(const HostName & /*From*/,
                           const ClaimSettled &Message, ClaimTime /*Time*/,
-                          ClaimCommands & /*Out*/) {
-  const auto Found = Settlings.find(Message.Id);
-  if (Found == Settlings.end())
+                          ClaimCommands & /*Commands*/) {
+  const auto Found = PendingSettlements.find(Message.Id);
+  if (Found == PendingSettlements.end())
     return;
   SettlingBytes -= Found->second.Bytes;
-  Settlings.erase(Found);
+  PendingSettlements.erase(Found);
 }
 
 void ClaimService::decide(ClaimId Id, ClaimDecision Decision, ClaimTime Time,
-                          ClaimCommands &Out) {
-  const auto Found = Open.find(Id);
-  const OpenAsk Asked = std::move(Found->second);
-  if (Time.Now >= Asked.Deadline &&
+                          ClaimCommands &Commands) {
+  const auto Found = PendingRequests.find(Id);
+  const PendingRequest Pending = std::move(Found->second);
+  if (Time.Now >= Pending.Deadline &&
       !std::holds_alternative<ClaimUnavailable>(Decision)) {
-    Found->second = Asked;
-    refuseLate(Id, Time, Out);
+    Found->second = Pending;
+    refuseAtDeadline(Id, Time, Commands);
     return;
   }
-  Open.erase(Found);
-  if (const auto *const Ask = std::get_if<AcquireClaim>(&Asked.Message)) {
+  PendingRequests.erase(Found);
+  if (const auto *const Acquire = std::get_if<AcquireClaim>(&Pending.Message)) {
     if (std::holds_alternative<ClaimGranted>(Decision))
-      Granted.emplace(Id, Ask->Request.ScopedKey);
-    else if (Asked.Sends > 1 ||
+      Granted.emplace(Id, Acquire->Request.ScopedKey);
+    else if (Pending.Sends > 1 ||
              std::holds_alternative<ClaimUnavailable>(Decision))
-      // Failure guarded against: the ask also lies with another owner, which
-      // appends it when the key is free again; the key would then be held by a
-      // claim that nobody waits for. The release stands on the log and voids
-      // it, whether it comes before or after.
-      startSettling(ClaimSettle{Id, Ask->Request.ScopedKey, ReleaseClaim{}},
-                    Time, Out);
+      // Failure guarded against: the message may also be queued at another
+      // owner, which appends the claim when the key is free again. The key
+      // would then be held by a claim that nobody waits for. The release on the
+      // log invalidates that claim, whether it comes before or after it.
+      startSettlement(
+          ClaimSettle{Id, Acquire->Request.ScopedKey, ReleaseClaim{}}, Time,
+          Commands);
   }
-  Out.emplace_back(DeliverDecision{Id, std::move(Decision), Asked.Deadline});
+  Commands.emplace_back(
+      DeliverDecision{Id, std::move(Decision), Pending.Deadline});
 }
 
-void ClaimService::refuseLate(ClaimId Id, ClaimTime Time, ClaimCommands &Out) {
-  const OpenAsk &Asked = Open.at(Id);
-  bool Earlier = false;
-  if (const auto *const Ask = std::get_if<AcquireClaim>(&Asked.Message)) {
+void ClaimService::refuseAtDeadline(ClaimId Id, ClaimTime Time,
+                                    ClaimCommands &Commands) {
+  const PendingRequest &Pending = PendingRequests.at(Id);
+  bool EarlierTry = false;
+  if (const auto *const Acquire = std::get_if<AcquireClaim>(&Pending.Message)) {
     const auto Skew = static_cast<std::uint64_t>(MaxClockSkew.count());
-    const std::optional<std::uint64_t> &Birth = Ask->Request.Birth;
-    Earlier = Birth && *Birth + Skew < Asked.SinceWall;
+    const std::optional<std::uint64_t> &Birth = Acquire->Request.Birth;
+    EarlierTry = Birth && *Birth + Skew < Pending.StartWall;
   }
-  decide(Id, ClaimUnavailable{Earlier}, Time, Out);
+  decide(Id, ClaimUnavailable{EarlierTry}, Time, Commands);
 }
 
-void ClaimService::takeWall(const AcquireClaim &Message, TimePoint Now) {
+void ClaimService::observePeerWall(const AcquireClaim &Message, TimePoint Now) {
   const auto Elapsed =
       std::chrono::duration_cast<seconds>(Now - PeerWallAt).count();
-  const bool Old = Now - PeerWallAt > PeerWallLife;
-  if (!Old && Message.Wall < PeerWall + static_cast<std::uint64_t>(Elapsed))
+  const bool IsStale = Now - PeerWallAt > PeerWallLifetime;
+  if (!IsStale && Message.Wall < PeerWall + static_cast<std::uint64_t>(Elapsed))
     return;
   PeerWall = Message.Wall;
   PeerWallAt = Now;
 }
 
-ClaimTime ClaimService::bounded(ClaimTime Time) const {
-  // Failure guarded against: this host's wall clock is far ahead. Its stamp
-  // would make every ledger forget all keys at once, and retries would run
-  // again. The peers' clocks bound it.
-  if (PeerWall == 0 || Time.Now - PeerWallAt > PeerWallLife)
+ClaimTime ClaimService::withBoundedWall(ClaimTime Time) const {
+  // Failure guarded against: this host's wall clock is far ahead. Its timestamp
+  // would make every ledger expire all keys at once, and retries would run
+  // again. So the wall clock is bounded by those of the peers.
+  if (PeerWall == 0 || Time.Now - PeerWallAt > PeerWallLifetime)
     return Time;
   const auto Elapsed =
       std::chrono::duration_cast<seconds>(Time.Now - PeerWallAt);
@@ -355,72 +366,72 @@
 
 void ClaimService::appended(ClaimPartition Partition, std::uint64_t Token,
                             const AppendResult &Result, ClaimTime Time,
-                            ClaimCommands &Out) {
-  Owners.at(Partition).appended(Token, Result, bounded(Time), Out);
-  deliverLocal(Time, Out);
+                            ClaimCommands &Commands) {
+  Owners.at(Partition).appended(Token, Result, withBoundedWall(Time), Commands);
+  deliverLocal(Time, Commands);
 }
 
 void ClaimService::read(ClaimPartition Partition, std::uint64_t Token,
                         const ReadResult &Result, ClaimTime Time,
-                        ClaimCommands &Out) {
-  Owners.at(Partition).read(Token, Result, bounded(Time), Out);
-  deliverLocal(Time, Out);
+                        ClaimCommands &Commands) {
+  Owners.at(Partition).read(Token, Result, withBoundedWall(Time), Commands);
+  deliverLocal(Time, Commands);
 }
 
 void ClaimService::setMembers(std::span<const ClaimMember> Joined,
-                              ClaimTime Time, ClaimCommands &Out) {
-  Watch.members(Joined);
-  for (ClaimPartition Which = 0; Which < ClaimPartitions; ++Which) {
-    std::vector<HostName> Ranked = rank(Which, Joined, Options.Self);
+                              ClaimTime Time, ClaimCommands &Commands) {
+  Watch.setMembers(Joined);
+  for (ClaimPartition Partition = 0; Partition < ClaimPartitions; ++Partition) {
+    std::vector<HostName> Ranked = rankHosts(Partition, Joined, Options.Self);
     if (Ranked.front() == Options.Self)
-      Owners[Which].open(Time, Out);
-    if (Ranked == Candidates[Which])
+      Owners[Partition].open(Time, Commands);
+    if (Ranked == Candidates[Partition])
       continue;
-    Candidates[Which] = std::move(Ranked);
-    for (auto &[Id, Asked] : Open)
-      if (Asked.Partition == Which) {
-        Asked.Candidate = 0;
-        send(Asked, Time, Out);
+    Candidates[Partition] = std::move(Ranked);
+    for (auto &[Id, Pending] : PendingRequests)
+      if (Pending.Partition == Partition) {
+        Pending.Candidate = 0;
+        send(Pending, Time, Commands);
       }
-    for (auto &[Id, Ended] : Settlings)
-      if (Ended.Partition == Which)
-        Ended.Candidate = 0;
+    for (auto &[Id, Pending] : PendingSettlements)
+      if (Pending.Partition == Partition)
+        Pending.Candidate = 0;
   }
-  advance(Time, Out);
+  advance(Time, Commands);
 }
 
-void ClaimService::advance(ClaimTime Time, ClaimCommands &Out) {
-  std::vector<ClaimId> Late;
-  for (auto &[Id, Asked] : Open) {
-    if (Asked.Deadline <= Time.Now) {
-      Late.push_back(Id);
-    } else if (Asked.RetryAt <= Time.Now) {
-      ++Asked.Candidate;
-      send(Asked, Time, Out);
+void ClaimService::advance(ClaimTime Time, ClaimCommands &Commands) {
+  std::vector<ClaimId> Expired;
+  for (auto &[Id, Pending] : PendingRequests) {
+    if (Pending.Deadline <= Time.Now) {
+      Expired.push_back(Id);
+    } else if (Pending.RetryAt <= Time.Now) {
+      ++Pending.Candidate;
+      send(Pending, Time, Commands);
     }
   }
-  for (const ClaimId Id : Late)
-    refuseLate(Id, Time, Out);
-  for (auto &[Id, Ended] : Settlings)
-    if (Ended.RetryAt <= Time.Now) {
-      ++Ended.Candidate;
-      send(Ended, Time, Out);
+  for (const ClaimId Id : Expired)
+    refuseAtDeadline(Id, Time, Commands);
+  for (auto &[Id, Pending] : PendingSettlements)
+    if (Pending.RetryAt <= Time.Now) {
+      ++Pending.Candidate;
+      send(Pending, Time, Commands);
     }
-  std::erase_if(Settlings, [&](const auto &Entry) {
-    if (Entry.second.ForgetAt > Time.Now)
+  std::erase_if(PendingSettlements, [&](const auto &Entry) {
+    if (Entry.second.DropAt > Time.Now)
       return false;
     SettlingBytes -= Entry.second.Bytes;
-    Forgot = true;
+    SettlementDropped = true;
     return true;
   });
-  for (ClaimPartition Which = 0; Which < ClaimPartitions; ++Which) {
-    ClaimOwner &Owned = Owners[Which];
-    Owned.advance(bounded(Time), Out);
-    if (candidate(Which, 0) != Options.Self &&
-        Time.Now - Owned.lastUsed() > Options.CloseAfter)
-      Owned.close();
+  for (ClaimPartition Partition = 0; Partition < ClaimPartitions; ++Partition) {
+    ClaimOwner &Owner = Owners[Partition];
+    Owner.advance(withBoundedWall(Time), Commands);
+    if (candidate(Partition, 0) != Options.Self &&
+        Time.Now - Owner.lastUsed() > Options.CloseAfter)
+      Owner.close();
   }
-  deliverLocal(Time, Out);
+  deliverLocal(Time, Commands);
 }
 
 std::optional<TimePoint> ClaimService::nextWake() const {
@@ -429,12 +440,12 @@
     if (!Wake || At < *Wake)
       Wake = At;
   };
-  for (const auto &[Id, Asked] : Open)
-    Consider(std::min(Asked.RetryAt, Asked.Deadline));
-  for (const auto &[Id, Ended] : Settlings)
-    Consider(std::min(Ended.RetryAt, Ended.ForgetAt));
-  for (const ClaimOwner &Owned : Owners)
-    if (const std::optional<TimePoint> At = Owned.nextWake())
+  for (const auto &[Id, Pending] : PendingRequests)
+    Consider(std::min(Pending.RetryAt, Pending.Deadline));
+  for (const auto &[Id, Pending] : PendingSettlements)
+    Consider(std::min(Pending.RetryAt, Pending.DropAt));
+  for (const ClaimOwner &Owner : Owners)
+    if (const std::optional<TimePoint> At = Owner.nextWake())
       Consider(*At);
   return Wake;
 }
--- a/packages/request/src/coltsfoottrail/claims/service.hpp
+++ b/packages/request/src/coltsfoottrail/claims/service.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The claims as one entry host sees them: its own requests, and the partitions
-/// that it owns.
+/// Claims on one entry host: those of its own requests, and the partitions that
+/// it owns.
 #ifndef COLTSFOOTTRAIL_CLAIMS_SERVICE_HPP
 #define COLTSFOOTTRAIL_CLAIMS_SERVICE_HPP
 
@@ -12,83 +12,89 @@
 
 namespace coltsfoottrail {
 
-/// @brief At most once across all entry hosts: decides claims of this host's
-/// requests and owns partitions for its peers. Pure: takes events and times,
-/// answers commands.
+/// @brief Ensures that a request runs at most once across all entry hosts:
+/// claims the keys of this host's requests and owns partitions for its peers.
+/// Pure: takes events and times and returns commands.
 ///
-/// Each claim() and query() gets exactly one DeliverDecision. Not thread-safe:
-/// stands under one lock. Times must not go back.
+/// Each claim() and query() gets exactly one DeliverDecision, unless giveUp()
+/// is called for it. Not thread-safe: callers hold one lock. Times must not go
+/// back.
 class ClaimService {
 public:
-  /// @brief Makes a service that knows no peers.
-  /// @param Limits Limits and times; Self and Run must be set, and Run must
+  /// @brief Starts without peers.
+  /// @param Configured Limits and times; Self and Run must be set, and Run must
   /// differ from that of any earlier run of this host.
-  explicit ClaimService(ClaimOptions Limits);
+  explicit ClaimService(ClaimOptions Configured);
   ClaimService(const ClaimService &) = delete;
   ClaimService &operator=(const ClaimService &) = delete;
 
   /// @brief Claims a key for a request of this host.
   /// @param Request Key and digest, neither empty, the key of at most
   /// MaxClaimKeyBytes printable ASCII characters.
-  /// @param Deadline The decision comes by then; a granted request must leave
-  /// before. At most half of the life of a key away, else it is shortened.
+  /// @param Deadline Latest time of the decision; a granted request must be
+  /// sent before. Shortened to half the lifetime of a key if it is later.
   /// @param Time The time.
-  /// @param Out Commands are added here.
-  /// @return Names the claim.
-  /// @throws Error The key or the digest cannot be used.
+  /// @param Commands Receives the commands.
+  /// @return Identifies the claim.
+  /// @throws Error The key or the digest is invalid.
   ClaimId claim(ClaimRequest Request, TimePoint Deadline, ClaimTime Time,
-                ClaimCommands &Out);
-  /// @brief Forgets a claim whose caller has gone before the decision; there
-  /// will be none.
-  void giveUp(ClaimId Id, ClaimTime Time, ClaimCommands &Out);
-  /// @brief Tells how a granted claim ended; once for each. ReleaseClaim only
-  /// if the request was not sent and never will be.
+                ClaimCommands &Commands);
+  /// @brief Gives up a claim whose caller has left before the decision; none
+  /// will be delivered.
+  void giveUp(ClaimId Id, ClaimTime Time, ClaimCommands &Commands);
+  /// @brief Settles a granted claim; to be called once for each. ReleaseClaim
+  /// only if the request was not sent and never will be.
   /// @param Id A granted claim.
-  /// @param How How it ended; a body above MaxOutcomeBytes is not kept.
+  /// @param Result How it ended; a body above MaxOutcomeBytes is not stored.
   /// @param Time The time.
-  /// @param Out Commands are added here.
-  void settle(ClaimId Id, Settlement How, ClaimTime Time, ClaimCommands &Out);
-  /// @brief Asks for the outcome of a key without claiming it.
-  /// @param What The key, not empty, of at most MaxClaimKeyBytes.
-  /// @param Deadline The decision comes by then.
+  /// @param Commands Receives the commands.
+  void settle(ClaimId Id, Settlement Result, ClaimTime Time,
+              ClaimCommands &Commands);
+  /// @brief Queries the outcome of a key without claiming it.
+  /// @param Key The key, not empty, of at most MaxClaimKeyBytes.
+  /// @param Deadline Latest time of the answer.
   /// @param Time The time.
-  /// @param Out Commands are added here.
-  /// @return Names the query.
-  /// @throws Error The key cannot be used.
-  ClaimId query(ClaimKey What, TimePoint Deadline, ClaimTime Time,
-                ClaimCommands &Out);
+  /// @param Commands Receives the commands.
+  /// @return Identifies the query.
+  /// @throws Error The key is invalid.
+  ClaimId query(ClaimKey Key, TimePoint Deadline, ClaimTime Time,
+                ClaimCommands &Commands);
 
-  /// @brief Takes a message from a peer; any number of times, in any order.
+  /// @brief Handles a message from a peer; messages may be repeated and
+  /// reordered.
   void received(const HostName &From, const ClaimMessage &Message,
-                ClaimTime Time, ClaimCommands &Out);
-  /// @brief Takes the result of a ClaimAppend.
+                ClaimTime Time, ClaimCommands &Commands);
+  /// @brief Handles the result of a ClaimAppend.
   void appended(ClaimPartition Partition, std::uint64_t Token,
-                const AppendResult &Result, ClaimTime Time, ClaimCommands &Out);
-  /// @brief Takes the result of a ClaimRead.
+                const AppendResult &Result, ClaimTime Time,
+                ClaimCommands &Commands);
+  /// @brief Handles the result of a ClaimRead.
   void read(ClaimPartition Partition, std::uint64_t Token,
-            const ReadResult &Result, ClaimTime Time, ClaimCommands &Out);
-  /// @brief Takes the entry hosts of the agreed state, this one among them.
+            const ReadResult &Result, ClaimTime Time, ClaimCommands &Commands);
+  /// @brief Sets the entry hosts of the agreed state, including this one.
   void setMembers(std::span<const ClaimMember> Joined, ClaimTime Time,
-                  ClaimCommands &Out);
-  /// @brief Does what time alone brings.
-  void advance(ClaimTime Time, ClaimCommands &Out);
+                  ClaimCommands &Commands);
+  /// @brief Processes everything that is due.
+  void advance(ClaimTime Time, ClaimCommands &Commands);
   /// @brief When advance() should be called next.
   [[nodiscard]] std::optional<TimePoint> nextWake() const;
 
-  /// @brief A partition as this host sees it.
-  /// @param Which Below ClaimPartitions.
-  [[nodiscard]] const ClaimOwner &owner(ClaimPartition Which) const {
-    return Owners[Which];
+  /// @brief This host's state of a partition.
+  /// @param Partition Below ClaimPartitions.
+  [[nodiscard]] const ClaimOwner &owner(ClaimPartition Partition) const {
+    return Owners[Partition];
   }
-  /// @brief Claims and queries of this host without a decision.
-  [[nodiscard]] std::size_t pending() const noexcept { return Open.size(); }
-  /// @brief Settlements that are not confirmed yet.
+  /// @brief Number of this host's claims and queries without a decision.
+  [[nodiscard]] std::size_t pending() const noexcept {
+    return PendingRequests.size();
+  }
+  /// @brief Number of unconfirmed settlements.
   [[nodiscard]] std::size_t settling() const noexcept {
-    return Settlings.size();
+    return PendingSettlements.size();
   }
 
 private:
-  struct OpenAsk {
+  struct PendingRequest {
     /// A AcquireClaim or a ClaimQuery.
     ClaimMessage Message;
     ClaimPartition Partition = 0;
@@ -96,60 +102,63 @@
     TimePoint RetryAt;
     std::size_t Candidate = 0;
     std::size_t Sends = 0;
-    std::uint64_t SinceWall = 0;
+    std::uint64_t StartWall = 0;
   };
-  struct Settling {
+  struct PendingSettlement {
     ClaimSettle Message;
     ClaimPartition Partition = 0;
     TimePoint RetryAt;
-    TimePoint ForgetAt;
+    TimePoint DropAt;
     milliseconds Delay{0};
     std::size_t Candidate = 0;
     std::size_t Bytes = 0;
   };
 
   void handle(const HostName &From, const AcquireClaim &Message, ClaimTime Time,
-              ClaimCommands &Out);
+              ClaimCommands &Commands);
   void handle(const HostName &From, const ClaimSettle &Message, ClaimTime Time,
-              ClaimCommands &Out);
+              ClaimCommands &Commands);
   void handle(const HostName &From, const ClaimQuery &Message, ClaimTime Time,
-              ClaimCommands &Out);
+              ClaimCommands &Commands);
   void handle(const HostName &From, const ClaimAnswer &Message, ClaimTime Time,
-              ClaimCommands &Out);
+              ClaimCommands &Commands);
   void handle(const HostName &From, const ClaimSettled &Message, ClaimTime Time,
-              ClaimCommands &Out);
+              ClaimCommands &Commands);
 
-  void takeIn(const HostName &From, const ClaimMessage &Message, ClaimTime Time,
-              ClaimCommands &Out);
-  void deliverLocal(ClaimTime Time, ClaimCommands &Out);
-  void checkKey(const ClaimKey &What) const;
-  void send(OpenAsk &Asked, ClaimTime Time, ClaimCommands &Out);
-  void send(Settling &Ended, ClaimTime Time, ClaimCommands &Out);
+  void dispatch(const HostName &From, const ClaimMessage &Message,
+                ClaimTime Time, ClaimCommands &Commands);
+  void deliverLocal(ClaimTime Time, ClaimCommands &Commands);
+  void checkKey(const ClaimKey &Key) const;
+  void send(PendingRequest &Pending, ClaimTime Time, ClaimCommands &Commands);
+  void send(PendingSettlement &Pending, ClaimTime Time,
+            ClaimCommands &Commands);
   void decide(ClaimId Id, ClaimDecision Decision, ClaimTime Time,
-              ClaimCommands &Out);
-  void releaseOrphan(const ClaimAnswer &Message, ClaimTime Time,
-                     ClaimCommands &Out);
-  void refuseLate(ClaimId Id, ClaimTime Time, ClaimCommands &Out);
-  void startSettling(ClaimSettle Message, ClaimTime Time, ClaimCommands &Out);
+              ClaimCommands &Commands);
+  void releaseUnawaitedClaim(const ClaimAnswer &Message, ClaimTime Time,
+                             ClaimCommands &Commands);
+  void refuseAtDeadline(ClaimId Id, ClaimTime Time, ClaimCommands &Commands);
+  void startSettlement(ClaimSettle Message, ClaimTime Time,
+                       ClaimCommands &Commands);
   [[nodiscard]] const HostName &candidate(ClaimPartition Partition,
                                           std::size_t Index) const;
-  [[nodiscard]] ClaimTime bounded(ClaimTime Time) const;
-  void takeWall(const AcquireClaim &Message, TimePoint Now);
+  [[nodiscard]] ClaimTime withBoundedWall(ClaimTime Time) const;
+  void observePeerWall(const AcquireClaim &Message, TimePoint Now);
 
   ClaimOptions Options;
   ClaimantWatch Watch;
   std::vector<ClaimOwner> Owners;
-  /// For each partition the hosts to ask, the owner first.
+  /// For each partition the hosts to send requests to, the owner first.
   std::vector<std::vector<HostName>> Candidates;
   std::uint64_t NextSequence = 1;
-  std::map<ClaimId, OpenAsk> Open;
+  std::map<ClaimId, PendingRequest> PendingRequests;
   /// Granted and not settled.
   std::map<ClaimId, ClaimKey> Granted;
-  std::map<ClaimId, Settling> Settlings;
+  std::map<ClaimId, PendingSettlement> PendingSettlements;
   std::size_t SettlingBytes = 0;
-  /// A settlement was dropped: what this host does not know of may have run.
-  bool Forgot = false;
-  /// Highest wall clock among the peers, and when it was heard.
+  /// A settlement was dropped: a claim of this run that is unknown here may
+  /// have run.
+  bool SettlementDropped = false;
+  /// Highest wall clock received from peers, and when it was received.
   std::uint64_t PeerWall = 0;
   TimePoint PeerWallAt;
 };
--- a/packages/request/src/coltsfoottrail/claims/types.cpp
+++ b/packages/request/src/coltsfoottrail/claims/types.cpp
@@ -10,8 +10,8 @@
 
 constexpr std::size_t UuidLength = 36;
 constexpr std::size_t UuidTimeDigits = 12;
-constexpr std::size_t UuidVersionAt = 14;
-constexpr std::size_t UuidVariantAt = 19;
+constexpr std::size_t UuidVersionIndex = 14;
+constexpr std::size_t UuidVariantIndex = 19;
 constexpr milliseconds UnavailableRetry{1000};
 constexpr milliseconds InProgressRetry{500};
 
@@ -23,8 +23,8 @@
   if (Key.size() != UuidLength)
     return false;
   for (std::size_t Index = 0; Index < UuidLength; ++Index) {
-    const auto Letter = static_cast<unsigned char>(Key[Index]);
-    if (isDashAt(Index) ? Letter != '-' : std::isxdigit(Letter) == 0)
+    const auto Character = static_cast<unsigned char>(Key[Index]);
+    if (isDashAt(Index) ? Character != '-' : std::isxdigit(Character) == 0)
       return false;
   }
   return true;
@@ -55,34 +55,35 @@
   std::optional<Verdict> operator()(const ClaimKeyExpired &) const {
     return Verdict{RunState::MayHaveRun, Reason::KeyExpired, std::nullopt};
   }
-  std::optional<Verdict> operator()(const ClaimUnavailable &Why) const {
-    return Verdict{Why.EarlierTry ? RunState::MayHaveRun : RunState::NotRun,
+  std::optional<Verdict> operator()(const ClaimUnavailable &Decision) const {
+    return Verdict{Decision.EarlierTry ? RunState::MayHaveRun
+                                       : RunState::NotRun,
                    Reason::ClaimUnavailable, UnavailableRetry};
   }
 };
 
 } // namespace
 
-ClaimPartition partitionOf(const ClaimKey &What) {
-  const std::uint64_t TeamHash = hashText(What.Team.Text);
-  return static_cast<ClaimPartition>(hashText(What.Key, TeamHash) %
+ClaimPartition partitionOf(const ClaimKey &Key) {
+  const std::uint64_t TeamHash = hashText(Key.Team.Text);
+  return static_cast<ClaimPartition>(hashText(Key.Key, TeamHash) %
                                      ClaimPartitions);
 }
 
-StreamName claimStream(ClaimPartition Which) {
-  return StreamName("claims/" + std::to_string(Which));
+StreamName claimStream(ClaimPartition Partition) {
+  return StreamName("claims/" + std::to_string(Partition));
 }
 
 std::optional<std::uint64_t> birthOfKey(std::string_view Key) {
-  if (!isUuid(Key) || Key[UuidVersionAt] != '7')
+  if (!isUuid(Key) || Key[UuidVersionIndex] != '7')
     return std::nullopt;
-  if (std::string_view("89abAB").find(Key[UuidVariantAt]) ==
+  if (std::string_view("89abAB").find(Key[UuidVariantIndex]) ==
       std::string_view::npos)
     return std::nullopt;
   std::string Digits;
-  for (const char Letter : Key)
-    if (Letter != '-' && Digits.size() < UuidTimeDigits)
-      Digits.push_back(Letter);
+  for (const char Character : Key)
+    if (Character != '-' && Digits.size() < UuidTimeDigits)
+      Digits.push_back(Character);
   constexpr int Hexadecimal = 16;
   constexpr std::uint64_t MillisecondsPerSecond = 1000;
   return std::stoull(Digits, nullptr, Hexadecimal) / MillisecondsPerSecond;
--- a/packages/request/test/coltsfoottrail/claims/hosts.hpp
+++ b/packages/request/test/coltsfoottrail/claims/hosts.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// A fake log and network around several claim services, stepped by hand.
+/// Deterministic simulation of several claim services with a fake log and
+/// network.
 #ifndef COLTSFOOTTRAIL_TEST_CLAIMS_HOSTS_HPP
 #define COLTSFOOTTRAIL_TEST_CLAIMS_HOSTS_HPP
 
@@ -19,7 +20,7 @@
 
 namespace coltsfoottrail {
 
-/// What the fakes do wrong; chances are in percent.
+/// Injected faults; probabilities in percent.
 struct Faults {
   bool LogDown = false;
   std::uint64_t AppendAnswerLost = 0;
@@ -40,25 +41,25 @@
   struct Event {
     std::size_t Host = 0;
     Incarnation Run = 0;
-    std::function<void(ClaimService &, ClaimTime, ClaimCommands &)> Act;
+    std::function<void(ClaimService &, ClaimTime, ClaimCommands &)> Action;
   };
   struct Decided {
     std::size_t Host = 0;
-    ClaimDecision What;
+    ClaimDecision Decision;
   };
 
-  explicit Hosts(std::size_t Count, std::uint64_t Seed = 1) : Draw(Seed) {
+  explicit Hosts(std::size_t Count, std::uint64_t Seed = 1) : Rng(Seed) {
     for (std::size_t Index = 0; Index < Count; ++Index) {
       All.emplace_back();
       All.back().Name = HostName("host-" + std::to_string(Index));
       start(Index);
     }
-    tellMembers();
+    announceMembers();
   }
 
   void start(std::size_t Index) {
     Host &Started = All[Index];
-    ClaimOptions Options = Defaults;
+    ClaimOptions Options = DefaultOptions;
     Options.Self = Started.Name;
     Options.Run = Started.Run = ++LastRun;
     Started.Up = true;
@@ -66,73 +67,73 @@
   }
   void stop(std::size_t Index) { All[Index].Up = false; }
 
-  /// Every running host learns who runs; a stopped one has left.
-  void tellMembers() {
+  /// Sets the members on every running host; stopped hosts have left.
+  void announceMembers() {
     for (std::size_t Index = 0; Index < All.size(); ++Index)
-      tellMembers(Index);
+      announceMembers(Index);
   }
-  void tellMembers(std::size_t Index) {
+  void announceMembers(std::size_t Index) {
     std::vector<ClaimMember> Joined;
     for (const Host &Each : All)
       if (Each.Up)
         Joined.push_back({Each.Name, Each.Run});
-    act(Index, [&](auto &Service, ClaimTime Time, auto &Out) {
-      Service.setMembers(Joined, Time, Out);
+    invoke(Index, [&](auto &Service, ClaimTime Time, auto &Commands) {
+      Service.setMembers(Joined, Time, Commands);
     });
   }
 
-  template <class Function> void act(std::size_t Index, Function Act) {
+  template <class Function> void invoke(std::size_t Index, Function Action) {
     if (!All[Index].Up)
       return;
-    ClaimCommands Out;
-    Act(*All[Index].Service, time(), Out);
-    for (ClaimCommand &Command : Out)
-      std::visit([&](auto &Kind) { carryOut(Index, Kind); }, Command);
+    ClaimCommands Commands;
+    Action(*All[Index].Service, time(), Commands);
+    for (ClaimCommand &Command : Commands)
+      std::visit([&](auto &Kind) { perform(Index, Kind); }, Command);
   }
 
   ClaimId claim(std::size_t Index, const std::string &Key,
                 const std::string &Digest = "digest",
                 milliseconds Budget = milliseconds(30'000)) {
     ClaimId Id;
-    act(Index, [&](auto &Service, ClaimTime Time, auto &Out) {
+    invoke(Index, [&](auto &Service, ClaimTime Time, auto &Commands) {
       ClaimRequest Request{{TeamName("team"), Key}, Digest, birthOfKey(Key)};
-      Id = Service.claim(Request, Time.Now + Budget, Time, Out);
+      Id = Service.claim(Request, Time.Now + Budget, Time, Commands);
     });
     return Id;
   }
   ClaimId query(std::size_t Index, const std::string &Key) {
     ClaimId Id;
-    act(Index, [&](auto &Service, ClaimTime Time, auto &Out) {
+    invoke(Index, [&](auto &Service, ClaimTime Time, auto &Commands) {
       Id = Service.query({TeamName("team"), Key}, Time.Now + seconds(5), Time,
-                         Out);
+                         Commands);
     });
     return Id;
   }
   void settle(std::size_t Index, ClaimId Id, const Settlement &How) {
-    act(Index, [&](auto &Service, ClaimTime Time, auto &Out) {
-      Service.settle(Id, How, Time, Out);
+    invoke(Index, [&](auto &Service, ClaimTime Time, auto &Commands) {
+      Service.settle(Id, How, Time, Commands);
     });
   }
 
-  /// Takes one event in; which one, the seed says.
+  /// Delivers one event, chosen at random by the seed.
   bool deliverOne() {
     if (Events.empty())
       return false;
-    const std::size_t Which = Draw.below(Events.size());
-    Event Taken = std::move(Events[Which]);
+    const std::size_t Which = Rng.below(Events.size());
+    Event Next = std::move(Events[Which]);
     Events.erase(Events.begin() + static_cast<std::ptrdiff_t>(Which));
-    if (All[Taken.Host].Up && All[Taken.Host].Run == Taken.Run)
-      act(Taken.Host, Taken.Act);
+    if (All[Next.Host].Up && All[Next.Host].Run == Next.Run)
+      invoke(Next.Host, Next.Action);
     return true;
   }
   void pass(milliseconds Span) {
     Now += Span;
     for (std::size_t Index = 0; Index < All.size(); ++Index)
-      act(Index, [](auto &Service, ClaimTime Time, auto &Out) {
-        Service.advance(Time, Out);
+      invoke(Index, [](auto &Service, ClaimTime Time, auto &Commands) {
+        Service.advance(Time, Commands);
       });
   }
-  /// Lets time and events go on until nothing is left to decide or settle.
+  /// Advances time by Span and delivers all events.
   void run(milliseconds Span) {
     const TimePoint End = Now + Span;
     while (Now < End) {
@@ -150,9 +151,9 @@
   template <class Kind> [[nodiscard]] bool is(ClaimId Id) const {
     const auto Found = Decisions.find(Id);
     return Found != Decisions.end() &&
-           std::holds_alternative<Kind>(Found->second.What);
+           std::holds_alternative<Kind>(Found->second.Decision);
   }
-  /// The host that a partition's asks go to first.
+  /// The host that requests for a key's partition are sent to first.
   [[nodiscard]] std::size_t ownerOf(const std::string &Key) const {
     const std::string Stream =
         claimStream(partitionOf({TeamName("team"), Key})).Text;
@@ -165,54 +166,54 @@
     return Best;
   }
 
-  ClaimOptions Defaults;
+  ClaimOptions DefaultOptions;
   std::vector<Host> All;
   std::map<ClaimId, Decided> Decisions;
   std::array<std::vector<LogEntry>, ClaimPartitions> Streams;
   std::array<Offset, ClaimPartitions> Horizons{};
   std::deque<Event> Events;
-  Faults Wrong;
+  Faults InjectedFaults;
   std::size_t Appends = 0;
   TimePoint Now{seconds(100)};
   std::uint64_t StartWall = 1'800'000'000;
-  Random Draw;
+  Random Rng;
 
 private:
   [[nodiscard]] bool chance(std::uint64_t Percent) {
-    return Draw.below(100) < Percent;
+    return Rng.below(100) < Percent;
   }
-  void later(std::size_t Index, auto Act) {
-    Events.push_back(Event{Index, All[Index].Run, Act});
+  void schedule(std::size_t Index, auto Action) {
+    Events.push_back(Event{Index, All[Index].Run, Action});
   }
 
-  void carryOut(std::size_t Index, ClaimAppend &Command) {
+  void perform(std::size_t Index, ClaimAppend &Command) {
     AppendResult Result = LogFailure::NotDone;
-    if (!Wrong.LogDown && !chance(Wrong.AppendNotDone)) {
+    if (!InjectedFaults.LogDown && !chance(InjectedFaults.AppendNotDone)) {
       std::vector<LogEntry> &Stream = Streams[Command.Partition];
       const Offset At = Stream.size();
       Stream.push_back({At, Command.Payload});
       ++Appends;
       Result = At;
-      if (chance(Wrong.AppendAnswerLost))
+      if (chance(InjectedFaults.AppendAnswerLost))
         Result = LogFailure::Unknown;
     }
     const ClaimPartition Partition = Command.Partition;
     const std::uint64_t Token = Command.Token;
-    later(Index,
-          [=](ClaimService &Service, ClaimTime Time, ClaimCommands &Out) {
-            Service.appended(Partition, Token, Result, Time, Out);
-          });
+    schedule(Index, [=](ClaimService &Service, ClaimTime Time,
+                        ClaimCommands &Commands) {
+      Service.appended(Partition, Token, Result, Time, Commands);
+    });
   }
-  void carryOut(std::size_t Index, const ClaimRead &Command) {
+  void perform(std::size_t Index, const ClaimRead &Command) {
     ReadResult Result = LogFailure::NotDone;
-    if (!Wrong.LogDown)
+    if (!InjectedFaults.LogDown)
       Result = readFrom(Command.Partition, Command.From);
     const ClaimPartition Partition = Command.Partition;
     const std::uint64_t Token = Command.Token;
-    later(Index,
-          [=](ClaimService &Service, ClaimTime Time, ClaimCommands &Out) {
-            Service.read(Partition, Token, Result, Time, Out);
-          });
+    schedule(Index, [=](ClaimService &Service, ClaimTime Time,
+                        ClaimCommands &Commands) {
+      Service.read(Partition, Token, Result, Time, Commands);
+    });
   }
   [[nodiscard]] ReadResult readFrom(ClaimPartition Partition, Offset From) {
     const std::vector<LogEntry> &Stream = Streams[Partition];
@@ -227,27 +228,27 @@
       Batch.Entries.push_back(Stream[At]);
     return Batch;
   }
-  void carryOut(std::size_t Index, const ClaimSend &Command) {
+  void perform(std::size_t Index, const ClaimSend &Command) {
     const HostName From = All[Index].Name;
-    // Through the codec, as on the mesh.
+    // Encoded and decoded, as on the mesh.
     const std::vector<std::byte> Bytes =
         writeCbor(writeClaimMessage(Command.Message));
-    const int Copies = chance(Wrong.MessageLost)    ? 0
-                       : chance(Wrong.MessageTwice) ? 2
-                                                    : 1;
+    const int Copies = chance(InjectedFaults.MessageLost)    ? 0
+                       : chance(InjectedFaults.MessageTwice) ? 2
+                                                             : 1;
     for (std::size_t To = 0; To < All.size(); ++To) {
       if (All[To].Name != Command.To)
         continue;
       for (int Copy = 0; Copy < Copies; ++Copy)
-        later(To, [=](ClaimService &Service, ClaimTime Time,
-                      ClaimCommands &Out) {
+        schedule(To, [=](ClaimService &Service, ClaimTime Time,
+                         ClaimCommands &Commands) {
           Service.received(From,
                            readClaimMessage(parseCbor(Bytes, "mesh"), "mesh"),
-                           Time, Out);
+                           Time, Commands);
         });
     }
   }
-  void carryOut(std::size_t Index, const DeliverDecision &Command) {
+  void perform(std::size_t Index, const DeliverDecision &Command) {
     const bool Added =
         Decisions.emplace(Command.Id, Decided{Index, Command.Decision}).second;
     if (!Added)
--- a/packages/request/test/coltsfoottrail/claims/property.cpp
+++ b/packages/request/test/coltsfoottrail/claims/property.cpp
@@ -10,19 +10,19 @@
 constexpr std::size_t HostCount = 4;
 constexpr std::size_t KeyCount = 3;
 
-/// Drives hosts at random and keeps what each grant was worth.
+/// Runs hosts with random events and faults and tracks all granted claims.
 class RandomRun {
 public:
   explicit RandomRun(std::uint64_t Seed)
-      : World(HostCount, Seed), Draw(Seed * 7919) {
-    World.Wrong.AppendAnswerLost = 15;
-    World.Wrong.AppendNotDone = 10;
-    World.Wrong.MessageLost = 10;
-    World.Wrong.MessageTwice = 10;
+      : Sim(HostCount, Seed), Rng(Seed * 7919) {
+    Sim.InjectedFaults.AppendAnswerLost = 15;
+    Sim.InjectedFaults.AppendNotDone = 10;
+    Sim.InjectedFaults.MessageLost = 10;
+    Sim.InjectedFaults.MessageTwice = 10;
   }
 
   void step() {
-    switch (Draw.below(12)) {
+    switch (Rng.below(12)) {
     case 0:
     case 1:
       claimSomething();
@@ -31,32 +31,32 @@
       settleSomething();
       break;
     case 3:
-      if (Draw.below(6) == 0)
+      if (Rng.below(6) == 0)
         restartSomething();
       break;
     case 4:
-      World.Wrong.LogDown = Draw.below(5) == 0;
+      Sim.InjectedFaults.LogDown = Rng.below(5) == 0;
       break;
     case 5:
-      World.tellMembers(Draw.below(HostCount));
+      Sim.announceMembers(Rng.below(HostCount));
       break;
     case 6:
-      World.pass(milliseconds(Draw.below(400)));
+      Sim.pass(milliseconds(Rng.below(400)));
       break;
     default:
-      for (std::uint64_t Count = Draw.below(6); Count > 0; --Count)
-        World.deliverOne();
+      for (std::uint64_t Count = Rng.below(6); Count > 0; --Count)
+        Sim.deliverOne();
       break;
     }
     takeGrants();
   }
 
-  /// A key's claims on the log in order, without those that were given up
-  /// before: the first that stands must be the only one that was granted.
+  /// Checks that the holder of each key according to the log, the first of its
+  /// claims not given up, is the only one that was granted.
   void checkLog() const {
     for (ClaimPartition Which = 0; Which < ClaimPartitions; ++Which) {
       ClaimLedger Reader;
-      for (const LogEntry &Entry : World.Streams[Which])
+      for (const LogEntry &Entry : Sim.Streams[Which])
         Reader.fold(Entry.At, Entry.Payload);
       for (const auto &[Id, Key] : Running) {
         const ClaimKey Name{TeamName("team"), Key};
@@ -70,40 +70,41 @@
     }
   }
 
-  /// With all faults gone and nobody holding a key, it is granted again.
+  /// Checks that keys are granted again once faults have ended and claims are
+  /// settled.
   void checkProgress() {
-    World.Wrong = Faults{};
+    Sim.InjectedFaults = Faults{};
     for (std::size_t Index = 0; Index < HostCount; ++Index)
-      if (!World.All[Index].Up)
-        World.start(Index);
-    World.tellMembers();
-    World.run(milliseconds(3000));
+      if (!Sim.All[Index].Up)
+        Sim.start(Index);
+    Sim.announceMembers();
+    Sim.run(milliseconds(3000));
     takeGrants();
     for (const auto &[Id, Host] : Hosting)
-      if (World.All[Host].Up && World.All[Host].Run == Id.Run)
-        World.settle(Host, Id, ReleaseClaim{});
-    World.run(milliseconds(12'000));
-    const ClaimId New = World.claim(0, "never used");
-    World.run(milliseconds(500));
-    EXPECT_TRUE(World.is<ClaimGranted>(New));
-    for (const ClaimId Id : Asked) {
-      EXPECT_TRUE(!isLive(Id) || World.Decisions.contains(Id));
+      if (Sim.All[Host].Up && Sim.All[Host].Run == Id.Run)
+        Sim.settle(Host, Id, ReleaseClaim{});
+    Sim.run(milliseconds(12'000));
+    const ClaimId New = Sim.claim(0, "never used");
+    Sim.run(milliseconds(500));
+    EXPECT_TRUE(Sim.is<ClaimGranted>(New));
+    for (const ClaimId Id : Issued) {
+      EXPECT_TRUE(!isLive(Id) || Sim.Decisions.contains(Id));
     }
-    for (const Hosts::Host &Each : World.All)
+    for (const Hosts::Host &Each : Sim.All)
       EXPECT_EQ(Each.Service->settling(), 0U);
     expectNoOrphans();
   }
 
   [[nodiscard]] std::size_t granted() const { return Fences.size(); }
-  [[nodiscard]] std::size_t decidedTwice() const { return World.DecidedTwice; }
+  [[nodiscard]] std::size_t decidedTwice() const { return Sim.DecidedTwice; }
 
 private:
-  /// No key is held by a claim that a running host does not know of.
+  /// Checks that no key is held by a claim that a running host does not know.
   void expectNoOrphans() const {
     for (std::size_t Index = 0; Index < KeyCount; ++Index) {
       const ClaimKey Name{TeamName("team"), "key-" + std::to_string(Index)};
       ClaimLedger Reader;
-      for (const LogEntry &Entry : World.Streams[partitionOf(Name)])
+      for (const LogEntry &Entry : Sim.Streams[partitionOf(Name)])
         Reader.fold(Entry.At, Entry.Payload);
       const LedgerEntry *const Entry = Reader.find(Name);
       if (Entry == nullptr || !isLive(Entry->Holder))
@@ -112,49 +113,49 @@
     }
   }
   [[nodiscard]] bool isLive(ClaimId Id) const {
-    return std::any_of(
-        World.All.begin(), World.All.end(),
-        [&](const auto &Each) { return Each.Up && Each.Run == Id.Run; });
+    return std::any_of(Sim.All.begin(), Sim.All.end(), [&](const auto &Each) {
+      return Each.Up && Each.Run == Id.Run;
+    });
   }
   void claimSomething() {
-    const std::size_t Host = Draw.below(HostCount);
-    if (!World.All[Host].Up)
+    const std::size_t Host = Rng.below(HostCount);
+    if (!Sim.All[Host].Up)
       return;
-    const std::string Key = "key-" + std::to_string(Draw.below(KeyCount));
+    const std::string Key = "key-" + std::to_string(Rng.below(KeyCount));
     const ClaimId Id =
-        World.claim(Host, Key, "digest", milliseconds(200 + Draw.below(3000)));
-    Asked.insert(Id);
+        Sim.claim(Host, Key, "digest", milliseconds(200 + Rng.below(3000)));
+    Issued.insert(Id);
     Keys[Id] = Key;
   }
   void settleSomething() {
     if (Hosting.empty())
       return;
     auto Chosen = Hosting.begin();
-    std::advance(Chosen, Draw.below(Hosting.size()));
+    std::advance(Chosen, Rng.below(Hosting.size()));
     const auto [Id, Host] = *Chosen;
-    if (!World.All[Host].Up || World.All[Host].Run != Id.Run)
+    if (!Sim.All[Host].Up || Sim.All[Host].Run != Id.Run)
       return;
     Hosting.erase(Chosen);
-    if (Draw.below(3) == 0) {
-      World.settle(Host, Id, StoredOutcome{200, "text/plain", "ok", true});
+    if (Rng.below(3) == 0) {
+      Sim.settle(Host, Id, StoredOutcome{200, "text/plain", "ok", true});
       return;
     }
-    // Given up: from here on another claim may be granted.
+    // Given up: from here on another claim of the key may be granted.
     Running.erase(Id);
-    World.settle(Host, Id, ReleaseClaim{});
+    Sim.settle(Host, Id, ReleaseClaim{});
   }
   void restartSomething() {
-    const std::size_t Host = Draw.below(HostCount);
-    if (World.All[Host].Up) {
-      World.stop(Host);
+    const std::size_t Host = Rng.below(HostCount);
+    if (Sim.All[Host].Up) {
+      Sim.stop(Host);
       return;
     }
-    World.start(Host);
-    World.tellMembers(Host);
+    Sim.start(Host);
+    Sim.announceMembers(Host);
   }
   void takeGrants() {
-    for (const auto &[Id, Decided] : World.Decisions) {
-      const auto *const Grant = std::get_if<ClaimGranted>(&Decided.What);
+    for (const auto &[Id, Decided] : Sim.Decisions) {
+      const auto *const Grant = std::get_if<ClaimGranted>(&Decided.Decision);
       if (Grant == nullptr || Fences.contains(Id) || !Keys.contains(Id))
         continue;
       for (const auto &[Other, Key] : Running) {
@@ -166,20 +167,20 @@
     }
   }
 
-  Hosts World;
-  Random Draw;
-  std::set<ClaimId> Asked;
+  Hosts Sim;
+  Random Rng;
+  std::set<ClaimId> Issued;
   std::map<ClaimId, std::string> Keys;
   std::map<ClaimId, Offset> Fences;
-  /// Granted and not given up: may run, or has run.
+  /// Granted and not given up: running, or has run.
   std::map<ClaimId, std::string> Running;
   /// Granted and not settled, by host.
   std::map<ClaimId, std::size_t> Hosting;
 };
 
-// Twice the barriers on the road: under any order of lost, late and repeated
-// messages, lost append answers, log outages, restarts and owners that differ,
-// a key must never be granted to two claims unless the first was given up.
+// Under any order of lost, delayed and repeated messages, lost append results,
+// log outages, restarts and differing owners, a key must never be granted to
+// two claims unless the first was given up.
 TEST(ClaimsProperty, OneGrantWithoutARelease) {
   std::size_t Granted = 0;
   for (std::uint64_t Seed = 1; Seed <= 300; ++Seed) {
@@ -198,28 +199,28 @@
   EXPECT_GT(Granted, 300U);
 }
 
-// Two hosts that read the same records must hold the same claims, whatever
-// damage stands between them on the log.
+// Two hosts that read the same records must have the same claims, also with
+// damaged records on the log.
 TEST(ClaimsProperty, DamagedRecordsAreSkippedAlike) {
-  Random Draw(42);
+  Random Rng(42);
   ClaimLedger Left;
   ClaimLedger Right;
   for (Offset At = 0; At < 500; ++At) {
     ClaimBatch Batch;
-    Batch.Writer = {1 + Draw.below(3), 1 + Draw.below(200)};
+    Batch.Writer = {1 + Rng.below(3), 1 + Rng.below(200)};
     Batch.Stamp = 1'000'000 + At;
     Batch.Life = 50;
-    const ClaimKey Key{TeamName("t"), std::to_string(Draw.below(20))};
-    const ClaimId Id{Batch.Writer.Run, Draw.below(100)};
-    if (Draw.below(2) == 0)
+    const ClaimKey Key{TeamName("t"), std::to_string(Rng.below(20))};
+    const ClaimId Id{Batch.Writer.Run, Rng.below(100)};
+    if (Rng.below(2) == 0)
       Batch.Items.emplace_back(ClaimMade{Id, HostName("h"), {Key, "d", {}}});
     else
       Batch.Items.emplace_back(ClaimEnded{Id, Key, ReleaseClaim{}});
     std::vector<std::byte> Bytes = encodeBatch(Batch);
-    if (Draw.below(4) == 0)
-      Bytes[Draw.below(Bytes.size())] ^= std::byte{0x41};
-    if (Draw.below(8) == 0)
-      Bytes.resize(Draw.below(Bytes.size()));
+    if (Rng.below(4) == 0)
+      Bytes[Rng.below(Bytes.size())] ^= std::byte{0x41};
+    if (Rng.below(8) == 0)
+      Bytes.resize(Rng.below(Bytes.size()));
     EXPECT_EQ(Left.fold(At, Bytes), Right.fold(At, Bytes));
     EXPECT_EQ(Left.digest(), Right.digest());
   }
--- a/packages/request/test/coltsfoottrail/claims/service.cpp
+++ b/packages/request/test/coltsfoottrail/claims/service.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 /// Another key of the same partition.
-std::string otherKeyIn(const std::string &Key) {
-  const ClaimPartition Wanted = partitionOf({TeamName("team"), Key});
+std::string otherKeyInPartitionOf(const std::string &Key) {
+  const ClaimPartition Partition = partitionOf({TeamName("team"), Key});
   for (int Index = 0;; ++Index) {
     std::string Other = "other-" + std::to_string(Index);
-    if (partitionOf({TeamName("team"), Other}) == Wanted)
+    if (partitionOf({TeamName("team"), Other}) == Partition)
       return Other;
   }
 }
@@ -21,268 +21,273 @@
 const StoredOutcome Answered{201, "application/json", "{\"order\":7}\xff\xfe",
                              true};
 
-// A foreman's phone sends a sign order twice at once; the balancer gives the
-// copies to two entry hosts. Were both sent on, twice the barriers would stand
-// on the road. One is granted; the other hears who is at it, and a later resend
-// gets the first one's answer.
+// Two copies of an order arrive at two entry hosts at once. One is granted, the
+// other gets the claimant in progress, and a later repetition gets the outcome
+// of the first.
 TEST(Claims, TwinsOnTwoHostsRunOnce) {
-  Hosts Nine(9);
-  const ClaimId First = Nine.claim(1, "order-1");
-  const ClaimId Second = Nine.claim(2, "order-1");
-  Nine.run(milliseconds(200));
-  ASSERT_NE(Nine.is<ClaimGranted>(First), Nine.is<ClaimGranted>(Second));
-  const bool FirstWon = Nine.is<ClaimGranted>(First);
-  EXPECT_TRUE(Nine.is<ClaimInProgress>(FirstWon ? Second : First));
-  Nine.settle(FirstWon ? 1 : 2, FirstWon ? First : Second, Answered);
-  Nine.run(milliseconds(200));
-  const ClaimId Resent = Nine.claim(3, "order-1");
-  const ClaimId OtherBody = Nine.claim(4, "order-1", "another");
-  Nine.run(milliseconds(200));
-  ASSERT_TRUE(Nine.is<ClaimReplay>(Resent));
-  EXPECT_EQ(std::get<ClaimReplay>(Nine.Decisions.at(Resent).What).Outcome,
-            Answered);
-  EXPECT_TRUE(Nine.is<ClaimBodyDiffers>(OtherBody));
+  Hosts Cluster(9);
+  const ClaimId First = Cluster.claim(1, "order-1");
+  const ClaimId Second = Cluster.claim(2, "order-1");
+  Cluster.run(milliseconds(200));
+  ASSERT_NE(Cluster.is<ClaimGranted>(First), Cluster.is<ClaimGranted>(Second));
+  const bool FirstWon = Cluster.is<ClaimGranted>(First);
+  EXPECT_TRUE(Cluster.is<ClaimInProgress>(FirstWon ? Second : First));
+  Cluster.settle(FirstWon ? 1 : 2, FirstWon ? First : Second, Answered);
+  Cluster.run(milliseconds(200));
+  const ClaimId Resent = Cluster.claim(3, "order-1");
+  const ClaimId OtherBody = Cluster.claim(4, "order-1", "another");
+  Cluster.run(milliseconds(200));
+  ASSERT_TRUE(Cluster.is<ClaimReplay>(Resent));
+  EXPECT_EQ(
+      std::get<ClaimReplay>(Cluster.Decisions.at(Resent).Decision).Outcome,
+      Answered);
+  EXPECT_TRUE(Cluster.is<ClaimBodyDiffers>(OtherBody));
 }
 
-// The log takes the claim, but its answer is lost. The owner cannot know and
-// appends again; both copies stand on the log. The claimant is granted once,
-// and the copy harms nothing when the claim has been given up meanwhile.
+// The claim is appended but the result of the append is lost. The owner appends
+// it again, so the log has two copies. The claimant is granted once, and the
+// copy has no effect if the claim has been given up since.
 TEST(Claims, LostAppendAnswerIsNotASecondClaim) {
-  Hosts One(1);
-  One.run(milliseconds(50));
-  One.Wrong.AppendAnswerLost = 100;
-  const ClaimId Id = One.claim(0, "order-2");
-  One.run(milliseconds(200));
-  EXPECT_FALSE(One.Decisions.contains(Id));
-  EXPECT_GE(One.Appends, 2U);
-  One.Wrong.AppendAnswerLost = 0;
-  One.run(milliseconds(2000));
-  ASSERT_TRUE(One.is<ClaimGranted>(Id));
-  EXPECT_EQ(std::get<ClaimGranted>(One.Decisions.at(Id).What).Fence, 0U);
-  EXPECT_EQ(One.DecidedTwice, 0U);
+  Hosts Cluster(1);
+  Cluster.run(milliseconds(50));
+  Cluster.InjectedFaults.AppendAnswerLost = 100;
+  const ClaimId Id = Cluster.claim(0, "order-2");
+  Cluster.run(milliseconds(200));
+  EXPECT_FALSE(Cluster.Decisions.contains(Id));
+  EXPECT_GE(Cluster.Appends, 2U);
+  Cluster.InjectedFaults.AppendAnswerLost = 0;
+  Cluster.run(milliseconds(2000));
+  ASSERT_TRUE(Cluster.is<ClaimGranted>(Id));
+  EXPECT_EQ(std::get<ClaimGranted>(Cluster.Decisions.at(Id).Decision).Fence,
+            0U);
+  EXPECT_EQ(Cluster.DecidedTwice, 0U);
 }
 
-// The claimant finds no endpoint and gives the claim up before a byte has left.
-// The caller's retry must be served, not refused as "may have run".
+// The claimant finds no endpoint and releases the claim without having sent
+// anything. The caller's retry must be granted, not refused as "may have run".
 TEST(Claims, ReleasedKeyIsGrantedToTheRetry) {
-  Hosts Three(3);
-  const ClaimId Id = Three.claim(0, "order-3");
-  Three.run(milliseconds(100));
-  ASSERT_TRUE(Three.is<ClaimGranted>(Id));
-  Three.settle(0, Id, ReleaseClaim{});
-  Three.run(milliseconds(200));
-  const ClaimId Retry = Three.claim(1, "order-3", "a corrected body");
-  Three.run(milliseconds(200));
-  EXPECT_TRUE(Three.is<ClaimGranted>(Retry));
-  EXPECT_EQ(Three.All[0].Service->settling(), 0U);
+  Hosts Cluster(3);
+  const ClaimId Id = Cluster.claim(0, "order-3");
+  Cluster.run(milliseconds(100));
+  ASSERT_TRUE(Cluster.is<ClaimGranted>(Id));
+  Cluster.settle(0, Id, ReleaseClaim{});
+  Cluster.run(milliseconds(200));
+  const ClaimId Retry = Cluster.claim(1, "order-3", "a corrected body");
+  Cluster.run(milliseconds(200));
+  EXPECT_TRUE(Cluster.is<ClaimGranted>(Retry));
+  EXPECT_EQ(Cluster.All[0].Service->settling(), 0U);
 }
 
-// The claimant dies after it sent the order to the endpoint, or before, or
-// after the answer but before it stood on the log: nobody can tell which. While
-// it is a member the retry hears "in progress", from then on "may have run",
-// never "not run" and never a second grant.
+// The claimant dies before or after it sent the order, or after the response
+// but before the settlement was on the log; nobody can tell which. While it is
+// a member, retries get "in progress", and afterwards "may have run", never
+// "not run" and never a second grant.
 TEST(Claims, DeadClaimantLeavesMayHaveRun) {
-  Hosts Four(4);
-  const std::size_t Claimant = (Four.ownerOf("order-4") + 1) % 4;
-  const std::size_t Other = (Four.ownerOf("order-4") + 2) % 4;
-  const ClaimId Id = Four.claim(Claimant, "order-4");
-  Four.run(milliseconds(100));
-  ASSERT_TRUE(Four.is<ClaimGranted>(Id));
-  Four.stop(Claimant);
-  const ClaimId Early = Four.claim(Other, "order-4");
-  Four.run(milliseconds(100));
-  EXPECT_TRUE(Four.is<ClaimInProgress>(Early));
-  Four.tellMembers();
-  const ClaimId Late = Four.claim(Other, "order-4");
-  const ClaimId Asked = Four.query(Other, "order-4");
-  Four.run(milliseconds(100));
-  EXPECT_TRUE(Four.is<ClaimMayHaveRun>(Late));
-  EXPECT_TRUE(Four.is<ClaimMayHaveRun>(Asked));
+  Hosts Cluster(4);
+  const std::size_t Claimant = (Cluster.ownerOf("order-4") + 1) % 4;
+  const std::size_t Other = (Cluster.ownerOf("order-4") + 2) % 4;
+  const ClaimId Id = Cluster.claim(Claimant, "order-4");
+  Cluster.run(milliseconds(100));
+  ASSERT_TRUE(Cluster.is<ClaimGranted>(Id));
+  Cluster.stop(Claimant);
+  const ClaimId Early = Cluster.claim(Other, "order-4");
+  Cluster.run(milliseconds(100));
+  EXPECT_TRUE(Cluster.is<ClaimInProgress>(Early));
+  Cluster.announceMembers();
+  const ClaimId Late = Cluster.claim(Other, "order-4");
+  const ClaimId Query = Cluster.query(Other, "order-4");
+  Cluster.run(milliseconds(100));
+  EXPECT_TRUE(Cluster.is<ClaimMayHaveRun>(Late));
+  EXPECT_TRUE(Cluster.is<ClaimMayHaveRun>(Query));
 }
 
-// The owner of the partition dies with a claim on the log and the answer not
-// sent. The claimant asks the next host, which reads the stream and finds the
-// claim in its place.
+// The owner of the partition dies after it appended a claim and before it
+// answered. The claimant's next candidate reads the stream and finds the claim.
 TEST(Claims, DeadOwnerIsReplacedByReading) {
-  Hosts Four(4);
-  Four.run(milliseconds(50));
-  const std::size_t Owner = Four.ownerOf("order-5");
+  Hosts Cluster(4);
+  Cluster.run(milliseconds(50));
+  const std::size_t Owner = Cluster.ownerOf("order-5");
   const std::size_t Claimant = (Owner + 1) % 4;
-  const ClaimId Id = Four.claim(Claimant, "order-5");
-  Four.deliverOne();
-  Four.pass(milliseconds(50));
-  ASSERT_EQ(Four.Appends, 1U);
-  Four.stop(Owner);
-  Four.run(milliseconds(2000));
-  EXPECT_TRUE(Four.is<ClaimGranted>(Id));
+  const ClaimId Id = Cluster.claim(Claimant, "order-5");
+  Cluster.deliverOne();
+  Cluster.pass(milliseconds(50));
+  ASSERT_EQ(Cluster.Appends, 1U);
+  Cluster.stop(Owner);
+  Cluster.run(milliseconds(2000));
+  EXPECT_TRUE(Cluster.is<ClaimGranted>(Id));
 }
 
-// During a membership change two hosts own the partition and each gets one of
-// the twins. Both append; the log decides for both alike.
+// During a membership change two hosts own the partition, and each gets one of
+// two copies of a request. Both append; both decide by the order on the log.
 TEST(Claims, TwoOwnersGrantOne) {
   for (std::uint64_t Seed = 1; Seed <= 50; ++Seed) {
-    Hosts Three(3, Seed);
-    Three.run(milliseconds(50));
-    const std::size_t Owner = Three.ownerOf("order-6");
-    const std::size_t Apart = (Owner + 1) % 3;
-    // This host believes that it is alone.
-    Three.act(Apart, [&](auto &Service, ClaimTime Time, auto &Out) {
-      const ClaimMember Self{Three.All[Apart].Name, Three.All[Apart].Run};
-      Service.setMembers(std::span(&Self, 1), Time, Out);
-    });
-    const ClaimId Left = Three.claim(Owner, "order-6");
-    const ClaimId Right = Three.claim(Apart, "order-6");
-    Three.run(milliseconds(500));
-    EXPECT_NE(Three.is<ClaimGranted>(Left), Three.is<ClaimGranted>(Right));
+    Hosts Cluster(3, Seed);
+    Cluster.run(milliseconds(50));
+    const std::size_t Owner = Cluster.ownerOf("order-6");
+    const std::size_t Isolated = (Owner + 1) % 3;
+    // This host's view has itself as the only member.
+    Cluster.invoke(Isolated,
+                   [&](auto &Service, ClaimTime Time, auto &Commands) {
+                     const ClaimMember Self{Cluster.All[Isolated].Name,
+                                            Cluster.All[Isolated].Run};
+                     Service.setMembers(std::span(&Self, 1), Time, Commands);
+                   });
+    const ClaimId Left = Cluster.claim(Owner, "order-6");
+    const ClaimId Right = Cluster.claim(Isolated, "order-6");
+    Cluster.run(milliseconds(500));
+    EXPECT_NE(Cluster.is<ClaimGranted>(Left), Cluster.is<ClaimGranted>(Right));
   }
 }
 
 // Guards against refusing a repeat as in progress after its answer was stored:
 // the host had read the claim for one that timed out at the partition's owner.
 TEST(Claims, RepeatGetsTheOutcomeThatAnotherOwnerAppended) {
-  Hosts Three(3);
-  Three.run(milliseconds(50));
-  const std::size_t Owner = Three.ownerOf("order-8");
+  Hosts Cluster(3);
+  Cluster.run(milliseconds(50));
+  const std::size_t Owner = Cluster.ownerOf("order-8");
   const std::size_t Claimant = (Owner + 1) % 3;
   const std::size_t Other = (Owner + 2) % 3;
-  const ClaimId First = Three.claim(Claimant, "order-8");
-  Three.run(milliseconds(100));
-  ASSERT_TRUE(Three.is<ClaimGranted>(First));
-  const auto Alone = [&](auto &Service, ClaimTime Time, auto &Out) {
-    const ClaimMember Self{Three.All[Other].Name, Three.All[Other].Run};
-    const ClaimMember Held{Three.All[Claimant].Name, Three.All[Claimant].Run};
-    Service.setMembers(std::array{Held, Self}, Time, Out);
+  const ClaimId First = Cluster.claim(Claimant, "order-8");
+  Cluster.run(milliseconds(100));
+  ASSERT_TRUE(Cluster.is<ClaimGranted>(First));
+  const auto IsolatedView = [&](auto &Service, ClaimTime Time, auto &Commands) {
+    const ClaimMember Self{Cluster.All[Other].Name, Cluster.All[Other].Run};
+    const ClaimMember Held{Cluster.All[Claimant].Name,
+                           Cluster.All[Claimant].Run};
+    Service.setMembers(std::array{Held, Self}, Time, Commands);
   };
-  Three.act(Other, Alone);
-  const ClaimId Early = Three.claim(Other, "order-8");
-  Three.run(milliseconds(600));
-  ASSERT_TRUE(Three.is<ClaimInProgress>(Early));
-  Three.settle(Claimant, First, Answered);
-  Three.run(milliseconds(200));
-  ASSERT_EQ(Three.All[Claimant].Service->settling(), 0U);
-  Three.stop(Owner);
-  Three.tellMembers();
-  const ClaimId Repeat = Three.claim(Other, "order-8");
-  Three.run(milliseconds(600));
-  ASSERT_TRUE(Three.is<ClaimReplay>(Repeat));
+  Cluster.invoke(Other, IsolatedView);
+  const ClaimId Early = Cluster.claim(Other, "order-8");
+  Cluster.run(milliseconds(600));
+  ASSERT_TRUE(Cluster.is<ClaimInProgress>(Early));
+  Cluster.settle(Claimant, First, Answered);
+  Cluster.run(milliseconds(200));
+  ASSERT_EQ(Cluster.All[Claimant].Service->settling(), 0U);
+  Cluster.stop(Owner);
+  Cluster.announceMembers();
+  const ClaimId Repeat = Cluster.claim(Other, "order-8");
+  Cluster.run(milliseconds(600));
+  ASSERT_TRUE(Cluster.is<ClaimReplay>(Repeat));
 }
 
-// Guards against answering from a reading that is older than the ask while the
-// log is away: what is known is told, and nothing is granted.
+// While the log is down, a claim is answered from the last read: a held key is
+// reported as in progress and nothing is granted.
 TEST(Claims, RepeatIsInProgressWhileTheLogIsAway) {
-  Hosts Two(2);
-  const ClaimId First = Two.claim(0, "order-9");
-  Two.run(milliseconds(100));
-  ASSERT_TRUE(Two.is<ClaimGranted>(First));
-  Two.Wrong.LogDown = true;
-  const ClaimId Repeat = Two.claim(1, "order-9");
-  Two.run(milliseconds(1'500));
-  EXPECT_TRUE(Two.is<ClaimInProgress>(Repeat));
+  Hosts Cluster(2);
+  const ClaimId First = Cluster.claim(0, "order-9");
+  Cluster.run(milliseconds(100));
+  ASSERT_TRUE(Cluster.is<ClaimGranted>(First));
+  Cluster.InjectedFaults.LogDown = true;
+  const ClaimId Repeat = Cluster.claim(1, "order-9");
+  Cluster.run(milliseconds(1'500));
+  EXPECT_TRUE(Cluster.is<ClaimInProgress>(Repeat));
 }
 
-// An ask was refused as the key was in use, and a copy of it comes to the owner
-// when the key is free. The claim that it makes has nobody waiting; the
-// caller's retry must not find the key in use for hours.
+// A claim was refused because the key was in use, and a copy of its message
+// reaches the owner after the key was freed. Nobody waits for the resulting
+// claim; the caller's retry must not find the key in use for hours.
 TEST(Claims, CopyOfARefusedAskDoesNotKeepTheKey) {
-  Hosts Three(3);
-  Three.run(milliseconds(50));
-  const std::size_t Owner = Three.ownerOf("order-7");
+  Hosts Cluster(3);
+  Cluster.run(milliseconds(50));
+  const std::size_t Owner = Cluster.ownerOf("order-7");
   const std::size_t Refused = (Owner + 1) % 3;
-  const ClaimId Holder = Three.claim(Owner, "order-7");
-  Three.run(milliseconds(100));
-  const ClaimId Second = Three.claim(Refused, "order-7");
-  Three.run(milliseconds(100));
-  ASSERT_TRUE(Three.is<ClaimInProgress>(Second));
-  Three.settle(Owner, Holder, ReleaseClaim{});
-  Three.run(milliseconds(200));
-  Three.act(Owner, [&](auto &Service, ClaimTime Time, auto &Out) {
+  const ClaimId Holder = Cluster.claim(Owner, "order-7");
+  Cluster.run(milliseconds(100));
+  const ClaimId Second = Cluster.claim(Refused, "order-7");
+  Cluster.run(milliseconds(100));
+  ASSERT_TRUE(Cluster.is<ClaimInProgress>(Second));
+  Cluster.settle(Owner, Holder, ReleaseClaim{});
+  Cluster.run(milliseconds(200));
+  Cluster.invoke(Owner, [&](auto &Service, ClaimTime Time, auto &Commands) {
     AcquireClaim Copy;
     Copy.Id = Second;
-    Copy.Claimant = Three.All[Refused].Name;
+    Copy.Claimant = Cluster.All[Refused].Name;
     Copy.Request = {{TeamName("team"), "order-7"}, "digest", {}};
     Copy.Wall = Time.Wall;
     Copy.Budget = milliseconds(1000);
-    Service.received(Three.All[Refused].Name, Copy, Time, Out);
+    Service.received(Cluster.All[Refused].Name, Copy, Time, Commands);
   });
-  Three.run(milliseconds(1000));
-  const ClaimId Retry = Three.claim(Owner, "order-7");
-  Three.run(milliseconds(200));
-  EXPECT_TRUE(Three.is<ClaimGranted>(Retry));
+  Cluster.run(milliseconds(1000));
+  const ClaimId Retry = Cluster.claim(Owner, "order-7");
+  Cluster.run(milliseconds(200));
+  EXPECT_TRUE(Cluster.is<ClaimGranted>(Retry));
 }
 
-// The log is down for so long that settlements no longer fit in memory. Orders
-// that ran are forgotten here; a late copy of their grant must not be taken for
-// a claim that was never sent, or the release would let them run again.
+// The log is down for so long that settlements exceed the memory limit, and
+// those of orders that ran are dropped. A delayed copy of such a grant must not
+// be treated as a claim that was never sent: its release would let the order
+// run again.
 TEST(Claims, ForgottenSettlementIsNeverReleased) {
-  Hosts One(1);
-  One.Defaults.MaxSettlingBytes = 100;
-  One.start(0);
-  One.tellMembers();
-  const ClaimId Id = One.claim(0, "order-8");
-  One.run(milliseconds(200));
-  ASSERT_TRUE(One.is<ClaimGranted>(Id));
-  const ClaimId Filler = One.claim(0, "order-9");
-  One.run(milliseconds(200));
-  One.Wrong.LogDown = true;
-  One.settle(0, Filler, Answered);
-  One.settle(0, Id, Answered);
-  EXPECT_EQ(One.All[0].Service->settling(), 1U);
-  One.Wrong.LogDown = false;
-  One.run(milliseconds(20'000));
-  ASSERT_EQ(One.All[0].Service->settling(), 0U);
-  One.act(0, [&](auto &Service, ClaimTime Time, auto &Out) {
+  Hosts Cluster(1);
+  Cluster.DefaultOptions.MaxSettlingBytes = 100;
+  Cluster.start(0);
+  Cluster.announceMembers();
+  const ClaimId Id = Cluster.claim(0, "order-8");
+  Cluster.run(milliseconds(200));
+  ASSERT_TRUE(Cluster.is<ClaimGranted>(Id));
+  const ClaimId Filler = Cluster.claim(0, "order-9");
+  Cluster.run(milliseconds(200));
+  Cluster.InjectedFaults.LogDown = true;
+  Cluster.settle(0, Filler, Answered);
+  Cluster.settle(0, Id, Answered);
+  EXPECT_EQ(Cluster.All[0].Service->settling(), 1U);
+  Cluster.InjectedFaults.LogDown = false;
+  Cluster.run(milliseconds(20'000));
+  ASSERT_EQ(Cluster.All[0].Service->settling(), 0U);
+  Cluster.invoke(0, [&](auto &Service, ClaimTime Time, auto &Commands) {
     Service.received(
         HostName("host-9"),
         ClaimAnswer{Id, {TeamName("team"), "order-8"}, ClaimGranted{0}}, Time,
-        Out);
+        Commands);
   });
-  One.run(milliseconds(3000));
-  const ClaimId Retry = One.claim(0, "order-8");
-  One.run(milliseconds(500));
-  EXPECT_TRUE(One.is<ClaimInProgress>(Retry));
+  Cluster.run(milliseconds(3000));
+  const ClaimId Retry = Cluster.claim(0, "order-8");
+  Cluster.run(milliseconds(500));
+  EXPECT_TRUE(Cluster.is<ClaimInProgress>(Retry));
 }
 
-// The log is down. Nothing can be proved, so the order is held up to its
-// deadline and then refused; the claim that is appended after the log's return
-// has nobody waiting and must not keep the key from the caller's retry.
+// The log is down, so the order waits until its deadline and is then refused as
+// not run. The claim that is appended when the log is back has nobody waiting
+// and must not keep the key from the caller's retry.
 TEST(Claims, LogDownIsRefusedTruthfullyAndLeavesTheKeyFree) {
-  Hosts Three(3);
-  Three.run(milliseconds(50));
-  Three.Wrong.LogDown = true;
-  const ClaimId Id = Three.claim(0, "order-7", "digest", milliseconds(1000));
-  Three.run(milliseconds(900));
-  EXPECT_FALSE(Three.Decisions.contains(Id));
-  Three.run(milliseconds(200));
-  ASSERT_TRUE(Three.is<ClaimUnavailable>(Id));
-  const auto Refusal = verdictOf(Three.Decisions.at(Id).What);
+  Hosts Cluster(3);
+  Cluster.run(milliseconds(50));
+  Cluster.InjectedFaults.LogDown = true;
+  const ClaimId Id = Cluster.claim(0, "order-7", "digest", milliseconds(1000));
+  Cluster.run(milliseconds(900));
+  EXPECT_FALSE(Cluster.Decisions.contains(Id));
+  Cluster.run(milliseconds(200));
+  ASSERT_TRUE(Cluster.is<ClaimUnavailable>(Id));
+  const auto Refusal = verdictOf(Cluster.Decisions.at(Id).Decision);
   ASSERT_TRUE(Refusal);
   EXPECT_EQ(Refusal->State, RunState::NotRun);
-  Three.Wrong.LogDown = false;
-  Three.run(milliseconds(20'000));
-  const ClaimId Retry = Three.claim(1, "order-7");
-  Three.run(milliseconds(500));
-  EXPECT_TRUE(Three.is<ClaimGranted>(Retry));
+  Cluster.InjectedFaults.LogDown = false;
+  Cluster.run(milliseconds(20'000));
+  const ClaimId Retry = Cluster.claim(1, "order-7");
+  Cluster.run(milliseconds(500));
+  EXPECT_TRUE(Cluster.is<ClaimGranted>(Retry));
 }
 
-// A retry with a key made long ago meets a log outage. An earlier try may have
-// run, so the refusal must not say "not run".
+// A retry with a key created long ago fails because of a log outage. An earlier
+// attempt may have run, so the refusal must not say "not run".
 TEST(Claims, OutageOnAnOldKeyIsNotCalledNotRun) {
-  Hosts One(1);
-  One.Wrong.LogDown = true;
+  Hosts Cluster(1);
+  Cluster.InjectedFaults.LogDown = true;
   ClaimId Id;
-  One.act(0, [&](auto &Service, ClaimTime Time, auto &Out) {
+  Cluster.invoke(0, [&](auto &Service, ClaimTime Time, auto &Commands) {
     const ClaimRequest Request{{TeamName("team"), "k"}, "d", Time.Wall - 3600};
-    Id = Service.claim(Request, Time.Now + seconds(1), Time, Out);
+    Id = Service.claim(Request, Time.Now + seconds(1), Time, Commands);
   });
-  One.run(milliseconds(1100));
-  ASSERT_TRUE(One.is<ClaimUnavailable>(Id));
-  EXPECT_EQ(verdictOf(One.Decisions.at(Id).What)->State, RunState::MayHaveRun);
+  Cluster.run(milliseconds(1100));
+  ASSERT_TRUE(Cluster.is<ClaimUnavailable>(Id));
+  EXPECT_EQ(verdictOf(Cluster.Decisions.at(Id).Decision)->State,
+            RunState::MayHaveRun);
 }
 
-// A phone that was off for a day resends an order. Its claim is long forgotten,
-// so the key looks new; its time of birth shows that it is not.
+// A client resends an order after a day offline. Its claim has been erased, so
+// the key would appear new, but its creation time shows that it is not.
 TEST(Claims, KeyOlderThanItsLifeIsRefused) {
-  Hosts Two(2);
+  Hosts Cluster(2);
   const auto KeyAt = [](std::uint64_t Wall) {
     char Text[40];
     const std::uint64_t Milliseconds = Wall * 1000;
@@ -291,93 +296,95 @@
                   static_cast<unsigned>(Milliseconds & 0xFFFFU));
     return std::string(Text);
   };
-  const std::string Key = KeyAt(Two.time().Wall);
-  const ClaimId First = Two.claim(0, Key);
-  Two.run(milliseconds(100));
-  ASSERT_TRUE(Two.is<ClaimGranted>(First));
-  Two.settle(0, First, Answered);
-  Two.run(milliseconds(200));
-  Two.Now += seconds(24 * 3600);
-  // Whoever claims in the partition carries its time forward.
-  Two.claim(0, otherKeyIn(Key));
-  Two.run(milliseconds(500));
-  const ClaimId Late = Two.claim(1, Key);
-  Two.run(milliseconds(500));
-  EXPECT_TRUE(Two.is<ClaimKeyExpired>(Late));
-  EXPECT_EQ(verdictOf(Two.Decisions.at(Late).What)->State,
+  const std::string Key = KeyAt(Cluster.time().Wall);
+  const ClaimId First = Cluster.claim(0, Key);
+  Cluster.run(milliseconds(100));
+  ASSERT_TRUE(Cluster.is<ClaimGranted>(First));
+  Cluster.settle(0, First, Answered);
+  Cluster.run(milliseconds(200));
+  Cluster.Now += seconds(24 * 3600);
+  // Any claim in the partition advances its ledger's time.
+  Cluster.claim(0, otherKeyInPartitionOf(Key));
+  Cluster.run(milliseconds(500));
+  const ClaimId Late = Cluster.claim(1, Key);
+  Cluster.run(milliseconds(500));
+  EXPECT_TRUE(Cluster.is<ClaimKeyExpired>(Late));
+  EXPECT_EQ(verdictOf(Cluster.Decisions.at(Late).Decision)->State,
             RunState::MayHaveRun);
-  const ClaimId Future = Two.claim(1, KeyAt(Two.time().Wall + 3600));
-  Two.run(milliseconds(500));
-  EXPECT_TRUE(Two.is<ClaimKeyExpired>(Future));
+  const ClaimId Future = Cluster.claim(1, KeyAt(Cluster.time().Wall + 3600));
+  Cluster.run(milliseconds(500));
+  EXPECT_TRUE(Cluster.is<ClaimKeyExpired>(Future));
 }
 
-// A host was asleep for longer than the log keeps records. What it missed is
-// gone and reading on would leave a gap: it starts again at the horizon, and
-// neither it nor its claims hang.
+// A host was suspended for longer than the log's retention. The records that it
+// missed are gone, so it restarts at the horizon, and its claims are decided.
 TEST(Claims, OutageLongerThanRetentionStartsAtTheHorizon) {
-  Hosts One(1);
-  const ClaimId Early = One.claim(0, "order-0");
-  One.run(milliseconds(100));
-  ASSERT_TRUE(One.is<ClaimGranted>(Early));
-  const ClaimPartition Which = partitionOf({TeamName("team"), "order-0"});
+  Hosts Cluster(1);
+  const ClaimId Early = Cluster.claim(0, "order-0");
+  Cluster.run(milliseconds(100));
+  ASSERT_TRUE(Cluster.is<ClaimGranted>(Early));
+  const ClaimPartition Partition = partitionOf({TeamName("team"), "order-0"});
   for (int Index = 0; Index < 10; ++Index)
-    One.Streams[Which].push_back({One.Streams[Which].size(), {}});
-  One.Horizons[Which] = One.Streams[Which].size() - 2;
-  const ClaimId Id = One.claim(0, otherKeyIn("order-0"));
-  One.run(milliseconds(500));
-  EXPECT_TRUE(One.is<ClaimGranted>(Id));
-  EXPECT_EQ(One.All[0].Service->owner(Which).ledger().size(), 1U);
+    Cluster.Streams[Partition].push_back(
+        {Cluster.Streams[Partition].size(), {}});
+  Cluster.Horizons[Partition] = Cluster.Streams[Partition].size() - 2;
+  const ClaimId Id = Cluster.claim(0, otherKeyInPartitionOf("order-0"));
+  Cluster.run(milliseconds(500));
+  EXPECT_TRUE(Cluster.is<ClaimGranted>(Id));
+  EXPECT_EQ(Cluster.All[0].Service->owner(Partition).ledger().size(), 1U);
 }
 
-// An operator asks what became of an order. "Not known" must rest on what the
-// log holds when the question comes, not on an old reading.
+// An operator queries the outcome of an order. "Not known" must be decided by
+// the log at the time of the query, not by a stale ledger.
 TEST(Claims, QueryReadsTheLogAnew) {
-  Hosts Two(2);
-  Two.run(milliseconds(50));
-  const std::size_t Owner = Two.ownerOf("order-8");
-  const ClaimId Unknown = Two.query(1 - Owner, "order-8");
-  Two.run(milliseconds(100));
-  EXPECT_TRUE(Two.is<ClaimNotKnown>(Unknown));
-  // The other host, apart, claims on its own.
-  Two.act(1 - Owner, [&](auto &Service, ClaimTime Time, auto &Out) {
-    const ClaimMember Self{Two.All[1 - Owner].Name, Two.All[1 - Owner].Run};
-    Service.setMembers(std::span(&Self, 1), Time, Out);
+  Hosts Cluster(2);
+  Cluster.run(milliseconds(50));
+  const std::size_t Owner = Cluster.ownerOf("order-8");
+  const ClaimId Unknown = Cluster.query(1 - Owner, "order-8");
+  Cluster.run(milliseconds(100));
+  EXPECT_TRUE(Cluster.is<ClaimNotKnown>(Unknown));
+  // The other host claims with a view in which it is the only member.
+  Cluster.invoke(1 - Owner, [&](auto &Service, ClaimTime Time, auto &Commands) {
+    const ClaimMember Self{Cluster.All[1 - Owner].Name,
+                           Cluster.All[1 - Owner].Run};
+    Service.setMembers(std::span(&Self, 1), Time, Commands);
   });
-  const ClaimId Id = Two.claim(1 - Owner, "order-8");
-  Two.run(milliseconds(200));
-  ASSERT_TRUE(Two.is<ClaimGranted>(Id));
-  const ClaimId Asked = Two.query(Owner, "order-8");
-  Two.run(milliseconds(100));
-  EXPECT_TRUE(Two.is<ClaimInProgress>(Asked));
+  const ClaimId Id = Cluster.claim(1 - Owner, "order-8");
+  Cluster.run(milliseconds(200));
+  ASSERT_TRUE(Cluster.is<ClaimGranted>(Id));
+  const ClaimId Query = Cluster.query(Owner, "order-8");
+  Cluster.run(milliseconds(100));
+  EXPECT_TRUE(Cluster.is<ClaimInProgress>(Query));
 }
 
-// One host's wall clock is a day ahead. Its stamp would make every ledger
-// forget all keys at once, and each retry of an order would run again.
+// One host's wall clock is a day ahead. Its timestamp would make every ledger
+// erase all keys at once, and each retry of an order would run again.
 TEST(Claims, ClockFarAheadDoesNotForgetKeys) {
-  Hosts Three(3);
-  const std::size_t Owner = Three.ownerOf("order-9");
+  Hosts Cluster(3);
+  const std::size_t Owner = Cluster.ownerOf("order-9");
   const std::size_t Claimant = (Owner + 1) % 3;
-  const ClaimId Id = Three.claim(Claimant, "order-9");
-  Three.run(milliseconds(100));
-  ASSERT_TRUE(Three.is<ClaimGranted>(Id));
-  ClaimCommands Out;
-  ClaimTime Wrong = Three.time();
-  Wrong.Wall += 24 * 3600;
-  AcquireClaim Ask;
-  Ask.Id = ClaimId{999, 1};
-  Ask.Claimant = Three.All[Claimant].Name;
-  Ask.Request = {{TeamName("team"), otherKeyIn("order-9")}, "d", {}};
-  Ask.Wall = Three.time().Wall;
-  Ask.Budget = milliseconds(1000);
-  ClaimService &Service = *Three.All[Owner].Service;
-  Service.received(Ask.Claimant, Ask, Wrong, Out);
-  Wrong.Now += milliseconds(50);
-  Service.advance(Wrong, Out);
+  const ClaimId Id = Cluster.claim(Claimant, "order-9");
+  Cluster.run(milliseconds(100));
+  ASSERT_TRUE(Cluster.is<ClaimGranted>(Id));
+  ClaimCommands Commands;
+  ClaimTime SkewedTime = Cluster.time();
+  SkewedTime.Wall += 24 * 3600;
+  AcquireClaim Message;
+  Message.Id = ClaimId{999, 1};
+  Message.Claimant = Cluster.All[Claimant].Name;
+  Message.Request = {
+      {TeamName("team"), otherKeyInPartitionOf("order-9")}, "d", {}};
+  Message.Wall = Cluster.time().Wall;
+  Message.Budget = milliseconds(1000);
+  ClaimService &Service = *Cluster.All[Owner].Service;
+  Service.received(Message.Claimant, Message, SkewedTime, Commands);
+  SkewedTime.Now += milliseconds(50);
+  Service.advance(SkewedTime, Commands);
   bool Appended = false;
-  for (const ClaimCommand &Given : Out)
-    if (const auto *const Append = std::get_if<ClaimAppend>(&Given)) {
+  for (const ClaimCommand &Command : Commands)
+    if (const auto *const Append = std::get_if<ClaimAppend>(&Command)) {
       Appended = true;
-      EXPECT_LE(decodeBatch(Append->Payload).Stamp, Three.time().Wall + 61);
+      EXPECT_LE(decodeBatch(Append->Payload).Stamp, Cluster.time().Wall + 61);
     }
   EXPECT_TRUE(Appended);
 }
