--- a/packages/request/test/coltsfoottrail/choice/chooser.cpp
+++ b/packages/request/test/coltsfoottrail/choice/chooser.cpp
@@ -128,13 +128,14 @@
     ToSlow += Id == Slow ? 1 : 0;
     answer(Id, Id == Slow ? seconds(5) : seconds(1));
   }
-  EXPECT_LT(ToSlow, 30) << "an even share is 60";
+  EXPECT_LT(ToSlow, 30) << "an equal share is 60 requests";
   EXPECT_GT(ToSlow, 0);
   for (int Round = 0; Round < 20000; ++Round) {
     Now += milliseconds(10);
     answer(send(), seconds(1));
   }
-  EXPECT_EQ(Choice.ejected(), 0U) << "it is fast again and was taken back";
+  EXPECT_EQ(Choice.ejected(), 0U)
+      << "the endpoint is fast again and was restored";
 }
 
 // If every endpoint slows down or fails, not all may be ejected; the last ones
@@ -227,9 +228,9 @@
   Choice.observeCache(id(5), CacheChange{43, true, 2}, Now);
   EXPECT_EQ(Hits(), 20);
   Choice.observeCache(id(5), CacheChange{42, false, 1}, Now);
-  EXPECT_EQ(Hits(), 20) << "an event that came late says nothing new";
+  EXPECT_EQ(Hits(), 20) << "a delayed event changes no hint";
   Choice.observeCache(id(5), CacheChange{44, true, 4}, Now);
-  EXPECT_EQ(Hits(), 20) << "one lost event leaves most hints right";
+  EXPECT_EQ(Hits(), 20) << "a short gap does not invalidate the hints";
   Choice.observeCache(id(5), CacheChange{45, true, 21}, Now);
   EXPECT_LT(Hits(), 5);
 }
@@ -305,7 +306,8 @@
   prepare(2, 1);
   const ChoiceQuery Retried{0, 1.0, id(0)};
   EXPECT_EQ(send(Retried), id(1));
-  EXPECT_EQ(Choice.choose(Retried, Now), std::nullopt) << "waits for the other";
+  EXPECT_EQ(Choice.choose(Retried, Now), std::nullopt)
+      << "the request waits for the other endpoint";
   Choice.setShare(id(1), 0);
   EXPECT_EQ(Choice.choose(Retried, Now), id(0));
 }
--- a/packages/request/test/coltsfoottrail/choice/load.cpp
+++ b/packages/request/test/coltsfoottrail/choice/load.cpp
@@ -63,7 +63,8 @@
   Load.responseStarted(true);
   EXPECT_EQ(Load.ownLoad(), (RequestLoad{1, 1, 0}));
   EXPECT_EQ(Load.aheadOfFresh(Start), 8U);
-  EXPECT_FALSE(Load.aheadOfFresh(Start + seconds(1))) << "no news for too long";
+  EXPECT_FALSE(Load.aheadOfFresh(Start + seconds(1)))
+      << "the other hosts' numbers have expired";
 }
 
 TEST(LoadModel, RecordCoversTheLastSteps) {
@@ -74,7 +75,8 @@
   EXPECT_EQ(Load.ownAt(Last), 40U);
   EXPECT_EQ(Load.ownAt(Last - milliseconds(125)), 39U);
   EXPECT_EQ(Load.ownAt(Last - 16 * milliseconds(125)), 24U);
-  EXPECT_EQ(Load.ownAt(Start), 24U) << "older than the record: its oldest step";
+  EXPECT_EQ(Load.ownAt(Start), 24U)
+      << "older than the recorded steps: the oldest is returned";
 }
 
 } // namespace
--- a/packages/request/test/coltsfoottrail/claims/hosts.hpp
+++ b/packages/request/test/coltsfoottrail/claims/hosts.hpp
@@ -74,9 +74,9 @@
   }
   void announceMembers(std::size_t Index) {
     std::vector<ClaimMember> Joined;
-    for (const Host &Each : All)
-      if (Each.Up)
-        Joined.push_back({Each.Name, Each.Run});
+    for (const Host &Node : All)
+      if (Node.Up)
+        Joined.push_back({Node.Name, Node.Run});
     invoke(Index, [&](auto &Service, ClaimTime Time, auto &Commands) {
       Service.setMembers(Joined, Time, Commands);
     });
@@ -119,9 +119,9 @@
   bool deliverOne() {
     if (Events.empty())
       return false;
-    const std::size_t Which = Rng.below(Events.size());
-    Event Next = std::move(Events[Which]);
-    Events.erase(Events.begin() + static_cast<std::ptrdiff_t>(Which));
+    const std::size_t Index = Rng.below(Events.size());
+    Event Next = std::move(Events[Index]);
+    Events.erase(Events.begin() + static_cast<std::ptrdiff_t>(Index));
     if (All[Next.Host].Up && All[Next.Host].Run == Next.Run)
       invoke(Next.Host, Next.Action);
     return true;
--- a/packages/request/test/coltsfoottrail/claims/property.cpp
+++ b/packages/request/test/coltsfoottrail/claims/property.cpp
@@ -54,13 +54,14 @@
   /// Checks that the holder of each key according to the log, the first of its
   /// claims not given up, is the only one that was granted.
   void checkLog() const {
-    for (ClaimPartition Which = 0; Which < ClaimPartitions; ++Which) {
+    for (ClaimPartition Partition = 0; Partition < ClaimPartitions;
+         ++Partition) {
       ClaimLedger Reader;
-      for (const LogEntry &Entry : Sim.Streams[Which])
+      for (const LogEntry &Entry : Sim.Streams[Partition])
         Reader.fold(Entry.At, Entry.Payload);
       for (const auto &[Id, Key] : Running) {
         const ClaimKey Name{TeamName("team"), Key};
-        if (partitionOf(Name) != Which)
+        if (partitionOf(Name) != Partition)
           continue;
         const LedgerEntry *const Entry = Reader.find(Name);
         ASSERT_NE(Entry, nullptr);
@@ -90,8 +91,8 @@
     for (const ClaimId Id : Issued) {
       EXPECT_TRUE(!isLive(Id) || Sim.Decisions.contains(Id));
     }
-    for (const Hosts::Host &Each : Sim.All)
-      EXPECT_EQ(Each.Service->settling(), 0U);
+    for (const Hosts::Host &Node : Sim.All)
+      EXPECT_EQ(Node.Service->settling(), 0U);
     expectNoOrphans();
   }
 
@@ -113,8 +114,8 @@
     }
   }
   [[nodiscard]] bool isLive(ClaimId Id) const {
-    return std::any_of(Sim.All.begin(), Sim.All.end(), [&](const auto &Each) {
-      return Each.Up && Each.Run == Id.Run;
+    return std::any_of(Sim.All.begin(), Sim.All.end(), [&](const auto &Node) {
+      return Node.Up && Node.Run == Id.Run;
     });
   }
   void claimSomething() {
