--- a/bench/admission.cpp
+++ b/bench/admission.cpp
@@ -225,7 +225,8 @@
     Want.Wanted = static_cast<std::uint32_t>(Draw.below(6));
     Want.Adopted = Adopted[Index];
     Adopted[Index] =
-        Ledger.ask(Names[Index], 1, Round, Want, 32, 500, Now, Options).Number;
+        Ledger.request(Names[Index], 1, Round, Want, 32, 500, Now, Options)
+            .Number;
   }
   std::printf("%9zu holders:   %7.0f ns for a steward's answer for one "
               "endpoint\n",
