--- a/bench/groups.cpp
+++ b/bench/groups.cpp
@@ -173,10 +173,10 @@
   Out.print("bytes of one question and its report, HTTP", PerAsk, "B");
   LivenessBeat Beat;
   Beat.From = HostName("entry-100");
-  Beat.Own = {0x123456789abcdefULL, 100000};
+  Beat.Id = {0x123456789abcdefULL, 100000};
   Beat.Echo = {0x223456789abcdefULL, 100000};
   Beat.PlanDigest = 0x323456789abcdefULL;
-  Beat.Through = 5000000;
+  Beat.StateNext = 5000000;
   const auto PerBeat =
       static_cast<double>(Json::to_cbor(writeBeat(Beat)).size());
   Out.print("bytes of one beat in CBOR", PerBeat, "B");
@@ -258,14 +258,14 @@
     };
     Out.print("poll of the watch" + At, microsecondsOf(Poll, 50), "us");
     LivenessBeat Beat = Live.beatFor(HostName("entry-1"), Clock);
-    Beat.Echo = Beat.Own;
+    Beat.Echo = Beat.Id;
     Beat.Doubted.clear();
     int Number = 0;
     const auto Hear = [&] {
       Beat.From =
           HostName("entry-" + std::to_string(1 + Number++ % (Nodes - 1)));
-      ++Beat.Own.Sequence;
-      Live.heard(Beat, Clock);
+      ++Beat.Id.Sequence;
+      Live.receiveBeat(Beat, Clock);
     };
     Out.print("take one beat" + At, microsecondsOf(Hear, 5000), "us");
   }
@@ -318,7 +318,7 @@
     if (Of.Restarts)
       Engine.restart();
     else
-      Engine.Dark = true;
+      Engine.Unreachable = true;
   }
   const std::string At = std::string(" (") + Of.Name + ")";
   World.runUntil([&] { return !usedBy(World, Id, 1); }, seconds(60));
@@ -371,7 +371,7 @@
             static_cast<double>(World.Log.size() - Before), "");
   Before = World.Log.size();
   Start = World.Clock;
-  World.ask(SetVersion{Signage, VersionName("v2")});
+  World.applyIntent(SetVersion{Signage, VersionName("v2")});
   std::size_t Least = World.serving();
   World.runUntil(
       [&] {
@@ -385,7 +385,7 @@
             secondsOf(World.Clock - Start), "s");
   Out.print("fewest groups serving meanwhile", static_cast<double>(Least), "");
   Before = World.Log.size();
-  World.ask(DrainDataCentre{East});
+  World.applyIntent(DrainDataCentre{East});
   World.run(seconds(10));
   Out.print("appends of a drain",
             static_cast<double>(World.Log.size() - Before), "");
--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -74,7 +74,7 @@
         act(Index, [&](Membership &Part, MembershipCommands &Out) {
           if (Hosts[Index].KnownNext != Agreed.Next) {
             Hosts[Index].KnownNext = Agreed.Next;
-            Part.state(Agreed, Now, Out);
+            Part.applyState(Agreed, Now, Out);
           }
           Part.advance(Now, Out);
         });
@@ -86,7 +86,7 @@
           std::max(PeakSecond, std::accumulate(Recent.begin(), Recent.end(),
                                                std::size_t{0}));
       for (std::size_t Index = 0; Index < Hosts.size(); ++Index)
-        if (Hosts[Index].Up && Hosts[Index].Part->ended())
+        if (Hosts[Index].Up && Hosts[Index].Part->runEnded())
           start(Index);
     }
   }
@@ -121,16 +121,16 @@
       if (const auto *const Sent = std::get_if<MembershipSend>(&Command))
         deliver(Index, *Sent);
       else if (const auto *const Made = std::get_if<MembershipAppend>(&Command))
-        append(Made->What);
+        append(Made->Payload);
     }
   }
   void deliver(std::size_t From, const MembershipSend &Sent) {
     ++Messages;
-    Bytes += sizeOf(Sent.What);
+    Bytes += sizeOf(Sent.Payload);
     const std::size_t To = Numbers.at(Sent.To.Text);
     if (Open(From, To))
       act(To, [&](Membership &Part, MembershipCommands &Out) {
-        Part.received(Hosts[From].Name, Sent.What, Now, Out);
+        Part.receive(Hosts[From].Name, Sent.Payload, Now, Out);
       });
   }
   /// Size of a kind of message, by the first one of it.
--- a/packages/process/src/coltsfoottrail/fleethost/assemblydesk.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/assemblydesk.cpp
@@ -187,7 +187,7 @@
       asio::co_spawn(On, carryOut(std::move(Command), Term.fence()),
                      asio::detached);
     }
-    for (MemberQuestion &Each : Found->second.takeQuestions())
+    for (MemberProbe &Each : Found->second.takeProbes())
       asio::co_spawn(On, askMissing(Service.Name, std::move(Each)),
                      asio::detached);
     logSummary(Found->second, Seen, Now);
@@ -207,7 +207,7 @@
     return;
   for (const DomainSummary &Each : Of.summary(Seen, Now)) {
     std::string With;
-    for (const auto &[Model, Count] : Each.FreeWith)
+    for (const auto &[Model, Count] : Each.FreeByModel)
       With +=
           (With.empty() ? "" : ",") + Model.Text + ":" + std::to_string(Count);
     logEvent(Event::DomainState, {{"data_centre", Each.DataCentre},
@@ -235,7 +235,7 @@
                                 {"outcome", outcomeName(Outcome)}});
   for (auto &[Name, Each] : Assemblers)
     if (Fence == Term.fence())
-      Each.ordered(To, Order, Outcome, BootClock::now());
+      Each.recordOutcome(To, Order, Outcome, BootClock::now());
   // Another host has the duty: nothing more is ordered under this number.
   if (Outcome == OrderOutcome::Fenced && Fence == Term.fence())
     Term.fenced();
@@ -243,7 +243,7 @@
 
 void AssemblyDesk::logNotes() {
   for (auto &[Name, Each] : Assemblers)
-    for (const GroupNote &Note : Each.takeNotes())
+    for (const GroupEvent &Note : Each.takeEvents())
       logEvent(Event::GroupChanged, {{"fate", fateName(Note.Fate)},
                                      {"group", Note.Group},
                                      {"model", Note.Model},
@@ -275,7 +275,7 @@
   auto Round = std::make_shared<Inquiry>();
   Round->Leader = Leader;
   for (auto &[Name, Each] : Assemblers)
-    for (const EndpointName &Member : Each.membersWith(EndpointName(Leader)))
+    for (const EndpointName &Member : Each.membersLedBy(EndpointName(Leader)))
       Round->Members.push_back(Member);
   if (Round->Members.empty())
     return;
@@ -314,11 +314,11 @@
 }
 
 Awaitable<void> AssemblyDesk::askMissing(ServiceName Service,
-                                         MemberQuestion Whom) {
+                                         MemberProbe Whom) {
   const bool Alive = co_await answers(Whom.Address, Whom.Name);
   logEvent(Event::MissingAsked, {{"endpoint", Whom.Name}, {"alive", Alive}});
   if (const auto Found = Assemblers.find(Service); Found != Assemblers.end())
-    Found->second.asked(Whom.Name, Alive, BootClock::now());
+    Found->second.recordProbeResult(Whom.Name, Alive, BootClock::now());
   if (!Alive)
     lookNow();
 }
--- a/packages/process/src/coltsfoottrail/fleethost/assemblydesk.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/assemblydesk.hpp
@@ -130,7 +130,7 @@
   [[nodiscard]] Awaitable<void>
   answersLater(EngineAddress Address, EndpointName Name, milliseconds After);
   [[nodiscard]] Awaitable<void> askMissing(ServiceName Service,
-                                           MemberQuestion Whom);
+                                           MemberProbe Whom);
   [[nodiscard]] Awaitable<void> ask(std::shared_ptr<Inquiry> Round,
                                     std::size_t Index);
   void conclude(const Inquiry &Round);
--- a/packages/process/src/coltsfoottrail/fleethost/changelog.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/changelog.cpp
@@ -13,13 +13,13 @@
                              const EndpointRecord &Record) {
   if (Known == nullptr)
     return "learned";
-  if (Known->Record.Born != Record.Born)
+  if (Known->Record.StartedAtMs != Record.StartedAtMs)
     return "restarted";
   if (Known->Record.State != Record.State)
     return Record.State == EndpointState::Draining ? "draining" : "serving";
   if (Known->Record.Address != Record.Address)
     return "moved";
-  if (Known->MissingUntil)
+  if (Known->RemovalDeferredUntil)
     return "back";
   if (Record.ColdFor.count() > 0 && !Known->Cold)
     return "cold";
--- a/packages/process/src/coltsfoottrail/fleethost/view.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/view.cpp
@@ -21,7 +21,7 @@
 } // namespace
 
 std::string FleetView::endpointKey(const EndpointRecord &Of) {
-  std::string Out = Of.Name.Text + "#" + std::to_string(Of.Born);
+  std::string Out = Of.Name.Text + "#" + std::to_string(Of.StartedAtMs);
   if (Of.Seat)
     Out += "@" + std::to_string(Of.Seat->Epoch);
   return Out;
@@ -70,7 +70,8 @@
     return false;
   const ServiceProfile *const Service =
       Index ? Index->service(Known->Record.Service) : nullptr;
-  return Service == nullptr || !Service->Engine || Known->Record.leads();
+  return Service == nullptr || !Service->Engine ||
+         Known->Record.isServingLeader();
 }
 
 RoutingEffect FleetView::effectOf(FleetChange &Change, bool Whole,
@@ -137,9 +138,9 @@
 void FleetView::recordClosing(const EndpointRecord &Before,
                               const EndpointRecord &Now) {
   const std::string Key = endpointKey(Before);
-  const bool Leads = Now.leads() && endpointKey(Now) == Key;
-  if (Before.leads() && !Before.Loaded.empty() && !Leads &&
-      Before.Born == Now.Born)
+  const bool Leads = Now.isServingLeader() && endpointKey(Now) == Key;
+  if (Before.isServingLeader() && !Before.Loaded.empty() && !Leads &&
+      Before.StartedAtMs == Now.StartedAtMs)
     Closed.push_back({poolName(Before.Service, Before.Loaded.back()), Key});
 }
 
@@ -253,7 +254,7 @@
     const bool Drains = Known.Record.State == EndpointState::Draining;
     ++(Drains ? Out.Draining : Out.Serving);
     Out.Cold += mayBeCold(Known) ? 1 : 0;
-    Out.Leaders += Known.Record.leads() ? 1 : 0;
+    Out.Leaders += Known.Record.isServingLeader() ? 1 : 0;
   }
   return Out;
 }
@@ -280,7 +281,7 @@
       continue;
     for (const ServedModel &Each : Service.Engine->Models)
       Out.Table.Pools[poolName(Service.Name, Each.Name)].Pace =
-          paceOf(*Service.Engine, Each);
+          enginePace(*Service.Engine, Each);
   }
 }
 
@@ -293,7 +294,7 @@
     return;
   ModelName Model;
   if (Service->Engine) {
-    if (!Record.leads() || Record.Loaded.empty())
+    if (!Record.isServingLeader() || Record.Loaded.empty())
       return;
     Model = Record.Loaded.back();
   }
--- a/packages/process/src/coltsfoottrail/server/callerrequest.cpp
+++ b/packages/process/src/coltsfoottrail/server/callerrequest.cpp
@@ -112,7 +112,7 @@
   try {
     const Json Body = parseJson(Asked.Body, "request body");
     ObjectReader Reader(Body, "request body", "", UnknownKeys::Ignore);
-    Out.PoolName = poolOfModel(Reader.text("model", 256));
+    Out.PoolName = modelPoolName(Reader.text("model", 256));
     Out.Streams = Reader.flagOr("stream", false);
     if (Chat &&
         (!Reader.has("messages") || !Reader.raw("messages").is_array() ||
@@ -144,7 +144,7 @@
   Rest.remove_prefix(ServicesPrefix.size());
   const std::string_view Name = Rest.substr(0, Rest.find_first_of("/?"));
   Rest.remove_prefix(Name.size());
-  Out.PoolName = poolOfService(Name);
+  Out.PoolName = servicePoolName(Name);
   Out.Forwarded.Target =
       Rest.starts_with("/") ? std::string(Rest) : "/" + std::string(Rest);
   const std::string_view Path = std::string_view(Out.Forwarded.Target)
--- a/packages/process/src/coltsfoottrail/server/groupdesk.cpp
+++ b/packages/process/src/coltsfoottrail/server/groupdesk.cpp
@@ -64,7 +64,7 @@
   try {
     const LivenessBeat Beat = readBeat(Message);
     if (Beat.From == From)
-      Own->Agent.heard(Beat, BootClock::now());
+      Own->Agent.receiveBeat(Beat, BootClock::now());
   } catch (const InputError &Problem) {
     logEvent(Event::InternalError, {{"peer", From}, {"why", Problem.what()}});
   }
@@ -80,13 +80,13 @@
 
 void GroupDesk::Inner::perform(AppendRecord Command) {
   Agreed.append(std::move(Command.Body), AppendWait,
-                [this, Which = Command.Which](const AppendOutcome &Got) {
+                [this, Id = Command.Id](const AppendOutcome &Got) {
                   if (Stopped)
                     return;
                   const AppendResult Result =
                       Got.OnLog ? AppendResult(Got.At)
                                 : AppendResult(LogFailure::Unknown);
-                  Agent.appended(Which, Result, BootClock::now());
+                  Agent.recordAppend(Id, Result, BootClock::now());
                 });
 }
 
@@ -96,35 +96,34 @@
 void GroupDesk::Inner::perform(OrderEngine Command) {
   const TimePoint Now = BootClock::now();
   if (Now > Command.NotAfter) {
-    Agent.ordered(Command.Which, OrderResult::NotDone, Now);
+    Agent.recordOrder(Command.Id, OrderResult::NotDone, Now);
     return;
   }
   Orders.order(
-      Command.To, Command.Order, Command.Timeout,
-      [this, Which = Command.Which, Host = Command.Host](OrderResult Result) {
-        asio::post(Control, [this, Which, Host, Result] {
+      Command.Address, Command.Order, Command.Timeout,
+      [this, Id = Command.Id, Host = Command.Host](OrderResult Result) {
+        asio::post(Control, [this, Id, Host, Result] {
           if (Stopped)
             return;
           if (Result == OrderResult::RefusedOldFence ||
               Result == OrderResult::RefusedOther)
             logEvent(Event::OrderRefused, {{"host", Host}});
-          Agent.ordered(Which, Result, BootClock::now());
+          Agent.recordOrder(Id, Result, BootClock::now());
         });
       });
 }
 
 void GroupDesk::Inner::perform(AskEngine Command) {
-  Orders.ask(Command.Whom, Command.Timeout,
-             [this, Which = Command.Which,
+  Orders.ask(Command.Address, Command.Timeout,
+             [this, Id = Command.Id,
               Host = Command.Host](std::optional<EngineReport> Report) {
-               asio::post(Control,
-                          [this, Which, Host, Got = std::move(Report)] {
-                            if (Stopped)
-                              return;
-                            if (Got)
-                              OnReport(Host, *Got);
-                            Agent.reported(Which, Got, BootClock::now());
-                          });
+               asio::post(Control, [this, Id, Host, Got = std::move(Report)] {
+                 if (Stopped)
+                   return;
+                 if (Got)
+                   OnReport(Host, *Got);
+                 Agent.recordReport(Id, Got, BootClock::now());
+               });
              });
 }
 
--- a/packages/process/src/coltsfoottrail/server/memberdesk.cpp
+++ b/packages/process/src/coltsfoottrail/server/memberdesk.cpp
@@ -32,7 +32,7 @@
 }
 
 bool isFreshMessage(const MembershipMessage &Message) {
-  return std::holds_alternative<FreshAnswer>(Message);
+  return std::holds_alternative<FreshnessReply>(Message);
 }
 
 } // namespace
@@ -76,7 +76,7 @@
 void MemberDesk::Inner::perform(const MembershipCommands &Due) {
   for (const MembershipCommand &One : Due) {
     if (const auto *const Send = std::get_if<MembershipSend>(&One))
-      Hooks.SendMembership(Send->To, writeMembershipMessage(Send->What));
+      Hooks.SendMembership(Send->To, writeMembershipMessage(Send->Payload));
     else if (const auto *const Append = std::get_if<MembershipAppend>(&One))
       append(*Append);
     else
@@ -85,7 +85,7 @@
 }
 
 void MemberDesk::Inner::append(const MembershipAppend &Due) {
-  const auto *const Gone = std::get_if<EntryHostLeft>(&Due.What);
+  const auto *const Gone = std::get_if<EntryHostLeft>(&Due.Payload);
   if (Gone != nullptr && Due.Basis)
     logEvent(
         Event::PeerRemoved,
@@ -96,7 +96,7 @@
          {"heard", Due.Basis->Heard},
          {"agreeing", Due.Basis->Agreeing},
          {"watchers", Due.Basis->Watchers}});
-  Hooks.Append(Due.What);
+  Hooks.Append(Due.Payload);
 }
 
 void MemberDesk::Inner::perform(const ShareCommands &Due) {
@@ -131,8 +131,8 @@
       Others.push_back(Name);
   }
   ShareCommands ShareDue;
-  Own->Proof.members(Others);
-  Own->Proof.version(Now.Next);
+  Own->Proof.setMembers(Others);
+  Own->Proof.setVersion(Now.Next);
   {
     const std::lock_guard Hold(Own->Lock);
     if (Now.EntryHostsChange != Own->MembersChange) {
@@ -142,38 +142,38 @@
     Own->Shares.configure(Routes, At, ShareDue);
   }
   MembershipCommands MemberDue;
-  Own->Members.state(Now, At, MemberDue);
+  Own->Members.applyState(Now, At, MemberDue);
   Own->perform(ShareDue);
   Own->perform(MemberDue);
 }
 
 void MemberDesk::logAnswered(TimePoint Left) {
-  Own->Proof.logAnswered(Left);
+  Own->Proof.recordLogRead(Left);
   Own->prove();
 }
 
-void MemberDesk::logFailed() { Own->Proof.logFailed(); }
+void MemberDesk::logFailed() { Own->Proof.recordLogFailure(); }
 
 void MemberDesk::listed(const std::vector<ListedHost> &Hosts) {
-  Own->Members.listed(Hosts);
+  Own->Members.applyHostList(Hosts);
 }
 
 void MemberDesk::receivedMembership(const HostName &From, const Json &Message) {
   try {
     const MembershipMessage Read = readMembershipMessage(Message, MemberSource);
     const TimePoint Now = BootClock::now();
-    if (const auto *const Ask = std::get_if<FreshAsk>(&Read)) {
+    if (const auto *const Ask = std::get_if<FreshnessQuery>(&Read)) {
       Own->Hooks.SendMembership(
           From, writeMembershipMessage(Own->Proof.answer(*Ask, Now)));
       return;
     }
     if (isFreshMessage(Read)) {
-      Own->Proof.answered(From, std::get<FreshAnswer>(Read), Now);
+      Own->Proof.recordReply(From, std::get<FreshnessReply>(Read), Now);
       Own->prove();
       return;
     }
     MembershipCommands Due;
-    Own->Members.received(From, Read, Now, Due);
+    Own->Members.receive(From, Read, Now, Due);
     Own->perform(Due);
   } catch (const InputError &Problem) {
     logEvent(Event::InternalError, {{"peer", From}, {"why", Problem.what()}});
--- a/packages/process/test/coltsfoottrail/fleethost/view.cpp
+++ b/packages/process/test/coltsfoottrail/fleethost/view.cpp
@@ -208,7 +208,7 @@
   EXPECT_TRUE(Publish(Record).empty());
   EXPECT_TRUE(Publish(leader()).empty());
   Record = leader();
-  ++Record.Born;
+  ++Record.StartedAtMs;
   Record.Seat.reset();
   EXPECT_TRUE(Publish(Record).empty());
 }
--- a/packages/process/test/coltsfoottrail/server/sparsemesh.hpp
+++ b/packages/process/test/coltsfoottrail/server/sparsemesh.hpp
@@ -112,7 +112,7 @@
     MembershipCommands Commands;
     if (At.SeenChange != Agreed.EntryHostsChange) {
       At.SeenChange = Agreed.EntryHostsChange;
-      At.Part->state(Agreed, Now, Commands);
+      At.Part->applyState(Agreed, Now, Commands);
       for (const internal::LinkId Cut :
            At.Table->setPeers(meshPeers(At.Name, Agreed), Now))
         cut(At, Cut);
@@ -132,16 +132,16 @@
       if (const auto *const Sent = std::get_if<MembershipSend>(&Command))
         send(At, *Sent);
       else if (const auto *const Made = std::get_if<MembershipAppend>(&Command))
-        append(Made->What);
+        append(Made->Payload);
   }
 
   void send(Host &From, const MembershipSend &Sent) {
     const auto Link = From.Links.find(Sent.To);
     if (Link != From.Links.end()) {
       Link->second.LastUsed = Now;
-      Network.push_back({From.Name, Sent.To, Sent.What});
+      Network.push_back({From.Name, Sent.To, Sent.Payload});
     } else if (From.Table->demand(Sent.To, Now)) {
-      From.Pending[Sent.To].push_back(Sent.What);
+      From.Pending[Sent.To].push_back(Sent.Payload);
     }
   }
 
@@ -153,7 +153,7 @@
         continue;
       Link->second.LastUsed = Now;
       MembershipCommands Commands;
-      To.Part->received(Sent.From, Sent.What, Now, Commands);
+      To.Part->receive(Sent.From, Sent.What, Now, Commands);
       perform(To, Commands);
     }
   }
--- a/packages/request/src/coltsfoottrail/choice/chooser.cpp
+++ b/packages/request/src/coltsfoottrail/choice/chooser.cpp
@@ -127,7 +127,7 @@
 bool Chooser::isFull(CandidateId Which, const ChoiceQuery &Query,
                      const EstimatedWaitPolicy &Chosen, TimePoint Now) const {
   const Candidate &Endpoint = *Table.find(Which);
-  if (Pace.known() && Query.FirstEventWithin < Duration::max() &&
+  if (Pace.isDeclared() && Query.FirstEventWithin < Duration::max() &&
       Endpoint.Load.unreadTokens(Now) > 0 &&
       timeToAnswer(Endpoint, 0.0, Query, Now) >
           toSeconds(Query.FirstEventWithin))
@@ -291,7 +291,7 @@
   const double Seconds = secondsOf(Endpoint, Now);
   const double Bound = Endpoint.Bound;
   const double Load = loadAhead(Endpoint, Query, Now);
-  if (Pace.known()) {
+  if (Pace.isDeclared()) {
     const EngineBacklog Before{
         Bound, Load, double(Endpoint.Load.unreadTokens(Now)), Seconds};
     return toSeconds(firstEventAfter(Pace, Before, Query.PromptTokens));
--- a/packages/version/src/coltsfoottrail/assembly/assembler.cpp
+++ b/packages/version/src/coltsfoottrail/assembly/assembler.cpp
@@ -43,7 +43,7 @@
   if (Size > FleetSize)
     GrewAt = Now;
   FleetSize = Size;
-  return View.CallersBegun || Now - BeganAt >= Times.LongestSettle ||
+  return View.TrafficStarted || Now - BeganAt >= Times.LongestSettle ||
          (Size > 0 && Now - GrewAt >= Times.FleetSettle);
 }
 
@@ -52,7 +52,7 @@
   if (!View.Service.Engine || (Now < ActFrom && anySeat(View)))
     return {};
   Pass In{View, *View.Service.Engine, Now, {}};
-  Pacer.bound(In.Engine.LoadsPerSecond, In.Engine.LoadsAtOnce);
+  Pacer.bound(In.Engine.LoadsPerSecond, In.Engine.MaxConcurrentLoads);
   Pacer.advance(View.Endpoints, Now);
   settle(In);
   adopt(In);
@@ -66,7 +66,7 @@
 void Assembler::settle(const Pass &In) {
   std::erase_if(Pending, [&](const auto &Entry) {
     const KnownEndpoint *const Known = In.View.Endpoints.find(Entry.first);
-    if (Known == nullptr || Known->Record.Born != Entry.second.Born)
+    if (Known == nullptr || Known->Record.StartedAtMs != Entry.second.Born)
       return true;
     const auto &Seat = Known->Record.Seat;
     return Seat && Seat->Epoch >= Entry.second.Epoch;
@@ -107,7 +107,7 @@
     Of.Epoch = Seat.Epoch;
     if (Of.Members.size() <= Seat.Rank)
       Of.Members.resize(Seat.Rank + 1);
-    Of.Members[Seat.Rank] = {Name, Record.Born, Record.Address};
+    Of.Members[Seat.Rank] = {Name, Record.StartedAtMs, Record.Address};
     if (const auto Named = parseGroupName(Seat.Group)) {
       Of.Model = Named->Model;
       Of.Members.front().Name = Named->Leader;
@@ -128,8 +128,8 @@
   }
 }
 
-void Assembler::ordered(const EndpointName &To, const SeatOrder &Order,
-                        OrderOutcome Outcome, TimePoint Now) {
+void Assembler::recordOutcome(const EndpointName &To, const SeatOrder &Order,
+                              OrderOutcome Outcome, TimePoint Now) {
   std::visit(Overloaded{
                  [&](const JoinSeat &Join) {
                    const auto Ordered = Pending.find(To);
@@ -162,11 +162,11 @@
 }
 
 void Assembler::declareDead(const KnownEndpoint &Which, TimePoint Now) {
-  Dead[Which.Record.Name] = {Which.Record.Born, Now + DeathLife};
+  Dead[Which.Record.Name] = {Which.Record.StartedAtMs, Now + DeathLife};
 }
 
 std::vector<EndpointName>
-Assembler::membersWith(const EndpointName &Leader) const {
+Assembler::membersLedBy(const EndpointName &Leader) const {
   std::vector<EndpointName> Out;
   for (const auto &[Epoch, Of] : Groups) {
     if (Of.Members.front().Name != Leader)
@@ -197,7 +197,7 @@
     else if (isFree(In, Known)) {
       ++Its.Free;
       for (const ModelName &Model : Record.Staged)
-        ++Its.FreeWith[Model];
+        ++Its.FreeByModel[Model];
     } else if (LockedUntil.contains(Name) || isDead(Known))
       ++Its.Locked;
     else if (Record.Seat) {
@@ -213,7 +213,7 @@
   return List;
 }
 
-std::vector<GroupNote> Assembler::takeNotes() {
+std::vector<GroupEvent> Assembler::takeEvents() {
   return std::exchange(Notes, {});
 }
 
--- a/packages/version/src/coltsfoottrail/assembly/assembler.hpp
+++ b/packages/version/src/coltsfoottrail/assembly/assembler.hpp
@@ -52,10 +52,10 @@
   /// Fencing number of the duty.
   std::uint64_t Fence = 0;
   /// Whether callers have begun: loads are counted and slow from then on.
-  bool CallersBegun = false;
+  bool TrafficStarted = false;
   /// No group or load is begun beyond so many orders of one call: an order
   /// takes the host a millisecond, and a fleet that starts needs thousands.
-  std::size_t MostOrders = std::numeric_limits<std::size_t>::max();
+  std::size_t MaxOrders = std::numeric_limits<std::size_t>::max();
 };
 
 /// @brief An order to be given.
@@ -66,7 +66,7 @@
 };
 
 /// @brief A member whose record is missing, to be asked whether it is alive.
-struct MemberQuestion {
+struct MemberProbe {
   EndpointName Name;
   EngineAddress Address;
 };
@@ -75,7 +75,7 @@
 enum class GroupFate : std::uint8_t { Formed, Adopted, Lost, Retired };
 
 /// @brief A change worth a line in the log.
-struct GroupNote {
+struct GroupEvent {
   GroupFate Fate = GroupFate::Formed;
   std::string Group;
   GroupEpoch Epoch = 0;
@@ -94,7 +94,7 @@
   std::uint32_t OtherSeats = 0;
   /// Endpoints that could take a seat, and the weights that they have.
   std::uint32_t Free = 0;
-  std::map<ModelName, std::uint32_t> FreeWith;
+  std::map<ModelName, std::uint32_t> FreeByModel;
   /// Endpoints that load weights, and those that must not take a seat yet.
   std::uint32_t Loading = 0;
   std::uint32_t Locked = 0;
@@ -129,8 +129,8 @@
                                               TimePoint Now);
 
   /// @brief Takes an order's outcome.
-  void ordered(const EndpointName &To, const SeatOrder &Order,
-               OrderOutcome Outcome, TimePoint Now);
+  void recordOutcome(const EndpointName &To, const SeatOrder &Order,
+                     OrderOutcome Outcome, TimePoint Now);
 
   /// @brief An endpoint did not answer, while others did: it is left out of new
   /// groups, and its group counts as lost, until its record lapses or shows
@@ -138,20 +138,20 @@
   void declareDead(const KnownEndpoint &Which, TimePoint Now);
 
   /// @brief Hands over whom to ask; each is to be answered by asked().
-  [[nodiscard]] std::vector<MemberQuestion> takeQuestions();
+  [[nodiscard]] std::vector<MemberProbe> takeProbes();
   /// @brief Takes the answer to a question.
-  void asked(const EndpointName &Which, bool Alive, TimePoint Now);
+  void recordProbeResult(const EndpointName &Which, bool Alive, TimePoint Now);
 
   /// @brief Members of the groups that an endpoint leads.
   [[nodiscard]] std::vector<EndpointName>
-  membersWith(const EndpointName &Leader) const;
+  membersLedBy(const EndpointName &Leader) const;
 
   /// @brief Tells where the endpoints stand, by domain.
   [[nodiscard]] std::vector<DomainSummary> summary(const AssemblyView &View,
                                                    TimePoint Now) const;
 
   /// @brief Hands over what is worth a line in the log since the last call.
-  [[nodiscard]] std::vector<GroupNote> takeNotes();
+  [[nodiscard]] std::vector<GroupEvent> takeEvents();
 
 private:
   struct Member {
@@ -296,10 +296,10 @@
   std::map<EndpointName, TimePoint> LockedUntil;
   std::map<EndpointName, Death> Dead;
   std::map<EndpointName, Doubt> Doubts;
-  std::vector<MemberQuestion> Questions;
+  std::vector<MemberProbe> Questions;
   /// Models whose weights endpoints were told to load.
   std::map<EndpointName, ModelName> Staging;
-  std::vector<GroupNote> Notes;
+  std::vector<GroupEvent> Notes;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/assembly/formation.cpp
+++ b/packages/version/src/coltsfoottrail/assembly/formation.cpp
@@ -31,8 +31,8 @@
   const EndpointRecord &Record = Of.Record;
   // An engine that was lost or restarted during an outage of the store would
   // hold up the group that it is chosen for.
-  if (Record.Service != In.View.Service.Name || Of.MissingUntil ||
-      In.View.Endpoints.isUncertain(Of, In.Now) ||
+  if (Record.Service != In.View.Service.Name || Of.RemovalDeferredUntil ||
+      In.View.Endpoints.mayBeStale(Of, In.Now) ||
       Record.State != EndpointState::Serving ||
       In.View.Drained.contains(Record.DataCentre))
     return false;
@@ -138,7 +138,7 @@
       Next.Loads += joinCost(Each->Record, Model.Name) == JoinCost::Load;
     // A load takes a tenth of a minute and keeps the other members idle
     // meanwhile: once callers have begun, weights are staged first.
-    if (Next.Loads > 0 && In.View.CallersBegun)
+    if (Next.Loads > 0 && In.View.TrafficStarted)
       continue;
     for (const auto &[Name, Count] : Domain.Groups)
       (Name == Model.Name ? Next.Alike : Next.Others) += Count;
@@ -175,7 +175,7 @@
   const Fleet Whole = measureFleet(In);
   for (auto &[Name, Domain] : Domains)
     Domain.Candidates = candidatesOf(In, Domain);
-  while (In.Out.size() < In.View.MostOrders) {
+  while (In.Out.size() < In.View.MaxOrders) {
     const Candidate *const Found =
         bestCandidate(Domains, deficits(In, Whole), Whole.MixesModels);
     if (Found == nullptr)
@@ -191,7 +191,7 @@
     ++Its.Groups[Chosen.Model->Name];
     Its.Candidates = candidatesOf(In, Its);
   }
-  if (In.Out.size() < In.View.MostOrders)
+  if (In.Out.size() < In.View.MaxOrders)
     stage(In, Domains, deficits(In, Whole));
 }
 
@@ -203,7 +203,7 @@
   std::vector<EndpointName> Names;
   for (const KnownEndpoint *const Each : Chosen.Members) {
     Of.Members.push_back(
-        {Each->Record.Name, Each->Record.Born, Each->Record.Address});
+        {Each->Record.Name, Each->Record.StartedAtMs, Each->Record.Address});
     Names.push_back(Each->Record.Name);
   }
   Duration Expected = Chosen.Model->WarmTime;
@@ -213,7 +213,8 @@
   for (const KnownEndpoint *const Each : Chosen.Members) {
     if (joinCost(Each->Record, Of.Model) == JoinCost::Load)
       Pacer.begin(Each->Record.Name, In.loadTime(*Chosen.Model), In.Now);
-    Pending[Each->Record.Name] = {Of.Epoch, Each->Record.Born, In.Now, false};
+    Pending[Each->Record.Name] = {Of.Epoch, Each->Record.StartedAtMs, In.Now,
+                                  false};
     In.order(*Each, JoinSeat{Of.Name, Of.Epoch, Of.Model, Names});
   }
   note(GroupFate::Formed, Of, Names.front(),
@@ -225,21 +226,21 @@
                       const std::map<ModelName, double> &Missing) {
   std::erase_if(Staging,
                 [&](const auto &Entry) { return !Pacer.loads(Entry.first); });
-  std::vector<WantedLoad> Wanted;
+  std::vector<PlannedLoad> Wanted;
   for (const auto &[Name, Domain] : Domains)
-    for (WantedLoad &Each :
+    for (PlannedLoad &Each :
          planLoads(idleDomain(In, Name, Domain), In.Engine.Models, Missing))
       Wanted.push_back(std::move(Each));
   std::stable_sort(Wanted.begin(), Wanted.end(),
-                   [](const WantedLoad &Left, const WantedLoad &Right) {
+                   [](const PlannedLoad &Left, const PlannedLoad &Right) {
                      return Left.Rank < Right.Rank;
                    });
-  for (const WantedLoad &Each : Wanted)
-    if (In.Out.size() < In.View.MostOrders)
+  for (const PlannedLoad &Each : Wanted)
+    if (In.Out.size() < In.View.MaxOrders)
       stageAt(In, *In.View.Endpoints.find(Each.Where), *In.model(Each.Model));
   for (const auto &[Name, Domain] : Domains)
     for (const KnownEndpoint *const Each : Domain.Free)
-      if (In.Out.size() < In.View.MostOrders)
+      if (In.Out.size() < In.View.MaxOrders)
         standBy(In, *Each);
 }
 
@@ -258,7 +259,7 @@
   if (UnderWay || contains(Record.Loaded, Model) || In.model(Model) == nullptr)
     return;
   const GroupEpoch Epoch = nextEpoch(In);
-  Pending[Record.Name] = {Epoch, Record.Born, In.Now, false};
+  Pending[Record.Name] = {Epoch, Record.StartedAtMs, In.Now, false};
   In.order(Spare, JoinSeat{std::move(Name), Epoch, Model, {Record.Name}});
 }
 
@@ -283,7 +284,7 @@
 
 bool Assembler::stageAt(Pass &In, const KnownEndpoint &Where,
                         const ServedModel &Model) {
-  if (!Pacer.admits(1, In.View.CallersBegun, In.Now))
+  if (!Pacer.admits(1, In.View.TrafficStarted, In.Now))
     return false;
   Pacer.begin(Where.Record.Name, In.loadTime(Model), In.Now);
   Staging[Where.Record.Name] = Model.Name;
--- a/packages/version/src/coltsfoottrail/assembly/groupname.cpp
+++ b/packages/version/src/coltsfoottrail/assembly/groupname.cpp
@@ -11,16 +11,16 @@
 } // namespace
 
 std::string groupName(const ModelName &Model, const EndpointRecord &Leader) {
-  return Model.Text + "/" + std::to_string(Leader.Born) + "/" +
+  return Model.Text + "/" + std::to_string(Leader.StartedAtMs) + "/" +
          Leader.Name.Text;
 }
 
-std::optional<NamedGroup> parseGroupName(std::string_view Name) {
+std::optional<GroupNameParts> parseGroupName(std::string_view Name) {
   const std::size_t First = Name.find('/');
   const std::size_t Second = Name.find('/', First + 1);
   if (First == std::string_view::npos || Second == std::string_view::npos)
     return std::nullopt;
-  NamedGroup Out;
+  GroupNameParts Out;
   Out.Model = ModelName(Name.substr(0, First));
   const std::string_view Born = Name.substr(First + 1, Second - First - 1);
   const auto Parsed =
--- a/packages/version/src/coltsfoottrail/assembly/groupname.hpp
+++ b/packages/version/src/coltsfoottrail/assembly/groupname.hpp
@@ -13,7 +13,7 @@
 namespace coltsfoottrail {
 
 /// @brief What a group's name tells.
-struct NamedGroup {
+struct GroupNameParts {
   ModelName Model;
   std::uint64_t LeaderBorn = 0;
   EndpointName Leader;
@@ -26,7 +26,8 @@
                                     const EndpointRecord &Leader);
 /// @brief Reads a name that groupName() made; nothing for any other.
 /// Thread-safe.
-[[nodiscard]] std::optional<NamedGroup> parseGroupName(std::string_view Name);
+[[nodiscard]] std::optional<GroupNameParts>
+parseGroupName(std::string_view Name);
 
 /// @brief Names the group of one in which a spare holds a model ready.
 /// Thread-safe.
--- a/packages/version/src/coltsfoottrail/assembly/layout.cpp
+++ b/packages/version/src/coltsfoottrail/assembly/layout.cpp
@@ -32,7 +32,7 @@
       : Domain(Of), Models(Given), Deficits(Missing), Left(Of.Idle),
         Loading(Of.Loading) {}
 
-  std::vector<WantedLoad> plan() {
+  std::vector<PlannedLoad> plan() {
     while (completeGroup())
       continue;
     for (const IdleEngine &Each : Left)
@@ -150,7 +150,7 @@
   const std::map<ModelName, double> &Deficits;
   std::vector<IdleEngine> Left;
   std::map<ModelName, std::size_t> Loading;
-  std::vector<WantedLoad> Out;
+  std::vector<PlannedLoad> Out;
 };
 
 } // namespace
@@ -165,9 +165,9 @@
   return Larger > 0 ? Larger + 1 : 0;
 }
 
-std::vector<WantedLoad> planLoads(const IdleDomain &Domain,
-                                  std::span<const ServedModel> Models,
-                                  const std::map<ModelName, double> &Deficits) {
+std::vector<PlannedLoad>
+planLoads(const IdleDomain &Domain, std::span<const ServedModel> Models,
+          const std::map<ModelName, double> &Deficits) {
   return Planning(Domain, Models, Deficits).plan();
 }
 
--- a/packages/version/src/coltsfoottrail/assembly/layout.hpp
+++ b/packages/version/src/coltsfoottrail/assembly/layout.hpp
@@ -43,7 +43,7 @@
            std::span<const ServedModel> Models, const ServedModel &For);
 
 /// @brief A load to be ordered.
-struct WantedLoad {
+struct PlannedLoad {
   EndpointName Where;
   ModelName Model;
   /// The lower, the sooner: loads are few at a time.
@@ -66,7 +66,7 @@
 /// @param Models Models of the service.
 /// @param Deficits For each model, the missing part of its wanted groups;
 /// negative when there are more.
-[[nodiscard]] std::vector<WantedLoad>
+[[nodiscard]] std::vector<PlannedLoad>
 planLoads(const IdleDomain &Domain, std::span<const ServedModel> Models,
           const std::map<ModelName, double> &Deficits);
 
--- a/packages/version/src/coltsfoottrail/assembly/pass.hpp
+++ b/packages/version/src/coltsfoottrail/assembly/pass.hpp
@@ -47,7 +47,7 @@
     Out.push_back({To.Record.Name, To.Record.Address, std::move(What)});
   }
   [[nodiscard]] Duration loadTime(const ServedModel &Of) const {
-    const milliseconds Plain = View.CallersBegun
+    const milliseconds Plain = View.TrafficStarted
                                    ? Of.LoadTime
                                    : Of.LoadTime / internal::EarlyLoadFactor;
     return std::chrono::duration_cast<Duration>(Plain *
--- a/packages/version/src/coltsfoottrail/assembly/repair.cpp
+++ b/packages/version/src/coltsfoottrail/assembly/repair.cpp
@@ -25,14 +25,15 @@
 
 bool Assembler::isDead(const KnownEndpoint &Of) const {
   const auto Found = Dead.find(Of.Record.Name);
-  return Found != Dead.end() && Found->second.Born == Of.Record.Born;
+  return Found != Dead.end() && Found->second.Born == Of.Record.StartedAtMs;
 }
 
 /// Whether a member is there, in the same life, and seated in this group.
 bool Assembler::holds(const Pass &In, const Member &Of,
                       GroupEpoch Epoch) const {
   const KnownEndpoint *const Known = In.View.Endpoints.find(Of.Name);
-  if (Known == nullptr || Known->Record.Born != Of.Born || isDead(*Known))
+  if (Known == nullptr || Known->Record.StartedAtMs != Of.Born ||
+      isDead(*Known))
     return false;
   const std::optional<Seating> Seat = seatOf(*Known);
   return Seat && Seat->Epoch == Epoch;
@@ -62,11 +63,12 @@
   return Its.Answered ? Its.Alive : Waited < Times.AnswerMissing;
 }
 
-std::vector<MemberQuestion> Assembler::takeQuestions() {
+std::vector<MemberProbe> Assembler::takeProbes() {
   return std::exchange(Questions, {});
 }
 
-void Assembler::asked(const EndpointName &Which, bool Alive, TimePoint Now) {
+void Assembler::recordProbeResult(const EndpointName &Which, bool Alive,
+                                  TimePoint Now) {
   const auto Found = Doubts.find(Which);
   if (Found == Doubts.end())
     return;
@@ -81,7 +83,8 @@
   if (Known == nullptr || isDead(*Known))
     return leaderGone(In, Of);
   const std::optional<Seating> Seat = seatOf(*Known);
-  if (Known->Record.Born != Leader.Born || !Seat || Seat->Epoch != Of.Epoch) {
+  if (Known->Record.StartedAtMs != Leader.Born || !Seat ||
+      Seat->Epoch != Of.Epoch) {
     retire(Of, "the leader has left the group");
     return true;
   }
--- a/packages/version/src/coltsfoottrail/fleet/catalogue.cpp
+++ b/packages/version/src/coltsfoottrail/fleet/catalogue.cpp
@@ -9,7 +9,7 @@
 bool sameForRouting(const EndpointRecord &Old, const EndpointRecord &New) {
   return Old.Address == New.Address && Old.DataCentre == New.DataCentre &&
          Old.Service == New.Service && Old.State == New.State &&
-         Old.Born == New.Born && Old.Seat == New.Seat &&
+         Old.StartedAtMs == New.StartedAtMs && Old.Seat == New.Seat &&
          Old.Staged == New.Staged && Old.Loaded == New.Loaded &&
          Old.Slots == New.Slots;
 }
@@ -17,8 +17,9 @@
 /// Failure guarded against: a record of an earlier life, or one that was
 /// overtaken, comes late and brings back a seat or a state that is over.
 bool isOlder(const EndpointRecord &Record, const EndpointRecord &Known) {
-  return Record.Born < Known.Born ||
-         (Record.Born == Known.Born && Record.Sequence < Known.Sequence);
+  return Record.StartedAtMs < Known.StartedAtMs ||
+         (Record.StartedAtMs == Known.StartedAtMs &&
+          Record.Sequence < Known.Sequence);
 }
 
 } // namespace
@@ -28,13 +29,13 @@
   KnownEndpoint &Its = Known[Name];
   if (Its.Record.Name == Name && isOlder(Record, Its.Record))
     return false;
-  const bool Changed = Its.Record.Name != Name || Its.MissingUntil ||
+  const bool Changed = Its.Record.Name != Name || Its.RemovalDeferredUntil ||
                        !sameForRouting(Its.Record, Record) ||
                        (Record.ColdFor.count() > 0) != Its.Cold;
   Its.Cold = Record.ColdFor.count() > 0;
   Its.ColdUntil = Now + Record.ColdFor;
-  Its.HeardAt = Now;
-  Its.MissingUntil.reset();
+  Its.LastPublishedAt = Now;
+  Its.RemovalDeferredUntil.reset();
   Its.Record = std::move(Record);
   if (Changed)
     ++Changes;
@@ -46,11 +47,11 @@
   if (Found == Known.end())
     return false;
   const bool MayReturn = Now < SettledAt &&
-                         Found->second.HeardAt <= ReturnedAt &&
+                         Found->second.LastPublishedAt <= ReturnedAt &&
                          Found->second.Record.State == EndpointState::Serving;
   if (MayReturn) {
-    if (!Found->second.MissingUntil)
-      Found->second.MissingUntil = SettledAt;
+    if (!Found->second.RemovalDeferredUntil)
+      Found->second.RemovalDeferredUntil = SettledAt;
     return false;
   }
   Known.erase(Found);
@@ -71,7 +72,7 @@
 std::vector<EndpointName> EndpointCatalogue::advance(TimePoint Now) {
   std::vector<EndpointName> Gone;
   for (auto &[Name, Its] : Known) {
-    if (Its.MissingUntil && *Its.MissingUntil <= Now)
+    if (Its.RemovalDeferredUntil && *Its.RemovalDeferredUntil <= Now)
       Gone.push_back(Name);
     if (Its.Cold && Its.ColdUntil <= Now) {
       Its.Cold = false;
--- a/packages/version/src/coltsfoottrail/fleet/catalogue.hpp
+++ b/packages/version/src/coltsfoottrail/fleet/catalogue.hpp
@@ -16,13 +16,13 @@
 struct KnownEndpoint {
   EndpointRecord Record;
   /// When its record last changed or came again.
-  TimePoint HeardAt;
+  TimePoint LastPublishedAt;
   /// Whether it bears only a little work, and until when.
   bool Cold = false;
   TimePoint ColdUntil;
   /// The store dropped it while the store was not sound: it is taken for gone
   /// at this time unless it comes back.
-  std::optional<TimePoint> MissingUntil;
+  std::optional<TimePoint> RemovalDeferredUntil;
 };
 
 /// @brief Follows the endpoints' records. Pure; not thread-safe.
@@ -61,9 +61,9 @@
   /// @brief Whether a record was written before the store's return, so that
   /// what happened to its endpoint during the outage may still be unknown.
   /// Thread-compatible.
-  [[nodiscard]] bool isUncertain(const KnownEndpoint &Which,
-                                 TimePoint Now) const noexcept {
-    return isSettling(Now) && Which.HeardAt <= ReturnedAt;
+  [[nodiscard]] bool mayBeStale(const KnownEndpoint &Which,
+                                TimePoint Now) const noexcept {
+    return isSettling(Now) && Which.LastPublishedAt <= ReturnedAt;
   }
   /// @brief Drops endpoints that are still missing, and lets cold ones warm up.
   /// @return Names of those dropped.
--- a/packages/version/src/coltsfoottrail/fleet/config.hpp
+++ b/packages/version/src/coltsfoottrail/fleet/config.hpp
@@ -48,7 +48,7 @@
   /// Loads that may begin in a second, over all engines.
   double LoadsPerSecond = 1.0;
   /// Loads at once beyond which each takes longer.
-  std::uint32_t LoadsAtOnce = 1;
+  std::uint32_t MaxConcurrentLoads = 1;
   /// Between an order to open a group and its serving.
   milliseconds OpenTime{0};
   /// Models whose weights a host keeps.
@@ -57,8 +57,8 @@
 };
 
 /// @brief Pace of an engine that serves a model. Pure; thread-safe.
-[[nodiscard]] inline EnginePace paceOf(const EngineProfile &Engine,
-                                       const ServedModel &Model) {
+[[nodiscard]] inline EnginePace enginePace(const EngineProfile &Engine,
+                                           const ServedModel &Model) {
   constexpr double MsPerSecond = 1000.0;
   EnginePace Out;
   Out.StepSeconds = Engine.StepMs * Model.Pace / MsPerSecond;
--- a/packages/version/src/coltsfoottrail/fleet/endpoint.hpp
+++ b/packages/version/src/coltsfoottrail/fleet/endpoint.hpp
@@ -52,7 +52,7 @@
   ServiceName Service;
   EndpointState State = EndpointState::Serving;
   /// Unix milliseconds of its start: tells two lives under one name apart.
-  std::uint64_t Born = 0;
+  std::uint64_t StartedAtMs = 0;
   /// Grows with each record of one life.
   std::uint64_t Sequence = 0;
   /// How long it stays cold, as of this record.
@@ -65,7 +65,7 @@
   std::optional<GroupSeat> Seat;
 
   /// @brief Whether it is the leader of a group that serves.
-  [[nodiscard]] bool leads() const noexcept {
+  [[nodiscard]] bool isServingLeader() const noexcept {
     return Seat && Seat->Rank == 0 && Seat->Phase == SeatPhase::Open;
   }
 };
--- a/packages/version/src/coltsfoottrail/groups/agent.cpp
+++ b/packages/version/src/coltsfoottrail/groups/agent.cpp
@@ -25,17 +25,17 @@
                            GroupDecisions &Out) {
   Live.follow(Now, Watch, At);
   const auto OthersSilent = [this, At](const GroupId &Group) {
-    return Live.othersSilent(Group, At);
+    return Live.countOtherSilentWatchers(Group, At);
   };
   for (GroupCommand &What : Watch.poll(Now, Live.plan(), OthersSilent, At)) {
-    std::visit([](auto &Each) { Each.Which |= WatchMark; }, What);
+    std::visit([](auto &Each) { Each.Id |= WatchMark; }, What);
     Out.Commands.push_back(std::move(What));
   }
   Live.follow(Now, Watch, At);
 }
 
 void GroupAgent::addBeats(const State &Now, TimePoint At, GroupDecisions &Out) {
-  const bool Urgent = Live.urgent();
+  const bool Urgent = Live.takeUrgent();
   if (At < NextBeat && !Urgent)
     return;
   NextBeat = At + Times.BeatEvery;
@@ -44,26 +44,28 @@
       Out.Beats.push_back({Name, Live.beatFor(Name, At)});
 }
 
-void GroupAgent::appended(CommandId Which, const AppendResult &Outcome,
-                          TimePoint At) {
+void GroupAgent::recordAppend(CommandId Which, const AppendResult &Outcome,
+                              TimePoint At) {
   if (isOfWatch(Which))
-    Watch.appended(Which & ~WatchMark, Outcome, At);
+    Watch.recordAppend(Which & ~WatchMark, Outcome, At);
   else
-    Executor.appended(Which, Outcome, At);
+    Executor.recordAppend(Which, Outcome, At);
 }
 
-void GroupAgent::ordered(CommandId Which, OrderResult Result, TimePoint At) {
-  Executor.ordered(Which, Result, At);
+void GroupAgent::recordOrder(CommandId Which, OrderResult Result,
+                             TimePoint At) {
+  Executor.recordOrder(Which, Result, At);
 }
 
-void GroupAgent::reported(CommandId Which, std::optional<EngineReport> Report,
-                          TimePoint At) {
+void GroupAgent::recordReport(CommandId Which,
+                              std::optional<EngineReport> Report,
+                              TimePoint At) {
   if (Report)
-    Executor.heardAnyone(At);
+    Executor.recordOtherAnswer(At);
   if (isOfWatch(Which))
-    Watch.reported(Which & ~WatchMark, Report, At);
+    Watch.recordReport(Which & ~WatchMark, Report, At);
   else
-    Executor.reported(Which, std::move(Report), At);
+    Executor.recordReport(Which, std::move(Report), At);
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/agent.hpp
+++ b/packages/version/src/coltsfoottrail/groups/agent.hpp
@@ -47,14 +47,16 @@
   [[nodiscard]] GroupDecisions poll(const State &Now, TimePoint At);
 
   /// @brief Takes an append's outcome.
-  void appended(CommandId Which, const AppendResult &Outcome, TimePoint At);
+  void recordAppend(CommandId Which, const AppendResult &Outcome, TimePoint At);
   /// @brief Takes an order's outcome.
-  void ordered(CommandId Which, OrderResult Result, TimePoint At);
+  void recordOrder(CommandId Which, OrderResult Result, TimePoint At);
   /// @brief Takes a report, or nothing when none came.
-  void reported(CommandId Which, std::optional<EngineReport> Report,
-                TimePoint At);
+  void recordReport(CommandId Which, std::optional<EngineReport> Report,
+                    TimePoint At);
   /// @brief Takes a peer's beat.
-  void heard(const LivenessBeat &Beat, TimePoint At) { Live.heard(Beat, At); }
+  void receiveBeat(const LivenessBeat &Beat, TimePoint At) {
+    Live.receiveBeat(Beat, At);
+  }
   /// @brief Has a group's members asked at once, because a request to it
   /// failed.
   void suspect(const GroupId &Group, TimePoint At) { Watch.suspect(Group, At); }
@@ -69,8 +71,8 @@
     return Live.usableUntil();
   }
   /// @brief Hosts that are known not to answer, for planIntent().
-  [[nodiscard]] std::set<HostName> avoided(TimePoint At) const {
-    return Executor.avoided(At);
+  [[nodiscard]] std::set<HostName> avoidedHosts(TimePoint At) const {
+    return Executor.avoidedHosts(At);
   }
 
 private:
--- a/packages/version/src/coltsfoottrail/groups/beat.cpp
+++ b/packages/version/src/coltsfoottrail/groups/beat.cpp
@@ -33,10 +33,10 @@
 } // namespace
 
 Json writeBeat(const LivenessBeat &Beat) {
-  Json Out{{"from", Beat.From.Text},         {"run", Beat.Own.Run},
-           {"seq", Beat.Own.Sequence},       {"echo_run", Beat.Echo.Run},
+  Json Out{{"from", Beat.From.Text},         {"run", Beat.Id.Run},
+           {"seq", Beat.Id.Sequence},        {"echo_run", Beat.Echo.Run},
            {"echo_seq", Beat.Echo.Sequence}, {"plan", Beat.PlanDigest},
-           {"through", Beat.Through}};
+           {"through", Beat.StateNext}};
   if (!Beat.Doubted.empty())
     Out["doubted"] = writeGroups(Beat.Doubted);
   if (!Beat.Silent.empty())
@@ -50,12 +50,12 @@
   ObjectReader Reader(Value, BeatSource, {}, UnknownKeys::Ignore);
   LivenessBeat Beat;
   Beat.From = HostName(Reader.text("from"));
-  Beat.Own.Run = Reader.number("run");
-  Beat.Own.Sequence = Reader.number("seq");
+  Beat.Id.Run = Reader.number("run");
+  Beat.Id.Sequence = Reader.number("seq");
   Beat.Echo.Run = Reader.number("echo_run");
   Beat.Echo.Sequence = Reader.number("echo_seq");
   Beat.PlanDigest = Reader.number("plan");
-  Beat.Through = Reader.number("through");
+  Beat.StateNext = Reader.number("through");
   Beat.Doubted = readGroups(Reader, "doubted");
   Beat.Silent = readGroups(Reader, "silent");
   Beat.Broken = readGroups(Reader, "broken");
--- a/packages/version/src/coltsfoottrail/groups/beat.hpp
+++ b/packages/version/src/coltsfoottrail/groups/beat.hpp
@@ -28,13 +28,13 @@
 /// of groups.
 struct LivenessBeat {
   HostName From;
-  BeatId Own;
+  BeatId Id;
   /// The receiver's beat that the sender had before it asked the members.
   BeatId Echo;
   /// Digest of the entry hosts by which the sender knows what it watches over.
   std::uint64_t PlanDigest = 0;
   /// Next of the sender's state: it watches over groups that serve in it.
-  Offset Through = 0;
+  Offset StateNext = 0;
   /// Groups that it does not vouch for: it has no fresh answer of each member.
   std::vector<GroupId> Doubted;
   /// Those of the doubted whose silence has lasted for so long that it takes
--- a/packages/version/src/coltsfoottrail/groups/command.hpp
+++ b/packages/version/src/coltsfoottrail/groups/command.hpp
@@ -14,7 +14,7 @@
 
 /// Append a record and tell the outcome by appended().
 struct AppendRecord {
-  CommandId Which = 0;
+  CommandId Id = 0;
   Record Body;
 };
 
@@ -23,9 +23,9 @@
 /// lapsed meanwhile. Whoever sends it reads the BootClock last of all and tells
 /// OrderResult::NotDone instead when NotAfter has passed.
 struct OrderEngine {
-  CommandId Which = 0;
+  CommandId Id = 0;
   HostName Host;
-  EngineAddress To;
+  EngineAddress Address;
   EngineOrder Order;
   milliseconds Timeout{0};
   TimePoint NotAfter = TimePoint::max();
@@ -33,9 +33,9 @@
 
 /// Ask for a report and tell it by reported().
 struct AskEngine {
-  CommandId Which = 0;
+  CommandId Id = 0;
   HostName Host;
-  EngineAddress Whom;
+  EngineAddress Address;
   milliseconds Timeout{0};
 };
 
--- a/packages/version/src/coltsfoottrail/groups/enginebook.cpp
+++ b/packages/version/src/coltsfoottrail/groups/enginebook.cpp
@@ -14,7 +14,8 @@
 
 } // namespace
 
-void EngineBook::ask(const HostSpec &Whom, TimePoint Now, GroupCommands &Out) {
+void EngineTracker::ask(const HostSpec &Whom, TimePoint Now,
+                        GroupCommands &Out) {
   EngineView &View = Known[Whom.Name];
   View.LastUse = Now;
   if (View.Asking || View.Ordering || Now < View.NextAsk)
@@ -27,8 +28,9 @@
       AskEngine{*View.Asking, Whom.Name, addressOf(Whom), Times.AskTimeout});
 }
 
-void EngineBook::order(const HostSpec &To, EngineOrder Order,
-                       TimePoint NotAfter, TimePoint Now, GroupCommands &Out) {
+void EngineTracker::order(const HostSpec &To, EngineOrder Order,
+                          TimePoint NotAfter, TimePoint Now,
+                          GroupCommands &Out) {
   EngineView &View = Known[To.Name];
   View.LastUse = Now;
   if (View.Ordering || Now < View.NextOrder)
@@ -42,8 +44,9 @@
                                std::move(Order), Times.OrderTimeout, NotAfter});
 }
 
-void EngineBook::reported(CommandId Which, std::optional<EngineReport> Report,
-                          TimePoint Now) {
+void EngineTracker::recordReport(CommandId Which,
+                                 std::optional<EngineReport> Report,
+                                 TimePoint Now) {
   const auto Found = Asked.find(Which);
   if (Found == Asked.end())
     return;
@@ -57,8 +60,8 @@
   if (!Report) {
     if (!View.SilentSince)
       View.SilentSince = View.AskingSince;
-    if (Now - *View.SilentSince > Times.SilentEvery)
-      View.NextAsk = Now + Times.SilentEvery;
+    if (Now - *View.SilentSince > Times.SilentPollEvery)
+      View.NextAsk = Now + Times.SilentPollEvery;
     View.Last.reset();
     return;
   }
@@ -72,7 +75,8 @@
   View.AskedAt = View.AskingSince;
 }
 
-void EngineBook::ordered(CommandId Which, OrderResult Result, TimePoint Now) {
+void EngineTracker::recordOrder(CommandId Which, OrderResult Result,
+                                TimePoint Now) {
   const auto Found = Ordered.find(Which);
   if (Found == Ordered.end())
     return;
@@ -89,20 +93,20 @@
   View.NextAsk = Now;
 }
 
-const EngineReport *EngineBook::reportSince(const HostName &Of,
-                                            TimePoint Since) const {
+const EngineReport *EngineTracker::reportSince(const HostName &Of,
+                                               TimePoint Since) const {
   const EngineView *View = find(Of);
   if (View == nullptr || !View->Last || View->AskedAt < Since)
     return nullptr;
   return &*View->Last;
 }
 
-const EngineView *EngineBook::find(const HostName &Of) const {
+const EngineView *EngineTracker::find(const HostName &Of) const {
   const auto Entry = Known.find(Of);
   return Entry == Known.end() ? nullptr : &Entry->second;
 }
 
-bool EngineBook::takeRefusedFence(const HostName &Of) {
+bool EngineTracker::takeRefusedFence(const HostName &Of) {
   const auto Entry = Known.find(Of);
   if (Entry == Known.end() ||
       Entry->second.LastResult != OrderResult::RefusedOldFence)
@@ -111,14 +115,14 @@
   return true;
 }
 
-Duration EngineBook::silentFor(const HostName &Of, TimePoint Now) const {
+Duration EngineTracker::silentFor(const HostName &Of, TimePoint Now) const {
   const EngineView *View = find(Of);
   if (View == nullptr || !View->SilentSince)
     return Duration::zero();
   return Now - *View->SilentSince;
 }
 
-bool EngineBook::seemsCutOff(TimePoint Now) const {
+bool EngineTracker::seemsCutOff(TimePoint Now) const {
   if (LastAnswer && Now - *LastAnswer < Times.CutOffAfter)
     return false;
   for (const auto &[Host, View] : Known)
@@ -127,7 +131,7 @@
   return false;
 }
 
-void EngineBook::forgetIdle(TimePoint Now) {
+void EngineTracker::forgetIdle(TimePoint Now) {
   std::erase_if(Known, [Now](const auto &Entry) {
     return Now - Entry.second.LastUse > ForgetAfter;
   });
--- a/packages/version/src/coltsfoottrail/groups/enginebook.hpp
+++ b/packages/version/src/coltsfoottrail/groups/enginebook.hpp
@@ -32,12 +32,12 @@
 
 /// @brief Asks engines and gives them orders, one of each at a time for one
 /// engine. A lost answer is resolved by asking. Not thread-safe.
-class EngineBook {
+class EngineTracker {
 public:
   /// @brief Starts with nothing known.
   /// @param Given Times of the deployment.
   /// @param Tickets Where tickets are drawn; must outlive the book.
-  EngineBook(const GroupTimes &Given, AppendPacer &Tickets)
+  EngineTracker(const GroupTimes &Given, AppendPacer &Tickets)
       : Times(Given), Draw(Tickets) {}
 
   /// @brief Asks an engine when the time has come.
@@ -57,10 +57,10 @@
              TimePoint Now, GroupCommands &Out);
 
   /// @brief Takes a report, or its absence.
-  void reported(CommandId Which, std::optional<EngineReport> Report,
-                TimePoint Now);
+  void recordReport(CommandId Which, std::optional<EngineReport> Report,
+                    TimePoint Now);
   /// @brief Takes an order's outcome.
-  void ordered(CommandId Which, OrderResult Result, TimePoint Now);
+  void recordOrder(CommandId Which, OrderResult Result, TimePoint Now);
 
   /// @brief Finds a report that was asked for at or after a time.
   /// @return Null when there is none; valid until the next call.
@@ -82,7 +82,7 @@
   [[nodiscard]] bool seemsCutOff(TimePoint Now) const;
 
   /// @brief Tells that an engine answered to somebody else on this host.
-  void heardAnyone(TimePoint Now) { LastAnswer = Now; }
+  void recordOtherAnswer(TimePoint Now) { LastAnswer = Now; }
 
   /// @brief Forgets engines that nothing has been asked of for a while.
   void forgetIdle(TimePoint Now);
--- a/packages/version/src/coltsfoottrail/groups/executor.cpp
+++ b/packages/version/src/coltsfoottrail/groups/executor.cpp
@@ -9,7 +9,7 @@
   Form.poll(Now, Forming, At, Leases, Book, Pace, Out);
   Steps.poll(Now, At, Leases, Book, Pace, Out);
   Release.poll(Now, Over, At, Book, Pace, Out);
-  for (const HostName &Host : Form.takeGivenUp())
+  for (const HostName &Host : Form.takeFailedHosts())
     Repair.avoid(Host, At);
   Repair.poll(Now, At, Book, Pace, Out);
   Book.forgetIdle(At);
--- a/packages/version/src/coltsfoottrail/groups/executor.hpp
+++ b/packages/version/src/coltsfoottrail/groups/executor.hpp
@@ -39,38 +39,39 @@
   [[nodiscard]] GroupCommands poll(const State &Now, TimePoint At);
 
   /// @brief Takes an append's outcome.
-  void appended(CommandId Which, const AppendResult &Outcome, TimePoint At) {
-    Pace.appended(Which, Outcome, At);
+  void recordAppend(CommandId Which, const AppendResult &Outcome,
+                    TimePoint At) {
+    Pace.recordAppend(Which, Outcome, At);
   }
   /// @brief Takes an order's outcome.
-  void ordered(CommandId Which, OrderResult Result, TimePoint At) {
-    Book.ordered(Which, Result, At);
+  void recordOrder(CommandId Which, OrderResult Result, TimePoint At) {
+    Book.recordOrder(Which, Result, At);
   }
   /// @brief Takes a report, or nothing when none came.
-  void reported(CommandId Which, std::optional<EngineReport> Report,
-                TimePoint At) {
-    Book.reported(Which, std::move(Report), At);
+  void recordReport(CommandId Which, std::optional<EngineReport> Report,
+                    TimePoint At) {
+    Book.recordReport(Which, std::move(Report), At);
   }
   /// @brief Tells that an engine has answered to the watch over members: this
   /// host is not cut off.
-  void heardAnyone(TimePoint At) { Book.heardAnyone(At); }
+  void recordOtherAnswer(TimePoint At) { Book.recordOtherAnswer(At); }
 
   /// @brief Hosts that are known not to answer; intents are planned without
   /// them.
-  [[nodiscard]] std::set<HostName> avoided(TimePoint At) const {
-    return Repair.avoided(At);
+  [[nodiscard]] std::set<HostName> avoidedHosts(TimePoint At) const {
+    return Repair.avoidedHosts(At);
   }
 
 private:
   void sortGroups(const State &Now);
 
   AppendPacer Pace;
-  EngineBook Book;
+  EngineTracker Book;
   LeaseKeeper Leases;
-  Former Form;
+  GroupFormer Form;
   StepRunner Steps;
-  Releaser Release;
-  Repairer Repair;
+  HostReleaser Release;
+  GroupRepairer Repair;
   std::optional<Offset> SortedAt;
   std::vector<GroupId> Forming;
   std::vector<GroupId> Over;
--- a/packages/version/src/coltsfoottrail/groups/former.cpp
+++ b/packages/version/src/coltsfoottrail/groups/former.cpp
@@ -7,11 +7,11 @@
 
 namespace coltsfoottrail {
 
-struct Former::Pass {
+struct GroupFormer::Pass {
   const State &Now;
   TimePoint At;
   LeaseKeeper &Leases;
-  EngineBook &Book;
+  EngineTracker &Book;
   AppendPacer &Pace;
   GroupCommands &Out;
 };
@@ -61,9 +61,9 @@
 
 } // namespace
 
-void Former::poll(const State &Now, std::span<const GroupId> Forming,
-                  TimePoint At, LeaseKeeper &Leases, EngineBook &Book,
-                  AppendPacer &Pace, GroupCommands &Out) {
+void GroupFormer::poll(const State &Now, std::span<const GroupId> Forming,
+                       TimePoint At, LeaseKeeper &Leases, EngineTracker &Book,
+                       AppendPacer &Pace, GroupCommands &Out) {
   std::erase_if(TurnSince, [&Now](const auto &Entry) {
     const auto Found = Now.Groups.find(Entry.first);
     return Found == Now.Groups.end() ||
@@ -81,8 +81,8 @@
   }
 }
 
-void Former::formGroup(const Pass &In, const GroupId &Id, const Group &Known,
-                       const PlanLease &Lease) {
+void GroupFormer::formGroup(const Pass &In, const GroupId &Id,
+                            const Group &Known, const PlanLease &Lease) {
   const std::vector<HostName> &Members = Known.Formed.Members;
   std::size_t Ready = 0;
   const HostName *Waiting = nullptr;
@@ -96,21 +96,22 @@
   }
   if (Waiting == nullptr)
     return confirm(In, Id, Known, Lease);
-  if (In.At - TurnSince.at(Id) >= Times.FormPatience)
+  if (In.At - TurnSince.at(Id) >= Times.FormTimeout)
     giveUp(In, Id, *Waiting, "has not become ready in the time allowed");
 }
 
-Duration Former::silenceAllowed(const Pass &In) const {
+Duration GroupFormer::silenceAllowed(const Pass &In) const {
   // Failure guarded against: this host is the one that is cut off, and gives up
   // groups that are well. It lets its leases lapse, and another host has the
   // plan before this time is over.
   if (In.Book.seemsCutOff(In.At))
-    return Times.MemberSilent + 2 * Times.leaseOverAfter();
-  return Times.MemberSilent;
+    return Times.MemberSilenceLimit + 2 * Times.leaseExpiredAfter();
+  return Times.MemberSilenceLimit;
 }
 
-bool Former::joinMember(const Pass &In, const GroupId &Id, const Group &Known,
-                        const PlanLease &Lease, std::size_t Rank) const {
+bool GroupFormer::joinMember(const Pass &In, const GroupId &Id,
+                             const Group &Known, const PlanLease &Lease,
+                             std::size_t Rank) const {
   const HostSpec *Host = findHost(In.Now.Declared, Known.Formed.Members[Rank]);
   if (Host == nullptr)
     return false;
@@ -136,8 +137,8 @@
   return false;
 }
 
-void Former::confirm(const Pass &In, const GroupId &Id, const Group &Known,
-                     const PlanLease &Lease) const {
+void GroupFormer::confirm(const Pass &In, const GroupId &Id, const Group &Known,
+                          const PlanLease &Lease) const {
   GroupConfirmed Said;
   Said.Group = Id;
   Said.Lease = Lease.Fence;
@@ -148,8 +149,8 @@
                  std::move(Said), In.At, In.Out);
 }
 
-void Former::giveUp(const Pass &In, const GroupId &Id, const HostName &Lost,
-                    std::string Why) {
+void GroupFormer::giveUp(const Pass &In, const GroupId &Id,
+                         const HostName &Lost, std::string Why) {
   GivenUp.push_back(Lost);
   In.Pace.append("break/" + textOf(Id), GroupBroken{Id, Lost, std::move(Why)},
                  In.At, In.Out);
--- a/packages/version/src/coltsfoottrail/groups/former.hpp
+++ b/packages/version/src/coltsfoottrail/groups/former.hpp
@@ -22,10 +22,10 @@
 /// Only so many groups load at once as the weight store bears, over all plans:
 /// the oldest forming ones of the agreed state, so that all entry hosts choose
 /// the same without asking each other. Not thread-safe.
-class Former {
+class GroupFormer {
 public:
   /// @brief Starts with nothing known.
-  explicit Former(const GroupTimes &Given) : Times(Given) {}
+  explicit GroupFormer(const GroupTimes &Given) : Times(Given) {}
 
   /// @brief Acts on the forming groups of the plans whose lease is held.
   /// @param Now The agreed state.
@@ -36,12 +36,12 @@
   /// @param Pace Where appends go through.
   /// @param Out Where commands go.
   void poll(const State &Now, std::span<const GroupId> Forming, TimePoint At,
-            LeaseKeeper &Leases, EngineBook &Book, AppendPacer &Pace,
+            LeaseKeeper &Leases, EngineTracker &Book, AppendPacer &Pace,
             GroupCommands &Out);
 
   /// @brief Hands over the hosts that groups were given up for since the last
   /// call.
-  [[nodiscard]] std::vector<HostName> takeGivenUp() {
+  [[nodiscard]] std::vector<HostName> takeFailedHosts() {
     return std::exchange(GivenUp, {});
   }
 
--- a/packages/version/src/coltsfoottrail/groups/lease.cpp
+++ b/packages/version/src/coltsfoottrail/groups/lease.cpp
@@ -69,12 +69,12 @@
   if (Known.Own)
     return Known.RenewNow || At + Times.LeaseLength / 2 >= Known.End;
   const Duration Over =
-      Known.Lease == 0 ? Duration::zero() : Times.leaseOverAfter();
+      Known.Lease == 0 ? Duration::zero() : Times.leaseExpiredAfter();
   if (At - Known.FirstSeen < Over)
     return false;
   const std::string Duty = "plan/" + std::to_string(Plan);
   const auto Turn =
-      static_cast<std::int64_t>(turnOf(Duty, Now.EntryHosts, Self));
+      static_cast<std::int64_t>(rendezvousRank(Duty, Now.EntryHosts, Self));
   return At - Known.FirstSeen >= Over + Turn * Times.Stagger;
 }
 
--- a/packages/version/src/coltsfoottrail/groups/liveness.cpp
+++ b/packages/version/src/coltsfoottrail/groups/liveness.cpp
@@ -26,7 +26,7 @@
   Silent.clear();
   Broken.clear();
   OldestWell = At;
-  for (const auto &[Id, Sight] : Own.sights(At)) {
+  for (const auto &[Id, Sight] : Own.healthByGroup(At)) {
     const auto Found = Groups.find(Id);
     if (Found == Groups.end())
       continue;
@@ -36,11 +36,11 @@
       Broken.insert(Id);
       Doubted.erase(Id);
       Urgent = ToldBroken.insert(Id).second || Urgent;
-    } else if (Own.isWell(Sight, At)) {
-      Found->second.Until[Self] = *Sight.WellSince + Times.SightingLife;
-      OldestWell = std::min(OldestWell, *Sight.WellSince);
+    } else if (Own.isHealthy(Sight, At)) {
+      Found->second.Until[Self] = *Sight.HealthySince + Times.VouchLifetime;
+      OldestWell = std::min(OldestWell, *Sight.HealthySince);
       Doubted.erase(Id);
-    } else if (Sight.Silent >= Times.LossAfter) {
+    } else if (Sight.SilentFor >= Times.LossAfter) {
       Silent.insert(Id);
     }
   }
@@ -48,7 +48,7 @@
 
 void GroupLiveness::applyReached(TimePoint At) {
   for (auto Each = Ahead.begin(); Each != Ahead.end();) {
-    if (Each->second.Through > Through) {
+    if (Each->second.StateNext > Through) {
       ++Each;
       continue;
     }
@@ -99,9 +99,9 @@
     Sent.pop_front();
   LivenessBeat Beat;
   Beat.From = Self;
-  Beat.Own = BeatId{Run, Sequence};
+  Beat.Id = BeatId{Run, Sequence};
   Beat.PlanDigest = plan().digest();
-  Beat.Through = Through;
+  Beat.StateNext = Through;
   Beat.Broken.assign(Broken.begin(), Broken.end());
   Beat.Doubted.assign(Doubted.begin(), Doubted.end());
   Beat.Silent.assign(Silent.begin(), Silent.end());
@@ -117,7 +117,7 @@
   return Beat;
 }
 
-bool GroupLiveness::urgent() { return std::exchange(Urgent, false); }
+bool GroupLiveness::takeUrgent() { return std::exchange(Urgent, false); }
 
 BeatId GroupLiveness::echoFor(const HostName &Peer, TimePoint Oldest) const {
   const auto Found = Peers.find(Peer);
@@ -130,14 +130,14 @@
   return Latest;
 }
 
-void GroupLiveness::heard(const LivenessBeat &Beat, TimePoint At) {
+void GroupLiveness::receiveBeat(const LivenessBeat &Beat, TimePoint At) {
   std::deque<Heard> &Past = Peers[Beat.From];
-  if (!Past.empty() && Past.back().Beat.Run != Beat.Own.Run)
+  if (!Past.empty() && Past.back().Beat.Run != Beat.Id.Run)
     Past.clear();
-  if (!Past.empty() && Past.back().Beat.Sequence > Beat.Own.Sequence)
+  if (!Past.empty() && Past.back().Beat.Sequence > Beat.Id.Sequence)
     return;
-  if (Past.empty() || Past.back().Beat.Sequence < Beat.Own.Sequence)
-    Past.push_back(Heard{Beat.Own, At});
+  if (Past.empty() || Past.back().Beat.Sequence < Beat.Id.Sequence)
+    Past.push_back(Heard{Beat.Id, At});
   if (Past.size() > KeptBeats)
     Past.pop_front();
   for (const GroupId &Id : Beat.Broken)
@@ -146,7 +146,7 @@
   // Failure guarded against: the sender has seen that a group is over and
   // watches over it no more, so its beat lists it nowhere, and a receiver that
   // has yet to see that would take it for well. It waits until it has.
-  if (Beat.Through > Through)
+  if (Beat.StateNext > Through)
     Ahead.insert_or_assign(Beat.From, Beat);
   else
     apply(Beat, At);
@@ -161,7 +161,7 @@
   const std::set<GroupId> Lost(Beat.Silent.begin(), Beat.Silent.end());
   for (const GroupId &Id : Plan->watchedBy(Beat.From)) {
     const auto Found = Groups.find(Id);
-    if (Found == Groups.end() || Beat.Through < Found->second.Seen)
+    if (Found == Groups.end() || Beat.StateNext < Found->second.Seen)
       continue;
     Serving &Of = Found->second;
     Of.SilentAt.erase(Beat.From);
@@ -171,7 +171,7 @@
       Of.Until.erase(Beat.From);
     else if (Left) {
       TimePoint &Until = Of.Until[Beat.From];
-      Until = std::max(Until, *Left + Times.SightingLife);
+      Until = std::max(Until, *Left + Times.VouchLifetime);
     }
   }
 }
@@ -197,14 +197,14 @@
   return All;
 }
 
-std::size_t GroupLiveness::othersSilent(const GroupId &Group,
-                                        TimePoint At) const {
+std::size_t GroupLiveness::countOtherSilentWatchers(const GroupId &Group,
+                                                    TimePoint At) const {
   const auto Found = Groups.find(Group);
   if (Found == Groups.end())
     return 0;
   std::size_t Count = 0;
   for (const auto &[Watcher, Since] : Found->second.SilentAt)
-    Count += Watcher != Self && At - Since < Times.SightingLife ? 1 : 0;
+    Count += Watcher != Self && At - Since < Times.VouchLifetime ? 1 : 0;
   return Count;
 }
 
--- a/packages/version/src/coltsfoottrail/groups/liveness.hpp
+++ b/packages/version/src/coltsfoottrail/groups/liveness.hpp
@@ -47,10 +47,10 @@
 
   /// @brief Tells, once, that the own watch has proof of a broken group that no
   /// beat has told yet.
-  [[nodiscard]] bool urgent();
+  [[nodiscard]] bool takeUrgent();
 
   /// @brief Takes a peer's beat.
-  void heard(const LivenessBeat &Beat, TimePoint At);
+  void receiveBeat(const LivenessBeat &Beat, TimePoint At);
 
   /// @brief Tells whether requests may be sent to a group.
   [[nodiscard]] bool mayRoute(const GroupId &Group, TimePoint At) const;
@@ -60,8 +60,8 @@
 
   /// @brief Counts the other watchers of a group whose last beat, not older
   /// than a sighting's life, doubts it or proves it broken.
-  [[nodiscard]] std::size_t othersSilent(const GroupId &Group,
-                                         TimePoint At) const;
+  [[nodiscard]] std::size_t countOtherSilentWatchers(const GroupId &Group,
+                                                     TimePoint At) const;
 
 private:
   struct Heard {
--- a/packages/version/src/coltsfoottrail/groups/pacer.cpp
+++ b/packages/version/src/coltsfoottrail/groups/pacer.cpp
@@ -25,8 +25,8 @@
   return true;
 }
 
-bool AppendPacer::appended(CommandId Which, const AppendResult &Outcome,
-                           TimePoint Now) {
+bool AppendPacer::recordAppend(CommandId Which, const AppendResult &Outcome,
+                               TimePoint Now) {
   const auto Found = UnderWay.find(Which);
   if (Found == UnderWay.end())
     return false;
--- a/packages/version/src/coltsfoottrail/groups/pacer.hpp
+++ b/packages/version/src/coltsfoottrail/groups/pacer.hpp
@@ -31,7 +31,8 @@
 
   /// @brief Takes an append's outcome.
   /// @return Whether the ticket was one of this object's.
-  bool appended(CommandId Which, const AppendResult &Outcome, TimePoint Now);
+  bool recordAppend(CommandId Which, const AppendResult &Outcome,
+                    TimePoint Now);
 
   /// @brief Draws a ticket for another kind of command.
   [[nodiscard]] CommandId drawTicket() { return ++LastTicket; }
--- a/packages/version/src/coltsfoottrail/groups/releaser.cpp
+++ b/packages/version/src/coltsfoottrail/groups/releaser.cpp
@@ -24,17 +24,17 @@
 
 } // namespace
 
-struct Releaser::Pass {
+struct HostReleaser::Pass {
   const State &Now;
   TimePoint At;
-  EngineBook &Book;
+  EngineTracker &Book;
   AppendPacer &Pace;
   GroupCommands &Out;
 };
 
-void Releaser::poll(const State &Now, std::span<const GroupId> Over,
-                    TimePoint At, EngineBook &Book, AppendPacer &Pace,
-                    GroupCommands &Out) {
+void HostReleaser::poll(const State &Now, std::span<const GroupId> Over,
+                        TimePoint At, EngineTracker &Book, AppendPacer &Pace,
+                        GroupCommands &Out) {
   std::erase_if(Groups, [&Now](const auto &Entry) {
     return !Now.Groups.contains(Entry.first);
   });
@@ -54,17 +54,18 @@
   }
 }
 
-bool Releaser::hasTurn(const Pass &In, const GroupId &Id, Leaving &How) const {
+bool HostReleaser::hasTurn(const Pass &In, const GroupId &Id,
+                           Leaving &How) const {
   if (In.At >= How.NextTurnLook) {
-    How.Turn = turnOf("release/" + textOf(Id), In.Now.EntryHosts, Self);
+    How.Turn = rendezvousRank("release/" + textOf(Id), In.Now.EntryHosts, Self);
     How.NextTurnLook = In.At + TurnLookEvery;
   }
   const auto Turn = static_cast<std::int64_t>(How.Turn);
   return How.Turn < MostTurns && In.At - How.Since >= Turn * Times.Stagger;
 }
 
-void Releaser::releaseGroup(const Pass &In, const GroupId &Id,
-                            const Group &Known, Leaving &How) const {
+void HostReleaser::releaseGroup(const Pass &In, const GroupId &Id,
+                                const Group &Known, Leaving &How) const {
   // A group that never served has nothing to finish, and a broken one can't.
   const bool HasWork =
       Known.Phase == GroupPhase::Stopping && !Known.MemberRuns.empty();
@@ -82,12 +83,12 @@
     watchQuiet(In, Id, Known, How);
 }
 
-void Releaser::watchQuiet(const Pass &In, const GroupId &Id, const Group &Known,
-                          Leaving &How) const {
+void HostReleaser::watchQuiet(const Pass &In, const GroupId &Id,
+                              const Group &Known, Leaving &How) const {
   bool Quiet = In.At - How.Since >= Times.StopSettle;
   for (const HostName &Name : Known.Held) {
     if (!In.Book.seemsCutOff(In.At) &&
-        In.Book.silentFor(Name, In.At) >= Times.MemberSilent) {
+        In.Book.silentFor(Name, In.At) >= Times.MemberSilenceLimit) {
       In.Pace.append(
           "break/" + textOf(Id),
           GroupBroken{Id, Name, "does not answer while its group stops"}, In.At,
@@ -105,11 +106,11 @@
   }
   if (!How.QuietSince)
     How.QuietSince = In.At;
-  How.MayLeave = In.At - *How.QuietSince >= Times.QuietFor;
+  How.MayLeave = In.At - *How.QuietSince >= Times.IdleFor;
 }
 
-void Releaser::releaseHost(const Pass &In, const GroupId &Id,
-                           const HostSpec &Host, Leaving &How) const {
+void HostReleaser::releaseHost(const Pass &In, const GroupId &Id,
+                               const HostSpec &Host, Leaving &How) const {
   if (In.Book.takeRefusedFence(Host.Name))
     How.Fence = In.Now.Next;
   const EngineReport *Report =
@@ -127,9 +128,9 @@
                   TimePoint::max(), In.At, In.Out);
 }
 
-bool Releaser::isOutForGood(const Pass &In, const HostSpec &Host,
-                            const EngineReport &Report,
-                            const Leaving &How) const {
+bool HostReleaser::isOutForGood(const Pass &In, const HostSpec &Host,
+                                const EngineReport &Report,
+                                const Leaving &How) const {
   if (Host.RefusesOldFences && Report.Fence >= How.Fence)
     return true;
   // Failure guarded against: the executor that ordered this engine into the
@@ -137,12 +138,12 @@
   // itself out, the host goes to another group, and the late order takes it
   // back. Nobody may send that order once the lease is over by the holder's
   // slowest clock, so a report asked for after that stays true.
-  const TimePoint Over = How.Since + Times.leaseOverAfter();
+  const TimePoint Over = How.Since + Times.leaseExpiredAfter();
   return In.Book.reportSince(Host.Name, Over) != nullptr;
 }
 
-void Releaser::release(const Pass &In, const GroupId &Id,
-                       const HostName &Host) const {
+void HostReleaser::release(const Pass &In, const GroupId &Id,
+                           const HostName &Host) const {
   In.Pace.append("release/" + textOf(Id) + "/" + Host.Text,
                  HostReleased{Host, Id}, In.At, In.Out);
 }
--- a/packages/version/src/coltsfoottrail/groups/releaser.hpp
+++ b/packages/version/src/coltsfoottrail/groups/releaser.hpp
@@ -22,12 +22,12 @@
 /// reports itself out. One that ignores them is out for good when it reports so
 /// after all leases under which it may have been ordered in have run out by
 /// their holders' slowest clocks. Not thread-safe.
-class Releaser {
+class HostReleaser {
 public:
   /// @brief Starts with nothing known.
   /// @param Given Times of the deployment.
   /// @param Name This entry host.
-  Releaser(const GroupTimes &Given, HostName Name)
+  HostReleaser(const GroupTimes &Given, HostName Name)
       : Times(Given), Self(std::move(Name)) {}
 
   /// @brief Acts on the groups that are over, where this entry host has its
@@ -39,7 +39,7 @@
   /// @param Pace Where appends go through.
   /// @param Out Where commands go.
   void poll(const State &Now, std::span<const GroupId> Over, TimePoint At,
-            EngineBook &Book, AppendPacer &Pace, GroupCommands &Out);
+            EngineTracker &Book, AppendPacer &Pace, GroupCommands &Out);
 
 private:
   struct Pass;
--- a/packages/version/src/coltsfoottrail/groups/repairer.cpp
+++ b/packages/version/src/coltsfoottrail/groups/repairer.cpp
@@ -6,10 +6,10 @@
 
 namespace coltsfoottrail {
 
-struct Repairer::Pass {
+struct GroupRepairer::Pass {
   const State &Now;
   TimePoint At;
-  EngineBook &Book;
+  EngineTracker &Book;
   AppendPacer &Pace;
   GroupCommands &Out;
 };
@@ -22,8 +22,8 @@
 
 } // namespace
 
-void Repairer::poll(const State &Now, TimePoint At, EngineBook &Book,
-                    AppendPacer &Pace, GroupCommands &Out) {
+void GroupRepairer::poll(const State &Now, TimePoint At, EngineTracker &Book,
+                         AppendPacer &Pace, GroupCommands &Out) {
   if (At >= NextLook)
     look(Now, At);
   const Pass In{Now, At, Book, Pace, Out};
@@ -34,7 +34,7 @@
   }
 }
 
-std::set<HostName> Repairer::avoided(TimePoint At) const {
+std::set<HostName> GroupRepairer::avoidedHosts(TimePoint At) const {
   std::set<HostName> Names;
   for (const auto &[Host, Until] : Avoided)
     if (At < Until)
@@ -42,7 +42,7 @@
   return Names;
 }
 
-void Repairer::look(const State &Now, TimePoint At) {
+void GroupRepairer::look(const State &Now, TimePoint At) {
   NextLook = At + Times.RepairEvery;
   if (Repairs.empty() && LookedAt == Now.LastChange)
     return;
@@ -59,13 +59,14 @@
     How.Since = At;
     if (Before != Repairs.end())
       How = std::move(Before->second);
-    How.Turn = turnOf("repair/" + keyOf(Where), Now.EntryHosts, Self);
+    How.Turn = rendezvousRank("repair/" + keyOf(Where), Now.EntryHosts, Self);
     Still.emplace(std::move(Where), std::move(How));
   }
   Repairs = std::move(Still);
 }
 
-void Repairer::repair(const Pass &In, const MissingGroups &Where, Repair &How) {
+void GroupRepairer::repair(const Pass &In, const MissingGroups &Where,
+                           Repair &How) {
   if (const auto Proposed = findProposed(In, Where)) {
     ConfirmedAt.try_emplace(*Proposed, In.At);
     In.Pace.append("confirm-plan/" + std::to_string(*Proposed),
@@ -83,9 +84,9 @@
     How.Candidate.reset();
 }
 
-bool Repairer::awaitsSurvivors(const Pass &In, const MissingGroups &Where,
-                               const Repair &How) const {
-  if (In.At - How.Since >= Times.SurvivorPatience)
+bool GroupRepairer::awaitsSurvivors(const Pass &In, const MissingGroups &Where,
+                                    const Repair &How) const {
+  if (In.At - How.Since >= Times.SurvivorWait)
     return false;
   bool Awaits = false;
   for (const auto &[Id, Known] : In.Now.Groups)
@@ -98,7 +99,7 @@
 
 /// Tells whether a broken group holds a host that may soon be free: one that
 /// answers, or has not been asked long enough to tell.
-bool Repairer::hasSurvivors(const Pass &In, const Group &Broken) {
+bool GroupRepairer::hasSurvivors(const Pass &In, const Group &Broken) {
   bool Any = false;
   for (const HostName &Member : Broken.Held) {
     const HostSpec *Host = findHost(In.Now.Declared, Member);
@@ -110,8 +111,8 @@
   return Any;
 }
 
-std::optional<Offset> Repairer::findProposed(const Pass &In,
-                                             const MissingGroups &Where) const {
+std::optional<Offset>
+GroupRepairer::findProposed(const Pass &In, const MissingGroups &Where) const {
   for (const auto &[Id, Progress] : In.Now.Plans) {
     const auto *Asked =
         std::get_if<SetCapacity>(&Progress.Proposed.Proposal.Asked);
@@ -128,9 +129,9 @@
   return std::nullopt;
 }
 
-void Repairer::plan(const Pass &In, const MissingGroups &Where,
-                    Repair &How) const {
-  const std::set<HostName> Out = avoided(In.At);
+void GroupRepairer::plan(const Pass &In, const MissingGroups &Where,
+                         Repair &How) const {
+  const std::set<HostName> Out = avoidedHosts(In.At);
   if (How.Candidate && How.PlannedOn == In.Now.LastChange &&
       How.AvoidedThen == Out.size())
     return;
@@ -139,7 +140,7 @@
   How.AvoidedThen = Out.size();
 }
 
-bool Repairer::allAnswer(const Pass &In, const Plan &Candidate) {
+bool GroupRepairer::allAnswer(const Pass &In, const Plan &Candidate) {
   bool All = true;
   for (const Step &What : Candidate.Steps)
     for (const HostName &Member : std::get<FormGroup>(What).Members) {
--- a/packages/version/src/coltsfoottrail/groups/repairer.hpp
+++ b/packages/version/src/coltsfoottrail/groups/repairer.hpp
@@ -24,12 +24,12 @@
 /// broken group, then asks each host that it would use before it proposes. Two
 /// entry hosts that repair the same do no harm: the fold voids the second. Not
 /// thread-safe.
-class Repairer {
+class GroupRepairer {
 public:
   /// @brief Starts with nothing known.
   /// @param Given Times of the deployment.
   /// @param Name This entry host.
-  Repairer(const GroupTimes &Given, HostName Name)
+  GroupRepairer(const GroupTimes &Given, HostName Name)
       : Times(Given), Self(std::move(Name)) {}
 
   /// @brief Acts on missing groups, where this entry host has its turn.
@@ -38,8 +38,8 @@
   /// @param Book The engines.
   /// @param Pace Where appends go through.
   /// @param Out Where commands go.
-  void poll(const State &Now, TimePoint At, EngineBook &Book, AppendPacer &Pace,
-            GroupCommands &Out);
+  void poll(const State &Now, TimePoint At, EngineTracker &Book,
+            AppendPacer &Pace, GroupCommands &Out);
 
   /// @brief Keeps a host out of plans for a while.
   void avoid(const HostName &Host, TimePoint At) {
@@ -48,7 +48,7 @@
 
   /// @brief The hosts that are kept out of plans, for the planning of intents
   /// as well.
-  [[nodiscard]] std::set<HostName> avoided(TimePoint At) const;
+  [[nodiscard]] std::set<HostName> avoidedHosts(TimePoint At) const;
 
 private:
   struct Pass;
--- a/packages/version/src/coltsfoottrail/groups/spread.cpp
+++ b/packages/version/src/coltsfoottrail/groups/spread.cpp
@@ -4,9 +4,9 @@
 
 namespace coltsfoottrail {
 
-std::size_t turnOf(std::string_view Duty,
-                   const std::map<HostName, EntryHost> &EntryHosts,
-                   const HostName &Self) {
+std::size_t rendezvousRank(std::string_view Duty,
+                           const std::map<HostName, EntryHost> &EntryHosts,
+                           const HostName &Self) {
   const std::uint64_t Own = rendezvousWeight(Duty, Self.Text);
   std::size_t Before = 0;
   for (const auto &[Name, Joined] : EntryHosts) {
--- a/packages/version/src/coltsfoottrail/groups/spread.hpp
+++ b/packages/version/src/coltsfoottrail/groups/spread.hpp
@@ -17,8 +17,9 @@
 /// @param Self Whose turn is asked for.
 /// @return How many entry hosts come before it.
 [[nodiscard]] std::size_t
-turnOf(std::string_view Duty, const std::map<HostName, EntryHost> &EntryHosts,
-       const HostName &Self);
+rendezvousRank(std::string_view Duty,
+               const std::map<HostName, EntryHost> &EntryHosts,
+               const HostName &Self);
 
 } // namespace coltsfoottrail
 
--- a/packages/version/src/coltsfoottrail/groups/steps.cpp
+++ b/packages/version/src/coltsfoottrail/groups/steps.cpp
@@ -12,7 +12,7 @@
   const State &Now;
   TimePoint At;
   LeaseKeeper &Leases;
-  EngineBook &Book;
+  EngineTracker &Book;
   AppendPacer &Pace;
   GroupCommands &Out;
 };
@@ -38,7 +38,8 @@
 } // namespace
 
 void StepRunner::poll(const State &Now, TimePoint At, LeaseKeeper &Leases,
-                      EngineBook &Book, AppendPacer &Pace, GroupCommands &Out) {
+                      EngineTracker &Book, AppendPacer &Pace,
+                      GroupCommands &Out) {
   std::erase_if(Waits, [&Now](const auto &Entry) {
     const auto Found = Now.Plans.find(Entry.first);
     return Found == Now.Plans.end() ||
@@ -157,7 +158,7 @@
   Wait &Known = Entry->second;
   if (Known.Step != Step || Known.Held != Held)
     Known = Wait{Step, Held, In.At};
-  return In.At - Known.Since >= Times.StepPatience;
+  return In.At - Known.Since >= Times.StepTimeout;
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/steps.hpp
+++ b/packages/version/src/coltsfoottrail/groups/steps.hpp
@@ -30,7 +30,7 @@
   /// @param Pace Where appends go through.
   /// @param Out Where commands go.
   void poll(const State &Now, TimePoint At, LeaseKeeper &Leases,
-            EngineBook &Book, AppendPacer &Pace, GroupCommands &Out);
+            EngineTracker &Book, AppendPacer &Pace, GroupCommands &Out);
 
 private:
   struct Pass;
--- a/packages/version/src/coltsfoottrail/groups/times.hpp
+++ b/packages/version/src/coltsfoottrail/groups/times.hpp
@@ -29,15 +29,15 @@
   /// Between two reports asked of an engine that loads or leaves.
   Duration PollEvery = milliseconds(500);
   /// Between two reports asked of an engine that doesn't answer.
-  Duration SilentEvery = seconds(5);
+  Duration SilentPollEvery = seconds(5);
   /// Between two orders of one kind to one engine.
   Duration OrderEvery = seconds(1);
   /// A group whose member hasn't answered for so long while it forms or stops
   /// is given up.
-  Duration MemberSilent = seconds(30);
+  Duration MemberSilenceLimit = seconds(30);
   /// A group that hasn't formed in this time since its turn to load came is
   /// given up.
-  Duration FormPatience = std::chrono::minutes(20);
+  Duration FormTimeout = std::chrono::minutes(20);
   /// Who asked engines and heard from none of them for so long takes itself for
   /// cut off and leaves leases and judgements to others.
   Duration CutOffAfter = seconds(10);
@@ -49,19 +49,19 @@
   Duration StopSettle = seconds(5);
   /// A group at rest for so long in its engines' reports, which lag, is told to
   /// leave.
-  Duration QuietFor = seconds(1);
+  Duration IdleFor = seconds(1);
   /// A step that waits so long for hosts of a broken group is given up.
-  Duration StepPatience = seconds(120);
+  Duration StepTimeout = seconds(120);
   /// Between two looks for groups that are missing.
   Duration RepairEvery = seconds(1);
   /// A repair waits so long for the survivors of a broken group.
-  Duration SurvivorPatience = seconds(5);
+  Duration SurvivorWait = seconds(5);
   /// A host that didn't answer gets no group for so long.
   Duration AvoidFor = seconds(60);
 
   /// @brief After this, counted by any clock from when a lease was seen to be
   /// held, no order under it is sent or under way. Thread-safe.
-  [[nodiscard]] Duration leaseOverAfter() const {
+  [[nodiscard]] Duration leaseExpiredAfter() const {
     return LeaseLength + 2 * LeaseLength / DriftParts + OrderTimeout +
            seconds(1);
   }
--- a/packages/version/src/coltsfoottrail/groups/watch.cpp
+++ b/packages/version/src/coltsfoottrail/groups/watch.cpp
@@ -67,22 +67,22 @@
   }
 }
 
-void GroupWatch::judge(const GroupId &Id, const GroupSight &Sight,
+void GroupWatch::judge(const GroupId &Id, const GroupHealth &Sight,
                        const WatchPlan &Plan, const CountSilent &OthersSilent,
                        TimePoint At, GroupCommands &Out) {
   bool Broken = Sight.Broken;
-  if (!Broken && Sight.Silent >= Times.LossAfter) {
+  if (!Broken && Sight.SilentFor >= Times.LossAfter) {
     const std::size_t Watchers = Plan.watchersOf(Id).size();
     Broken = 1 + OthersSilent(Id) >= Watchers;
   }
   if (Broken)
-    Pace.append("break/" + textOf(Id), GroupBroken{Id, Sight.Lost, Sight.Why},
-                At, Out);
+    Pace.append("break/" + textOf(Id),
+                GroupBroken{Id, Sight.LostMember, Sight.Why}, At, Out);
 }
 
-void GroupWatch::reported(CommandId Which,
-                          const std::optional<EngineReport> &Report,
-                          TimePoint At) {
+void GroupWatch::recordReport(CommandId Which,
+                              const std::optional<EngineReport> &Report,
+                              TimePoint At) {
   const auto Found = Asked.find(Which);
   if (Found == Asked.end())
     return;
@@ -124,40 +124,40 @@
     Of.NextAsk = std::min(Of.NextAsk, At);
 }
 
-std::map<GroupId, GroupSight> GroupWatch::sights(TimePoint At) const {
-  std::map<GroupId, GroupSight> All;
+std::map<GroupId, GroupHealth> GroupWatch::healthByGroup(TimePoint At) const {
+  std::map<GroupId, GroupHealth> All;
   for (const auto &[Id, Over] : Groups)
     All.emplace_hint(All.end(), Id, sightOf(Over, At));
   return All;
 }
 
-bool GroupWatch::isWell(const GroupSight &Sight, TimePoint At) const {
-  return !Sight.Broken && Sight.WellSince &&
-         At - *Sight.WellSince <= Times.wellWithin();
+bool GroupWatch::isHealthy(const GroupHealth &Sight, TimePoint At) const {
+  return !Sight.Broken && Sight.HealthySince &&
+         At - *Sight.HealthySince <= Times.healthyWithin();
 }
 
-GroupSight GroupWatch::sightOf(const Watched &Over, TimePoint At) const {
-  GroupSight Sight;
+GroupHealth GroupWatch::sightOf(const Watched &Over, TimePoint At) const {
+  GroupHealth Sight;
   if (Over.Lost) {
     Sight.Broken = true;
-    Sight.Lost = *Over.Lost;
+    Sight.LostMember = *Over.Lost;
     Sight.Why = Over.Why;
     return Sight;
   }
   bool AllAnswered = true;
   for (const Member &Of : Over.Members) {
-    if (Of.SilentSince && At - *Of.SilentSince > Sight.Silent) {
-      Sight.Silent = At - *Of.SilentSince;
-      Sight.Lost = Of.Host;
+    if (Of.SilentSince && At - *Of.SilentSince > Sight.SilentFor) {
+      Sight.SilentFor = At - *Of.SilentSince;
+      Sight.LostMember = Of.Host;
       Sight.Why = "its engine does not answer";
     }
     if (!Of.WellAt)
       AllAnswered = false;
-    else if (!Sight.WellSince || *Of.WellAt < *Sight.WellSince)
-      Sight.WellSince = Of.WellAt;
+    else if (!Sight.HealthySince || *Of.WellAt < *Sight.HealthySince)
+      Sight.HealthySince = Of.WellAt;
   }
   if (!AllAnswered)
-    Sight.WellSince.reset();
+    Sight.HealthySince.reset();
   return Sight;
 }
 
--- a/packages/version/src/coltsfoottrail/groups/watch.hpp
+++ b/packages/version/src/coltsfoottrail/groups/watch.hpp
@@ -17,15 +17,15 @@
 namespace coltsfoottrail {
 
 /// @brief How a watcher finds a group.
-struct GroupSight {
+struct GroupHealth {
   /// All members have answered, with the run that was confirmed, to questions
   /// that left at or after this time.
-  std::optional<TimePoint> WellSince;
+  std::optional<TimePoint> HealthySince;
   /// A member has proved that the group is broken.
   bool Broken = false;
   /// For how long the longest silent member has not answered.
-  Duration Silent = Duration::zero();
-  HostName Lost;
+  Duration SilentFor = Duration::zero();
+  HostName LostMember;
   std::string Why;
 };
 
@@ -60,21 +60,23 @@
                                    TimePoint At);
 
   /// @brief Takes a report, or nothing when none came.
-  void reported(CommandId Which, const std::optional<EngineReport> &Report,
-                TimePoint At);
+  void recordReport(CommandId Which, const std::optional<EngineReport> &Report,
+                    TimePoint At);
   /// @brief Takes an append's outcome.
-  void appended(CommandId Which, const AppendResult &Outcome, TimePoint At) {
-    Pace.appended(Which, Outcome, At);
+  void recordAppend(CommandId Which, const AppendResult &Outcome,
+                    TimePoint At) {
+    Pace.recordAppend(Which, Outcome, At);
   }
   /// @brief Asks all members of a group at once, because a request to it
   /// failed.
   void suspect(const GroupId &Group, TimePoint At);
 
   /// @brief How this host finds the groups that it watches over.
-  [[nodiscard]] std::map<GroupId, GroupSight> sights(TimePoint At) const;
+  [[nodiscard]] std::map<GroupId, GroupHealth>
+  healthByGroup(TimePoint At) const;
 
   /// @brief Tells whether a group with this sight is well. Thread-safe.
-  [[nodiscard]] bool isWell(const GroupSight &Sight, TimePoint At) const;
+  [[nodiscard]] bool isHealthy(const GroupHealth &Sight, TimePoint At) const;
 
 private:
   struct Member {
@@ -98,9 +100,9 @@
   [[nodiscard]] Watched start(const State &Now, const Group &Known,
                               TimePoint At) const;
   void ask(const GroupId &Id, Watched &Over, TimePoint At, GroupCommands &Out);
-  void judge(const GroupId &Id, const GroupSight &Sight, const WatchPlan &Plan,
+  void judge(const GroupId &Id, const GroupHealth &Sight, const WatchPlan &Plan,
              const CountSilent &OthersSilent, TimePoint At, GroupCommands &Out);
-  [[nodiscard]] GroupSight sightOf(const Watched &Over, TimePoint At) const;
+  [[nodiscard]] GroupHealth sightOf(const Watched &Over, TimePoint At) const;
   void take(const GroupId &Id, Watched &Over, Member &Of,
             const EngineReport &Report);
 
--- a/packages/version/src/coltsfoottrail/groups/watchtimes.hpp
+++ b/packages/version/src/coltsfoottrail/groups/watchtimes.hpp
@@ -16,19 +16,19 @@
   /// Between two beats to one peer.
   Duration BeatEvery = seconds(1);
   /// How long a group may be used after the beat left that a sighting answers.
-  Duration SightingLife = seconds(6);
+  Duration VouchLifetime = seconds(6);
   /// How long a watcher has had no answer from a member before it counts the
   /// member as lost.
   Duration LossAfter = seconds(4);
 
   /// @brief A group whose members have all answered to questions this fresh is
   /// well: one lost answer is borne, two in a row are not. Thread-safe.
-  [[nodiscard]] Duration wellWithin() const {
+  [[nodiscard]] Duration healthyWithin() const {
     return 2 * AskEvery + AskTimeout;
   }
   /// @brief Longest time from the loss of a member until the last entry host
   /// has stopped using its group, whatever the network does. Thread-safe.
-  [[nodiscard]] Duration stopBound() const { return SightingLife; }
+  [[nodiscard]] Duration maxUseAfterLoss() const { return VouchLifetime; }
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/membership/fwd.hpp
+++ b/packages/version/src/coltsfoottrail/membership/fwd.hpp
@@ -10,10 +10,10 @@
 class Membership;
 struct MembershipOptions;
 struct Heartbeat;
-struct SuspectAsk;
-struct SuspectAnswer;
-struct FreshAsk;
-struct FreshAnswer;
+struct SuspicionQuery;
+struct SuspicionReply;
+struct FreshnessQuery;
+struct FreshnessReply;
 
 } // namespace coltsfoottrail
 
--- a/packages/version/src/coltsfoottrail/membership/membership.cpp
+++ b/packages/version/src/coltsfoottrail/membership/membership.cpp
@@ -20,8 +20,8 @@
   return Span / 2 + milliseconds(static_cast<std::int64_t>(Part));
 }
 
-void Membership::state(const State &Agreed, TimePoint Now,
-                       MembershipCommands &Out) {
+void Membership::applyState(const State &Agreed, TimePoint Now,
+                            MembershipCommands &Out) {
   const auto Own = Agreed.EntryHosts.find(Options.Self.Host);
   const bool There = Own != Agreed.EntryHosts.end() &&
                      Own->second.Joined.Run == Options.Self.Run;
@@ -48,11 +48,11 @@
   std::vector<HostName> All;
   for (const auto &[Name, Run] : Members)
     All.push_back(Name);
-  Ranks.members(All);
+  Ranks.setMembers(All);
   std::map<HostName, Watch> Next;
   for (const auto &[Name, Run] : Members) {
     if (Name == Options.Self.Host) {
-      Watchers = Ranks.of(Name);
+      Watchers = Ranks.watchersOf(Name);
       continue;
     }
     if (!Ranks.watches(Options.Self.Host, Name))
@@ -64,7 +64,7 @@
     else
       Kept.LastHeard = Now;
     Kept.Run = Run;
-    Kept.Watchers = Ranks.of(Name);
+    Kept.Watchers = Ranks.watchersOf(Name);
     Next.emplace(Name, std::move(Kept));
   }
   for (const auto &[Name, Kept] : Watched) {
@@ -77,7 +77,7 @@
   Watched = std::move(Next);
 }
 
-void Membership::listed(std::span<const ListedHost> Hosts) {
+void Membership::applyHostList(std::span<const ListedHost> Hosts) {
   ListedLeaving.clear();
   ListedLive.clear();
   for (const ListedHost &Host : Hosts)
@@ -102,9 +102,8 @@
   return Gone ? Options.SuspectListedAfter : Options.SuspectAfter;
 }
 
-void Membership::received(const HostName &From,
-                          const MembershipMessage &Message, TimePoint Now,
-                          MembershipCommands &Out) {
+void Membership::receive(const HostName &From, const MembershipMessage &Message,
+                         TimePoint Now, MembershipCommands &Out) {
   std::visit([&](const auto &Kind) { handle(From, Kind, Now, Out); }, Message);
 }
 
@@ -120,7 +119,7 @@
   clear(Found->second);
 }
 
-void Membership::handle(const HostName &From, const SuspectAsk &Message,
+void Membership::handle(const HostName &From, const SuspicionQuery &Message,
                         TimePoint Now, MembershipCommands &Out) {
   const auto Found = Watched.find(Message.Host);
   // Whoever does not watch the host, or was asleep itself, cannot tell.
@@ -134,11 +133,11 @@
       Kept.Heard ? !Heard : Silence >= patience(Message.Host, Kept);
   if (!Heard && !Silent)
     return;
-  Out.emplace_back(
-      MembershipSend{From, SuspectAnswer{Message.Number, Message.Host, Heard}});
+  Out.emplace_back(MembershipSend{
+      From, SuspicionReply{Message.Number, Message.Host, Heard}});
 }
 
-void Membership::handle(const HostName &From, const SuspectAnswer &Message,
+void Membership::handle(const HostName &From, const SuspicionReply &Message,
                         TimePoint Now, MembershipCommands & /*Out*/) {
   const auto Found = Watched.find(Message.Host);
   if (Found == Watched.end() || Found->second.AskNumber != Message.Number)
@@ -152,11 +151,12 @@
   Found->second.LastHeard = Now;
 }
 
-void Membership::handle(const HostName & /*From*/, const FreshAsk & /*Message*/,
-                        TimePoint /*Now*/, MembershipCommands & /*Out*/) {}
+void Membership::handle(const HostName & /*From*/,
+                        const FreshnessQuery & /*Message*/, TimePoint /*Now*/,
+                        MembershipCommands & /*Out*/) {}
 
 void Membership::handle(const HostName & /*From*/,
-                        const FreshAnswer & /*Message*/, TimePoint /*Now*/,
+                        const FreshnessReply & /*Message*/, TimePoint /*Now*/,
                         MembershipCommands & /*Out*/) {}
 
 void Membership::clear(Watch &Kept) {
@@ -235,7 +235,7 @@
 }
 
 bool Membership::mayAppend(const Watch &Kept, TimePoint Now) const {
-  if (Now - Kept.AskedAt < Options.ObjectWithin)
+  if (Now - Kept.AskedAt < Options.ObjectionTime)
     return false;
   if (Kept.Watchers.size() == 1)
     return true;
@@ -247,7 +247,7 @@
   const bool Agreed = !Kept.Agreeing.empty();
   if (Agreed && hearsMost(Now))
     return true;
-  return Now - Kept.LastHeard >= Options.AloneAfter &&
+  return Now - Kept.LastHeard >= Options.SoloRemovalAfter &&
          (Agreed || hearsMost(Now));
 }
 
@@ -257,8 +257,8 @@
   Kept.AskedAt = Now;
   for (const HostName &Other : Kept.Watchers)
     if (Other != Options.Self.Host)
-      Out.emplace_back(
-          MembershipSend{Other, SuspectAsk{Kept.AskNumber, Host, Kept.Run}});
+      Out.emplace_back(MembershipSend{
+          Other, SuspicionQuery{Kept.AskNumber, Host, Kept.Run}});
 }
 
 void Membership::check(const HostName &Host, Watch &Kept, TimePoint Now,
@@ -268,8 +268,8 @@
     return;
   }
   const bool AskAgain =
-      Kept.AskNumber == 0 ||
-      (Kept.Agreeing.empty() && Now - Kept.AskedAt >= 3 * Options.ObjectWithin);
+      Kept.AskNumber == 0 || (Kept.Agreeing.empty() &&
+                              Now - Kept.AskedAt >= 3 * Options.ObjectionTime);
   if (AskAgain)
     suspect(Host, Kept, Now, Out);
   if (!mayAppend(Kept, Now))
--- a/packages/version/src/coltsfoottrail/membership/membership.hpp
+++ b/packages/version/src/coltsfoottrail/membership/membership.hpp
@@ -31,13 +31,13 @@
   explicit Membership(const MembershipOptions &Limits);
 
   /// @brief Takes the agreed state; the same one again does no harm.
-  void state(const State &Agreed, TimePoint Now, MembershipCommands &Out);
+  void applyState(const State &Agreed, TimePoint Now, MembershipCommands &Out);
   /// @brief Takes the platform's list of hosts: a hint that shortens suspicion,
   /// never a proof.
-  void listed(std::span<const ListedHost> Hosts);
+  void applyHostList(std::span<const ListedHost> Hosts);
   /// @brief Takes a message from a peer; any number of times, in any order.
-  void received(const HostName &From, const MembershipMessage &Message,
-                TimePoint Now, MembershipCommands &Out);
+  void receive(const HostName &From, const MembershipMessage &Message,
+               TimePoint Now, MembershipCommands &Out);
   /// @brief This host stops as planned: its end is appended, its work done.
   void leave(TimePoint Now, MembershipCommands &Out);
   /// @brief Does what time alone brings.
@@ -48,9 +48,11 @@
   /// @brief Tells whether this run is among the agreed members.
   [[nodiscard]] bool joined() const noexcept { return Joined; }
   /// @brief Tells whether this run has been found gone.
-  [[nodiscard]] bool ended() const noexcept { return Ended; }
+  [[nodiscard]] bool runEnded() const noexcept { return Ended; }
   /// @brief Hosts that this one watches.
-  [[nodiscard]] std::size_t watched() const noexcept { return Watched.size(); }
+  [[nodiscard]] std::size_t watchedCount() const noexcept {
+    return Watched.size();
+  }
 
 private:
   /// A host that this one watches.
@@ -72,14 +74,14 @@
   void choose(TimePoint Now);
   void handle(const HostName &From, const Heartbeat &Message, TimePoint Now,
               MembershipCommands &Out);
-  void handle(const HostName &From, const SuspectAsk &Message, TimePoint Now,
-              MembershipCommands &Out);
-  void handle(const HostName &From, const SuspectAnswer &Message, TimePoint Now,
-              MembershipCommands &Out);
-  void handle(const HostName &From, const FreshAsk &Message, TimePoint Now,
-              MembershipCommands &Out);
-  void handle(const HostName &From, const FreshAnswer &Message, TimePoint Now,
-              MembershipCommands &Out);
+  void handle(const HostName &From, const SuspicionQuery &Message,
+              TimePoint Now, MembershipCommands &Out);
+  void handle(const HostName &From, const SuspicionReply &Message,
+              TimePoint Now, MembershipCommands &Out);
+  void handle(const HostName &From, const FreshnessQuery &Message,
+              TimePoint Now, MembershipCommands &Out);
+  void handle(const HostName &From, const FreshnessReply &Message,
+              TimePoint Now, MembershipCommands &Out);
   void beat(TimePoint Now, MembershipCommands &Out);
   void noticePause(TimePoint Now);
   void check(const HostName &Host, Watch &Kept, TimePoint Now,
--- a/packages/version/src/coltsfoottrail/membership/stateproof.cpp
+++ b/packages/version/src/coltsfoottrail/membership/stateproof.cpp
@@ -20,14 +20,14 @@
 
 StateProof::StateProof(const MembershipOptions &Limits) : Options(Limits) {}
 
-void StateProof::members(const std::vector<HostName> &Others) {
-  Jury = rankedHosts(Options.Self.Host.Text, Others, Options.Jury);
+void StateProof::setMembers(const std::vector<HostName> &Others) {
+  Jury = rankedHosts(Options.Self.Host.Text, Others, Options.FreshnessPeers);
   std::erase_if(Words, [&](const auto &Entry) {
     return std::find(Jury.begin(), Jury.end(), Entry.first) == Jury.end();
   });
 }
 
-void StateProof::version(Offset Next) { Version = std::max(Version, Next); }
+void StateProof::setVersion(Offset Next) { Version = std::max(Version, Next); }
 
 void StateProof::prove(TimePoint At, FreshSource Source) {
   if (Source != FreshSource::LogDownForAll &&
@@ -39,15 +39,16 @@
   By = Source;
 }
 
-void StateProof::logAnswered(TimePoint Left) {
+void StateProof::recordLogRead(TimePoint Left) {
   LogFails = false;
   prove(Left, FreshSource::Log);
 }
 
-void StateProof::logFailed() { LogFails = true; }
+void StateProof::recordLogFailure() { LogFails = true; }
 
-FreshAnswer StateProof::answer(const FreshAsk &Asked, TimePoint Now) const {
-  FreshAnswer Answer;
+FreshnessReply StateProof::answer(const FreshnessQuery &Asked,
+                                  TimePoint Now) const {
+  FreshnessReply Answer;
   Answer.Number = Asked.Number;
   Answer.Version = Version;
   Answer.LogFails = LogFails;
@@ -58,8 +59,8 @@
   return Answer;
 }
 
-void StateProof::answered(const HostName &From, const FreshAnswer &Message,
-                          TimePoint Now) {
+void StateProof::recordReply(const HostName &From,
+                             const FreshnessReply &Message, TimePoint Now) {
   const auto Asked = Asks.find(Message.Number);
   if (Asked == Asks.end())
     return;
@@ -119,7 +120,7 @@
   while (Asks.size() > MaxAsks)
     Asks.erase(Asks.begin());
   for (const HostName &Peer : Jury)
-    Out.emplace_back(MembershipSend{Peer, FreshAsk{Number}});
+    Out.emplace_back(MembershipSend{Peer, FreshnessQuery{Number}});
 }
 
 std::optional<TimePoint> StateProof::nextWake() const {
--- a/packages/version/src/coltsfoottrail/membership/stateproof.hpp
+++ b/packages/version/src/coltsfoottrail/membership/stateproof.hpp
@@ -26,22 +26,23 @@
   explicit StateProof(const MembershipOptions &Limits);
 
   /// @brief Takes the other members.
-  void members(const std::vector<HostName> &Others);
+  void setMembers(const std::vector<HostName> &Others);
   /// @brief Takes how far the state goes.
   /// @param Next Next offset to fold.
-  void version(Offset Next);
+  void setVersion(Offset Next);
   /// @brief A read of the agreed stream was answered and all that it showed is
   /// folded.
   /// @param Left When it left.
-  void logAnswered(TimePoint Left);
+  void recordLogRead(TimePoint Left);
   /// @brief A read of the agreed stream failed.
-  void logFailed();
+  void recordLogFailure();
 
   /// @brief Answers a peer.
-  [[nodiscard]] FreshAnswer answer(const FreshAsk &Asked, TimePoint Now) const;
+  [[nodiscard]] FreshnessReply answer(const FreshnessQuery &Asked,
+                                      TimePoint Now) const;
   /// @brief Takes a peer's answer; any number of times, in any order.
-  void answered(const HostName &From, const FreshAnswer &Message,
-                TimePoint Now);
+  void recordReply(const HostName &From, const FreshnessReply &Message,
+                   TimePoint Now);
   /// @brief Asks the peers when it is time to.
   void advance(TimePoint Now, MembershipCommands &Out);
   /// @brief When advance() should be called next.
--- a/packages/version/src/coltsfoottrail/membership/types.cpp
+++ b/packages/version/src/coltsfoottrail/membership/types.cpp
@@ -20,18 +20,18 @@
   Json Out = Json::object();
 
   void operator()(const Heartbeat &Message) { Out["run"] = Message.Run; }
-  void operator()(const SuspectAsk &Message) {
+  void operator()(const SuspicionQuery &Message) {
     Out["n"] = Message.Number;
     Out["host"] = Message.Host.Text;
     Out["run"] = Message.Run;
   }
-  void operator()(const SuspectAnswer &Message) {
+  void operator()(const SuspicionReply &Message) {
     Out["n"] = Message.Number;
     Out["host"] = Message.Host.Text;
     Out["heard"] = Message.Heard;
   }
-  void operator()(const FreshAsk &Message) { Out["n"] = Message.Number; }
-  void operator()(const FreshAnswer &Message) {
+  void operator()(const FreshnessQuery &Message) { Out["n"] = Message.Number; }
+  void operator()(const FreshnessReply &Message) {
     Out["n"] = Message.Number;
     Out["version"] = Message.Version;
     Out["proven"] = Message.Proven;
@@ -41,8 +41,8 @@
   }
 };
 
-FreshAnswer readFreshAnswer(ObjectReader &From) {
-  FreshAnswer Answer;
+FreshnessReply readFreshAnswer(ObjectReader &From) {
+  FreshnessReply Answer;
   Answer.Number = From.number("n");
   Answer.Version = From.number("version");
   Answer.Proven = From.flagOr("proven", false);
@@ -70,15 +70,15 @@
   case Ask: {
     const std::uint64_t Number = From.number("n");
     HostName Host(From.text("host"));
-    return SuspectAsk{Number, std::move(Host), From.number("run")};
+    return SuspicionQuery{Number, std::move(Host), From.number("run")};
   }
   case Answer: {
     const std::uint64_t Number = From.number("n");
     HostName Host(From.text("host"));
-    return SuspectAnswer{Number, std::move(Host), From.flagOr("heard", true)};
+    return SuspicionReply{Number, std::move(Host), From.flagOr("heard", true)};
   }
   case AskFresh:
-    return FreshAsk{From.number("n")};
+    return FreshnessQuery{From.number("n")};
   default:
     return readFreshAnswer(From);
   }
--- a/packages/version/src/coltsfoottrail/membership/types.hpp
+++ b/packages/version/src/coltsfoottrail/membership/types.hpp
@@ -32,7 +32,7 @@
   /// run of the host before it that was not heard either, up to 32 times.
   milliseconds SuspectUnheardAfter{120'000};
   /// How long the other watchers have to object.
-  milliseconds ObjectWithin{1000};
+  milliseconds ObjectionTime{1000};
   /// The next watcher in rank appends after this, if the one before did not.
   milliseconds AppendStagger{1500};
   /// Random part of the time until a watcher appends, so that the loss of many
@@ -44,14 +44,14 @@
   milliseconds MaxRetry{30'000};
   /// Without any other watcher's word, or while this host hears less than half
   /// of those that it watches, a host counts as gone after this.
-  milliseconds AloneAfter{30'000};
+  milliseconds SoloRemovalAfter{30'000};
   /// A proof of freshness is good for this long.
   milliseconds FreshFor{2000};
   /// Peers are asked when the newest proof is older than this.
   milliseconds AskPeersAfter{700};
   milliseconds AskPeersEvery{300};
   /// Peers that are asked.
-  std::size_t Jury = 15;
+  std::size_t FreshnessPeers = 15;
   std::uint64_t Seed = 1;
 };
 
@@ -60,24 +60,24 @@
   Incarnation Run = 0;
 };
 /// Have you heard from this host? Asked by one of its watchers of the others.
-struct SuspectAsk {
+struct SuspicionQuery {
   std::uint64_t Number = 0;
   HostName Host;
   Incarnation Run = 0;
 };
-/// @brief Answer to a SuspectAsk.
-struct SuspectAnswer {
+/// @brief Answer to a SuspicionQuery.
+struct SuspicionReply {
   std::uint64_t Number = 0;
   HostName Host;
   /// The host has been heard of lately: it is not gone.
   bool Heard = false;
 };
 /// How much of the agreed stream do you know, and how lately was it all?
-struct FreshAsk {
+struct FreshnessQuery {
   std::uint64_t Number = 0;
 };
-/// @brief Answer to a FreshAsk.
-struct FreshAnswer {
+/// @brief Answer to a FreshnessQuery.
+struct FreshnessReply {
   std::uint64_t Number = 0;
   /// Next offset to fold: all below it are in its state.
   Offset Version = 0;
@@ -89,12 +89,13 @@
 };
 /// What entry hosts tell each other here.
 using MembershipMessage =
-    std::variant<Heartbeat, SuspectAsk, SuspectAnswer, FreshAsk, FreshAnswer>;
+    std::variant<Heartbeat, SuspicionQuery, SuspicionReply, FreshnessQuery,
+                 FreshnessReply>;
 
 /// Send a message to a peer; may be lost, repeated or late.
 struct MembershipSend {
   HostName To;
-  MembershipMessage What;
+  MembershipMessage Payload;
 };
 /// @brief What a host goes by when it reports another one as gone.
 struct RemovalBasis {
@@ -110,7 +111,7 @@
 /// Append this record to the agreed stream; the effect is seen in the state,
 /// so the result need not be told.
 struct MembershipAppend {
-  Record What;
+  Record Payload;
   /// Set for the end of another host.
   std::optional<RemovalBasis> Basis = std::nullopt;
 };
--- a/packages/version/src/coltsfoottrail/membership/watchers.cpp
+++ b/packages/version/src/coltsfoottrail/membership/watchers.cpp
@@ -66,7 +66,7 @@
   return Best;
 }
 
-void WatcherRanks::members(const std::vector<HostName> &Members) {
+void WatcherRanks::setMembers(const std::vector<HostName> &Members) {
   const std::vector<HostName> Gone = without(All, Members);
   const std::vector<HostName> Come = without(Members, All);
   All = Members;
@@ -89,7 +89,7 @@
     Ranks.emplace(Host, rankAll(Host));
 }
 
-std::vector<HostName> WatcherRanks::of(const HostName &Host) const {
+std::vector<HostName> WatcherRanks::watchersOf(const HostName &Host) const {
   std::vector<HostName> Watchers;
   const auto Found = Ranks.find(Host);
   if (Found == Ranks.end())
--- a/packages/version/src/coltsfoottrail/membership/watchers.hpp
+++ b/packages/version/src/coltsfoottrail/membership/watchers.hpp
@@ -24,10 +24,10 @@
 
   /// @brief Takes the members.
   /// @param Members In order, each once.
-  void members(const std::vector<HostName> &Members);
+  void setMembers(const std::vector<HostName> &Members);
   /// @brief Watchers of a member, the highest first.
   /// @param Host A member.
-  [[nodiscard]] std::vector<HostName> of(const HostName &Host) const;
+  [[nodiscard]] std::vector<HostName> watchersOf(const HostName &Host) const;
   /// @brief Tells whether one host watches another.
   [[nodiscard]] bool watches(const HostName &Watcher,
                              const HostName &Host) const;
--- a/packages/version/src/coltsfoottrail/route/enginepace.hpp
+++ b/packages/version/src/coltsfoottrail/route/enginepace.hpp
@@ -22,7 +22,7 @@
   std::uint32_t Stride = 1;
 
   /// @brief Whether anything can be forecast by it.
-  [[nodiscard]] bool known() const noexcept {
+  [[nodiscard]] bool isDeclared() const noexcept {
     return PromptTokensPerSecond > 0.0;
   }
   [[nodiscard]] friend bool operator==(const EnginePace &,
--- a/packages/version/src/coltsfoottrail/route/table.cpp
+++ b/packages/version/src/coltsfoottrail/route/table.cpp
@@ -52,7 +52,7 @@
   Made.MemberRuns = Known.MemberRuns;
   Made.Role = Known.Formed.Role;
   Made.Version = Known.Formed.Version;
-  Into.Pools.find(poolOfModel(Model->Name.Text))
+  Into.Pools.find(modelPoolName(Model->Name.Text))
       ->second.Endpoints.push_back(std::move(Made));
 }
 
@@ -71,7 +71,7 @@
 
 void addService(const State &In, const ServiceSpec &Service, RouteTable &Into) {
   Pool Made;
-  Made.Name = poolOfService(Service.Name.Text);
+  Made.Name = servicePoolName(Service.Name.Text);
   Made.RepeatablePaths = Service.RepeatablePaths;
   for (const ServiceInstance &Each : Service.Instances)
     if (!isDrained(In, Each.Host, Each.DataCentre))
@@ -82,7 +82,7 @@
 
 void addModels(const State &In, RouteTable &Into) {
   for (const ModelSpec &Model : In.Declared.Models) {
-    const std::string Name = poolOfModel(Model.Name.Text);
+    const std::string Name = modelPoolName(Model.Name.Text);
     Into.Pools[Name].Name = Name;
   }
   for (const auto &[Which, Known] : In.Groups)
@@ -104,11 +104,11 @@
   return Out;
 }
 
-std::string poolOfModel(std::string_view Model) {
+std::string modelPoolName(std::string_view Model) {
   return "model/" + std::string(Model);
 }
 
-std::string poolOfService(std::string_view Service) {
+std::string servicePoolName(std::string_view Service) {
   return "service/" + std::string(Service);
 }
 
--- a/packages/version/src/coltsfoottrail/route/table.hpp
+++ b/packages/version/src/coltsfoottrail/route/table.hpp
@@ -70,9 +70,9 @@
 [[nodiscard]] RouteTable buildRoutes(const State &Of);
 
 /// @brief Name of a model's pool. Thread-safe.
-[[nodiscard]] std::string poolOfModel(std::string_view Model);
+[[nodiscard]] std::string modelPoolName(std::string_view Model);
 /// @brief Name of a service's pool. Thread-safe.
-[[nodiscard]] std::string poolOfService(std::string_view Service);
+[[nodiscard]] std::string servicePoolName(std::string_view Service);
 
 } // namespace coltsfoottrail
 
--- a/packages/version/test/coltsfoottrail/assembly/assembler.cpp
+++ b/packages/version/test/coltsfoottrail/assembly/assembler.cpp
@@ -75,7 +75,7 @@
   ASSERT_FALSE(Spares.empty());
   for (const EndpointName &Each : Spares) {
     EXPECT_EQ(Fleet.Records.at(Each).Loaded, Fleet.Records.at(Each).Staged);
-    EXPECT_FALSE(Fleet.Records.at(Each).leads());
+    EXPECT_FALSE(Fleet.Records.at(Each).isServingLeader());
   }
   EndpointName Lost;
   for (const EndpointName &Leader : Fleet.leaders())
--- a/packages/version/test/coltsfoottrail/assembly/engines.hpp
+++ b/packages/version/test/coltsfoottrail/assembly/engines.hpp
@@ -21,7 +21,7 @@
     Service.Name = ServiceName("draft");
     Service.Engine.emplace();
     Service.Engine->LoadsPerSecond = 4.5;
-    Service.Engine->LoadsAtOnce = 6;
+    Service.Engine->MaxConcurrentLoads = 6;
     Service.Engine->OpenTime = milliseconds(300);
     Service.Engine->Models = {
         {ModelName("big"), 4, 1.0, 0.57, seconds(16), milliseconds(1600)},
@@ -36,7 +36,7 @@
     Record.DataCentre = DataCentreName(DataCentre);
     Record.Domain = FabricDomainName(Domain);
     Record.Service = Service.Name;
-    Record.Born = 1;
+    Record.StartedAtMs = 1;
     Record.Slots = 26;
     Records[Record.Name] = Record;
     publish(Record.Name);
@@ -106,10 +106,10 @@
     const std::vector<SeatCommand> Orders = Driver.plan(View, Now);
     for (const SeatCommand &Each : Orders) {
       const OrderOutcome Outcome = carryOut(Each);
-      Driver.ordered(Each.To, Each.Order, Outcome, Now);
+      Driver.recordOutcome(Each.To, Each.Order, Outcome, Now);
     }
-    for (const MemberQuestion &Each : Driver.takeQuestions())
-      Driver.asked(Each.Name, Records.contains(Each.Name), Now);
+    for (const MemberProbe &Each : Driver.takeProbes())
+      Driver.recordProbeResult(Each.Name, Records.contains(Each.Name), Now);
     return Orders;
   }
 
@@ -153,7 +153,7 @@
   [[nodiscard]] std::vector<EndpointName> leaders() const {
     std::vector<EndpointName> Out;
     for (const auto &[Name, Record] : Records)
-      if (Record.leads())
+      if (Record.isServingLeader())
         Out.push_back(Name);
     return Out;
   }
@@ -227,7 +227,7 @@
       for (const auto &[Name, Record] : Records)
         if (Record.Seat && Record.Seat->Epoch == Its.Seat->Epoch &&
             Record.Seat->Rank == 0 &&
-            (Record.leads() || Opening.contains(Name)))
+            (Record.isServingLeader() || Opening.contains(Name)))
           ++JoinedWhileOpen;
     GroupSeat Seat;
     Seat.Group = Join.Group;
--- a/packages/version/test/coltsfoottrail/fleet/catalogue.cpp
+++ b/packages/version/test/coltsfoottrail/fleet/catalogue.cpp
@@ -12,7 +12,7 @@
                       std::uint64_t Sequence) {
   EndpointRecord Out;
   Out.Name = EndpointName(Name);
-  Out.Born = Born;
+  Out.StartedAtMs = Born;
   Out.Sequence = Sequence;
   return Out;
 }
--- a/packages/version/test/coltsfoottrail/fold/planned.cpp
+++ b/packages/version/test/coltsfoottrail/fold/planned.cpp
@@ -100,7 +100,7 @@
   void checkCapacity(const Plan &Made) const {
     const RouteTable Routes = buildRoutes(Told.Now);
     for (const CapacityForecast &Each : Made.Forecast) {
-      const auto Pool = Routes.Pools.find(poolOfModel(Each.Model.Text));
+      const auto Pool = Routes.Pools.find(modelPoolName(Each.Model.Text));
       const std::size_t Now =
           Pool == Routes.Pools.end() ? 0 : Pool->second.Endpoints.size();
       EXPECT_GE(Now, Each.GroupsAtWorst) << Each.Model.Text;
--- a/packages/version/test/coltsfoottrail/groups/executor.cpp
+++ b/packages/version/test/coltsfoottrail/groups/executor.cpp
@@ -38,7 +38,7 @@
   Declaration Declared = declare(4, 4, signageModel(1, 6));
   Declared.WeightLoadsAtOnce = 2;
   Fleet World(Declared, 3, 1);
-  World.ask(SetCapacity{Signage, West, 6});
+  World.applyIntent(SetCapacity{Signage, West, 6});
   EXPECT_TRUE(World.runUntil([&] { return World.allServe(12); }, Long));
   expectSound(World);
 }
@@ -52,7 +52,7 @@
   for (const bool Pause : {false, true}) {
     Fleet World(declare(1, 6, signageModel(2, 2)), 3, 7);
     ASSERT_TRUE(World.runUntil([&] { return !World.plansRun(); }, Long));
-    const Offset Plan = World.ask(SetVersion{Signage, NextVersion});
+    const Offset Plan = World.applyIntent(SetVersion{Signage, NextVersion});
     World.run(milliseconds(200 + 1700 * GetParam()));
     Fleet::Node *Executor = World.executorOf(Plan);
     ASSERT_NE(Executor, nullptr);
@@ -105,7 +105,7 @@
   Fleet World(declare(2, 4, signageModel(2, 2)), 3, 11);
   World.LoseOneIn = 3;
   EXPECT_TRUE(World.runUntil([&] { return !World.plansRun(); }, Long));
-  const Offset Plan = World.ask(SetVersion{Signage, NextVersion});
+  const Offset Plan = World.applyIntent(SetVersion{Signage, NextVersion});
   EXPECT_TRUE(World.runUntil([&] { return !World.plansRun(); }, Long));
   EXPECT_EQ(World.Agreed.Plans.at(Plan).Phase, PlanPhase::Done);
   EXPECT_TRUE(World.allServe(2));
@@ -184,16 +184,16 @@
   const std::vector<HostName> Dark = {hostIn(East, 0, 0), hostIn(East, 0, 1),
                                       hostIn(East, 0, 2)};
   for (const HostName &Host : Dark)
-    World.Engines.at(Host).Dark = true;
+    World.Engines.at(Host).Unreachable = true;
   ASSERT_TRUE(World.runUntil(
       [&] { return World.serving() == 2 && !World.plansRun(); }, Long));
   for (const auto &[Host, Group] : World.Agreed.Occupied) {
     const bool Serves =
         World.Agreed.Groups.at(Group).Phase == GroupPhase::Serving;
-    EXPECT_TRUE(Serves || World.Engines.at(Host).Dark) << Host.Text;
+    EXPECT_TRUE(Serves || World.Engines.at(Host).Unreachable) << Host.Text;
   }
   for (const HostName &Host : Dark)
-    World.Engines.at(Host).Dark = false;
+    World.Engines.at(Host).Unreachable = false;
   EXPECT_TRUE(World.runUntil([&] { return World.allServe(2); }, Long));
   EXPECT_EQ(World.Agreed.Occupied.size(), 4U);
   expectSound(World);
@@ -206,7 +206,7 @@
   ASSERT_TRUE(World.runUntil([&] { return World.allServe(1); }, Long));
   const auto [Id, Known] = *World.Agreed.Groups.begin();
   const HostName Lost = Known.Formed.Members[1];
-  World.Engines.at(Lost).Dark = true;
+  World.Engines.at(Lost).Unreachable = true;
   World.breakGroup(Id, Lost);
   ASSERT_TRUE(World.runUntil([&] { return World.serving() == 1; }, Long));
   std::size_t Kept = 0;
@@ -227,8 +227,8 @@
   const GroupId Id = World.Agreed.Groups.begin()->first;
   for (const auto &Node : World.Nodes)
     EXPECT_TRUE(Node->Agent->mayRoute(Id, World.Clock));
-  World.Engines.at(hostIn(East, 0, 2)).Dark = true;
-  World.run(World.WatchBy.stopBound());
+  World.Engines.at(hostIn(East, 0, 2)).Unreachable = true;
+  World.run(World.WatchBy.maxUseAfterLoss());
   for (const auto &Node : World.Nodes)
     EXPECT_FALSE(Node->Agent->mayRoute(Id, World.Clock));
   ASSERT_TRUE(
@@ -250,20 +250,20 @@
   ASSERT_TRUE(World.runUntil([&] { return World.allServe(1); }, Long));
   const GroupId Id = World.Agreed.Groups.begin()->first;
   const HostName Lost = hostIn(East, 0, 1);
-  World.Engines.at(Lost).Dark = true;
+  World.Engines.at(Lost).Unreachable = true;
   World.breakGroup(Id, Lost);
   ASSERT_TRUE(World.runUntil([&] { return World.serving() == 1; }, Long));
   World.run(seconds(10));
   Declaration Without = Declared;
   std::erase_if(Without.Hosts,
                 [&](const HostSpec &Host) { return Host.Name == Lost; });
-  World.ask(ApplyDeclaration{Without});
+  World.applyIntent(ApplyDeclaration{Without});
   ASSERT_TRUE(World.Agreed.Departed.contains(Lost));
   EXPECT_THROW((void)planIntent(World.Agreed, ApplyDeclaration{Declared}),
                PlanError);
   World.run(seconds(60));
   EXPECT_TRUE(World.Agreed.Occupied.contains(Lost));
-  World.Engines.at(Lost).Dark = false;
+  World.Engines.at(Lost).Unreachable = false;
   EXPECT_TRUE(World.runUntil([&] { return World.allServe(1); }, Long));
   EXPECT_FALSE(World.Engines.at(Lost).Now.Group);
   EXPECT_NO_THROW((void)planIntent(World.Agreed, ApplyDeclaration{Declared}));
@@ -276,8 +276,8 @@
   Fleet World(declare(2, 4, signageModel(3, 1)), 3, 2);
   ASSERT_TRUE(World.runUntil([&] { return World.allServe(1); }, Long));
   const auto [Id, Known] = *World.Agreed.Groups.begin();
-  World.Engines.at(Known.Formed.Members[1]).Dark = true;
-  World.Engines.at(hostIn(East, 0, 3)).Dark = true;
+  World.Engines.at(Known.Formed.Members[1]).Unreachable = true;
+  World.Engines.at(hostIn(East, 0, 3)).Unreachable = true;
   const TimePoint Broken = World.Clock;
   World.breakGroup(Id, Known.Formed.Members[1]);
   ASSERT_TRUE(World.runUntil([&] { return World.serving() == 1; }, Long));
@@ -291,7 +291,7 @@
   Fleet World(declare(1, 2, signageModel(2, 1)), 2, 2);
   ASSERT_TRUE(World.runUntil([&] { return !World.plansRun(); }, Long));
   FakeEngine &Leader = World.Engines.at(hostIn(East, 0, 0));
-  const Offset Plan = World.ask(SetCapacity{Signage, East, 0});
+  const Offset Plan = World.applyIntent(SetCapacity{Signage, East, 0});
   World.run(World.Times.StopSettle);
   EXPECT_EQ(Leader.Now.Phase, EnginePhase::Ready);
   Leader.Now.Running = 3;
@@ -325,7 +325,7 @@
 // plan come to serve, and the missing one is formed on other hosts.
 TEST(GroupExecutor, OneBadHostDoesNotStopTheOthers) {
   GroupTimes Times;
-  Times.FormPatience = seconds(60);
+  Times.FormTimeout = seconds(60);
   Fleet World(declare(3, 3, signageModel(2, 3)), 3, 2, Times);
   const HostName Bad = hostIn(East, 0, 0);
   World.Engines.at(Bad).LoadTime = std::chrono::hours(10);
@@ -342,7 +342,7 @@
   ASSERT_TRUE(World.runUntil([&] { return !World.plansRun(); }, Long));
   const std::vector<AdapterName> Adapters = {AdapterName("tirol")};
   World.LoseOneIn = 3;
-  World.ask(SetAdapters{Signage, Adapters});
+  World.applyIntent(SetAdapters{Signage, Adapters});
   EXPECT_TRUE(World.runUntil([&] { return !World.plansRun(); }, Long));
   EXPECT_EQ(World.Agreed.Groups.begin()->second.Formed.Adapters, Adapters);
   EXPECT_EQ(World.Engines.at(hostIn(East, 0, 1)).Now.Adapters, Adapters);
@@ -370,7 +370,7 @@
     World.Engines.at(AnyHost()).restart();
     break;
   case 3:
-    World.Engines.at(AnyHost()).Dark = true;
+    World.Engines.at(AnyHost()).Unreachable = true;
     break;
   case 4:
     World.LogDown = Draw.below(2) == 0;
@@ -385,12 +385,12 @@
     break;
   }
   case 7:
-    World.ask(
+    World.applyIntent(
         SetVersion{Signage, VersionName(Draw.below(2) == 0 ? "v1" : "v2")});
     break;
   default:
-    World.ask(SetCapacity{Signage, East,
-                          static_cast<std::uint32_t>(1 + Draw.below(4))});
+    World.applyIntent(SetCapacity{
+        Signage, East, static_cast<std::uint32_t>(1 + Draw.below(4))});
     break;
   }
 }
@@ -400,7 +400,7 @@
   World.LogDown = false;
   World.LoseOneIn = 0;
   for (auto &[Host, Engine] : World.Engines)
-    Engine.Dark = false;
+    Engine.Unreachable = false;
   for (const auto &Node : World.Nodes) {
     Node->PausedUntil = World.Clock;
     Node->OrderDelay = Duration::zero();
--- a/packages/version/test/coltsfoottrail/groups/fleet.hpp
+++ b/packages/version/test/coltsfoottrail/groups/fleet.hpp
@@ -21,7 +21,7 @@
 
 /// @brief An engine as the platform describes it.
 struct FakeEngine {
-  bool Dark = false;
+  bool Unreachable = false;
   bool RefusesOldFences = true;
   Duration LoadTime = seconds(10);
   TimePoint LoadedAt;
@@ -108,7 +108,7 @@
     }
     for (int Number = 0; Number < Nodes; ++Number)
       startNode(HostName("entry-" + std::to_string(Number)));
-    ask(ApplyDeclaration{Hosts});
+    applyIntent(ApplyDeclaration{Hosts});
   }
 
   Node &startNode(const HostName &Name) {
@@ -125,7 +125,7 @@
 
   /// @brief An operator plans and confirms at once.
   /// @return The plan's offset.
-  Offset ask(const Intent &Asked) {
+  Offset applyIntent(const Intent &Asked) {
     const Plan Made = planIntent(Agreed, Asked);
     const Offset At = Log.size();
     operatorAppends(PlanProposed{Made, "anna"});
@@ -251,7 +251,7 @@
     for (const auto &Peer : Nodes)
       if (Peer->Name == What.To)
         answer(*Peer, milliseconds(5), [this, &To = *Peer, Beat = What.Beat] {
-          To.Agent->heard(Beat, Clock);
+          To.Agent->receiveBeat(Beat, Clock);
         });
   }
 
@@ -268,8 +268,8 @@
 
   void carry(Node &From, AppendRecord &What) {
     if (LogDown) {
-      answer(From, seconds(1), [this, &From, Which = What.Which] {
-        From.Agent->appended(Which, LogFailure::NotDone, Clock);
+      answer(From, seconds(1), [this, &From, Id = What.Id] {
+        From.Agent->recordAppend(Id, LogFailure::NotDone, Clock);
       });
       return;
     }
@@ -277,11 +277,11 @@
     const Offset At = Log.size();
     append(From, std::move(What.Body));
     answer(From, milliseconds(Lost ? 2000 : 20),
-           [this, &From, Which = What.Which, Lost, At] {
+           [this, &From, Id = What.Id, Lost, At] {
              AppendResult Outcome = At;
              if (Lost)
                Outcome = LogFailure::Unknown;
-             From.Agent->appended(Which, Outcome, Clock);
+             From.Agent->recordAppend(Id, Outcome, Clock);
            });
   }
 
@@ -292,8 +292,8 @@
   /// As the process does it: the clock is read last of all.
   void send(Node &From, const OrderEngine &What) {
     if (Clock > What.NotAfter) {
-      answer(From, Duration::zero(), [this, &From, Which = What.Which] {
-        From.Agent->ordered(Which, OrderResult::NotDone, Clock);
+      answer(From, Duration::zero(), [this, &From, Id = What.Id] {
+        From.Agent->recordOrder(Id, OrderResult::NotDone, Clock);
       });
       return;
     }
@@ -304,7 +304,8 @@
 
   void arrive(Node &From, const OrderEngine &What) {
     FakeEngine &Engine = Engines.at(What.Host);
-    const bool Reached = !Engine.Dark && !From.CutFrom.contains(What.Host);
+    const bool Reached =
+        !Engine.Unreachable && !From.CutFrom.contains(What.Host);
     const bool Known = Reached && !loses();
     OrderResult Result = OrderResult::Unknown;
     if (Reached)
@@ -312,8 +313,8 @@
     if (!Known)
       Result = OrderResult::Unknown;
     answer(From, Known ? Duration(milliseconds(5)) : Duration(What.Timeout),
-           [this, &From, Which = What.Which, Result] {
-             From.Agent->ordered(Which, Result, Clock);
+           [this, &From, Id = What.Id, Result] {
+             From.Agent->recordOrder(Id, Result, Clock);
            });
   }
 
@@ -321,13 +322,13 @@
     ++Asks;
     FakeEngine &Engine = Engines.at(What.Host);
     const bool Reached =
-        !Engine.Dark && !From.CutFrom.contains(What.Host) && !loses();
+        !Engine.Unreachable && !From.CutFrom.contains(What.Host) && !loses();
     std::optional<EngineReport> Report;
     if (Reached)
       Report = Engine.report(Clock);
     answer(From, Reached ? Duration(milliseconds(5)) : Duration(What.Timeout),
-           [this, &From, Which = What.Which, Report] {
-             From.Agent->reported(Which, Report, Clock);
+           [this, &From, Id = What.Id, Report] {
+             From.Agent->recordReport(Id, Report, Clock);
            });
   }
 
--- a/packages/version/test/coltsfoottrail/groups/liveness.cpp
+++ b/packages/version/test/coltsfoottrail/groups/liveness.cpp
@@ -61,7 +61,7 @@
   Watchers World(nineHosts(), 3);
   World.run(seconds(5));
   World.Dark.insert(hostIn(East, 0, 1));
-  World.run(World.Times.wellWithin() + milliseconds(1200));
+  World.run(World.Times.healthyWithin() + milliseconds(1200));
   EXPECT_EQ(World.routers(First), 0U);
   World.run(seconds(3));
   ASSERT_FALSE(World.Breaks.empty());
@@ -111,7 +111,7 @@
       World.Dark.insert(hostIn(East, 0, 2));
     else
       World.Engines.at(hostIn(East, 0, 2)).Run = 2;
-    World.run(World.Times.stopBound() + milliseconds(50));
+    World.run(World.Times.maxUseAfterLoss() + milliseconds(50));
     for (int Times = 0; Times < 40; ++Times) {
       ASSERT_EQ(World.routers(First), 0U) << "seed " << Seed;
       World.run(milliseconds(250));
@@ -133,7 +133,8 @@
     for (const auto &Left : World.Nodes)
       for (const auto &Right : World.Nodes)
         World.cut(Left->Name, Right->Name);
-    World.run(Lost + World.Times.stopBound() + milliseconds(50) - World.Clock);
+    World.run(Lost + World.Times.maxUseAfterLoss() + milliseconds(50) -
+              World.Clock);
     EXPECT_EQ(World.routers(First), 0U) << Between.count();
   }
 }
@@ -149,7 +150,7 @@
   World.Agreed.Groups[First].Phase = GroupPhase::Stopping;
   World.Agreed.LastChange = World.Agreed.Next++;
   World.Engines.at(hostIn(East, 0, 1)).Group.reset();
-  World.run(World.Times.stopBound() + milliseconds(50));
+  World.run(World.Times.maxUseAfterLoss() + milliseconds(50));
   EXPECT_FALSE(World.mayRoute(World.Nodes.size() - 1, First));
   EXPECT_EQ(World.routers(GroupId{10, 1}), 8U);
   Behind.Older.reset();
@@ -182,10 +183,10 @@
 TEST(LivenessBeat, ReadsWhatItWrites) {
   LivenessBeat Beat;
   Beat.From = HostName("a");
-  Beat.Own = {1, 2};
+  Beat.Id = {1, 2};
   Beat.Echo = {3, 4};
   Beat.PlanDigest = 5;
-  Beat.Through = 6;
+  Beat.StateNext = 6;
   Beat.Doubted = {First, GroupId{7, 8}};
   Beat.Silent = {First};
   Beat.Broken = {GroupId{9, 1}};
--- a/packages/version/test/coltsfoottrail/groups/watchers.hpp
+++ b/packages/version/test/coltsfoottrail/groups/watchers.hpp
@@ -114,7 +114,7 @@
     const TimePoint At = clockOf(Of);
     Of.Live.follow(Seen, Of.Watch, At);
     const auto Others = [&](const GroupId &Group) {
-      return Of.Live.othersSilent(Group, At);
+      return Of.Live.countOtherSilentWatchers(Group, At);
     };
     for (GroupCommand &What : Of.Watch.poll(Seen, Of.Live.plan(), Others, At)) {
       if (auto *Ask = std::get_if<AskEngine>(&What))
@@ -123,7 +123,7 @@
         carry(Of, std::get<AppendRecord>(What));
     }
     Of.Live.follow(Seen, Of.Watch, At);
-    if (At >= Of.NextBeat || Of.Live.urgent()) {
+    if (At >= Of.NextBeat || Of.Live.takeUrgent()) {
       Of.NextBeat = At + Times.BeatEvery;
       for (const auto &Peer : Nodes)
         if (Peer->Name != Of.Name)
@@ -139,14 +139,14 @@
     if (Reached)
       Report = Engines.at(What.Host);
     const Duration After = Reached ? delay() : Duration(What.Timeout);
-    Events.emplace(Clock + After, [this, &From, Which = What.Which, Report] {
-      From.Watch.reported(Which, Report, clockOf(From));
+    Events.emplace(Clock + After, [this, &From, Id = What.Id, Report] {
+      From.Watch.recordReport(Id, Report, clockOf(From));
     });
   }
 
   void carry(Node &From, const AppendRecord &What) {
     Breaks.push_back(std::get<GroupBroken>(What.Body));
-    From.Watch.appended(What.Which, Offset{1}, clockOf(From));
+    From.Watch.recordAppend(What.Id, Offset{1}, clockOf(From));
   }
 
   void sendBeat(Node &From, Node &To) {
@@ -156,7 +156,7 @@
       return;
     Events.emplace(Clock + delay(), [this, &To, Beat] {
       if (To.Alive)
-        To.Live.heard(Beat, clockOf(To));
+        To.Live.receiveBeat(Beat, clockOf(To));
     });
   }
 
--- a/packages/version/test/coltsfoottrail/membership/membership.cpp
+++ b/packages/version/test/coltsfoottrail/membership/membership.cpp
@@ -52,7 +52,7 @@
       for (std::size_t Index = 0; Index < All.size(); ++Index) {
         act(Index, [&](Membership &Part, MembershipCommands &Out) {
           if (!All[Index].LogCut)
-            Part.state(Agreed, Now, Out);
+            Part.applyState(Agreed, Now, Out);
         });
         act(Index, [&](Membership &Part, MembershipCommands &Out) {
           Part.advance(Now, Out);
@@ -72,7 +72,7 @@
       if (const auto *const Sent = std::get_if<MembershipSend>(&Command))
         deliver(Index, *Sent);
       else if (const auto *const Made = std::get_if<MembershipAppend>(&Command))
-        append(Acting, Made->What);
+        append(Acting, Made->Payload);
       else
         ++Acting.Ended;
     }
@@ -97,12 +97,12 @@
 private:
   void deliver(std::size_t From, const MembershipSend &Sent) {
     const Json Message =
-        parseCbor(writeCbor(writeMembershipMessage(Sent.What)), "mesh");
+        parseCbor(writeCbor(writeMembershipMessage(Sent.Payload)), "mesh");
     for (std::size_t To = 0; To < All.size(); ++To)
       if (All[To].Name == Sent.To && Open(From, To))
         act(To, [&](Membership &Part, MembershipCommands &Out) {
-          Part.received(All[From].Name, readMembershipMessage(Message, "mesh"),
-                        Now, Out);
+          Part.receive(All[From].Name, readMembershipMessage(Message, "mesh"),
+                       Now, Out);
         });
   }
   void append(const Host &By, const Record &What) {
@@ -184,7 +184,7 @@
   EXPECT_FALSE(Lease.holds(Nine.Now));
   Nine.run(milliseconds(20'000));
   EXPECT_EQ(Nine.All[6].Ended, 1);
-  EXPECT_TRUE(Nine.All[6].Part->ended());
+  EXPECT_TRUE(Nine.All[6].Part->runEnded());
   EXPECT_FALSE(Nine.isMember(6));
   EXPECT_EQ(Nine.Appends, 1U);
   Nine.start(6);
@@ -226,7 +226,7 @@
   for (int Second = 0; Second < 300; ++Second) {
     Nine.run(milliseconds(1000));
     for (std::size_t Index = 0; Index < 9; ++Index)
-      if (Nine.All[Index].Part->ended())
+      if (Nine.All[Index].Part->runEnded())
         Nine.start(Index);
   }
   // Two records for each host when the sides part and for each two minutes.
@@ -291,7 +291,7 @@
   for (std::size_t Index = 1; Index < 9; ++Index)
     List.push_back({Nine.All[Index].Name, Index == 2});
   for (std::size_t Index = 0; Index < 9; ++Index)
-    Nine.All[Index].Part->listed(List);
+    Nine.All[Index].Part->applyHostList(List);
   Nine.run(milliseconds(60'000));
   EXPECT_EQ(Nine.Appends, 0U);
   Nine.All[2].Up = false;
--- a/packages/version/test/coltsfoottrail/membership/stateproof.cpp
+++ b/packages/version/test/coltsfoottrail/membership/stateproof.cpp
@@ -13,8 +13,8 @@
     Part.emplace(Options);
     for (int Index = 0; Index < 8; ++Index)
       Others.emplace_back("host-" + std::to_string(Index));
-    Part->members(Others);
-    Part->version(100);
+    Part->setMembers(Others);
+    Part->setVersion(100);
   }
 
   /// Lets the time go by; returns the number of the ask if one went out.
@@ -24,15 +24,15 @@
     Part->advance(Now, Out);
     for (const MembershipCommand &Command : Out)
       if (const auto *const Sent = std::get_if<MembershipSend>(&Command))
-        return std::get<FreshAsk>(Sent->What).Number;
+        return std::get<FreshnessQuery>(Sent->Payload).Number;
     return 0;
   }
   void answer(std::size_t Count, std::uint64_t Number,
-              const FreshAnswer &Form) {
-    FreshAnswer Answer = Form;
+              const FreshnessReply &Form) {
+    FreshnessReply Answer = Form;
     Answer.Number = Number;
     for (std::size_t Index = 0; Index < Count; ++Index)
-      Part->answered(Others[Index], Answer, Now);
+      Part->recordReply(Others[Index], Answer, Now);
   }
 
   MembershipOptions Options;
@@ -42,7 +42,7 @@
 };
 
 TEST_F(FreshnessTest, LogProvesFromWhenTheReadLeft) {
-  Part->logAnswered(Now - milliseconds(1500));
+  Part->recordLogRead(Now - milliseconds(1500));
   EXPECT_EQ(Part->source(Now), FreshSource::Log);
   EXPECT_TRUE(Part->lease().holds(Now + milliseconds(499)));
   EXPECT_FALSE(Part->lease().holds(Now + milliseconds(500)));
@@ -52,7 +52,7 @@
 // proof is young, counted from when the ask left and not from the answer's
 // arrival, which may have taken any time.
 TEST_F(FreshnessTest, PeerWithAProofStandsIn) {
-  Part->logFailed();
+  Part->recordLogFailure();
   const std::uint64_t Number = pass(milliseconds(100));
   ASSERT_NE(Number, 0U);
   Now += milliseconds(900);
@@ -65,7 +65,7 @@
 // A drain stands on the log, and this host alone cannot read it. Its peers know
 // more: it is behind, and must say so rather than serve on.
 TEST_F(FreshnessTest, PeerThatKnowsMoreProvesThatThisHostIsBehind) {
-  Part->logFailed();
+  Part->recordLogFailure();
   const std::uint64_t Number = pass(milliseconds(100));
   answer(8, Number, {0, 101, true, milliseconds(10), false});
   EXPECT_EQ(Part->source(Now), FreshSource::None);
@@ -73,7 +73,7 @@
   const std::uint64_t Next = pass(milliseconds(500));
   answer(7, Next, {0, 100, false, milliseconds(0), true});
   EXPECT_EQ(Part->source(Now), FreshSource::None);
-  Part->version(101);
+  Part->setVersion(101);
   const std::uint64_t Third = pass(milliseconds(500));
   answer(1, Third, {0, 101, true, milliseconds(10), false});
   EXPECT_EQ(Part->source(Now), FreshSource::Peer);
@@ -82,7 +82,7 @@
 // The log is down for all: most peers say so and none knows more. Routing goes
 // on with what is known.
 TEST_F(FreshnessTest, LogDownForAllLetsServiceGoOn) {
-  Part->logFailed();
+  Part->recordLogFailure();
   for (int Round = 0; Round < 20; ++Round) {
     const std::uint64_t Number = pass(milliseconds(500));
     ASSERT_NE(Number, 0U);
@@ -95,7 +95,7 @@
 
 // Only this host and a minority cannot reach the log; the rest does not answer.
 TEST_F(FreshnessTest, MinorityIsNotAll) {
-  Part->logFailed();
+  Part->recordLogFailure();
   for (int Round = 0; Round < 20; ++Round)
     answer(3, pass(milliseconds(500)), {0, 100, false, milliseconds(0), true});
   EXPECT_EQ(Part->source(Now), FreshSource::None);
@@ -103,7 +103,7 @@
 
 // Words of peers from before their own log came back must not count on.
 TEST_F(FreshnessTest, OldWordsRunOut) {
-  Part->logFailed();
+  Part->recordLogFailure();
   answer(8, pass(milliseconds(100)), {0, 100, false, milliseconds(0), true});
   EXPECT_EQ(Part->source(Now), FreshSource::LogDownForAll);
   (void)pass(milliseconds(2000));
--- a/packages/version/test/coltsfoottrail/membership/watchers.cpp
+++ b/packages/version/test/coltsfoottrail/membership/watchers.cpp
@@ -22,12 +22,12 @@
         Names.insert(Name);
     }
     const std::vector<HostName> Members(Names.begin(), Names.end());
-    Stepwise.members(Members);
+    Stepwise.setMembers(Members);
     WatcherRanks AtOnce(5);
-    AtOnce.members(Members);
+    AtOnce.setMembers(Members);
     for (const HostName &Host : Members) {
-      const std::vector<HostName> Watchers = Stepwise.of(Host);
-      EXPECT_EQ(Watchers, AtOnce.of(Host));
+      const std::vector<HostName> Watchers = Stepwise.watchersOf(Host);
+      EXPECT_EQ(Watchers, AtOnce.watchersOf(Host));
       EXPECT_EQ(Watchers.size(), std::min<std::size_t>(5, Members.size() - 1));
       EXPECT_FALSE(Stepwise.watches(Host, Host));
     }
--- a/packages/version/test/coltsfoottrail/route/table.cpp
+++ b/packages/version/test/coltsfoottrail/route/table.cpp
@@ -29,7 +29,7 @@
 }
 
 const Pool &modelPool(const RouteTable &Of) {
-  return Of.Pools.at(poolOfModel("model0"));
+  return Of.Pools.at(modelPoolName("model0"));
 }
 
 TEST(RouteTable, EndpointsCarryWhatIsDeclared) {
@@ -43,7 +43,7 @@
   EXPECT_EQ(First.Members.size(), 2U);
   EXPECT_EQ(First.WarmBound, 32U);
   EXPECT_EQ(First.ColdBound, 2U);
-  const Pool &Permits = Routes.Pools.at(poolOfService("permits"));
+  const Pool &Permits = Routes.Pools.at(servicePoolName("permits"));
   EXPECT_EQ(Permits.RepeatablePaths, std::vector<std::string>{"/lookup"});
   EXPECT_EQ(Permits.Endpoints.front().Key, "permits/permits-0/10.0.255.1:8000");
   EXPECT_EQ(Routes.TeamsByCredential.at(sha256Hex("secret0")).Name.Text,
