--- a/packages/version/src/coltsfoottrail/assembly/assembler.cpp
+++ b/packages/version/src/coltsfoottrail/assembly/assembler.cpp
@@ -9,15 +9,15 @@
 namespace coltsfoottrail {
 
 using internal::contains;
-using internal::DeathLife;
+using internal::DeadMarkLifetime;
 
 namespace {
 
-/// Whether an endpoint has a seat: then a predecessor may have orders under
-/// way.
+/// Whether any endpoint has a seat: then orders of a previous coordinator may
+/// be in progress.
 bool anySeat(const AssemblyView &View) {
-  const auto &All = View.Endpoints.all();
-  return std::any_of(All.begin(), All.end(), [](const auto &Entry) {
+  const auto &Endpoints = View.Endpoints.all();
+  return std::any_of(Endpoints.begin(), Endpoints.end(), [](const auto &Entry) {
     const auto &Seat = Entry.second.Record.Seat;
     return Seat && !isStandby(*Seat);
   });
@@ -31,195 +31,207 @@
   Pending.clear();
   LockedUntil.clear();
   Staging.clear();
-  Doubts.clear();
-  Questions.clear();
-  ActFrom = Now + Times.TakeOverPause;
-  BeganAt = Now;
+  ProbeStates.clear();
+  PendingProbes.clear();
+  PlanFrom = Now + Times.TakeOverPause;
+  TermStartedAt = Now;
   FleetSize = 0;
 }
 
-bool Assembler::fleetSettled(const AssemblyView &View, TimePoint Now) {
+bool Assembler::isFleetSettled(const AssemblyView &View, TimePoint Now) {
   const std::size_t Size = View.Endpoints.all().size();
   if (Size > FleetSize)
-    GrewAt = Now;
+    LastGrowthAt = Now;
   FleetSize = Size;
-  return View.TrafficStarted || Now - BeganAt >= Times.LongestSettle ||
-         (Size > 0 && Now - GrewAt >= Times.FleetSettle);
+  return View.TrafficStarted || Now - TermStartedAt >= Times.MaxSettleTime ||
+         (Size > 0 && Now - LastGrowthAt >= Times.SettleTime);
 }
 
 std::vector<SeatCommand> Assembler::plan(const AssemblyView &View,
                                          TimePoint Now) {
-  if (!View.Service.Engine || (Now < ActFrom && anySeat(View)))
+  if (!View.Service.Engine || (Now < PlanFrom && anySeat(View)))
     return {};
-  Pass In{View, *View.Service.Engine, Now, {}};
-  Pacer.bound(In.Engine.LoadsPerSecond, In.Engine.MaxConcurrentLoads);
+  PlanContext Context{View, *View.Service.Engine, Now, {}};
+  Pacer.setLimits(Context.Engine.LoadsPerSecond,
+                  Context.Engine.MaxConcurrentLoads);
   Pacer.advance(View.Endpoints, Now);
-  settle(In);
-  adopt(In);
-  watch(In);
-  if (fleetSettled(View, Now))
-    form(In);
-  return std::move(In.Out);
+  dropCompleted(Context);
+  adoptGroups(Context);
+  advanceGroups(Context);
+  if (isFleetSettled(View, Now))
+    formGroups(Context);
+  return std::move(Context.Commands);
 }
 
-/// Drops what the records have caught up with.
-void Assembler::settle(const Pass &In) {
+/// Drops pending orders whose effect shows in the records, and state that has
+/// expired.
+void Assembler::dropCompleted(const PlanContext &Context) {
   std::erase_if(Pending, [&](const auto &Entry) {
-    const KnownEndpoint *const Known = In.View.Endpoints.find(Entry.first);
-    if (Known == nullptr || Known->Record.StartedAtMs != Entry.second.Born)
+    const KnownEndpoint *const Endpoint =
+        Context.View.Endpoints.find(Entry.first);
+    if (Endpoint == nullptr ||
+        Endpoint->Record.StartedAtMs != Entry.second.StartedAtMs)
       return true;
-    const auto &Seat = Known->Record.Seat;
+    const auto &Seat = Endpoint->Record.Seat;
     return Seat && Seat->Epoch >= Entry.second.Epoch;
   });
-  const auto Over = [&](const auto &Entry) { return Entry.second <= In.Now; };
-  std::erase_if(LockedUntil, Over);
-  std::erase_if(Doubts, [&](const auto &Entry) {
-    return In.Now - Entry.second.AskedAt >= DeathLife;
+  const auto IsExpired = [&](const auto &Entry) {
+    return Entry.second <= Context.Now;
+  };
+  std::erase_if(LockedUntil, IsExpired);
+  std::erase_if(ProbeStates, [&](const auto &Entry) {
+    return Context.Now - Entry.second.UpdatedAt >= DeadMarkLifetime;
   });
-  std::erase_if(
-      Dead, [&](const auto &Entry) { return Entry.second.Until <= In.Now; });
-  for (const auto &[Name, Known] : In.View.Endpoints.all()) {
-    if (!Pacer.loads(Name) || Pending.contains(Name))
+  std::erase_if(DeadEndpoints, [&](const auto &Entry) {
+    return Entry.second.Until <= Context.Now;
+  });
+  for (const auto &[Name, Endpoint] : Context.View.Endpoints.all()) {
+    if (!Pacer.isLoading(Name) || Pending.contains(Name))
       continue;
-    const auto &Seat = Known.Record.Seat;
-    const auto Told = Staging.find(Name);
-    const bool Done = Told != Staging.end()
-                          ? contains(Known.Record.Staged, Told->second)
-                          : !Seat || Seat->Phase != SeatPhase::Joining;
-    if (Done)
-      Pacer.end(Name);
+    const auto &Seat = Endpoint.Record.Seat;
+    const auto StagingOrder = Staging.find(Name);
+    const bool IsDone =
+        StagingOrder != Staging.end()
+            ? contains(Endpoint.Record.Staged, StagingOrder->second)
+            : !Seat || Seat->Phase != SeatPhase::Joining;
+    if (IsDone)
+      Pacer.finish(Name);
   }
 }
 
-/// Takes over groups that the records show and this term did not form.
-void Assembler::adopt(const Pass &In) {
-  std::map<GroupEpoch, Group> Found;
-  for (const auto &[Name, Known] : In.View.Endpoints.all()) {
-    const EndpointRecord &Record = Known.Record;
-    if (Record.Service != In.View.Service.Name || !Record.Seat ||
+/// Takes over groups that the records show and that this term did not form.
+void Assembler::adoptGroups(const PlanContext &Context) {
+  std::map<GroupEpoch, GroupState> NewGroups;
+  for (const auto &[Name, Endpoint] : Context.View.Endpoints.all()) {
+    const EndpointRecord &Record = Endpoint.Record;
+    if (Record.Service != Context.View.Service.Name || !Record.Seat ||
         isStandby(*Record.Seat))
       continue;
     const GroupSeat &Seat = *Record.Seat;
     if (Groups.contains(Seat.Epoch) || Retired.contains(Seat.Epoch))
       continue;
-    Group &Of = Found[Seat.Epoch];
-    Of.Name = Seat.Group;
-    Of.Epoch = Seat.Epoch;
-    if (Of.Members.size() <= Seat.Rank)
-      Of.Members.resize(Seat.Rank + 1);
-    Of.Members[Seat.Rank] = {Name, Record.StartedAtMs, Record.Address};
-    if (const auto Named = parseGroupName(Seat.Group)) {
-      Of.Model = Named->Model;
-      Of.Members.front().Name = Named->Leader;
-      Of.Members.front().Born = Named->LeaderBorn;
+    GroupState &Group = NewGroups[Seat.Epoch];
+    Group.Name = Seat.Group;
+    Group.Epoch = Seat.Epoch;
+    if (Group.Members.size() <= Seat.Rank)
+      Group.Members.resize(Seat.Rank + 1);
+    Group.Members[Seat.Rank] = {Name, Record.StartedAtMs, Record.Address};
+    if (const auto NameParts = parseGroupName(Seat.Group)) {
+      Group.Model = NameParts->Model;
+      Group.Members.front().Name = NameParts->Leader;
+      Group.Members.front().StartedAtMs = NameParts->LeaderStartedAtMs;
     }
   }
-  for (auto &[Epoch, Of] : Found) {
-    if (const ServedModel *const Model = In.model(Of.Model);
-        Model != nullptr && Of.Members.size() < Model->Size)
-      Of.Members.resize(Model->Size);
-    Of.JoinBy = In.Now + Times.JoinSlack;
-    for (const ServedModel &Each : In.Engine.Models)
-      Of.JoinBy = std::max(Of.JoinBy, In.Now + In.loadTime(Each));
-    Of.OpenPending = true;
-    Of.Adopted = true;
-    note(GroupFate::Adopted, Of, {}, "from the records");
-    Groups.emplace(Epoch, std::move(Of));
+  for (auto &[Epoch, Group] : NewGroups) {
+    if (const ServedModel *const Model = Context.model(Group.Model);
+        Model != nullptr && Group.Members.size() < Model->Size)
+      Group.Members.resize(Model->Size);
+    Group.JoinBy = Context.Now + Times.JoinSlack;
+    for (const ServedModel &Served : Context.Engine.Models)
+      Group.JoinBy =
+          std::max(Group.JoinBy, Context.Now + Context.loadTime(Served));
+    Group.OpenPending = true;
+    Group.Adopted = true;
+    addEvent(GroupFate::Adopted, Group, {}, "from the records");
+    Groups.emplace(Epoch, std::move(Group));
   }
 }
 
-void Assembler::recordOutcome(const EndpointName &To, const SeatOrder &Order,
-                              OrderOutcome Outcome, TimePoint Now) {
+void Assembler::recordOutcome(const EndpointName &Endpoint,
+                              const SeatOrder &Order, OrderOutcome Outcome,
+                              TimePoint Now) {
   std::visit(Overloaded{
                  [&](const JoinSeat &Join) {
-                   const auto Ordered = Pending.find(To);
-                   if (Ordered == Pending.end() ||
-                       Ordered->second.Epoch != Join.Epoch)
+                   const auto Entry = Pending.find(Endpoint);
+                   if (Entry == Pending.end() ||
+                       Entry->second.Epoch != Join.Epoch)
                      return;
                    if (Outcome == OrderOutcome::Taken) {
-                     Ordered->second.Answered = true;
+                     Entry->second.Answered = true;
                      return;
                    }
                    if (Outcome == OrderOutcome::Unknown)
                      return;
-                   Pacer.end(To);
+                   Pacer.finish(Endpoint);
                    if (Outcome == OrderOutcome::NotSent)
                      return;
-                   Pending.erase(Ordered);
-                   LockedUntil[To] = Now + Times.LeaveOut;
+                   Pending.erase(Entry);
+                   LockedUntil[Endpoint] = Now + Times.ExclusionTime;
                  },
                  [&](const OpenSeat &) {},
                  [&](const CloseSeat &) {},
                  [&](const LeaveSeat &) {},
                  [&](const StageModel &) {
-                   // Unfit: it loads already, for an order of a predecessor.
+                   // Unfit means that it is loading already, on an order of a
+                   // previous coordinator.
                    if (Outcome == OrderOutcome::NotSent ||
                        Outcome == OrderOutcome::WrongEndpoint)
-                     Pacer.end(To);
+                     Pacer.finish(Endpoint);
                  },
              },
              Order);
 }
 
-void Assembler::declareDead(const KnownEndpoint &Which, TimePoint Now) {
-  Dead[Which.Record.Name] = {Which.Record.StartedAtMs, Now + DeathLife};
+void Assembler::declareDead(const KnownEndpoint &Endpoint, TimePoint Now) {
+  DeadEndpoints[Endpoint.Record.Name] = {Endpoint.Record.StartedAtMs,
+                                         Now + DeadMarkLifetime};
 }
 
 std::vector<EndpointName>
 Assembler::membersLedBy(const EndpointName &Leader) const {
-  std::vector<EndpointName> Out;
-  for (const auto &[Epoch, Of] : Groups) {
-    if (Of.Members.front().Name != Leader)
+  std::vector<EndpointName> Names;
+  for (const auto &[Epoch, Group] : Groups) {
+    if (Group.Members.front().Name != Leader)
       continue;
-    for (const Member &Each : Of.Members)
-      Out.push_back(Each.Name);
+    for (const GroupMember &Member : Group.Members)
+      Names.push_back(Member.Name);
   }
-  return Out;
+  return Names;
 }
 
 std::vector<DomainSummary> Assembler::summary(const AssemblyView &View,
                                               TimePoint Now) const {
-  const Pass In{View, *View.Service.Engine, Now, {}};
-  std::map<DomainKey, DomainSummary> Out;
+  const PlanContext Context{View, *View.Service.Engine, Now, {}};
+  std::map<DomainKey, DomainSummary> Summaries;
   std::map<GroupEpoch, SeatPhase> Phases;
-  for (const auto &[Name, Known] : View.Endpoints.all())
-    if (Known.Record.Seat && Known.Record.Seat->Rank == 0)
-      Phases[Known.Record.Seat->Epoch] = Known.Record.Seat->Phase;
-  for (const auto &[Name, Known] : View.Endpoints.all()) {
-    const EndpointRecord &Record = Known.Record;
+  for (const auto &[Name, Endpoint] : View.Endpoints.all())
+    if (Endpoint.Record.Seat && Endpoint.Record.Seat->Rank == 0)
+      Phases[Endpoint.Record.Seat->Epoch] = Endpoint.Record.Seat->Phase;
+  for (const auto &[Name, Endpoint] : View.Endpoints.all()) {
+    const EndpointRecord &Record = Endpoint.Record;
     if (Record.Service != View.Service.Name)
       continue;
-    DomainSummary &Its = Out[{Record.DataCentre, Record.Domain}];
-    Its.DataCentre = Record.DataCentre;
-    Its.Domain = Record.Domain;
-    if (Pacer.loads(Name))
-      ++Its.Loading;
-    else if (isFree(In, Known)) {
-      ++Its.Free;
+    DomainSummary &Summary = Summaries[{Record.DataCentre, Record.Domain}];
+    Summary.DataCentre = Record.DataCentre;
+    Summary.Domain = Record.Domain;
+    if (Pacer.isLoading(Name))
+      ++Summary.Loading;
+    else if (isFree(Context, Endpoint)) {
+      ++Summary.Free;
       for (const ModelName &Model : Record.Staged)
-        ++Its.FreeByModel[Model];
-    } else if (LockedUntil.contains(Name) || isDead(Known))
-      ++Its.Locked;
+        ++Summary.FreeByModel[Model];
+    } else if (LockedUntil.contains(Name) || isDead(Endpoint))
+      ++Summary.Locked;
     else if (Record.Seat) {
       const auto Phase = Phases.find(Record.Seat->Epoch);
       const bool Open =
           Phase != Phases.end() && Phase->second == SeatPhase::Open;
-      ++(Open ? Its.Open : Its.OtherSeats);
+      ++(Open ? Summary.Open : Summary.OtherSeats);
     }
   }
   std::vector<DomainSummary> List;
-  for (auto &[Domain, Its] : Out)
-    List.push_back(std::move(Its));
+  for (auto &[Domain, Summary] : Summaries)
+    List.push_back(std::move(Summary));
   return List;
 }
 
 std::vector<GroupEvent> Assembler::takeEvents() {
-  return std::exchange(Notes, {});
+  return std::exchange(Events, {});
 }
 
-void Assembler::note(GroupFate Fate, const Group &Of, const EndpointName &Cause,
-                     std::string_view Why) {
-  Notes.push_back({Fate, Of.Name, Of.Epoch, Of.Model, Cause, Why});
+void Assembler::addEvent(GroupFate Fate, const GroupState &Group,
+                         const EndpointName &Cause, std::string_view Reason) {
+  Events.push_back({Fate, Group.Name, Group.Epoch, Group.Model, Cause, Reason});
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/assembly/assembler.hpp
+++ b/packages/version/src/coltsfoottrail/assembly/assembler.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Decides which engines form groups, and repairs groups that lost a member.
+/// Decides which engines form groups, and repairs groups that have lost a
+/// member.
 #ifndef COLTSFOOTTRAIL_ASSEMBLY_ASSEMBLER_HPP
 #define COLTSFOOTTRAIL_ASSEMBLY_ASSEMBLER_HPP
 
@@ -18,185 +19,193 @@
 
 namespace coltsfoottrail {
 
-/// @brief Times of the assembly.
+/// @brief Timing of the group assembly.
 struct AssemblyTimes {
-  /// An order whose effect is not seen is given again after this: several round
-  /// trips and two polls of the feed.
+  /// An order whose effect does not show in the records is repeated after this:
+  /// several round trips and two polls of the feed.
   Duration OrderRetry = milliseconds(900);
-  /// After the duty was gained, records written under the predecessor are still
-  /// on their way; one poll of the feed and a margin.
+  /// Pause after becoming coordinator, since records written under the
+  /// predecessor are still on their way: one poll of the feed and a margin.
   Duration TakeOverPause = milliseconds(500);
-  /// Before the first caller, groups are formed once no endpoint has come for
-  /// so long: engines that start together publish themselves over about three
-  /// seconds, and groups made of the first few would cut domains up badly.
-  Duration FleetSettle = milliseconds(700);
-  /// At the latest this long after the duty was gained.
-  Duration LongestSettle = seconds(4);
-  /// Beyond the time of its loads, for a group to become ready.
+  /// Before the first request, groups are formed once no new endpoint has
+  /// appeared for this long. Engines that start together publish themselves
+  /// over about three seconds, and groups made of the first few would fragment
+  /// the domains.
+  Duration SettleTime = milliseconds(700);
+  /// Groups are formed no later than this after becoming coordinator.
+  Duration MaxSettleTime = seconds(4);
+  /// Time that a group has to become ready in addition to its load times.
   Duration JoinSlack = seconds(4);
-  /// A member whose record is missing is asked again this often.
-  Duration AskMissing = milliseconds(700);
-  /// One that has not been answered for within this counts as lost: the
-  /// question takes a third of a second.
-  Duration AnswerMissing = milliseconds(600);
-  /// How long an engine that did not join in time is left out.
-  Duration LeaveOut = seconds(6);
+  /// Interval between two probes of a member whose record is missing.
+  Duration ProbeInterval = milliseconds(700);
+  /// A member that has not answered a probe within this counts as lost; a probe
+  /// takes a third of a second.
+  Duration ProbeTimeout = milliseconds(600);
+  /// How long an engine that did not join in time is excluded from new groups.
+  Duration ExclusionTime = seconds(6);
 };
 
-/// @brief What the assembly decides on.
+/// @brief Inputs of the assembly.
 struct AssemblyView {
   const EndpointCatalogue &Endpoints;
   /// A service whose Engine is set.
   const ServiceProfile &Service;
   const std::set<DataCentreName> &Drained;
-  /// Fencing number of the duty.
+  /// Fencing number of the coordinator's term.
   std::uint64_t Fence = 0;
-  /// Whether callers have begun: loads are counted and slow from then on.
+  /// Whether requests have begun to arrive: from then on loads are slow and
+  /// their limits apply.
   bool TrafficStarted = false;
-  /// No group or load is begun beyond so many orders of one call: an order
-  /// takes the host a millisecond, and a fleet that starts needs thousands.
+  /// Limit on the orders of one call; no group or load is started beyond it.
+  /// Sending an order takes the host a millisecond, and a fleet that starts
+  /// needs thousands.
   std::size_t MaxOrders = std::numeric_limits<std::size_t>::max();
 };
 
-/// @brief An order to be given.
+/// @brief An order to be sent to an engine.
 struct SeatCommand {
   EndpointName To;
   EngineAddress Address;
   SeatOrder Order;
 };
 
-/// @brief A member whose record is missing, to be asked whether it is alive.
+/// @brief A member whose record is missing and which is to be probed for
+/// liveness.
 struct MemberProbe {
   EndpointName Name;
   EngineAddress Address;
 };
 
-/// What became of a group.
+/// Kind of a group event.
 enum class GroupFate : std::uint8_t { Formed, Adopted, Lost, Retired };
 
-/// @brief A change worth a line in the log.
+/// @brief A change of a group, for the log.
 struct GroupEvent {
   GroupFate Fate = GroupFate::Formed;
   std::string Group;
   GroupEpoch Epoch = 0;
   ModelName Model;
-  /// The endpoint that caused it; may be empty.
+  /// The endpoint that caused the event; may be empty.
   EndpointName Cause;
   std::string_view Why;
 };
 
-/// @brief Where the endpoints of one fabric domain stand.
+/// @brief Counts of the endpoints of one fabric domain by state.
 struct DomainSummary {
   DataCentreName DataCentre;
   FabricDomainName Domain;
-  /// Endpoints whose records show a seat, by its phase.
+  /// Endpoints whose records show a seat: in open groups, and in all others.
   std::uint32_t Open = 0;
   std::uint32_t OtherSeats = 0;
-  /// Endpoints that could take a seat, and the weights that they have.
+  /// Endpoints that could take a seat, in total and by staged model.
   std::uint32_t Free = 0;
   std::map<ModelName, std::uint32_t> FreeByModel;
-  /// Endpoints that load weights, and those that must not take a seat yet.
+  /// Endpoints that load weights, and endpoints that may not take a seat yet.
   std::uint32_t Loading = 0;
   std::uint32_t Locked = 0;
 };
 
 /// @brief Forms and repairs the groups of one service. Pure: takes the
-/// endpoints' records and a time, answers orders. Not thread-safe; times must
+/// endpoints' records and a time, returns orders. Not thread-safe; times must
 /// not go back.
 ///
-/// Its state is what the records say, and beside them only orders under way: a
-/// successor starts from the records alone. Invariants:
-/// - a group is opened only after each member's own record showed it ready
-///   under this group, epoch and list;
+/// Its state consists of what the records say and of orders in progress: a new
+/// coordinator starts from the records alone. Invariants:
+/// - a group is opened only after the record of each member has shown it ready
+/// under this group, epoch and member list;
 /// - a member takes a seat elsewhere only after its leader was seen closed,
-///   broken, restarted or in another group, or after its own record showed that
-///   it has left;
+/// broken, restarted or in another group, or after its own record showed that
+/// it has left;
 /// - a group that a predecessor formed and did not open is formed anew: a join
-///   that the predecessor gave may still be carried out, and its epoch is above
-///   that of the group;
+/// that the predecessor ordered may still be carried out, and its epoch is
+/// above that of the group;
 /// - an epoch is used once, and epochs grow with the fencing number, so that an
-///   order that is carried out late meets a higher epoch and is refused.
+/// order that is carried out late meets a higher epoch and is refused.
 class Assembler {
 public:
-  /// @brief Starts with nothing known.
-  explicit Assembler(AssemblyTimes Given) : Times(Given) {}
+  /// @brief Makes an assembler without groups.
+  explicit Assembler(AssemblyTimes Timing) : Times(Timing) {}
 
-  /// @brief The duty was gained: forgets what an earlier term knew.
+  /// @brief Starts a term as coordinator and drops the state of any earlier
+  /// term.
   void begin(TimePoint Now);
 
-  /// @brief Decides what to order now.
+  /// @brief Decides which orders to send now.
   [[nodiscard]] std::vector<SeatCommand> plan(const AssemblyView &View,
                                               TimePoint Now);
 
-  /// @brief Takes an order's outcome.
-  void recordOutcome(const EndpointName &To, const SeatOrder &Order,
+  /// @brief Records the outcome of an order.
+  void recordOutcome(const EndpointName &Endpoint, const SeatOrder &Order,
                      OrderOutcome Outcome, TimePoint Now);
 
-  /// @brief An endpoint did not answer, while others did: it is left out of new
-  /// groups, and its group counts as lost, until its record lapses or shows
-  /// another life.
-  void declareDead(const KnownEndpoint &Which, TimePoint Now);
+  /// @brief Marks an endpoint as dead because it did not answer while others
+  /// did. It is left out of new groups, and its group counts as lost, until its
+  /// record lapses or shows that the endpoint has restarted.
+  void declareDead(const KnownEndpoint &Endpoint, TimePoint Now);
 
-  /// @brief Hands over whom to ask; each is to be answered by asked().
+  /// @brief Returns and clears the pending probes. The result of each must be
+  /// passed to recordProbeResult().
   [[nodiscard]] std::vector<MemberProbe> takeProbes();
-  /// @brief Takes the answer to a question.
-  void recordProbeResult(const EndpointName &Which, bool Alive, TimePoint Now);
+  /// @brief Records the result of a probe.
+  void recordProbeResult(const EndpointName &Endpoint, bool Alive,
+                         TimePoint Now);
 
   /// @brief Members of the groups that an endpoint leads.
   [[nodiscard]] std::vector<EndpointName>
   membersLedBy(const EndpointName &Leader) const;
 
-  /// @brief Tells where the endpoints stand, by domain.
+  /// @brief Summarises the state of the endpoints by domain.
   [[nodiscard]] std::vector<DomainSummary> summary(const AssemblyView &View,
                                                    TimePoint Now) const;
 
-  /// @brief Hands over what is worth a line in the log since the last call.
+  /// @brief Returns and clears the group events since the last call.
   [[nodiscard]] std::vector<GroupEvent> takeEvents();
 
 private:
-  struct Member {
+  struct GroupMember {
     EndpointName Name;
-    std::uint64_t Born = 0;
+    std::uint64_t StartedAtMs = 0;
     EngineAddress Address;
   };
-  /// What is known of a member whose record is missing.
-  struct Doubt {
-    TimePoint AskedAt;
+  /// Probing state of a member whose record is missing.
+  struct ProbeState {
+    /// When the last probe was sent, or its result came.
+    TimePoint UpdatedAt;
     bool Answered = false;
     bool Alive = true;
   };
-  struct Group {
+  struct GroupState {
     std::string Name;
     GroupEpoch Epoch = 0;
     ModelName Model;
-    /// The leader first; an empty name where a record is missing.
-    std::vector<Member> Members;
-    /// Until when its members must be ready.
+    /// The leader comes first. A name is empty where the record is missing.
+    std::vector<GroupMember> Members;
+    /// Time by which its members must be ready.
     TimePoint JoinBy;
     std::optional<TimePoint> OpenOrdered;
-    /// An order to open was given, or may have been, and no record has shown
-    /// its effect yet.
+    /// An order to open was sent, or may have been, and no record has shown its
+    /// effect yet.
     bool OpenPending = false;
     bool WasOpen = false;
-    /// Formed by a predecessor in the duty.
+    /// Formed by a previous coordinator.
     bool Adopted = false;
     std::optional<TimePoint> CloseOrdered;
     bool CloseEvicts = false;
     std::optional<TimePoint> LeaveOrdered;
-    bool LossNoted = false;
+    bool LossReported = false;
   };
   struct PendingJoin {
     GroupEpoch Epoch = 0;
-    std::uint64_t Born = 0;
+    std::uint64_t StartedAtMs = 0;
     TimePoint OrderedAt;
     bool Answered = false;
   };
-  struct Death {
-    std::uint64_t Born = 0;
+  struct DeadMark {
+    std::uint64_t StartedAtMs = 0;
     TimePoint Until;
   };
-  /// An endpoint's seat by its record and by orders under way.
-  struct Seating {
+  /// Seat of an endpoint according to its record and to orders in progress.
+  struct SeatState {
     GroupEpoch Epoch = 0;
     SeatPhase Phase = SeatPhase::Joining;
   };
@@ -204,102 +213,115 @@
   struct Candidate {
     const ServedModel *Model = nullptr;
     std::vector<const KnownEndpoint *> Members;
-    std::uint32_t Loads = 0;
-    /// Groups in the domain that serve other models, and this one.
-    std::size_t Others = 0;
-    std::size_t Alike = 0;
+    std::uint32_t LoadCount = 0;
+    /// Groups of the domain that serve other models, and groups that serve this
+    /// one.
+    std::size_t OtherGroups = 0;
+    std::size_t SameModelGroups = 0;
   };
   using DomainKey = std::pair<DataCentreName, FabricDomainName>;
-  /// A domain with endpoints that are free.
+  /// A domain with free endpoints.
   struct DomainState {
     std::vector<const KnownEndpoint *> Free;
     std::map<ModelName, std::size_t> Groups;
-    /// At most one a model.
+    /// At most one per model.
     std::vector<Candidate> Candidates;
   };
-  /// What holds for the service's endpoints as a whole.
+  /// Properties of the service's endpoints as a whole.
   struct Fleet {
     double Usable = 0;
     bool MixesModels = false;
   };
-  struct Pass;
+  struct PlanContext;
 
-  [[nodiscard]] bool fleetSettled(const AssemblyView &View, TimePoint Now);
-  void settle(const Pass &In);
-  void adopt(const Pass &In);
-  void watch(Pass &In);
-  /// @return Whether the group is over.
-  [[nodiscard]] bool advanceGroup(Pass &In, Group &Of);
-  [[nodiscard]] bool leaderGone(Pass &In, Group &Of);
-  [[nodiscard]] bool memberLost(Pass &In, Group &Of, const Seating &Leader,
-                                bool Evict);
-  [[nodiscard]] bool allReady(const Pass &In, const Group &Of) const;
-  void open(Pass &In, Group &Of);
-  void close(Pass &In, Group &Of, bool Evict);
-  void leave(Pass &In, Group &Of, const EndpointName &Who);
-  void dismissLeader(Pass &In, Group &Of);
-  [[nodiscard]] static bool seated(const Pass &In, GroupEpoch Epoch);
-  void repeatJoins(Pass &In, const Group &Of);
-  void retire(const Group &Of, std::string_view Why);
+  [[nodiscard]] bool isFleetSettled(const AssemblyView &View, TimePoint Now);
+  void dropCompleted(const PlanContext &Context);
+  void adoptGroups(const PlanContext &Context);
+  void advanceGroups(PlanContext &Context);
+  /// @return Whether the group has ended.
+  [[nodiscard]] bool advanceGroup(PlanContext &Context, GroupState &Group);
+  [[nodiscard]] bool handleLeaderLoss(PlanContext &Context, GroupState &Group);
+  [[nodiscard]] bool handleMemberLoss(PlanContext &Context, GroupState &Group,
+                                      const SeatState &Leader, bool Evict);
+  [[nodiscard]] bool isEveryMemberReady(const PlanContext &Context,
+                                        const GroupState &Group) const;
+  void orderOpen(PlanContext &Context, GroupState &Group);
+  void orderClose(PlanContext &Context, GroupState &Group, bool Evict);
+  void orderLeave(PlanContext &Context, GroupState &Group,
+                  const EndpointName &Endpoint);
+  void dismissLeader(PlanContext &Context, GroupState &Group);
+  [[nodiscard]] static bool isAnySeated(const PlanContext &Context,
+                                        GroupEpoch Epoch);
+  void reorderJoins(PlanContext &Context, const GroupState &Group);
+  void retire(const GroupState &Group, std::string_view Reason);
 
-  void form(Pass &In);
-  void stage(Pass &In, const std::map<DomainKey, DomainState> &Domains,
-             const std::map<ModelName, double> &Missing);
-  void start(Pass &In, const Candidate &Chosen);
-  [[nodiscard]] IdleDomain idleDomain(const Pass &In, const DomainKey &Domain,
+  void formGroups(PlanContext &Context);
+  void stageSpares(PlanContext &Context,
+                   const std::map<DomainKey, DomainState> &Domains,
+                   const std::map<ModelName, double> &Deficits);
+  void startGroup(PlanContext &Context, const Candidate &Chosen);
+  [[nodiscard]] IdleDomain idleDomain(const PlanContext &Context,
+                                      const DomainKey &Domain,
                                       const DomainState &State) const;
-  void standBy(Pass &In, const KnownEndpoint &Spare);
-  [[nodiscard]] GroupEpoch nextEpoch(const Pass &In);
-  bool stageAt(Pass &In, const KnownEndpoint &Where, const ServedModel &Model);
-  /// @return Endpoints of a domain that load a model's weights now.
-  [[nodiscard]] std::size_t stagingIn(const Pass &In, const DomainKey &Domain,
-                                      const ModelName &Model) const;
+  void orderStandby(PlanContext &Context, const KnownEndpoint &Spare);
+  [[nodiscard]] GroupEpoch nextEpoch(const PlanContext &Context);
+  bool orderStaging(PlanContext &Context, const KnownEndpoint &Endpoint,
+                    const ServedModel &Model);
+  /// @return Endpoints of a domain that are loading the weights of a model.
+  [[nodiscard]] std::size_t countStaging(const PlanContext &Context,
+                                         const DomainKey &Domain,
+                                         const ModelName &Model) const;
   [[nodiscard]] std::map<DomainKey, DomainState>
-  freeDomains(const Pass &In) const;
-  [[nodiscard]] Fleet measureFleet(const Pass &In) const;
-  [[nodiscard]] static bool mixesModels(const Pass &In, std::size_t Largest);
+  freeDomains(const PlanContext &Context) const;
+  [[nodiscard]] Fleet measureFleet(const PlanContext &Context) const;
+  [[nodiscard]] static bool mixesModels(const PlanContext &Context,
+                                        std::size_t Largest);
   [[nodiscard]] static std::vector<Candidate>
-  candidatesOf(const Pass &In, const DomainState &Domain);
+  findCandidates(const PlanContext &Context, const DomainState &Domain);
   /// @return Null when no group can be formed.
   [[nodiscard]] static const Candidate *
   bestCandidate(const std::map<DomainKey, DomainState> &Domains,
-                const std::map<ModelName, double> &Missing, bool Mixing);
-  [[nodiscard]] std::map<ModelName, double> deficits(const Pass &In,
-                                                     const Fleet &Whole) const;
-  [[nodiscard]] bool isFree(const Pass &In, const KnownEndpoint &Of) const;
-  [[nodiscard]] bool holds(const Pass &In, const Member &Of,
-                           GroupEpoch Epoch) const;
-  /// @return Whether a member is there, or answers although its record is
-  /// missing.
-  [[nodiscard]] bool present(const Pass &In, const Member &Of,
-                             GroupEpoch Epoch);
-  [[nodiscard]] bool isDead(const KnownEndpoint &Of) const;
-  [[nodiscard]] std::optional<Seating> seatOf(const KnownEndpoint &Of) const;
-  void note(GroupFate Fate, const Group &Of, const EndpointName &Cause,
-            std::string_view Why);
+                const std::map<ModelName, double> &Deficits, bool Mixing);
+  [[nodiscard]] std::map<ModelName, double> deficits(const PlanContext &Context,
+                                                     const Fleet &Totals) const;
+  [[nodiscard]] bool isFree(const PlanContext &Context,
+                            const KnownEndpoint &Endpoint) const;
+  [[nodiscard]] bool holdsSeat(const PlanContext &Context,
+                               const GroupMember &Member,
+                               GroupEpoch Epoch) const;
+  /// @return Whether a member holds its seat, or answers probes although its
+  /// record is missing.
+  [[nodiscard]] bool isPresent(const PlanContext &Context,
+                               const GroupMember &Member, GroupEpoch Epoch);
+  [[nodiscard]] bool isDead(const KnownEndpoint &Endpoint) const;
+  [[nodiscard]] std::optional<SeatState>
+  seatOf(const KnownEndpoint &Endpoint) const;
+  void addEvent(GroupFate Fate, const GroupState &Group,
+                const EndpointName &Cause, std::string_view Reason);
 
   AssemblyTimes Times;
   LoadPacer Pacer;
-  TimePoint ActFrom;
-  TimePoint BeganAt;
-  /// Endpoints known, and when one more came.
+  TimePoint PlanFrom;
+  TimePoint TermStartedAt;
+  /// Number of endpoints, and when it last grew.
   std::size_t FleetSize = 0;
-  TimePoint GrewAt;
-  /// Groups formed by this process: never begins anew, so that no epoch is used
-  /// twice even if two terms have one fencing number.
+  TimePoint LastGrowthAt;
+  /// Groups formed by this process. Never reset, so that no epoch is used twice
+  /// even if two terms have the same fencing number.
   std::uint64_t Counter = 0;
-  std::map<GroupEpoch, Group> Groups;
-  /// Epochs of groups that are over: seats that still name them are free.
+  std::map<GroupEpoch, GroupState> Groups;
+  /// Epochs of groups that have ended: engines whose seats still name them are
+  /// free.
   std::set<GroupEpoch> Retired;
   std::map<EndpointName, PendingJoin> Pending;
-  /// Endpoints that may not take a seat before a time.
+  /// Endpoints that may not take a seat, and until when.
   std::map<EndpointName, TimePoint> LockedUntil;
-  std::map<EndpointName, Death> Dead;
-  std::map<EndpointName, Doubt> Doubts;
-  std::vector<MemberProbe> Questions;
-  /// Models whose weights endpoints were told to load.
+  std::map<EndpointName, DeadMark> DeadEndpoints;
+  std::map<EndpointName, ProbeState> ProbeStates;
+  std::vector<MemberProbe> PendingProbes;
+  /// Models whose weights endpoints were ordered to load.
   std::map<EndpointName, ModelName> Staging;
-  std::vector<GroupEvent> Notes;
+  std::vector<GroupEvent> Events;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/assembly/formation.cpp
+++ b/packages/version/src/coltsfoottrail/assembly/formation.cpp
@@ -1,4 +1,4 @@
-// The part of the assembler that forms groups and prepares spares.
+// Assembler: forms groups and prepares spares.
 #include "coltsfoottrail/assembly/assembler.hpp"
 
 #include "coltsfoottrail/assembly/groupname.hpp"
@@ -13,293 +13,315 @@
 
 namespace {
 
-/// Epochs of one fencing number; groups formed in one term stay far below.
+/// Number of epochs per fencing number; the groups formed in one term are far
+/// fewer.
 constexpr std::uint64_t EpochsPerFence = std::uint64_t{1} << 20U;
 
-/// What it takes an engine to join: the less, the sooner the group serves.
+/// Work that an engine has to do to join a group: the less, the sooner the
+/// group serves.
 enum class JoinCost : std::uint8_t { Kept, Staged, Load };
 
-JoinCost joinCost(const EndpointRecord &Of, const ModelName &Model) {
-  if (contains(Of.Loaded, Model))
+JoinCost joinCost(const EndpointRecord &Record, const ModelName &Model) {
+  if (contains(Record.Loaded, Model))
     return JoinCost::Kept;
-  return contains(Of.Staged, Model) ? JoinCost::Staged : JoinCost::Load;
+  return contains(Record.Staged, Model) ? JoinCost::Staged : JoinCost::Load;
 }
 
 } // namespace
 
-bool Assembler::isFree(const Pass &In, const KnownEndpoint &Of) const {
-  const EndpointRecord &Record = Of.Record;
+bool Assembler::isFree(const PlanContext &Context,
+                       const KnownEndpoint &Endpoint) const {
+  const EndpointRecord &Record = Endpoint.Record;
   // An engine that was lost or restarted during an outage of the store would
-  // hold up the group that it is chosen for.
-  if (Record.Service != In.View.Service.Name || Of.RemovalDeferredUntil ||
-      In.View.Endpoints.mayBeStale(Of, In.Now) ||
+  // delay the group that it is chosen for.
+  if (Record.Service != Context.View.Service.Name ||
+      Endpoint.RemovalDeferredUntil ||
+      Context.View.Endpoints.mayBeStale(Endpoint, Context.Now) ||
       Record.State != EndpointState::Serving ||
-      In.View.Drained.contains(Record.DataCentre))
+      Context.View.Drained.contains(Record.DataCentre))
     return false;
   if (Pending.contains(Record.Name) || LockedUntil.contains(Record.Name) ||
-      isDead(Of) || Pacer.loads(Record.Name))
+      isDead(Endpoint) || Pacer.isLoading(Record.Name))
     return false;
   return !Record.Seat || isStandby(*Record.Seat) ||
          Retired.contains(Record.Seat->Epoch);
 }
 
 std::map<Assembler::DomainKey, Assembler::DomainState>
-Assembler::freeDomains(const Pass &In) const {
-  std::map<DomainKey, DomainState> Out;
-  for (const auto &[Name, Known] : In.View.Endpoints.all())
-    if (isFree(In, Known))
-      Out[{Known.Record.DataCentre, Known.Record.Domain}].Free.push_back(
-          &Known);
-  for (const auto &[Epoch, Of] : Groups) {
+Assembler::freeDomains(const PlanContext &Context) const {
+  std::map<DomainKey, DomainState> Domains;
+  for (const auto &[Name, Endpoint] : Context.View.Endpoints.all())
+    if (isFree(Context, Endpoint))
+      Domains[{Endpoint.Record.DataCentre, Endpoint.Record.Domain}]
+          .Free.push_back(&Endpoint);
+  for (const auto &[Epoch, Group] : Groups) {
     const KnownEndpoint *const Leader =
-        In.View.Endpoints.find(Of.Members.front().Name);
+        Context.View.Endpoints.find(Group.Members.front().Name);
     if (Leader == nullptr)
       continue;
-    const auto Found =
-        Out.find({Leader->Record.DataCentre, Leader->Record.Domain});
-    if (Found != Out.end())
-      ++Found->second.Groups[Of.Model];
+    const auto Domain =
+        Domains.find({Leader->Record.DataCentre, Leader->Record.Domain});
+    if (Domain != Domains.end())
+      ++Domain->second.Groups[Group.Model];
   }
-  return Out;
+  return Domains;
 }
 
-Assembler::Fleet Assembler::measureFleet(const Pass &In) const {
-  Fleet Out;
-  std::map<DomainKey, std::size_t> Sizes;
+Assembler::Fleet Assembler::measureFleet(const PlanContext &Context) const {
+  Fleet Totals;
+  std::map<DomainKey, std::size_t> DomainSizes;
   std::size_t Largest = 0;
-  for (const auto &[Name, Known] : In.View.Endpoints.all()) {
-    const EndpointRecord &Record = Known.Record;
-    if (Record.Service != In.View.Service.Name)
+  for (const auto &[Name, Endpoint] : Context.View.Endpoints.all()) {
+    const EndpointRecord &Record = Endpoint.Record;
+    if (Record.Service != Context.View.Service.Name)
       continue;
-    Largest = std::max(Largest, ++Sizes[{Record.DataCentre, Record.Domain}]);
+    Largest =
+        std::max(Largest, ++DomainSizes[{Record.DataCentre, Record.Domain}]);
     if (Record.State == EndpointState::Serving &&
-        !In.View.Drained.contains(Record.DataCentre))
-      ++Out.Usable;
+        !Context.View.Drained.contains(Record.DataCentre))
+      ++Totals.Usable;
   }
-  Out.MixesModels = mixesModels(In, Largest);
-  return Out;
+  Totals.MixesModels = mixesModels(Context, Largest);
+  return Totals;
 }
 
-/// For each model, the part of its wanted groups that is missing.
-std::map<ModelName, double> Assembler::deficits(const Pass &In,
-                                                const Fleet &Whole) const {
-  std::map<ModelName, double> Have;
-  for (const auto &[Epoch, Of] : Groups) {
+/// Returns, for each model, the fraction of its wanted groups that is missing.
+std::map<ModelName, double> Assembler::deficits(const PlanContext &Context,
+                                                const Fleet &Totals) const {
+  std::map<ModelName, double> GroupCounts;
+  for (const auto &[Epoch, Group] : Groups) {
     const KnownEndpoint *const Leader =
-        In.View.Endpoints.find(Of.Members.front().Name);
-    if (!Of.LossNoted && Leader != nullptr &&
-        !In.View.Drained.contains(Leader->Record.DataCentre))
-      ++Have[Of.Model];
+        Context.View.Endpoints.find(Group.Members.front().Name);
+    if (!Group.LossReported && Leader != nullptr &&
+        !Context.View.Drained.contains(Leader->Record.DataCentre))
+      ++GroupCounts[Group.Model];
   }
-  std::map<ModelName, double> Out;
-  for (const ServedModel &Each : In.Engine.Models) {
-    // Large groups are formed first where models mix: what is left of the last
-    // one that is not whole goes to the small ones.
-    const double Groups = Whole.Usable * Each.Share / Each.Size;
-    const double Wanted = std::max(1.0, Whole.MixesModels ? std::floor(Groups)
-                                                          : std::ceil(Groups));
-    Out[Each.Name] = (Wanted - Have[Each.Name]) / Wanted;
+  std::map<ModelName, double> Deficits;
+  for (const ServedModel &Model : Context.Engine.Models) {
+    // Where models mix, large groups are formed first, and the fraction left
+    // over from the last incomplete one goes to the small groups.
+    const double WantedGroups = Totals.Usable * Model.Share / Model.Size;
+    const double WantedCount =
+        std::max(1.0, Totals.MixesModels ? std::floor(WantedGroups)
+                                         : std::ceil(WantedGroups));
+    Deficits[Model.Name] =
+        (WantedCount - GroupCounts[Model.Name]) / WantedCount;
   }
-  return Out;
+  return Deficits;
 }
 
 /// Whether domains hold groups of several models, rather than of one each.
 ///
-/// In a domain of one model whoever is left of a group can replace a member of
-/// another without a load. Where a domain has room for many small groups, those
-/// lose little by being mixed in, and the few large groups are spread, so that
-/// a dark domain takes one of them.
-/// @param Largest Endpoints of the largest domain.
-bool Assembler::mixesModels(const Pass &In, std::size_t Largest) {
+/// In a domain of one model, any engine left over from a group can replace a
+/// member of another without a load. Where a domain has room for many small
+/// groups, mixing costs them little, and spreading the few large groups means
+/// that the loss of a domain takes only one of them.
+/// @param Largest Number of endpoints of the largest domain.
+bool Assembler::mixesModels(const PlanContext &Context, std::size_t Largest) {
   constexpr std::size_t SmallGroupsInADomain = 6;
-  const auto Smallest =
-      std::min_element(In.Engine.Models.begin(), In.Engine.Models.end(),
-                       [](const ServedModel &Left, const ServedModel &Right) {
-                         return Left.Size < Right.Size;
-                       });
+  const auto Smallest = std::min_element(
+      Context.Engine.Models.begin(), Context.Engine.Models.end(),
+      [](const ServedModel &Left, const ServedModel &Right) {
+        return Left.Size < Right.Size;
+      });
   return Largest >= SmallGroupsInADomain * Smallest->Size;
 }
 
 std::vector<Assembler::Candidate>
-Assembler::candidatesOf(const Pass &In, const DomainState &Domain) {
-  std::vector<Candidate> Out;
-  for (const ServedModel &Model : In.Engine.Models) {
-    const std::size_t Kept = sparesKept(Domain.Groups, In.Engine.Models, Model);
-    if (Domain.Free.size() < Model.Size + Kept)
+Assembler::findCandidates(const PlanContext &Context,
+                          const DomainState &Domain) {
+  std::vector<Candidate> Candidates;
+  for (const ServedModel &Model : Context.Engine.Models) {
+    const std::size_t Spares =
+        sparesKept(Domain.Groups, Context.Engine.Models, Model);
+    if (Domain.Free.size() < Model.Size + Spares)
       continue;
-    Candidate Next{&Model, Domain.Free};
-    std::stable_sort(Next.Members.begin(), Next.Members.end(),
+    Candidate Option{&Model, Domain.Free};
+    std::stable_sort(Option.Members.begin(), Option.Members.end(),
                      [&](const auto *Left, const auto *Right) {
                        return joinCost(Left->Record, Model.Name) <
                               joinCost(Right->Record, Model.Name);
                      });
-    Next.Members.resize(Model.Size);
-    for (const KnownEndpoint *const Each : Next.Members)
-      Next.Loads += joinCost(Each->Record, Model.Name) == JoinCost::Load;
-    // A load takes a tenth of a minute and keeps the other members idle
-    // meanwhile: once callers have begun, weights are staged first.
-    if (Next.Loads > 0 && In.View.TrafficStarted)
+    Option.Members.resize(Model.Size);
+    for (const KnownEndpoint *const Member : Option.Members)
+      Option.LoadCount +=
+          joinCost(Member->Record, Model.Name) == JoinCost::Load;
+    // A load takes a tenth of a minute and leaves the other members idle
+    // meanwhile. Once requests have begun, weights are therefore staged first.
+    if (Option.LoadCount > 0 && Context.View.TrafficStarted)
       continue;
     for (const auto &[Name, Count] : Domain.Groups)
-      (Name == Model.Name ? Next.Alike : Next.Others) += Count;
-    Out.push_back(std::move(Next));
+      (Name == Model.Name ? Option.SameModelGroups : Option.OtherGroups) +=
+          Count;
+    Candidates.push_back(std::move(Option));
   }
-  return Out;
+  return Candidates;
 }
 
 const Assembler::Candidate *
 Assembler::bestCandidate(const std::map<DomainKey, DomainState> &Domains,
-                         const std::map<ModelName, double> &Missing,
+                         const std::map<ModelName, double> &Deficits,
                          bool Mixing) {
-  const auto Rank = [&](const Candidate &Of) {
-    const double Deficit = Missing.at(Of.Model->Name);
-    const auto Alike = std::ptrdiff_t(Of.Alike);
+  const auto Rank = [&](const Candidate &Option) {
+    const double Deficit = Deficits.at(Option.Model->Name);
+    const auto SameModelGroups = std::ptrdiff_t(Option.SameModelGroups);
     if (Mixing)
-      return std::tuple(Of.Loads > 0, Deficit <= 0.0, -double(Of.Model->Size),
-                        Alike, -Deficit);
-    return std::tuple(Of.Loads > 0, false, -Deficit, std::ptrdiff_t(Of.Others),
-                      -double(Alike));
+      return std::tuple(Option.LoadCount > 0, Deficit <= 0.0,
+                        -double(Option.Model->Size), SameModelGroups, -Deficit);
+    return std::tuple(Option.LoadCount > 0, false, -Deficit,
+                      std::ptrdiff_t(Option.OtherGroups),
+                      -double(SameModelGroups));
   };
   const Candidate *Best = nullptr;
   for (const auto &[Name, Domain] : Domains)
-    for (const Candidate &Each : Domain.Candidates)
-      if (Best == nullptr || Rank(Each) < Rank(*Best))
-        Best = &Each;
+    for (const Candidate &Other : Domain.Candidates)
+      if (Best == nullptr || Rank(Other) < Rank(*Best))
+        Best = &Other;
   return Best;
 }
 
-void Assembler::form(Pass &In) {
-  std::map<DomainKey, DomainState> Domains = freeDomains(In);
+void Assembler::formGroups(PlanContext &Context) {
+  std::map<DomainKey, DomainState> Domains = freeDomains(Context);
   if (Domains.empty())
     return;
-  const Fleet Whole = measureFleet(In);
-  for (auto &[Name, Domain] : Domains)
-    Domain.Candidates = candidatesOf(In, Domain);
-  while (In.Out.size() < In.View.MaxOrders) {
-    const Candidate *const Found =
-        bestCandidate(Domains, deficits(In, Whole), Whole.MixesModels);
-    if (Found == nullptr)
+  const Fleet Totals = measureFleet(Context);
+  for (auto &[Key, Domain] : Domains)
+    Domain.Candidates = findCandidates(Context, Domain);
+  while (Context.Commands.size() < Context.View.MaxOrders) {
+    const Candidate *const Best =
+        bestCandidate(Domains, deficits(Context, Totals), Totals.MixesModels);
+    if (Best == nullptr)
       break;
-    const Candidate Chosen = *Found;
-    start(In, Chosen);
+    const Candidate Chosen = *Best;
+    startGroup(Context, Chosen);
     const EndpointRecord &First = Chosen.Members.front()->Record;
-    DomainState &Its = Domains.at({First.DataCentre, First.Domain});
-    std::erase_if(Its.Free, [&](const KnownEndpoint *Each) {
-      return std::find(Chosen.Members.begin(), Chosen.Members.end(), Each) !=
-             Chosen.Members.end();
+    DomainState &Domain = Domains.at({First.DataCentre, First.Domain});
+    std::erase_if(Domain.Free, [&](const KnownEndpoint *Endpoint) {
+      return std::find(Chosen.Members.begin(), Chosen.Members.end(),
+                       Endpoint) != Chosen.Members.end();
     });
-    ++Its.Groups[Chosen.Model->Name];
-    Its.Candidates = candidatesOf(In, Its);
+    ++Domain.Groups[Chosen.Model->Name];
+    Domain.Candidates = findCandidates(Context, Domain);
   }
-  if (In.Out.size() < In.View.MaxOrders)
-    stage(In, Domains, deficits(In, Whole));
+  if (Context.Commands.size() < Context.View.MaxOrders)
+    stageSpares(Context, Domains, deficits(Context, Totals));
 }
 
-void Assembler::start(Pass &In, const Candidate &Chosen) {
-  Group Of;
-  Of.Epoch = nextEpoch(In);
-  Of.Name = groupName(Chosen.Model->Name, Chosen.Members.front()->Record);
-  Of.Model = Chosen.Model->Name;
+void Assembler::startGroup(PlanContext &Context, const Candidate &Chosen) {
+  GroupState Group;
+  Group.Epoch = nextEpoch(Context);
+  Group.Name = groupName(Chosen.Model->Name, Chosen.Members.front()->Record);
+  Group.Model = Chosen.Model->Name;
   std::vector<EndpointName> Names;
-  for (const KnownEndpoint *const Each : Chosen.Members) {
-    Of.Members.push_back(
-        {Each->Record.Name, Each->Record.StartedAtMs, Each->Record.Address});
-    Names.push_back(Each->Record.Name);
+  for (const KnownEndpoint *const Member : Chosen.Members) {
+    Group.Members.push_back({Member->Record.Name, Member->Record.StartedAtMs,
+                             Member->Record.Address});
+    Names.push_back(Member->Record.Name);
   }
-  Duration Expected = Chosen.Model->WarmTime;
-  if (Chosen.Loads > 0)
-    Expected = std::max<Duration>(Expected, In.loadTime(*Chosen.Model));
-  Of.JoinBy = In.Now + Expected * 2 + Times.JoinSlack;
-  for (const KnownEndpoint *const Each : Chosen.Members) {
-    if (joinCost(Each->Record, Of.Model) == JoinCost::Load)
-      Pacer.begin(Each->Record.Name, In.loadTime(*Chosen.Model), In.Now);
-    Pending[Each->Record.Name] = {Of.Epoch, Each->Record.StartedAtMs, In.Now,
-                                  false};
-    In.order(*Each, JoinSeat{Of.Name, Of.Epoch, Of.Model, Names});
+  Duration JoinTime = Chosen.Model->WarmTime;
+  if (Chosen.LoadCount > 0)
+    JoinTime = std::max<Duration>(JoinTime, Context.loadTime(*Chosen.Model));
+  Group.JoinBy = Context.Now + JoinTime * 2 + Times.JoinSlack;
+  for (const KnownEndpoint *const Member : Chosen.Members) {
+    if (joinCost(Member->Record, Group.Model) == JoinCost::Load)
+      Pacer.start(Member->Record.Name, Context.loadTime(*Chosen.Model),
+                  Context.Now);
+    Pending[Member->Record.Name] = {Group.Epoch, Member->Record.StartedAtMs,
+                                    Context.Now, false};
+    Context.order(*Member,
+                  JoinSeat{Group.Name, Group.Epoch, Group.Model, Names});
   }
-  note(GroupFate::Formed, Of, Names.front(),
-       Chosen.Loads > 0 ? "with loads" : "without loads");
-  Groups.emplace(Of.Epoch, std::move(Of));
+  addEvent(GroupFate::Formed, Group, Names.front(),
+           Chosen.LoadCount > 0 ? "with loads" : "without loads");
+  Groups.emplace(Group.Epoch, std::move(Group));
 }
 
-void Assembler::stage(Pass &In, const std::map<DomainKey, DomainState> &Domains,
-                      const std::map<ModelName, double> &Missing) {
-  std::erase_if(Staging,
-                [&](const auto &Entry) { return !Pacer.loads(Entry.first); });
-  std::vector<PlannedLoad> Wanted;
+void Assembler::stageSpares(PlanContext &Context,
+                            const std::map<DomainKey, DomainState> &Domains,
+                            const std::map<ModelName, double> &Deficits) {
+  std::erase_if(Staging, [&](const auto &Entry) {
+    return !Pacer.isLoading(Entry.first);
+  });
+  std::vector<PlannedLoad> Planned;
   for (const auto &[Name, Domain] : Domains)
-    for (PlannedLoad &Each :
-         planLoads(idleDomain(In, Name, Domain), In.Engine.Models, Missing))
-      Wanted.push_back(std::move(Each));
-  std::stable_sort(Wanted.begin(), Wanted.end(),
+    for (PlannedLoad &Load : planLoads(idleDomain(Context, Name, Domain),
+                                       Context.Engine.Models, Deficits))
+      Planned.push_back(std::move(Load));
+  std::stable_sort(Planned.begin(), Planned.end(),
                    [](const PlannedLoad &Left, const PlannedLoad &Right) {
                      return Left.Rank < Right.Rank;
                    });
-  for (const PlannedLoad &Each : Wanted)
-    if (In.Out.size() < In.View.MaxOrders)
-      stageAt(In, *In.View.Endpoints.find(Each.Where), *In.model(Each.Model));
+  for (const PlannedLoad &Load : Planned)
+    if (Context.Commands.size() < Context.View.MaxOrders)
+      orderStaging(Context, *Context.View.Endpoints.find(Load.Endpoint),
+                   *Context.model(Load.Model));
   for (const auto &[Name, Domain] : Domains)
-    for (const KnownEndpoint *const Each : Domain.Free)
-      if (In.Out.size() < In.View.MaxOrders)
-        standBy(In, *Each);
+    for (const KnownEndpoint *const Spare : Domain.Free)
+      if (Context.Commands.size() < Context.View.MaxOrders)
+        orderStandby(Context, *Spare);
 }
 
-// A spare whose host has the weights still takes them from the host when it
-// joins a group, 1.1 to 1.6 s during which the other members idle, and 0.2 s if
-// it had that model before. It takes a group of its own beforehand, which is
-// never opened.
-void Assembler::standBy(Pass &In, const KnownEndpoint &Spare) {
+// A spare whose host has the weights still loads them from the host when it
+// joins a group: 1.1 to 1.6 s, or 0.2 s if it had that model before, during
+// which the other members are idle. It therefore joins a group of its own
+// beforehand, which is never opened.
+void Assembler::orderStandby(PlanContext &Context, const KnownEndpoint &Spare) {
   const EndpointRecord &Record = Spare.Record;
-  if (Record.Staged.empty() || Pacer.loads(Record.Name) ||
+  if (Record.Staged.empty() || Pacer.isLoading(Record.Name) ||
       Pending.contains(Record.Name))
     return;
   const ModelName &Model = Record.Staged.back();
   std::string Name = standbyName(Model, Record);
-  const bool UnderWay = Record.Seat && Record.Seat->Group == Name;
-  if (UnderWay || contains(Record.Loaded, Model) || In.model(Model) == nullptr)
+  const bool IsOrdered = Record.Seat && Record.Seat->Group == Name;
+  if (IsOrdered || contains(Record.Loaded, Model) ||
+      Context.model(Model) == nullptr)
     return;
-  const GroupEpoch Epoch = nextEpoch(In);
-  Pending[Record.Name] = {Epoch, Record.StartedAtMs, In.Now, false};
-  In.order(Spare, JoinSeat{std::move(Name), Epoch, Model, {Record.Name}});
+  const GroupEpoch Epoch = nextEpoch(Context);
+  Pending[Record.Name] = {Epoch, Record.StartedAtMs, Context.Now, false};
+  Context.order(Spare, JoinSeat{std::move(Name), Epoch, Model, {Record.Name}});
 }
 
-GroupEpoch Assembler::nextEpoch(const Pass &In) {
-  return In.View.Fence * EpochsPerFence + ++Counter;
+GroupEpoch Assembler::nextEpoch(const PlanContext &Context) {
+  return Context.View.Fence * EpochsPerFence + ++Counter;
 }
 
-IdleDomain Assembler::idleDomain(const Pass &In, const DomainKey &Domain,
+IdleDomain Assembler::idleDomain(const PlanContext &Context,
+                                 const DomainKey &Domain,
                                  const DomainState &State) const {
-  IdleDomain Out;
-  Out.Groups = State.Groups;
-  for (const ServedModel &Each : In.Engine.Models)
-    Out.Loading[Each.Name] = stagingIn(In, Domain, Each.Name);
-  for (const KnownEndpoint *const Each : State.Free) {
-    IdleEngine Idle{Each->Record.Name, std::nullopt};
-    if (!Each->Record.Staged.empty())
-      Idle.Has = Each->Record.Staged.back();
-    Out.Idle.push_back(std::move(Idle));
+  IdleDomain Idle;
+  Idle.Groups = State.Groups;
+  for (const ServedModel &Model : Context.Engine.Models)
+    Idle.Loading[Model.Name] = countStaging(Context, Domain, Model.Name);
+  for (const KnownEndpoint *const Endpoint : State.Free) {
+    IdleEngine Engine{Endpoint->Record.Name, std::nullopt};
+    if (!Endpoint->Record.Staged.empty())
+      Engine.StagedModel = Endpoint->Record.Staged.back();
+    Idle.Engines.push_back(std::move(Engine));
   }
-  return Out;
+  return Idle;
 }
 
-bool Assembler::stageAt(Pass &In, const KnownEndpoint &Where,
-                        const ServedModel &Model) {
-  if (!Pacer.admits(1, In.View.TrafficStarted, In.Now))
+bool Assembler::orderStaging(PlanContext &Context,
+                             const KnownEndpoint &Endpoint,
+                             const ServedModel &Model) {
+  if (!Pacer.admits(1, Context.View.TrafficStarted, Context.Now))
     return false;
-  Pacer.begin(Where.Record.Name, In.loadTime(Model), In.Now);
-  Staging[Where.Record.Name] = Model.Name;
-  In.order(Where, StageModel{Model.Name});
+  Pacer.start(Endpoint.Record.Name, Context.loadTime(Model), Context.Now);
+  Staging[Endpoint.Record.Name] = Model.Name;
+  Context.order(Endpoint, StageModel{Model.Name});
   return true;
 }
 
-std::size_t Assembler::stagingIn(const Pass &In, const DomainKey &Domain,
-                                 const ModelName &Model) const {
+std::size_t Assembler::countStaging(const PlanContext &Context,
+                                    const DomainKey &Domain,
+                                    const ModelName &Model) const {
   return static_cast<std::size_t>(
       std::count_if(Staging.begin(), Staging.end(), [&](const auto &Entry) {
-        const KnownEndpoint *const Its = In.View.Endpoints.find(Entry.first);
-        return Entry.second == Model && Its != nullptr &&
-               Its->Record.DataCentre == Domain.first &&
-               Its->Record.Domain == Domain.second;
+        const KnownEndpoint *const Endpoint =
+            Context.View.Endpoints.find(Entry.first);
+        return Entry.second == Model && Endpoint != nullptr &&
+               Endpoint->Record.DataCentre == Domain.first &&
+               Endpoint->Record.Domain == Domain.second;
       }));
 }
 
--- a/packages/version/src/coltsfoottrail/assembly/fwd.hpp
+++ b/packages/version/src/coltsfoottrail/assembly/fwd.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Forward declarations of the assembly module: which engines form groups for
-/// which model, on a fleet whose endpoints publish themselves.
+/// Forward declarations of the assembly module, which forms engines into
+/// groups, one model per group, for endpoints that publish themselves.
 #ifndef COLTSFOOTTRAIL_ASSEMBLY_FWD_HPP
 #define COLTSFOOTTRAIL_ASSEMBLY_FWD_HPP
 
--- a/packages/version/src/coltsfoottrail/assembly/groupname.cpp
+++ b/packages/version/src/coltsfoottrail/assembly/groupname.cpp
@@ -16,19 +16,22 @@
 }
 
 std::optional<GroupNameParts> parseGroupName(std::string_view Name) {
-  const std::size_t First = Name.find('/');
-  const std::size_t Second = Name.find('/', First + 1);
-  if (First == std::string_view::npos || Second == std::string_view::npos)
+  const std::size_t FirstSlash = Name.find('/');
+  const std::size_t SecondSlash = Name.find('/', FirstSlash + 1);
+  if (FirstSlash == std::string_view::npos ||
+      SecondSlash == std::string_view::npos)
     return std::nullopt;
-  GroupNameParts Out;
-  Out.Model = ModelName(Name.substr(0, First));
-  const std::string_view Born = Name.substr(First + 1, Second - First - 1);
+  GroupNameParts Parts;
+  Parts.Model = ModelName(Name.substr(0, FirstSlash));
+  const std::string_view StartText =
+      Name.substr(FirstSlash + 1, SecondSlash - FirstSlash - 1);
   const auto Parsed =
-      std::from_chars(Born.data(), Born.data() + Born.size(), Out.LeaderBorn);
-  Out.Leader = EndpointName(Name.substr(Second + 1));
-  if (Parsed.ec != std::errc{} || Out.Leader.empty())
+      std::from_chars(StartText.data(), StartText.data() + StartText.size(),
+                      Parts.LeaderStartedAtMs);
+  Parts.Leader = EndpointName(Name.substr(SecondSlash + 1));
+  if (Parsed.ec != std::errc{} || Parts.Leader.empty())
     return std::nullopt;
-  return Out;
+  return Parts;
 }
 
 std::string standbyName(const ModelName &Model, const EndpointRecord &Spare) {
--- a/packages/version/src/coltsfoottrail/assembly/groupname.hpp
+++ b/packages/version/src/coltsfoottrail/assembly/groupname.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Names of groups, which tell a successor in the duty what it must know.
+/// Names of groups. A new coordinator reads the model and the leader of a group
+/// from its name.
 #ifndef COLTSFOOTTRAIL_ASSEMBLY_GROUPNAME_HPP
 #define COLTSFOOTTRAIL_ASSEMBLY_GROUPNAME_HPP
 
@@ -12,29 +13,29 @@
 
 namespace coltsfoottrail {
 
-/// @brief What a group's name tells.
+/// @brief The parts of a group name.
 struct GroupNameParts {
   ModelName Model;
-  std::uint64_t LeaderBorn = 0;
+  std::uint64_t LeaderStartedAtMs = 0;
   EndpointName Leader;
 };
 
-/// @brief Names a group after its model and leader, so that whoever takes the
-/// duty over learns both from the seat of any member, also when the leader has
-/// moved on or is gone. Thread-safe.
+/// @brief Names a group after its model and leader, so that a new coordinator
+/// learns both from the seat of any member, even if the leader has moved to
+/// another group or is gone. Thread-safe.
 [[nodiscard]] std::string groupName(const ModelName &Model,
                                     const EndpointRecord &Leader);
-/// @brief Reads a name that groupName() made; nothing for any other.
-/// Thread-safe.
+/// @brief Parses a name made by groupName(). Thread-safe.
+/// @return Nothing for any other name.
 [[nodiscard]] std::optional<GroupNameParts>
 parseGroupName(std::string_view Name);
 
-/// @brief Names the group of one in which a spare holds a model ready.
-/// Thread-safe.
+/// @brief Names the single-member group in which a spare engine keeps a model
+/// loaded. Thread-safe.
 [[nodiscard]] std::string standbyName(const ModelName &Model,
                                       const EndpointRecord &Spare);
-/// @brief Whether a seat is a spare's own: it serves nobody, and its engine may
-/// take any other seat. Thread-safe.
+/// @brief Whether a seat is in a spare's own single-member group. Such a group
+/// serves no requests, and its engine may take any other seat. Thread-safe.
 [[nodiscard]] bool isStandby(const GroupSeat &Seat) noexcept;
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/assembly/layout.cpp
+++ b/packages/version/src/coltsfoottrail/assembly/layout.cpp
@@ -6,139 +6,150 @@
 
 namespace {
 
-/// Loads for which a spare that fits its domain is given up. Two end together,
-/// like one; with three the domain is mostly better off with its spares.
-constexpr std::size_t FewLoads = 2;
-/// Loads for spares come after all loads that complete a group.
-constexpr double SpareRank = 100.0;
-/// What one load weighs against a missing part of a model's groups.
+/// A spare whose model is served in its domain is given up for a group that
+/// needs at most this many loads. Two loads end together, like one; with three
+/// the domain is mostly better off with its spares.
+constexpr std::size_t MaxLoadsForSpares = 2;
+/// Rank of loads for spares: after all loads that complete a group.
+constexpr double SpareLoadRank = 100.0;
+/// Weight of one load against the missing fraction of the groups of a model.
 constexpr double LoadWeight = 0.25;
 
-/// Spares are kept for groups that are at least so many times as large: a small
-/// group that is not formed costs more than a group of like size that waits.
-constexpr std::uint32_t MuchLarger = 3;
+/// Spares are kept for groups that are at least this many times as large as the
+/// new one: a small group that is not formed costs more than a group of similar
+/// size that waits.
+constexpr std::uint32_t MinSizeRatioForSpares = 3;
 
-std::size_t countOf(const std::map<ModelName, std::size_t> &In,
+std::size_t countOf(const std::map<ModelName, std::size_t> &Counts,
                     const ModelName &Model) {
-  const auto Found = In.find(Model);
-  return Found == In.end() ? 0 : Found->second;
+  const auto Entry = Counts.find(Model);
+  return Entry == Counts.end() ? 0 : Entry->second;
 }
 
-/// A domain while its loads are planned.
-class Planning {
+/// State of planning the loads of one domain.
+class DomainLoadPlanner {
 public:
-  Planning(const IdleDomain &Of, std::span<const ServedModel> Given,
-           const std::map<ModelName, double> &Missing)
-      : Domain(Of), Models(Given), Deficits(Missing), Left(Of.Idle),
-        Loading(Of.Loading) {}
+  DomainLoadPlanner(const IdleDomain &Source,
+                    std::span<const ServedModel> Served,
+                    const std::map<ModelName, double> &ModelDeficits)
+      : Domain(Source), Models(Served), Deficits(ModelDeficits),
+        Remaining(Source.Engines), Loading(Source.Loading) {}
 
   std::vector<PlannedLoad> plan() {
     while (completeGroup())
       continue;
-    for (const IdleEngine &Each : Left)
-      stageSpare(Each);
-    return std::move(Out);
+    for (const IdleEngine &Engine : Remaining)
+      stageSpare(Engine);
+    return std::move(Loads);
   }
 
 private:
-  /// A group that could be made of what is left.
+  /// A group that could be formed of the remaining idle engines.
   struct Target {
     const ServedModel *Model = nullptr;
     std::size_t Loads = 0;
     double Rank = 0.0;
   };
 
-  [[nodiscard]] std::size_t having(const ModelName &Model) const {
-    return static_cast<std::size_t>(
-        std::count_if(Left.begin(), Left.end(), [&](const IdleEngine &Each) {
-          return Each.Has == Model;
-        }));
+  [[nodiscard]] std::size_t countWithWeights(const ModelName &Model) const {
+    return static_cast<std::size_t>(std::count_if(
+        Remaining.begin(), Remaining.end(),
+        [&](const IdleEngine &Engine) { return Engine.StagedModel == Model; }));
   }
 
-  /// Whether a spare could fill in for a member of a group of its domain.
-  [[nodiscard]] bool fits(const IdleEngine &Which) const {
-    return Which.Has && countOf(Domain.Groups, *Which.Has) > 0;
+  /// Whether a spare could replace a member of a group of its domain.
+  [[nodiscard]] bool isUsefulSpare(const IdleEngine &Engine) const {
+    return Engine.StagedModel &&
+           countOf(Domain.Groups, *Engine.StagedModel) > 0;
   }
 
-  [[nodiscard]] std::optional<Target> target(const ServedModel &Model) const {
-    const std::size_t Have = having(Model.Name) + countOf(Loading, Model.Name);
-    const std::size_t Lacking = Left.size() - having(Model.Name);
-    if (Have + Lacking < Model.Size + sparesKept(Domain.Groups, Models, Model))
+  [[nodiscard]] std::optional<Target>
+  findTarget(const ServedModel &Model) const {
+    const std::size_t Available =
+        countWithWeights(Model.Name) + countOf(Loading, Model.Name);
+    const std::size_t WithoutWeights =
+        Remaining.size() - countWithWeights(Model.Name);
+    if (Available + WithoutWeights <
+        Model.Size + sparesKept(Domain.Groups, Models, Model))
       return std::nullopt;
-    Target Out;
-    Out.Model = &Model;
-    Out.Loads = Model.Size - std::min<std::size_t>(Have, Model.Size);
-    const auto Spares = static_cast<std::size_t>(
-        std::count_if(Left.begin(), Left.end(), [&](const IdleEngine &Each) {
-          return Each.Has != Model.Name && fits(Each);
+    Target Group;
+    Group.Model = &Model;
+    Group.Loads = Model.Size - std::min<std::size_t>(Available, Model.Size);
+    const auto Spares = static_cast<std::size_t>(std::count_if(
+        Remaining.begin(), Remaining.end(), [&](const IdleEngine &Engine) {
+          return Engine.StagedModel != Model.Name && isUsefulSpare(Engine);
         }));
-    const bool GivesSparesUp = Out.Loads > Lacking - Spares;
-    if (GivesSparesUp && Out.Loads > FewLoads)
+    const bool UsesSpares = Group.Loads > WithoutWeights - Spares;
+    if (UsesSpares && Group.Loads > MaxLoadsForSpares)
       return std::nullopt;
-    Out.Rank = double(Out.Loads) * LoadWeight - Deficits.at(Model.Name);
-    return Out;
+    Group.Rank = double(Group.Loads) * LoadWeight - Deficits.at(Model.Name);
+    return Group;
   }
 
-  /// Reserves engines for the best group that can be made.
+  /// Reserves engines for the best group that can be formed.
+  /// @return False if none can.
   bool completeGroup() {
     std::optional<Target> Best;
-    for (const ServedModel &Each : Models)
-      if (const auto Next = target(Each);
-          Next && (!Best || Next->Rank < Best->Rank))
-        Best = Next;
+    for (const ServedModel &Model : Models)
+      if (const auto Candidate = findTarget(Model);
+          Candidate && (!Best || Candidate->Rank < Best->Rank))
+        Best = Candidate;
     if (!Best)
       return false;
     reserve(*Best);
     return true;
   }
 
-  void reserve(const Target &Of) {
-    const ModelName &Model = Of.Model->Name;
-    std::size_t &UnderWay = Loading[Model];
-    std::size_t Needed =
-        Of.Model->Size - std::min<std::size_t>(UnderWay, Of.Model->Size);
-    UnderWay -= Of.Model->Size - Needed;
-    // Those that have the weights, then blank ones, then unfit ones, then
-    // spares.
-    std::stable_sort(Left.begin(), Left.end(),
-                     [&](const IdleEngine &One, const IdleEngine &Other) {
-                       return costOf(One, Model) < costOf(Other, Model);
+  void reserve(const Target &Group) {
+    const ModelName &Model = Group.Model->Name;
+    std::size_t &InProgress = Loading[Model];
+    std::size_t Needed = Group.Model->Size -
+                         std::min<std::size_t>(InProgress, Group.Model->Size);
+    InProgress -= Group.Model->Size - Needed;
+    // Engines that have the weights come first, then those without weights,
+    // then those whose model is not served in the domain, then spares of groups
+    // of the domain.
+    std::stable_sort(Remaining.begin(), Remaining.end(),
+                     [&](const IdleEngine &Left, const IdleEngine &Right) {
+                       return reuseCost(Left, Model) < reuseCost(Right, Model);
                      });
     for (std::size_t Index = 0; Index < Needed; ++Index)
-      if (Left[Index].Has != Model)
-        Out.push_back({Left[Index].Name, Model, Of.Rank});
-    Left.erase(Left.begin(), Left.begin() + std::ptrdiff_t(Needed));
+      if (Remaining[Index].StagedModel != Model)
+        Loads.push_back({Remaining[Index].Name, Model, Group.Rank});
+    Remaining.erase(Remaining.begin(),
+                    Remaining.begin() + std::ptrdiff_t(Needed));
   }
 
-  [[nodiscard]] int costOf(const IdleEngine &Which,
-                           const ModelName &Model) const {
-    if (Which.Has == Model)
+  [[nodiscard]] int reuseCost(const IdleEngine &Engine,
+                              const ModelName &Model) const {
+    if (Engine.StagedModel == Model)
       return 0;
-    if (!Which.Has)
+    if (!Engine.StagedModel)
       return 1;
-    return fits(Which) ? 3 : 2;
+    return isUsefulSpare(Engine) ? 3 : 2;
   }
 
-  void stageSpare(const IdleEngine &Which) {
-    if (fits(Which))
+  void stageSpare(const IdleEngine &Engine) {
+    if (isUsefulSpare(Engine))
       return;
-    const ServedModel *Wanted = nullptr;
-    for (const ServedModel &Each : Models)
-      if (Wanted == nullptr || use(Each) > use(*Wanted))
-        Wanted = &Each;
-    if (Wanted == nullptr || Which.Has == Wanted->Name)
+    const ServedModel *Best = nullptr;
+    for (const ServedModel &Model : Models)
+      if (Best == nullptr || spareValue(Model) > spareValue(*Best))
+        Best = &Model;
+    if (Best == nullptr || Engine.StagedModel == Best->Name)
       return;
-    if (Which.Has && countOf(Domain.Groups, Wanted->Name) == 0)
+    if (Engine.StagedModel && countOf(Domain.Groups, Best->Name) == 0)
       return;
-    ++Loading[Wanted->Name];
-    Out.push_back({Which.Name, Wanted->Name, SpareRank});
+    ++Loading[Best->Name];
+    Loads.push_back({Engine.Name, Best->Name, SpareLoadRank});
   }
 
-  /// How much another spare of a model is worth: how often a member is lost,
-  /// times the engines that idle then, for each spare that is there already.
-  [[nodiscard]] double use(const ServedModel &Model) const {
+  /// Value of another spare of a model: how often a member is lost, times the
+  /// engines that are idle then, divided by the spares there are; plus a small
+  /// part for the deficit of the model.
+  [[nodiscard]] double spareValue(const ServedModel &Model) const {
     const double Spares =
-        double(having(Model.Name) + countOf(Loading, Model.Name));
+        double(countWithWeights(Model.Name) + countOf(Loading, Model.Name));
     const double Members =
         double(countOf(Domain.Groups, Model.Name)) * Model.Size;
     return Members * Model.Size / (1.0 + Spares) +
@@ -148,27 +159,27 @@
   const IdleDomain &Domain;
   std::span<const ServedModel> Models;
   const std::map<ModelName, double> &Deficits;
-  std::vector<IdleEngine> Left;
+  std::vector<IdleEngine> Remaining;
   std::map<ModelName, std::size_t> Loading;
-  std::vector<PlannedLoad> Out;
+  std::vector<PlannedLoad> Loads;
 };
 
 } // namespace
 
 std::size_t sparesKept(const std::map<ModelName, std::size_t> &Groups,
                        std::span<const ServedModel> Models,
-                       const ServedModel &For) {
+                       const ServedModel &Model) {
   std::size_t Larger = 0;
-  for (const ServedModel &Each : Models)
-    if (Each.Size >= MuchLarger * For.Size)
-      Larger += countOf(Groups, Each.Name);
+  for (const ServedModel &Other : Models)
+    if (Other.Size >= MinSizeRatioForSpares * Model.Size)
+      Larger += countOf(Groups, Other.Name);
   return Larger > 0 ? Larger + 1 : 0;
 }
 
 std::vector<PlannedLoad>
 planLoads(const IdleDomain &Domain, std::span<const ServedModel> Models,
           const std::map<ModelName, double> &Deficits) {
-  return Planning(Domain, Models, Deficits).plan();
+  return DomainLoadPlanner(Domain, Models, Deficits).plan();
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/assembly/layout.hpp
+++ b/packages/version/src/coltsfoottrail/assembly/layout.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Decides which idle engines of a domain load which weights.
+/// Decides which idle engines of a fabric domain load which model.
 #ifndef COLTSFOOTTRAIL_ASSEMBLY_LAYOUT_HPP
 #define COLTSFOOTTRAIL_ASSEMBLY_LAYOUT_HPP
 
@@ -16,56 +16,58 @@
 /// @brief An engine without a seat in a group.
 struct IdleEngine {
   EndpointName Name;
-  /// Model whose weights its host has; nothing for none.
-  std::optional<ModelName> Has;
+  /// Model whose weights are on its host, if any.
+  std::optional<ModelName> StagedModel;
 };
 
-/// @brief What is idle in one fabric domain, and what serves there.
+/// @brief The idle engines of one fabric domain and the groups that serve in
+/// it.
 struct IdleDomain {
-  std::vector<IdleEngine> Idle;
+  std::vector<IdleEngine> Engines;
   /// Engines that load weights now, by model.
   std::map<ModelName, std::size_t> Loading;
   /// Groups by model.
   std::map<ModelName, std::size_t> Groups;
 };
 
-/// @brief Idle engines that a new group must leave in its domain.
+/// @brief Number of idle engines that a new group must leave free in its
+/// domain.
 ///
-/// Failure guarded against: the few engines that large groups leave of a domain
-/// form a small group, and when one of sixteen members dies, fifteen idle for
-/// the length of a load. A spare for each group of a much larger model, and one
-/// more, stays.
+/// Failure guarded against: the few engines that large groups leave over in a
+/// domain form a small group, and when one of sixteen members dies, fifteen are
+/// idle for the length of a load. One spare per group of a much larger model,
+/// plus one, is kept free.
 /// @param Groups Groups of the domain by model.
 /// @param Models Models of the service.
-/// @param For Model of the new group.
+/// @param Model Model of the new group.
 [[nodiscard]] std::size_t
 sparesKept(const std::map<ModelName, std::size_t> &Groups,
-           std::span<const ServedModel> Models, const ServedModel &For);
+           std::span<const ServedModel> Models, const ServedModel &Model);
 
-/// @brief A load to be ordered.
+/// @brief A weight load to be ordered.
 struct PlannedLoad {
-  EndpointName Where;
+  EndpointName Endpoint;
   ModelName Model;
-  /// The lower, the sooner: loads are few at a time.
+  /// Loads with a lower rank are ordered first, since few may run at a time.
   double Rank = 0.0;
 };
 
-/// @brief Decides the loads of one domain. Pure; thread-safe.
+/// @brief Decides the weight loads of one domain. Pure; thread-safe.
 ///
-/// Load answered: engines die in pairs every few seconds, and what is left of
-/// their groups has the weights of the wrong model, or is one engine short, so
-/// that a third of the fleet idles. A load takes a fifth of a minute, in which
-/// the engine can fill in for nobody.
-/// - Whoever is idle together and is enough for a group loads what is lacking
-///   to it, the model with the largest deficit first.
-/// - A spare that fits a group of its domain is kept unless the group to be
-///   made needs few loads: it makes a group whole again in a tenth of the time
-///   of a load.
-/// - Engines that stay single load what the groups around them use.
+/// Load pattern this is built for: engines die in pairs every few seconds, and
+/// the survivors of their groups hold the weights of the wrong model or are one
+/// engine short, so that a third of the fleet is idle. A load takes a fifth of
+/// a minute, during which the engine cannot replace any lost member.
+/// - Idle engines of one domain that suffice for a group load the weights they
+/// lack, for the model with the largest deficit first.
+/// - A spare whose model is served in its domain is kept unless the new group
+/// needs few loads: the spare completes a group in a tenth of the time of a
+/// load.
+/// - Engines left over load the model that the groups around them use.
 /// @param Domain The domain.
 /// @param Models Models of the service.
-/// @param Deficits For each model, the missing part of its wanted groups;
-/// negative when there are more.
+/// @param Deficits For each model, the missing fraction of its wanted groups;
+/// negative if there are more groups than wanted.
 [[nodiscard]] std::vector<PlannedLoad>
 planLoads(const IdleDomain &Domain, std::span<const ServedModel> Models,
           const std::map<ModelName, double> &Deficits);
--- a/packages/version/src/coltsfoottrail/assembly/loadpacer.cpp
+++ b/packages/version/src/coltsfoottrail/assembly/loadpacer.cpp
@@ -5,36 +5,38 @@
 
 namespace coltsfoottrail {
 
-void LoadPacer::bound(double PerSecond, std::uint32_t AtOnce) noexcept {
-  Rate = PerSecond;
-  Most = AtOnce;
+void LoadPacer::setLimits(double MaxPerSecond,
+                          std::uint32_t MaxConcurrent) noexcept {
+  RateLimit = MaxPerSecond;
+  ConcurrentLimit = MaxConcurrent;
 }
 
-bool LoadPacer::admits(std::uint32_t More, bool Counted, TimePoint Now) const {
-  if (!Counted)
+bool LoadPacer::admits(std::uint32_t Count, bool LimitsApply,
+                       TimePoint Now) const {
+  if (!LimitsApply)
     return true;
-  if (!UnderWay.empty() && UnderWay.size() + More > Most)
+  if (!Deadlines.empty() && Deadlines.size() + Count > ConcurrentLimit)
     return false;
-  const auto Recent = static_cast<std::uint32_t>(
-      std::count_if(Begun.begin(), Begun.end(),
-                    [&](TimePoint When) { return Now - When < Window; }));
+  const auto Recent = static_cast<std::uint32_t>(std::count_if(
+      StartTimes.begin(), StartTimes.end(),
+      [&](TimePoint StartTime) { return Now - StartTime < Window; }));
   const double Allowed =
-      std::floor(Rate * std::chrono::duration<double>(Window).count());
-  return Recent + More <= static_cast<std::uint32_t>(std::max(Allowed, 1.0));
+      std::floor(RateLimit * std::chrono::duration<double>(Window).count());
+  return Recent + Count <= static_cast<std::uint32_t>(std::max(Allowed, 1.0));
 }
 
-void LoadPacer::begin(const EndpointName &Where, Duration Expected,
+void LoadPacer::start(const EndpointName &Endpoint, Duration Expected,
                       TimePoint Now) {
-  Begun.push_back(Now);
-  UnderWay[Where] = Now + Expected;
+  StartTimes.push_back(Now);
+  Deadlines[Endpoint] = Now + Expected;
 }
 
 void LoadPacer::advance(const EndpointCatalogue &Endpoints, TimePoint Now) {
-  while (!Begun.empty() && Now - Begun.front() >= Window)
-    Begun.pop_front();
-  // Failure guarded against: engines that die while they load keep the places
-  // of loads that would replace them.
-  std::erase_if(UnderWay, [&](const auto &Entry) {
+  while (!StartTimes.empty() && Now - StartTimes.front() >= Window)
+    StartTimes.pop_front();
+  // Failure guarded against: engines that die while they load keep the slots of
+  // the loads that would replace them.
+  std::erase_if(Deadlines, [&](const auto &Entry) {
     return Entry.second <= Now || Endpoints.find(Entry.first) == nullptr;
   });
 }
--- a/packages/version/src/coltsfoottrail/assembly/loadpacer.hpp
+++ b/packages/version/src/coltsfoottrail/assembly/loadpacer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Paces the loads of weights from the shared store.
+/// Limits the rate and concurrency of weight loads from the shared store.
 #ifndef COLTSFOOTTRAIL_ASSEMBLY_LOADPACER_HPP
 #define COLTSFOOTTRAIL_ASSEMBLY_LOADPACER_HPP
 
@@ -11,48 +11,51 @@
 
 namespace coltsfoottrail {
 
-/// @brief Lets loads begin within the store's rate and number at once. Pure;
-/// not thread-safe.
+/// @brief Admits loads within the rate and concurrency limits of the shared
+/// store. Pure; not thread-safe.
 ///
 /// Failure guarded against: after the loss of a fabric domain dozens of engines
 /// load at once, the store slows all of them down, and no group serves until
-/// the last has its weights.
+/// the last engine has its weights.
 class LoadPacer {
 public:
-  /// Span over which the rate is kept. The platform measures spans of the same
-  /// length.
+  /// Sliding window over which the rate is limited. The platform measures the
+  /// rate over windows of the same length.
   static constexpr Duration Window = seconds(5);
 
-  /// @brief Sets the store's bounds.
-  /// @param PerSecond Loads that may begin in a second.
-  /// @param AtOnce Loads that run at once.
-  void bound(double PerSecond, std::uint32_t AtOnce) noexcept;
+  /// @brief Sets the limits of the store.
+  /// @param MaxPerSecond Loads that may start per second.
+  /// @param MaxConcurrent Loads that may run at the same time.
+  void setLimits(double MaxPerSecond, std::uint32_t MaxConcurrent) noexcept;
 
-  /// @brief Tells whether so many more loads may begin now.
-  /// @param Counted Whether the bounds are in force already: before the first
-  /// caller they are not.
-  [[nodiscard]] bool admits(std::uint32_t More, bool Counted,
+  /// @brief Whether a number of further loads may start now.
+  /// @param Count Number of further loads.
+  /// @param LimitsApply Whether the limits are in force; they are not before
+  /// the first request.
+  [[nodiscard]] bool admits(std::uint32_t Count, bool LimitsApply,
                             TimePoint Now) const;
-  /// @brief Notes that a load begins.
-  /// @param Where The endpoint that loads.
-  /// @param Expected How long it takes at most.
-  void begin(const EndpointName &Where, Duration Expected, TimePoint Now);
-  /// @brief Notes that a load has ended, or never began.
-  void end(const EndpointName &Where) { UnderWay.erase(Where); }
-  /// @brief Tells whether an endpoint loads.
-  [[nodiscard]] bool loads(const EndpointName &Where) const {
-    return UnderWay.contains(Where);
+  /// @brief Records that a load starts.
+  /// @param Endpoint The endpoint that loads.
+  /// @param Expected Longest time that the load takes.
+  void start(const EndpointName &Endpoint, Duration Expected, TimePoint Now);
+  /// @brief Records that a load has ended, or never started.
+  void finish(const EndpointName &Endpoint) { Deadlines.erase(Endpoint); }
+  /// @brief Whether an endpoint is loading weights.
+  [[nodiscard]] bool isLoading(const EndpointName &Endpoint) const {
+    return Deadlines.contains(Endpoint);
   }
-  /// @brief Forgets loads that must have ended, and those of endpoints that are
+  /// @brief Drops loads that must have ended, and loads of endpoints that are
   /// gone.
-  /// @param Endpoints Those that are there.
+  /// @param Endpoints The endpoints that are present.
   void advance(const EndpointCatalogue &Endpoints, TimePoint Now);
 
 private:
-  double Rate = 1.0;
-  std::uint32_t Most = 1;
-  std::deque<TimePoint> Begun;
-  std::map<EndpointName, TimePoint> UnderWay;
+  double RateLimit = 1.0;
+  std::uint32_t ConcurrentLimit = 1;
+  /// Start times of the loads within the window, oldest first.
+  std::deque<TimePoint> StartTimes;
+  /// When each running load must have ended.
+  std::map<EndpointName, TimePoint> Deadlines;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/assembly/pass.hpp
+++ b/packages/version/src/coltsfoottrail/assembly/pass.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What the parts of the assembler share. Internal to this folder.
+/// Declarations shared by the source files of the assembler. Internal to this
+/// folder.
 #ifndef COLTSFOOTTRAIL_ASSEMBLY_PASS_HPP
 #define COLTSFOOTTRAIL_ASSEMBLY_PASS_HPP
 
@@ -12,45 +13,46 @@
 
 namespace internal {
 
-/// Loads before the first caller take a tenth of their time; a bound of the
-/// platform.
-inline constexpr int EarlyLoadFactor = 10;
-/// Time after which a load must have ended, as a multiple of its usual time:
-/// the number of loads at once is kept, so that hardly anything slows them.
+/// Loads before the first request run this many times as fast; a bound set by
+/// the platform.
+inline constexpr int StartupLoadSpeedup = 10;
+/// A load must have ended after this multiple of its nominal time. The limit on
+/// concurrent loads is kept, so hardly anything slows a load down.
 inline constexpr double LoadTimeFactor = 1.25;
-/// How long an endpoint that did not answer counts as dead: by then its record
+/// How long an endpoint that did not answer counts as dead. By then its record
 /// has lapsed, or it has published itself again.
-inline constexpr Duration DeathLife = seconds(8);
+inline constexpr Duration DeadMarkLifetime = seconds(8);
 
-/// Whether a model is in a list.
+/// Whether a list contains a model.
 [[nodiscard]] inline bool contains(const std::vector<ModelName> &Models,
-                                   const ModelName &Which) {
-  return std::find(Models.begin(), Models.end(), Which) != Models.end();
+                                   const ModelName &Model) {
+  return std::find(Models.begin(), Models.end(), Model) != Models.end();
 }
 
 } // namespace internal
 
-/// What one call of plan() works with.
-struct Assembler::Pass {
+/// Inputs and output of one call of Assembler::plan().
+struct Assembler::PlanContext {
   const AssemblyView &View;
   const EngineProfile &Engine;
   TimePoint Now;
-  std::vector<SeatCommand> Out;
+  std::vector<SeatCommand> Commands;
 
   [[nodiscard]] const ServedModel *model(const ModelName &Name) const {
-    for (const ServedModel &Each : Engine.Models)
-      if (Each.Name == Name)
-        return &Each;
+    for (const ServedModel &Model : Engine.Models)
+      if (Model.Name == Name)
+        return &Model;
     return nullptr;
   }
-  void order(const KnownEndpoint &To, SeatOrder What) {
-    Out.push_back({To.Record.Name, To.Record.Address, std::move(What)});
+  void order(const KnownEndpoint &Endpoint, SeatOrder Order) {
+    Commands.push_back(
+        {Endpoint.Record.Name, Endpoint.Record.Address, std::move(Order)});
   }
-  [[nodiscard]] Duration loadTime(const ServedModel &Of) const {
-    const milliseconds Plain = View.TrafficStarted
-                                   ? Of.LoadTime
-                                   : Of.LoadTime / internal::EarlyLoadFactor;
-    return std::chrono::duration_cast<Duration>(Plain *
+  [[nodiscard]] Duration loadTime(const ServedModel &Model) const {
+    const milliseconds NominalTime =
+        View.TrafficStarted ? Model.LoadTime
+                            : Model.LoadTime / internal::StartupLoadSpeedup;
+    return std::chrono::duration_cast<Duration>(NominalTime *
                                                 internal::LoadTimeFactor);
   }
 };
--- a/packages/version/src/coltsfoottrail/assembly/repair.cpp
+++ b/packages/version/src/coltsfoottrail/assembly/repair.cpp
@@ -1,212 +1,227 @@
-// The part of the assembler that watches groups and repairs them.
+// Assembler: monitors groups and repairs them.
 #include "coltsfoottrail/assembly/assembler.hpp"
 
 #include "coltsfoottrail/assembly/pass.hpp"
 
 namespace coltsfoottrail {
 
-using internal::DeathLife;
+using internal::DeadMarkLifetime;
 
-void Assembler::watch(Pass &In) {
-  for (auto Each = Groups.begin(); Each != Groups.end();)
-    Each =
-        advanceGroup(In, Each->second) ? Groups.erase(Each) : std::next(Each);
+void Assembler::advanceGroups(PlanContext &Context) {
+  for (auto Entry = Groups.begin(); Entry != Groups.end();)
+    Entry = advanceGroup(Context, Entry->second) ? Groups.erase(Entry)
+                                                 : std::next(Entry);
 }
 
-std::optional<Assembler::Seating>
-Assembler::seatOf(const KnownEndpoint &Of) const {
-  const auto Ordered = Pending.find(Of.Record.Name);
-  if (Ordered != Pending.end())
-    return Seating{Ordered->second.Epoch, SeatPhase::Joining};
-  if (!Of.Record.Seat)
+std::optional<Assembler::SeatState>
+Assembler::seatOf(const KnownEndpoint &Endpoint) const {
+  const auto Join = Pending.find(Endpoint.Record.Name);
+  if (Join != Pending.end())
+    return SeatState{Join->second.Epoch, SeatPhase::Joining};
+  if (!Endpoint.Record.Seat)
     return std::nullopt;
-  return Seating{Of.Record.Seat->Epoch, Of.Record.Seat->Phase};
+  return SeatState{Endpoint.Record.Seat->Epoch, Endpoint.Record.Seat->Phase};
 }
 
-bool Assembler::isDead(const KnownEndpoint &Of) const {
-  const auto Found = Dead.find(Of.Record.Name);
-  return Found != Dead.end() && Found->second.Born == Of.Record.StartedAtMs;
+bool Assembler::isDead(const KnownEndpoint &Endpoint) const {
+  const auto Mark = DeadEndpoints.find(Endpoint.Record.Name);
+  return Mark != DeadEndpoints.end() &&
+         Mark->second.StartedAtMs == Endpoint.Record.StartedAtMs;
 }
 
-/// Whether a member is there, in the same life, and seated in this group.
-bool Assembler::holds(const Pass &In, const Member &Of,
-                      GroupEpoch Epoch) const {
-  const KnownEndpoint *const Known = In.View.Endpoints.find(Of.Name);
-  if (Known == nullptr || Known->Record.StartedAtMs != Of.Born ||
-      isDead(*Known))
+/// Whether a member is present, has not restarted, and is seated in this group.
+bool Assembler::holdsSeat(const PlanContext &Context, const GroupMember &Member,
+                          GroupEpoch Epoch) const {
+  const KnownEndpoint *const Endpoint =
+      Context.View.Endpoints.find(Member.Name);
+  if (Endpoint == nullptr ||
+      Endpoint->Record.StartedAtMs != Member.StartedAtMs || isDead(*Endpoint))
     return false;
-  const std::optional<Seating> Seat = seatOf(*Known);
+  const std::optional<SeatState> Seat = seatOf(*Endpoint);
   return Seat && Seat->Epoch == Epoch;
 }
 
 // Failure guarded against: a third of the engines is cut off from the store,
-// their records lapse together, and nearly every group has lost a member by the
-// records, while all of them serve. A member whose record is missing is asked;
-// while it answers, its group is left alone. Otherwise hardly anybody is served
-// until all groups have been formed anew.
-bool Assembler::present(const Pass &In, const Member &Of, GroupEpoch Epoch) {
-  if (In.View.Endpoints.find(Of.Name) != nullptr) {
-    Doubts.erase(Of.Name);
-    return holds(In, Of, Epoch);
+// their records lapse together, and by the records nearly every group has lost
+// a member, while all of them still serve. If the groups were taken apart,
+// hardly any request would be served until all of them had been formed anew. So
+// a member whose record is missing is probed, and while it answers, its group
+// is left alone.
+bool Assembler::isPresent(const PlanContext &Context, const GroupMember &Member,
+                          GroupEpoch Epoch) {
+  if (Context.View.Endpoints.find(Member.Name) != nullptr) {
+    ProbeStates.erase(Member.Name);
+    return holdsSeat(Context, Member, Epoch);
   }
-  if (Of.Name.empty() || Of.Address.Port == 0)
+  if (Member.Name.empty() || Member.Address.Port == 0)
     return false;
-  const auto [Found, New] = Doubts.try_emplace(Of.Name, Doubt{In.Now});
-  Doubt &Its = Found->second;
-  const Duration Waited = In.Now - Its.AskedAt;
-  if (New || (Its.Answered && Its.Alive && Waited >= Times.AskMissing)) {
-    Its.AskedAt = In.Now;
-    Its.Answered = false;
-    Questions.push_back({Of.Name, Of.Address});
+  const auto [Entry, IsNew] =
+      ProbeStates.try_emplace(Member.Name, ProbeState{Context.Now});
+  ProbeState &Probe = Entry->second;
+  const Duration Elapsed = Context.Now - Probe.UpdatedAt;
+  if (IsNew ||
+      (Probe.Answered && Probe.Alive && Elapsed >= Times.ProbeInterval)) {
+    Probe.UpdatedAt = Context.Now;
+    Probe.Answered = false;
+    PendingProbes.push_back({Member.Name, Member.Address});
     return true;
   }
-  return Its.Answered ? Its.Alive : Waited < Times.AnswerMissing;
+  return Probe.Answered ? Probe.Alive : Elapsed < Times.ProbeTimeout;
 }
 
 std::vector<MemberProbe> Assembler::takeProbes() {
-  return std::exchange(Questions, {});
+  return std::exchange(PendingProbes, {});
 }
 
-void Assembler::recordProbeResult(const EndpointName &Which, bool Alive,
+void Assembler::recordProbeResult(const EndpointName &Endpoint, bool Alive,
                                   TimePoint Now) {
-  const auto Found = Doubts.find(Which);
-  if (Found == Doubts.end())
+  const auto Probe = ProbeStates.find(Endpoint);
+  if (Probe == ProbeStates.end())
     return;
-  Found->second.AskedAt = Now;
-  Found->second.Answered = true;
-  Found->second.Alive = Alive;
+  Probe->second.UpdatedAt = Now;
+  Probe->second.Answered = true;
+  Probe->second.Alive = Alive;
 }
 
-bool Assembler::advanceGroup(Pass &In, Group &Of) {
-  const Member &Leader = Of.Members.front();
-  const KnownEndpoint *const Known = In.View.Endpoints.find(Leader.Name);
-  if (Known == nullptr || isDead(*Known))
-    return leaderGone(In, Of);
-  const std::optional<Seating> Seat = seatOf(*Known);
-  if (Known->Record.StartedAtMs != Leader.Born || !Seat ||
-      Seat->Epoch != Of.Epoch) {
-    retire(Of, "the leader has left the group");
+bool Assembler::advanceGroup(PlanContext &Context, GroupState &Group) {
+  const GroupMember &Leader = Group.Members.front();
+  const KnownEndpoint *const LeaderEndpoint =
+      Context.View.Endpoints.find(Leader.Name);
+  if (LeaderEndpoint == nullptr || isDead(*LeaderEndpoint))
+    return handleLeaderLoss(Context, Group);
+  const std::optional<SeatState> Seat = seatOf(*LeaderEndpoint);
+  if (LeaderEndpoint->Record.StartedAtMs != Leader.StartedAtMs || !Seat ||
+      Seat->Epoch != Group.Epoch) {
+    retire(Group, "the leader has left the group");
     return true;
   }
   if (Seat->Phase == SeatPhase::Broken) {
-    retire(Of, "the leader is broken");
+    retire(Group, "the leader is broken");
     return true;
   }
   if (Seat->Phase == SeatPhase::Open) {
-    Of.WasOpen = true;
-    Of.OpenPending = false;
+    Group.WasOpen = true;
+    Group.OpenPending = false;
   }
-  bool Lost = false;
-  bool Leaving = false;
+  bool AnyLost = false;
+  bool AnyDraining = false;
   const bool InService =
       Seat->Phase == SeatPhase::Open || Seat->Phase == SeatPhase::Closing;
-  for (const Member &Each : Of.Members) {
-    const bool Here =
-        InService ? present(In, Each, Of.Epoch) : holds(In, Each, Of.Epoch);
-    const KnownEndpoint *const Its = In.View.Endpoints.find(Each.Name);
-    const bool Drains =
-        Its != nullptr && Its->Record.State == EndpointState::Draining;
-    if ((!Here || Drains) && !Of.LossNoted) {
-      Of.LossNoted = true;
-      note(GroupFate::Lost, Of, Each.Name,
-           Drains ? "member drains" : "member lost");
+  for (const GroupMember &Member : Group.Members) {
+    const bool IsPresent = InService ? isPresent(Context, Member, Group.Epoch)
+                                     : holdsSeat(Context, Member, Group.Epoch);
+    const KnownEndpoint *const Endpoint =
+        Context.View.Endpoints.find(Member.Name);
+    const bool IsDraining = Endpoint != nullptr &&
+                            Endpoint->Record.State == EndpointState::Draining;
+    if ((!IsPresent || IsDraining) && !Group.LossReported) {
+      Group.LossReported = true;
+      addEvent(GroupFate::Lost, Group, Member.Name,
+               IsDraining ? "member drains" : "member lost");
     }
-    Lost = Lost || !Here;
-    Leaving = Leaving || Drains;
+    AnyLost = AnyLost || !IsPresent;
+    AnyDraining = AnyDraining || IsDraining;
   }
-  if (Lost || Leaving)
-    return memberLost(In, Of, *Seat, Lost);
-  if (allReady(In, Of)) {
-    if (Of.Adopted && !Of.WasOpen)
-      dismissLeader(In, Of);
+  if (AnyLost || AnyDraining)
+    return handleMemberLoss(Context, Group, *Seat, AnyLost);
+  if (isEveryMemberReady(Context, Group)) {
+    if (Group.Adopted && !Group.WasOpen)
+      dismissLeader(Context, Group);
     else
-      open(In, Of);
+      orderOpen(Context, Group);
     return false;
   }
-  if (InService || Of.OpenOrdered)
+  if (InService || Group.OpenOrdered)
     return false;
-  // Members that became ready while the store was away have yet to say so.
-  if (In.Now < Of.JoinBy || In.View.Endpoints.isSettling(In.Now)) {
-    repeatJoins(In, Of);
+  // Members that became ready while the store was away have yet to publish
+  // that.
+  if (Context.Now < Group.JoinBy ||
+      Context.View.Endpoints.isSettling(Context.Now)) {
+    reorderJoins(Context, Group);
     return false;
   }
-  for (const Member &Each : Of.Members) {
-    const KnownEndpoint *const Its = In.View.Endpoints.find(Each.Name);
-    if (!Its->Record.Seat || Its->Record.Seat->Phase == SeatPhase::Joining)
-      LockedUntil[Each.Name] = In.Now + Times.LeaveOut;
-    Pending.erase(Each.Name);
+  for (const GroupMember &Member : Group.Members) {
+    const KnownEndpoint *const Endpoint =
+        Context.View.Endpoints.find(Member.Name);
+    if (!Endpoint->Record.Seat ||
+        Endpoint->Record.Seat->Phase == SeatPhase::Joining)
+      LockedUntil[Member.Name] = Context.Now + Times.ExclusionTime;
+    Pending.erase(Member.Name);
   }
-  retire(Of, "members were not ready in time");
+  retire(Group, "members were not ready in time");
   return true;
 }
 
 // Failure guarded against: a leader's record lapses because it is cut off from
-// the store, while callers' hosts still reach it and it still serves. Its
-// members would sit in two groups. Each of them leaves before it takes another
-// seat: a leader that is alive stands still from then on and breaks, and
-// nothing has to be known of it. A group that lost its leader is whole again in
-// a tenth of the time that it takes a silent leader to break.
-bool Assembler::leaderGone(Pass &In, Group &Of) {
-  if (!Of.Adopted && !Of.OpenOrdered) {
-    retire(Of, "the leader is gone before it was opened");
+// the store, while entry hosts still reach it and it still serves. If its
+// members were reassigned, they would sit in two groups. So each of them leaves
+// the group before it takes another seat: a leader that is alive stalls from
+// then on and breaks, and its own state need not be known. A group that lost
+// its leader is complete again in a tenth of the time that it takes an
+// unreachable leader to break.
+bool Assembler::handleLeaderLoss(PlanContext &Context, GroupState &Group) {
+  if (!Group.Adopted && !Group.OpenOrdered) {
+    retire(Group, "the leader is gone before it was opened");
     return true;
   }
-  if (!Of.LossNoted) {
-    Of.LossNoted = true;
-    note(GroupFate::Lost, Of, Of.Members.front().Name, "leader lost");
+  if (!Group.LossReported) {
+    Group.LossReported = true;
+    addEvent(GroupFate::Lost, Group, Group.Members.front().Name, "leader lost");
   }
-  const bool Due =
-      !Of.LeaveOrdered || In.Now >= *Of.LeaveOrdered + Times.OrderRetry;
-  bool Held = false;
-  for (const Member &Each : Of.Members) {
-    if (!holds(In, Each, Of.Epoch) || Pending.contains(Each.Name))
+  const bool Due = !Group.LeaveOrdered ||
+                   Context.Now >= *Group.LeaveOrdered + Times.OrderRetry;
+  bool AnyHeld = false;
+  for (const GroupMember &Member : Group.Members) {
+    if (!holdsSeat(Context, Member, Group.Epoch) ||
+        Pending.contains(Member.Name))
       continue;
-    Held = true;
+    AnyHeld = true;
     if (Due)
-      leave(In, Of, Each.Name);
+      orderLeave(Context, Group, Member.Name);
   }
   // Failure guarded against: a whole data centre is cut off from the store, its
-  // records lapse, and its groups go on serving. While no member is known there
-  // is nothing to give away; when they are back, so is the group, or its
-  // members leave as above.
-  if (Held || !Of.LeaveOrdered || seated(In, Of.Epoch))
+  // records lapse, and its groups go on serving. While no member is known,
+  // there is nothing to reassign. When the records are back, so is the group,
+  // or its members leave as above.
+  if (AnyHeld || !Group.LeaveOrdered || isAnySeated(Context, Group.Epoch))
     return false;
-  note(GroupFate::Retired, Of, {}, "all members have left");
+  addEvent(GroupFate::Retired, Group, {}, "all members have left");
   return true;
 }
 
-/// Whether a record still shows a seat of a group.
-bool Assembler::seated(const Pass &In, GroupEpoch Epoch) {
-  const auto &All = In.View.Endpoints.all();
-  return std::any_of(All.begin(), All.end(), [&](const auto &Entry) {
-    const auto &Seat = Entry.second.Record.Seat;
-    return Seat && Seat->Epoch == Epoch;
-  });
+/// Whether any record still shows a seat of a group.
+bool Assembler::isAnySeated(const PlanContext &Context, GroupEpoch Epoch) {
+  const auto &Endpoints = Context.View.Endpoints.all();
+  return std::any_of(Endpoints.begin(), Endpoints.end(),
+                     [&](const auto &Entry) {
+                       const auto &Seat = Entry.second.Record.Seat;
+                       return Seat && Seat->Epoch == Epoch;
+                     });
 }
 
-/// A member is gone or leaves, the leader is there.
-bool Assembler::memberLost(Pass &In, Group &Of, const Seating &Leader,
-                           bool Evict) {
+/// Handles a member that is gone or leaving while the leader is present.
+bool Assembler::handleMemberLoss(PlanContext &Context, GroupState &Group,
+                                 const SeatState &Leader, bool Evict) {
   switch (Leader.Phase) {
   case SeatPhase::Joining:
-    for (const Member &Each : Of.Members)
-      Pending.erase(Each.Name);
-    retire(Of, "a member was lost before the group was ready");
+    for (const GroupMember &Member : Group.Members)
+      Pending.erase(Member.Name);
+    retire(Group, "a member was lost before the group was ready");
     return true;
   case SeatPhase::Ready:
-    if (!Of.OpenPending) {
-      retire(Of, "closed after the loss of a member");
+    if (!Group.OpenPending) {
+      retire(Group, "closed after the loss of a member");
       return true;
     }
     // Failure guarded against: the leader is opening, or the order to open
     // arrives late, while its record still says that it is closed, and its
     // members would take seats in another group beside one that serves. Once
-    // it has left, it opens no more.
-    dismissLeader(In, Of);
+    // the leader has left the group, it can no longer open it.
+    dismissLeader(Context, Group);
     return false;
   case SeatPhase::Open:
   case SeatPhase::Closing:
-    close(In, Of, Evict);
+    orderClose(Context, Group, Evict);
     return false;
   case SeatPhase::Broken:
     break;
@@ -214,67 +229,75 @@
   return false;
 }
 
-bool Assembler::allReady(const Pass &In, const Group &Of) const {
-  return std::all_of(
-      Of.Members.begin(), Of.Members.end(), [&](const Member &Each) {
-        const KnownEndpoint *const Its = In.View.Endpoints.find(Each.Name);
-        return Its != nullptr && !Pending.contains(Each.Name) &&
-               Its->Record.Seat && Its->Record.Seat->Epoch == Of.Epoch &&
-               Its->Record.Seat->Phase == SeatPhase::Ready;
-      });
+bool Assembler::isEveryMemberReady(const PlanContext &Context,
+                                   const GroupState &Group) const {
+  return std::all_of(Group.Members.begin(), Group.Members.end(),
+                     [&](const GroupMember &Member) {
+                       const KnownEndpoint *const Endpoint =
+                           Context.View.Endpoints.find(Member.Name);
+                       return Endpoint != nullptr &&
+                              !Pending.contains(Member.Name) &&
+                              Endpoint->Record.Seat &&
+                              Endpoint->Record.Seat->Epoch == Group.Epoch &&
+                              Endpoint->Record.Seat->Phase == SeatPhase::Ready;
+                     });
 }
 
-void Assembler::open(Pass &In, Group &Of) {
-  if (Of.OpenOrdered && In.Now < *Of.OpenOrdered + Times.OrderRetry)
+void Assembler::orderOpen(PlanContext &Context, GroupState &Group) {
+  if (Group.OpenOrdered && Context.Now < *Group.OpenOrdered + Times.OrderRetry)
     return;
-  Of.OpenOrdered = In.Now;
-  Of.OpenPending = true;
+  Group.OpenOrdered = Context.Now;
+  Group.OpenPending = true;
   const KnownEndpoint &Leader =
-      *In.View.Endpoints.find(Of.Members.front().Name);
-  In.order(Leader, OpenSeat{Of.Name, Of.Epoch});
+      *Context.View.Endpoints.find(Group.Members.front().Name);
+  Context.order(Leader, OpenSeat{Group.Name, Group.Epoch});
 }
 
-void Assembler::close(Pass &In, Group &Of, bool Evict) {
-  const bool Again =
-      !Of.CloseOrdered || In.Now >= *Of.CloseOrdered + Times.OrderRetry;
-  if (!Again && (Of.CloseEvicts || !Evict))
+void Assembler::orderClose(PlanContext &Context, GroupState &Group,
+                           bool Evict) {
+  const bool IsDue = !Group.CloseOrdered ||
+                     Context.Now >= *Group.CloseOrdered + Times.OrderRetry;
+  if (!IsDue && (Group.CloseEvicts || !Evict))
     return;
-  Of.CloseOrdered = In.Now;
-  Of.CloseEvicts = Evict;
+  Group.CloseOrdered = Context.Now;
+  Group.CloseEvicts = Evict;
   const KnownEndpoint &Leader =
-      *In.View.Endpoints.find(Of.Members.front().Name);
-  In.order(Leader, CloseSeat{Of.Name, Of.Epoch, Evict});
+      *Context.View.Endpoints.find(Group.Members.front().Name);
+  Context.order(Leader, CloseSeat{Group.Name, Group.Epoch, Evict});
 }
 
-void Assembler::leave(Pass &In, Group &Of, const EndpointName &Who) {
-  In.order(*In.View.Endpoints.find(Who), LeaveSeat{Of.Name, Of.Epoch});
-  Of.LeaveOrdered = In.Now;
+void Assembler::orderLeave(PlanContext &Context, GroupState &Group,
+                           const EndpointName &Endpoint) {
+  Context.order(*Context.View.Endpoints.find(Endpoint),
+                LeaveSeat{Group.Name, Group.Epoch});
+  Group.LeaveOrdered = Context.Now;
 }
 
-void Assembler::dismissLeader(Pass &In, Group &Of) {
-  if (!Of.LeaveOrdered || In.Now >= *Of.LeaveOrdered + Times.OrderRetry)
-    leave(In, Of, Of.Members.front().Name);
+void Assembler::dismissLeader(PlanContext &Context, GroupState &Group) {
+  if (!Group.LeaveOrdered ||
+      Context.Now >= *Group.LeaveOrdered + Times.OrderRetry)
+    orderLeave(Context, Group, Group.Members.front().Name);
 }
 
-/// Gives joins again that were not answered; the epoch makes them idempotent.
-void Assembler::repeatJoins(Pass &In, const Group &Of) {
+/// Repeats joins that were not answered; the epoch makes them idempotent.
+void Assembler::reorderJoins(PlanContext &Context, const GroupState &Group) {
   std::vector<EndpointName> Names;
-  for (const Member &Each : Of.Members)
-    Names.push_back(Each.Name);
-  for (const Member &Each : Of.Members) {
-    const auto Ordered = Pending.find(Each.Name);
-    if (Ordered == Pending.end() || Ordered->second.Answered ||
-        In.Now < Ordered->second.OrderedAt + Times.OrderRetry)
+  for (const GroupMember &Member : Group.Members)
+    Names.push_back(Member.Name);
+  for (const GroupMember &Member : Group.Members) {
+    const auto Join = Pending.find(Member.Name);
+    if (Join == Pending.end() || Join->second.Answered ||
+        Context.Now < Join->second.OrderedAt + Times.OrderRetry)
       continue;
-    Ordered->second.OrderedAt = In.Now;
-    In.order(*In.View.Endpoints.find(Each.Name),
-             JoinSeat{Of.Name, Of.Epoch, Of.Model, Names});
+    Join->second.OrderedAt = Context.Now;
+    Context.order(*Context.View.Endpoints.find(Member.Name),
+                  JoinSeat{Group.Name, Group.Epoch, Group.Model, Names});
   }
 }
 
-void Assembler::retire(const Group &Of, std::string_view Why) {
-  Retired.insert(Of.Epoch);
-  note(GroupFate::Retired, Of, {}, Why);
+void Assembler::retire(const GroupState &Group, std::string_view Reason) {
+  Retired.insert(Group.Epoch);
+  addEvent(GroupFate::Retired, Group, {}, Reason);
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/test/coltsfoottrail/assembly/engines.hpp
+++ b/packages/version/test/coltsfoottrail/assembly/engines.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// A fleet of engines that obey orders, for tests of the assembly.
+/// A simulated fleet of engines that carry out orders, for tests of the
+/// assembly.
 #ifndef COLTSFOOTTRAIL_TEST_ASSEMBLY_ENGINES_HPP
 #define COLTSFOOTTRAIL_TEST_ASSEMBLY_ENGINES_HPP
 
@@ -14,7 +15,7 @@
 namespace coltsfoottrail::test {
 
 /// @brief Engines whose records follow the orders that they get, at once or
-/// when the test says so. Checks what must always hold at each order.
+/// when the test says so. Checks the invariants of the assembler at each order.
 class FakeEngines {
 public:
   FakeEngines() {
@@ -48,91 +49,92 @@
       add(Domain + "-" + std::to_string(Index), DataCentre, Domain);
   }
 
-  /// The engine is gone, and its record has lapsed.
-  void lose(const EndpointName &Name) {
+  /// Removes an engine together with its record.
+  void removeEngine(const EndpointName &Name) {
     Records.erase(Name);
     Catalogue.remove(Name, Now);
   }
 
   void publish(const EndpointName &Name) {
     ++Records.at(Name).Sequence;
-    if (Unheard.contains(Name))
+    if (CutOffFromStore.contains(Name))
       return;
     Catalogue.publish(Records.at(Name), Now);
   }
 
-  /// Nothing reaches the store, and nobody is looked after meanwhile.
-  void storeAway(Duration Span) {
+  /// Simulates an outage of the store during which the driver does not run.
+  void failStore(Duration Span) {
     for (const auto &[Name, Record] : Records)
-      Unheard.insert(Name);
+      CutOffFromStore.insert(Name);
     Now += Span;
   }
 
-  /// The store answers again; endpoints have yet to publish themselves.
-  void storeReturns() {
+  /// Ends the outage of the store; endpoints have yet to publish themselves.
+  void restoreStore() {
     Catalogue.storeReturned(Now);
-    Unheard.clear();
+    CutOffFromStore.clear();
   }
 
-  void giveWeights(const EndpointName &Name, const ModelName &Model) {
+  void setWeights(const EndpointName &Name, const ModelName &Model) {
     Records.at(Name).Staged = {Model};
     Records.at(Name).Loaded = {Model};
     publish(Name);
   }
 
   [[nodiscard]] std::vector<EndpointName>
-  inDomain(const std::string &Domain) const {
-    std::vector<EndpointName> Out;
+  endpointsIn(const std::string &Domain) const {
+    std::vector<EndpointName> Names;
     for (const auto &[Name, Record] : Records)
       if (Record.Domain == FabricDomainName(Domain))
-        Out.push_back(Name);
-    return Out;
+        Names.push_back(Name);
+    return Names;
   }
 
   [[nodiscard]] GroupEpoch epochOf(const EndpointName &Name) const {
     return Records.at(Name).Seat->Epoch;
   }
 
-  /// All engines publish themselves.
+  /// Publishes the records of all engines.
   void publishAll() {
     for (const auto &[Name, Record] : Records)
       publish(Name);
   }
 
-  /// One look of the driver; orders are carried out and answered.
-  std::vector<SeatCommand> look() {
-    const AssemblyView View{Catalogue, Service,      Drained,
-                            Fence,     CallersBegun, MostOrders};
-    const std::vector<SeatCommand> Orders = Driver.plan(View, Now);
-    for (const SeatCommand &Each : Orders) {
-      const OrderOutcome Outcome = carryOut(Each);
-      Driver.recordOutcome(Each.To, Each.Order, Outcome, Now);
+  /// Runs one step of the assembler and carries out its orders.
+  std::vector<SeatCommand> step() {
+    const AssemblyView View{Catalogue, Service,        Drained,
+                            Fence,     TrafficStarted, MaxOrders};
+    const std::vector<SeatCommand> Orders = GroupAssembler.plan(View, Now);
+    for (const SeatCommand &Command : Orders) {
+      const OrderOutcome Outcome = execute(Command);
+      GroupAssembler.recordOutcome(Command.To, Command.Order, Outcome, Now);
     }
-    for (const MemberProbe &Each : Driver.takeProbes())
-      Driver.recordProbeResult(Each.Name, Records.contains(Each.Name), Now);
+    for (const MemberProbe &Probe : GroupAssembler.takeProbes())
+      GroupAssembler.recordProbeResult(Probe.Name, Records.contains(Probe.Name),
+                                       Now);
     return Orders;
   }
 
-  /// Lets time pass in steps of a look; loads and openings end at once between
-  /// two looks unless Slow is set.
+  /// Lets time pass in steps of 100 ms. Loads and openings complete between two
+  /// steps unless Slow is set.
   void run(Duration Span) {
     for (const TimePoint End = Now + Span; Now < End;
          Now += milliseconds(100)) {
-      look();
+      step();
       if (!Slow)
         finishAll();
     }
   }
 
-  /// The endpoint's weights are loaded.
-  void ready(const EndpointName &Name) {
+  /// Completes the load of an endpoint.
+  void finishLoad(const EndpointName &Name) {
     Records.at(Name).Seat->Phase = SeatPhase::Ready;
     publish(Name);
   }
 
-  /// Whether an endpoint would take a join that reaches it now.
-  [[nodiscard]] bool takes(const EndpointName &Name,
-                           const JoinSeat &Join) const {
+  /// Whether an endpoint would accept a join order that reaches it now.
+  [[nodiscard]] bool acceptsJoin(const EndpointName &Name,
+                                 const JoinSeat &Join) const {
     const auto &Seat = Records.at(Name).Seat;
     return !Seat || Join.Epoch > Seat->Epoch;
   }
@@ -151,99 +153,99 @@
   }
 
   [[nodiscard]] std::vector<EndpointName> leaders() const {
-    std::vector<EndpointName> Out;
+    std::vector<EndpointName> Names;
     for (const auto &[Name, Record] : Records)
       if (Record.isServingLeader())
-        Out.push_back(Name);
-    return Out;
+        Names.push_back(Name);
+    return Names;
   }
 
   [[nodiscard]] std::vector<EndpointName>
   membersOf(const EndpointName &Leader) const {
-    std::vector<EndpointName> Out;
+    std::vector<EndpointName> Names;
     const auto &Seat = Records.at(Leader).Seat;
     for (const auto &[Name, Record] : Records)
       if (Record.Seat && Seat && Record.Seat->Epoch == Seat->Epoch)
-        Out.push_back(Name);
-    return Out;
+        Names.push_back(Name);
+    return Names;
   }
 
   ServiceProfile Service;
   EndpointCatalogue Catalogue;
   std::set<DataCentreName> Drained;
   std::map<EndpointName, EndpointRecord> Records;
-  /// Leaders that were told to open and have not done so yet.
+  /// Leaders that were ordered to open and have not done so yet.
   std::set<EndpointName> Opening;
   /// Endpoints whose records no longer reach the store.
-  std::set<EndpointName> Unheard;
+  std::set<EndpointName> CutOffFromStore;
   /// Endpoints that carry out no order.
-  std::set<EndpointName> Deaf;
-  Assembler Driver{AssemblyTimes{}};
+  std::set<EndpointName> IgnoringOrders;
+  Assembler GroupAssembler{AssemblyTimes{}};
   TimePoint Now{seconds(1000)};
   std::uint64_t Fence = 1;
-  bool CallersBegun = false;
+  bool TrafficStarted = false;
   bool Slow = false;
-  std::size_t MostOrders = 1'000'000;
-  /// Joins of a member whose leader was open or opening.
+  std::size_t MaxOrders = 1'000'000;
+  /// Number of joins of a member whose leader was open or opening.
   int JoinedWhileOpen = 0;
-  /// Openings of a group whose members were not all ready.
+  /// Number of openings of a group whose members were not all ready.
   int OpenedPartial = 0;
 
 private:
-  OrderOutcome carryOut(const SeatCommand &Command) {
-    const auto Found = Records.find(Command.To);
-    if (Found == Records.end() || Deaf.contains(Command.To))
+  OrderOutcome execute(const SeatCommand &Command) {
+    const auto Entry = Records.find(Command.To);
+    if (Entry == Records.end() || IgnoringOrders.contains(Command.To))
       return OrderOutcome::Unknown;
-    EndpointRecord &Its = Found->second;
-    std::visit(Overloaded{
-                   [&](const JoinSeat &Join) { join(Its, Join); },
-                   [&](const OpenSeat &Open) {
-                     std::size_t Ready = 0;
-                     for (const auto &[Name, Record] : Records)
-                       Ready += Record.Seat &&
-                                Record.Seat->Epoch == Open.Epoch &&
-                                Record.Seat->Phase == SeatPhase::Ready;
-                     OpenedPartial += Ready == sizeOf(Its) ? 0 : 1;
-                     Opening.insert(Its.Name);
-                   },
-                   [&](const CloseSeat &) {
-                     Opening.erase(Its.Name);
-                     if (Its.Seat)
-                       Its.Seat->Phase = SeatPhase::Ready;
-                   },
-                   [&](const LeaveSeat &) {
-                     Opening.erase(Its.Name);
-                     Its.Seat.reset();
-                   },
-                   [&](const StageModel &Stage) { Its.Staged = {Stage.Model}; },
-               },
-               Command.Order);
-    publish(Its.Name);
+    EndpointRecord &Engine = Entry->second;
+    std::visit(
+        Overloaded{
+            [&](const JoinSeat &Join) { join(Engine, Join); },
+            [&](const OpenSeat &Open) {
+              std::size_t Ready = 0;
+              for (const auto &[Name, Record] : Records)
+                Ready += Record.Seat && Record.Seat->Epoch == Open.Epoch &&
+                         Record.Seat->Phase == SeatPhase::Ready;
+              OpenedPartial += Ready == sizeOf(Engine) ? 0 : 1;
+              Opening.insert(Engine.Name);
+            },
+            [&](const CloseSeat &) {
+              Opening.erase(Engine.Name);
+              if (Engine.Seat)
+                Engine.Seat->Phase = SeatPhase::Ready;
+            },
+            [&](const LeaveSeat &) {
+              Opening.erase(Engine.Name);
+              Engine.Seat.reset();
+            },
+            [&](const StageModel &Stage) { Engine.Staged = {Stage.Model}; },
+        },
+        Command.Order);
+    publish(Engine.Name);
     return OrderOutcome::Taken;
   }
 
-  void join(EndpointRecord &Its, const JoinSeat &Join) {
-    if (Its.Seat)
+  void join(EndpointRecord &Engine, const JoinSeat &Join) {
+    if (Engine.Seat)
       for (const auto &[Name, Record] : Records)
-        if (Record.Seat && Record.Seat->Epoch == Its.Seat->Epoch &&
+        if (Record.Seat && Record.Seat->Epoch == Engine.Seat->Epoch &&
             Record.Seat->Rank == 0 &&
             (Record.isServingLeader() || Opening.contains(Name)))
           ++JoinedWhileOpen;
     GroupSeat Seat;
     Seat.Group = Join.Group;
     Seat.Epoch = Join.Epoch;
-    const auto Place =
-        std::find(Join.Members.begin(), Join.Members.end(), Its.Name);
-    Seat.Rank = static_cast<std::uint32_t>(Place - Join.Members.begin());
-    Its.Seat = Seat;
-    Its.Loaded = {Join.Model};
-    Its.Staged = {Join.Model};
-  }
-
-  [[nodiscard]] std::size_t sizeOf(const EndpointRecord &Of) const {
-    for (const ServedModel &Each : Service.Engine->Models)
-      if (!Of.Loaded.empty() && Each.Name == Of.Loaded.back())
-        return Each.Size;
+    const auto Position =
+        std::find(Join.Members.begin(), Join.Members.end(), Engine.Name);
+    Seat.Rank = static_cast<std::uint32_t>(Position - Join.Members.begin());
+    Engine.Seat = Seat;
+    Engine.Loaded = {Join.Model};
+    Engine.Staged = {Join.Model};
+  }
+
+  [[nodiscard]] std::size_t sizeOf(const EndpointRecord &Engine) const {
+    for (const ServedModel &Model : Service.Engine->Models)
+      if (!Engine.Loaded.empty() && Model.Name == Engine.Loaded.back())
+        return Model.Size;
     return 0;
   }
 };
