--- a/packages/version/src/coltsfoottrail/fleet/catalogue.cpp
+++ b/packages/version/src/coltsfoottrail/fleet/catalogue.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool sameForRouting(const EndpointRecord &Old, const EndpointRecord &New) {
+bool equalForRouting(const EndpointRecord &Old, const EndpointRecord &New) {
   return Old.Address == New.Address && Old.DataCentre == New.DataCentre &&
          Old.Service == New.Service && Old.State == New.State &&
          Old.StartedAtMs == New.StartedAtMs && Old.Seat == New.Seat &&
@@ -14,55 +14,56 @@
          Old.Slots == New.Slots;
 }
 
-/// Failure guarded against: a record of an earlier life, or one that was
-/// overtaken, comes late and brings back a seat or a state that is over.
-bool isOlder(const EndpointRecord &Record, const EndpointRecord &Known) {
-  return Record.StartedAtMs < Known.StartedAtMs ||
-         (Record.StartedAtMs == Known.StartedAtMs &&
-          Record.Sequence < Known.Sequence);
+/// Failure guarded against: a record from before a restart, or one that a newer
+/// record has overtaken, arrives late and restores an outdated seat or state.
+bool isOlder(const EndpointRecord &Record, const EndpointRecord &Current) {
+  return Record.StartedAtMs < Current.StartedAtMs ||
+         (Record.StartedAtMs == Current.StartedAtMs &&
+          Record.Sequence < Current.Sequence);
 }
 
 } // namespace
 
 bool EndpointCatalogue::publish(EndpointRecord Record, TimePoint Now) {
   const EndpointName Name = Record.Name;
-  KnownEndpoint &Its = Known[Name];
-  if (Its.Record.Name == Name && isOlder(Record, Its.Record))
+  KnownEndpoint &Entry = Endpoints[Name];
+  if (Entry.Record.Name == Name && isOlder(Record, Entry.Record))
     return false;
-  const bool Changed = Its.Record.Name != Name || Its.RemovalDeferredUntil ||
-                       !sameForRouting(Its.Record, Record) ||
-                       (Record.ColdFor.count() > 0) != Its.Cold;
-  Its.Cold = Record.ColdFor.count() > 0;
-  Its.ColdUntil = Now + Record.ColdFor;
-  Its.LastPublishedAt = Now;
-  Its.RemovalDeferredUntil.reset();
-  Its.Record = std::move(Record);
+  const bool Changed = Entry.Record.Name != Name ||
+                       Entry.RemovalDeferredUntil ||
+                       !equalForRouting(Entry.Record, Record) ||
+                       (Record.ColdFor.count() > 0) != Entry.Cold;
+  Entry.Cold = Record.ColdFor.count() > 0;
+  Entry.ColdUntil = Now + Record.ColdFor;
+  Entry.LastPublishedAt = Now;
+  Entry.RemovalDeferredUntil.reset();
+  Entry.Record = std::move(Record);
   if (Changed)
-    ++Changes;
+    ++Version;
   return Changed;
 }
 
 bool EndpointCatalogue::remove(const EndpointName &Name, TimePoint Now) {
-  const auto Found = Known.find(Name);
-  if (Found == Known.end())
+  const auto Entry = Endpoints.find(Name);
+  if (Entry == Endpoints.end())
     return false;
-  const bool MayReturn = Now < SettledAt &&
-                         Found->second.LastPublishedAt <= ReturnedAt &&
-                         Found->second.Record.State == EndpointState::Serving;
+  const bool MayReturn = Now < SettlesAt &&
+                         Entry->second.LastPublishedAt <= StoreReturnedAt &&
+                         Entry->second.Record.State == EndpointState::Serving;
   if (MayReturn) {
-    if (!Found->second.RemovalDeferredUntil)
-      Found->second.RemovalDeferredUntil = SettledAt;
+    if (!Entry->second.RemovalDeferredUntil)
+      Entry->second.RemovalDeferredUntil = SettlesAt;
     return false;
   }
-  Known.erase(Found);
-  ++Changes;
+  Endpoints.erase(Entry);
+  ++Version;
   return true;
 }
 
 void EndpointCatalogue::retain(const std::set<EndpointName> &Present,
                                TimePoint Now) {
   std::vector<EndpointName> Absent;
-  for (const auto &[Name, Its] : Known)
+  for (const auto &[Name, Entry] : Endpoints)
     if (!Present.contains(Name))
       Absent.push_back(Name);
   for (const EndpointName &Name : Absent)
@@ -70,24 +71,24 @@
 }
 
 std::vector<EndpointName> EndpointCatalogue::advance(TimePoint Now) {
-  std::vector<EndpointName> Gone;
-  for (auto &[Name, Its] : Known) {
-    if (Its.RemovalDeferredUntil && *Its.RemovalDeferredUntil <= Now)
-      Gone.push_back(Name);
-    if (Its.Cold && Its.ColdUntil <= Now) {
-      Its.Cold = false;
-      ++Changes;
+  std::vector<EndpointName> Dropped;
+  for (auto &[Name, Entry] : Endpoints) {
+    if (Entry.RemovalDeferredUntil && *Entry.RemovalDeferredUntil <= Now)
+      Dropped.push_back(Name);
+    if (Entry.Cold && Entry.ColdUntil <= Now) {
+      Entry.Cold = false;
+      ++Version;
     }
   }
-  for (const EndpointName &Name : Gone)
-    Known.erase(Name);
-  Changes += Gone.size();
-  return Gone;
+  for (const EndpointName &Name : Dropped)
+    Endpoints.erase(Name);
+  Version += Dropped.size();
+  return Dropped;
 }
 
 const KnownEndpoint *EndpointCatalogue::find(const EndpointName &Name) const {
-  const auto Found = Known.find(Name);
-  return Found == Known.end() ? nullptr : &Found->second;
+  const auto Entry = Endpoints.find(Name);
+  return Entry == Endpoints.end() ? nullptr : &Entry->second;
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/fleet/catalogue.hpp
+++ b/packages/version/src/coltsfoottrail/fleet/catalogue.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The endpoints that are there, as far as this host knows.
+/// The endpoints known to this host.
 #ifndef COLTSFOOTTRAIL_FLEET_CATALOGUE_HPP
 #define COLTSFOOTTRAIL_FLEET_CATALOGUE_HPP
 
@@ -12,78 +12,82 @@
 
 namespace coltsfoottrail {
 
-/// @brief An endpoint and when it was learned of.
+/// @brief An endpoint and the state of its record.
 struct KnownEndpoint {
   EndpointRecord Record;
-  /// When its record last changed or came again.
+  /// When its record was last received.
   TimePoint LastPublishedAt;
-  /// Whether it bears only a little work, and until when.
+  /// Whether the endpoint is cold and can take only little work, and until
+  /// when.
   bool Cold = false;
   TimePoint ColdUntil;
-  /// The store dropped it while the store was not sound: it is taken for gone
-  /// at this time unless it comes back.
+  /// Set if its record was removed soon after an outage of the store: the
+  /// endpoint is dropped at this time unless it publishes itself again.
   std::optional<TimePoint> RemovalDeferredUntil;
 };
 
-/// @brief Follows the endpoints' records. Pure; not thread-safe.
+/// @brief Tracks the endpoints' records. Pure; not thread-safe.
 ///
-/// Failure guarded against: while the store is away the entries of live
+/// Failure guarded against: while the store is away the records of live
 /// endpoints lapse, and on its return every host would drop the whole fleet for
 /// the two seconds that the endpoints need to publish themselves again.
-/// Removals within the settling time after an outage are held back until it
-/// ends; an endpoint that is still missing then is gone. One that has published
-/// itself since the return and is removed after that has left.
+/// Removals within the settling time after an outage are therefore deferred
+/// until it ends; an endpoint that is still missing then is dropped. An
+/// endpoint that has published itself since the return and is removed after
+/// that has left, and is dropped at once.
 class EndpointCatalogue {
 public:
-  /// How long after the store's return removals are held back: the platform
-  /// promises lapsed entries again within about two seconds.
+  /// How long removals are deferred after the return of the store: the platform
+  /// guarantees that lapsed records are back within about two seconds.
   static constexpr Duration SettleTime = milliseconds(2500);
 
-  /// @brief Takes a record.
-  /// @return Whether something other than its time changed.
+  /// @brief Adds or updates a record; older records are ignored.
+  /// @return Whether anything that matters to routing changed.
   bool publish(EndpointRecord Record, TimePoint Now);
-  /// @brief Takes a removal.
-  /// @return Whether the endpoint is gone at once.
+  /// @brief Handles the removal of a record.
+  /// @return Whether the endpoint was dropped at once.
   bool remove(const EndpointName &Name, TimePoint Now);
-  /// @brief Drops what is not among the newest records.
-  /// @param Present All names that have a record.
+  /// @brief Handles the removal of all records that are not in a complete
+  /// listing.
+  /// @param Present Names of all endpoints that have a record.
   void retain(const std::set<EndpointName> &Present, TimePoint Now);
-  /// @brief The store answers again after it did not.
+  /// @brief Starts the settling time: the store answers again after an outage.
   void storeReturned(TimePoint Now) noexcept {
-    ReturnedAt = Now;
-    SettledAt = Now + SettleTime;
+    StoreReturnedAt = Now;
+    SettlesAt = Now + SettleTime;
   }
   /// @brief Whether live endpoints may not have published themselves again yet
   /// since the store's return. Thread-compatible.
   [[nodiscard]] bool isSettling(TimePoint Now) const noexcept {
-    return Now < SettledAt;
+    return Now < SettlesAt;
   }
-  /// @brief Whether a record was written before the store's return, so that
-  /// what happened to its endpoint during the outage may still be unknown.
+  /// @brief Whether a record was received before the store's return, so that
+  /// changes of its endpoint during the outage may still be unknown.
   /// Thread-compatible.
-  [[nodiscard]] bool mayBeStale(const KnownEndpoint &Which,
+  [[nodiscard]] bool mayBeStale(const KnownEndpoint &Endpoint,
                                 TimePoint Now) const noexcept {
-    return isSettling(Now) && Which.LastPublishedAt <= ReturnedAt;
+    return isSettling(Now) && Endpoint.LastPublishedAt <= StoreReturnedAt;
   }
-  /// @brief Drops endpoints that are still missing, and lets cold ones warm up.
-  /// @return Names of those dropped.
+  /// @brief Drops endpoints whose deferred removal is due, and ends the cold
+  /// time of others.
+  /// @return Names of the dropped endpoints.
   std::vector<EndpointName> advance(TimePoint Now);
 
-  /// @brief Finds an endpoint; null when it is not there.
+  /// @brief Finds an endpoint; null if it is unknown.
   [[nodiscard]] const KnownEndpoint *find(const EndpointName &Name) const;
   /// @brief All endpoints by name.
   [[nodiscard]] const std::map<EndpointName, KnownEndpoint> &
   all() const noexcept {
-    return Known;
+    return Endpoints;
   }
-  /// @brief Grows with each change that matters to routing.
-  [[nodiscard]] std::uint64_t version() const noexcept { return Changes; }
+  /// @brief Version that grows with each change that matters to routing.
+  [[nodiscard]] std::uint64_t version() const noexcept { return Version; }
 
 private:
-  std::map<EndpointName, KnownEndpoint> Known;
-  TimePoint ReturnedAt{};
-  TimePoint SettledAt{};
-  std::uint64_t Changes = 0;
+  std::map<EndpointName, KnownEndpoint> Endpoints;
+  TimePoint StoreReturnedAt{};
+  TimePoint SettlesAt{};
+  std::uint64_t Version = 0;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/fleet/config.hpp
+++ b/packages/version/src/coltsfoottrail/fleet/config.hpp
@@ -17,89 +17,90 @@
 /// @brief A model that the engines of a service can serve.
 struct ServedModel {
   ModelName Name;
-  /// Endpoints of a group.
+  /// Number of endpoints of a group.
   std::uint32_t Size = 1;
   /// Factor on all times of the engine.
   double Pace = 1.0;
-  /// Share of the work at the start.
+  /// Initial share of the service's work.
   double Share = 0.0;
-  /// Loading the weights from the shared store.
+  /// Time to load the weights from the shared store.
   milliseconds LoadTime{0};
-  /// Loading the weights from the host's own copy.
+  /// Time to load the weights from the host's own copy.
   milliseconds WarmTime{0};
 };
 
-/// @brief How fast the engines of a service work.
+/// @brief Capacity and speed of the engines of a service.
 struct EngineProfile {
-  /// Requests that run at once.
+  /// Requests that run concurrently.
   std::uint32_t Slots = 1;
   /// Tokens that fit into the memory of a group.
   std::uint64_t MemoryTokens = 0;
-  /// One token step, in milliseconds.
+  /// Duration of one token step, in milliseconds.
   double StepMs = 0.0;
   /// Added to a step for each running request, in milliseconds.
   double StepMsPerRequest = 0.0;
-  /// Prompt tokens read in a second.
+  /// Prompt tokens processed per second.
   double PromptTokensPerSecond = 0.0;
-  /// Prompt tokens read between two token steps at most; zero for no bound.
+  /// Maximum number of prompt tokens processed between two token steps; zero
+  /// for no limit.
   std::uint32_t ChunkTokens = 0;
   /// Token steps in one pass.
   std::uint32_t Stride = 1;
-  /// Loads that may begin in a second, over all engines.
+  /// Loads that may start per second, over all engines.
   double LoadsPerSecond = 1.0;
-  /// Loads at once beyond which each takes longer.
+  /// Number of concurrent loads above which each takes longer.
   std::uint32_t MaxConcurrentLoads = 1;
-  /// Between an order to open a group and its serving.
+  /// Time between an order to open a group and the start of its serving.
   milliseconds OpenTime{0};
-  /// Models whose weights a host keeps.
+  /// Number of models whose weights a host keeps.
   std::uint32_t KeptModels = 1;
   std::vector<ServedModel> Models;
 };
 
-/// @brief Pace of an engine that serves a model. Pure; thread-safe.
+/// @brief Speed of an engine that serves a given model. Pure; thread-safe.
 [[nodiscard]] inline EnginePace enginePace(const EngineProfile &Engine,
                                            const ServedModel &Model) {
   constexpr double MsPerSecond = 1000.0;
-  EnginePace Out;
-  Out.StepSeconds = Engine.StepMs * Model.Pace / MsPerSecond;
-  Out.StepSecondsPerRequest =
+  EnginePace Pace;
+  Pace.StepSeconds = Engine.StepMs * Model.Pace / MsPerSecond;
+  Pace.StepSecondsPerRequest =
       Engine.StepMsPerRequest * Model.Pace / MsPerSecond;
   if (Model.Pace > 0.0)
-    Out.PromptTokensPerSecond = Engine.PromptTokensPerSecond / Model.Pace;
-  Out.ChunkTokens = Engine.ChunkTokens;
-  Out.Stride = Engine.Stride;
-  return Out;
+    Pace.PromptTokensPerSecond = Engine.PromptTokensPerSecond / Model.Pace;
+  Pace.ChunkTokens = Engine.ChunkTokens;
+  Pace.Stride = Engine.Stride;
+  return Pace;
 }
 
-/// @brief A service: a set of like endpoints.
+/// @brief A service: a set of equivalent endpoints.
 struct ServiceProfile {
   ServiceName Name;
-  /// Connections that an endpoint takes from all entry hosts.
+  /// Connections that an endpoint accepts from all entry hosts together.
   std::uint32_t MaxConnections = 0;
-  /// Requests a second that a cold endpoint bears from all entry hosts; zero
-  /// where endpoints do not start cold.
+  /// Requests per second that a cold endpoint can take from all entry hosts
+  /// together; zero if endpoints do not start cold.
   double ColdRequestsPerSecond = 0.0;
-  /// Set where model engines carry the service.
+  /// Set if the endpoints of the service are model engines.
   std::optional<EngineProfile> Engine;
 };
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 enum class RunPolicy : std::uint8_t {
   Idempotent,
   AtMostOnce,
-  /// A sequence of events; it may be resumed at another endpoint.
+  /// An event stream that may be resumed at another endpoint.
   ResumableStream,
-  /// A sequence of events that cannot be resumed: runs at most once.
+  /// An event stream that cannot be resumed: executed at most once.
   Stream
 };
 
-/// @brief A service that a route sends a part of its requests to.
+/// @brief A service and its share of the requests of a route.
 struct WeightedService {
   ServiceName Service;
   std::uint32_t Weight = 1;
 };
 
-/// @brief Where requests of one host name and path go.
+/// @brief The route of the requests for one host name and path prefix.
 struct RouteSpec {
   RouteName Name;
   std::string HostHeader;
@@ -107,24 +108,24 @@
   std::string PathPrefix;
   RunPolicy Policy = RunPolicy::AtMostOnce;
   std::vector<WeightedService> Services;
-  /// Longest that a caller is kept waiting.
+  /// Longest time that a caller is kept waiting.
   milliseconds Timeout{60'000};
-  /// Latency within which an answer earns its full worth.
+  /// Latency up to which a response earns its full value.
   milliseconds TargetLatency{1'000};
-  /// Longest pause between events of a stream that is on time.
+  /// Longest pause between events of a stream that counts as on time.
   milliseconds TargetGap{1'000};
-  /// Endpoints that one request may be sent to.
+  /// Number of endpoints that one request may be sent to.
   std::uint32_t MaxAttempts = 1;
-  /// Zero is the most urgent.
+  /// Zero is the highest priority.
   std::uint32_t Priority = 0;
   /// Whether callers need no credential.
   bool Public = false;
 
-  /// @brief Whether answers are sequences of events.
+  /// @brief Whether responses are event streams.
   [[nodiscard]] bool streams() const noexcept {
     return Policy == RunPolicy::ResumableStream || Policy == RunPolicy::Stream;
   }
-  /// @brief Whether a second run does no harm.
+  /// @brief Whether a request may be executed again without harm.
   [[nodiscard]] bool repeatable() const noexcept {
     return Policy == RunPolicy::Idempotent ||
            Policy == RunPolicy::ResumableStream;
@@ -135,11 +136,11 @@
 struct TeamKeys {
   TeamName Name;
   std::vector<std::string> Credentials;
-  /// Takes precedence over the route's.
+  /// Overrides the route's priority.
   std::optional<std::uint32_t> Priority;
 };
 
-/// @brief Bounds on what a caller may send.
+/// @brief Limits on what a caller may send.
 struct CallerLimits {
   std::uint32_t MaxHeaderBytes = 16384;
   std::uint64_t MaxBodyBytes = 4194304;
@@ -147,7 +148,7 @@
   milliseconds IdleTimeout{15'000};
 };
 
-/// @brief One version of the published configuration, whole.
+/// @brief One complete version of the published configuration.
 struct PublishedConfig {
   std::uint64_t Version = 0;
   std::vector<RouteSpec> Routes;
--- a/packages/version/src/coltsfoottrail/fleet/endpoint.hpp
+++ b/packages/version/src/coltsfoottrail/fleet/endpoint.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What an endpoint publishes of itself.
+/// The record that an endpoint publishes about itself.
 #ifndef COLTSFOOTTRAIL_FLEET_ENDPOINT_HPP
 #define COLTSFOOTTRAIL_FLEET_ENDPOINT_HPP
 
@@ -14,15 +14,15 @@
 
 namespace coltsfoottrail {
 
-/// Where an endpoint stands in its group.
+/// Phase of the membership of an endpoint in a group.
 enum class SeatPhase : std::uint8_t {
   /// Weights are being loaded.
   Joining,
-  /// Ready to serve; of a leader: not serving.
+  /// Ready to serve. A leader in this phase does not serve.
   Ready,
   /// The leader serves.
   Open,
-  /// The leader finishes its work and takes no more.
+  /// The leader finishes its requests and accepts no more.
   Closing,
   /// The leader has noticed that a member is lost.
   Broken
@@ -40,10 +40,10 @@
                                        const GroupSeat &) = default;
 };
 
-/// @brief Whether an endpoint takes new work.
+/// @brief Whether an endpoint accepts new work.
 enum class EndpointState : std::uint8_t { Serving, Draining };
 
-/// @brief What an endpoint last published of itself.
+/// @brief The record that an endpoint last published.
 struct EndpointRecord {
   EndpointName Name;
   EngineAddress Address;
@@ -51,11 +51,12 @@
   FabricDomainName Domain;
   ServiceName Service;
   EndpointState State = EndpointState::Serving;
-  /// Unix milliseconds of its start: tells two lives under one name apart.
+  /// Unix time of its start in milliseconds: distinguishes the runs of one
+  /// endpoint.
   std::uint64_t StartedAtMs = 0;
-  /// Grows with each record of one life.
+  /// Grows with each record of one run.
   std::uint64_t Sequence = 0;
-  /// How long it stays cold, as of this record.
+  /// How long it remains cold, as of this record.
   milliseconds ColdFor{0};
   std::uint32_t Slots = 0;
   /// Models whose weights are on its host.
@@ -64,7 +65,7 @@
   std::vector<ModelName> Loaded;
   std::optional<GroupSeat> Seat;
 
-  /// @brief Whether it is the leader of a group that serves.
+  /// @brief Whether the endpoint leads a group that serves.
   [[nodiscard]] bool isServingLeader() const noexcept {
     return Seat && Seat->Rank == 0 && Seat->Phase == SeatPhase::Open;
   }
--- a/packages/version/src/coltsfoottrail/fleet/fwd.hpp
+++ b/packages/version/src/coltsfoottrail/fleet/fwd.hpp
@@ -12,13 +12,13 @@
 struct EndpointNameTag;
 struct RouteTag;
 
-/// Identifier that an endpoint took at its start; unique among all endpoints.
+/// Identifier that an endpoint chose at its start; unique among all endpoints.
 using EndpointName = Name<EndpointNameTag>;
-/// A route of the published configuration.
+/// Name of a route of the published configuration.
 using RouteName = Name<RouteTag>;
 
-/// Number that orders the memberships of endpoints in groups; the driver of the
-/// groups never uses one twice.
+/// Orders the memberships of endpoints in groups; the assembler never uses a
+/// number twice.
 using GroupEpoch = std::uint64_t;
 
 struct GroupSeat;
--- a/packages/version/src/coltsfoottrail/fleet/order.hpp
+++ b/packages/version/src/coltsfoottrail/fleet/order.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Orders that seat engines in groups.
+/// Orders that assign engines to groups.
 #ifndef COLTSFOOTTRAIL_FLEET_ORDER_HPP
 #define COLTSFOOTTRAIL_FLEET_ORDER_HPP
 
@@ -11,53 +11,53 @@
 
 namespace coltsfoottrail {
 
-/// Take a seat in a group; replaces the seat that is held.
+/// Take a seat in a group; replaces the current seat.
 struct JoinSeat {
   std::string Group;
   GroupEpoch Epoch = 0;
   ModelName Model;
-  /// The leader first.
+  /// The leader comes first.
   std::vector<EndpointName> Members;
 };
-/// Start to serve; for the leader of a group whose members are all ready.
+/// Start serving; sent to the leader of a group whose members are all ready.
 struct OpenSeat {
   std::string Group;
   GroupEpoch Epoch = 0;
 };
-/// Stop to serve; the seat stays.
+/// Stop serving and keep the seat.
 struct CloseSeat {
   std::string Group;
   GroupEpoch Epoch = 0;
-  /// Whether work in progress is cut off rather than finished.
+  /// Whether requests in progress are aborted rather than finished.
   bool Evict = false;
 };
-/// Give the seat up.
+/// Give up the seat.
 struct LeaveSeat {
   std::string Group;
   GroupEpoch Epoch = 0;
 };
-/// Load a model's weights onto the host, beside all other work.
+/// Load a model's weights onto the host, in parallel to all other work.
 struct StageModel {
   ModelName Model;
 };
 
-/// What an engine is told to do.
+/// An order to an engine.
 using SeatOrder =
     std::variant<JoinSeat, OpenSeat, CloseSeat, LeaveSeat, StageModel>;
 
-/// How an order ended.
+/// Outcome of an order.
 enum class OrderOutcome : std::uint8_t {
-  /// It has begun, or is done.
+  /// It was accepted: carried out, or started.
   Taken,
   /// It does not fit the engine's state.
   Unfit,
-  /// A higher fencing number or epoch has been seen there.
+  /// Refused: the engine has seen a higher fencing number or epoch.
   Fenced,
   /// Another endpoint has the address now.
   WrongEndpoint,
-  /// It was not sent: no connection.
+  /// It was not sent, since there was no connection.
   NotSent,
-  /// No answer: it may be carried out seconds later, after newer orders.
+  /// No answer came: it may be carried out seconds later, after newer orders.
   Unknown
 };
 
--- a/packages/version/src/coltsfoottrail/fleet/routeindex.cpp
+++ b/packages/version/src/coltsfoottrail/fleet/routeindex.cpp
@@ -28,21 +28,21 @@
     if (Slash == std::string::npos)
       return nullptr;
     Prefix.resize(Slash + 1);
-    const auto Found = Host->second.find(Prefix);
-    if (Found != Host->second.end())
-      return &Config.Routes[Found->second];
+    const auto Entry = Host->second.find(Prefix);
+    if (Entry != Host->second.end())
+      return &Config.Routes[Entry->second];
     Prefix.resize(Slash);
   }
 }
 
 const TeamKeys *RouteIndex::team(std::string_view Credential) const {
-  const auto Found = ByCredential.find(std::string(Credential));
-  return Found == ByCredential.end() ? nullptr : &Config.Teams[Found->second];
+  const auto Entry = ByCredential.find(std::string(Credential));
+  return Entry == ByCredential.end() ? nullptr : &Config.Teams[Entry->second];
 }
 
 const ServiceProfile *RouteIndex::service(const ServiceName &Name) const {
-  const auto Found = ByService.find(Name);
-  return Found == ByService.end() ? nullptr : &Config.Services[Found->second];
+  const auto Entry = ByService.find(Name);
+  return Entry == ByService.end() ? nullptr : &Config.Services[Entry->second];
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/fleet/routeindex.hpp
+++ b/packages/version/src/coltsfoottrail/fleet/routeindex.hpp
@@ -14,9 +14,8 @@
 
 namespace coltsfoottrail {
 
-/// @brief One version of the configuration, ready for look-ups. Immutable once
-/// made, so requests in progress keep the version that they began under.
-/// Thread-safe.
+/// @brief One version of the configuration, indexed for look-ups. Immutable, so
+/// requests in progress keep the version that they started with. Thread-safe.
 class RouteIndex {
 public:
   /// @brief Indexes a configuration.
@@ -30,23 +29,23 @@
   [[nodiscard]] const PublishedConfig &config() const noexcept {
     return Config;
   }
-  /// @brief Whether callers need a credential at all.
+  /// @brief Whether any team is configured: if so, callers need a credential.
   [[nodiscard]] bool hasTeams() const noexcept { return !Config.Teams.empty(); }
 
   /// @brief Finds the route with the longest prefix of a path.
   /// @param HostHeader The request's host, without a port.
   /// @param Path The path, without a query.
-  /// @return Null when no route matches.
+  /// @return Null if no route matches.
   [[nodiscard]] const RouteSpec *route(std::string_view HostHeader,
                                        std::string_view Path) const;
-  /// @brief Finds the team that a credential belongs to; null when none does.
+  /// @brief Finds the team of a credential; null if there is none.
   [[nodiscard]] const TeamKeys *team(std::string_view Credential) const;
-  /// @brief Finds a service; null when it is not in the configuration.
+  /// @brief Finds a service; null if it is not in the configuration.
   [[nodiscard]] const ServiceProfile *service(const ServiceName &Name) const;
 
 private:
   PublishedConfig Config;
-  /// Routes of a host by prefix.
+  /// Indexes into the routes, by host header and path prefix.
   std::unordered_map<std::string, std::unordered_map<std::string, std::size_t>>
       ByHost;
   std::unordered_map<std::string, std::size_t> ByCredential;
--- a/packages/version/src/coltsfoottrail/route/enginepace.hpp
+++ b/packages/version/src/coltsfoottrail/route/enginepace.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How fast the engines of a pool read prompts and write tokens.
+/// Speed at which the engines of a pool process prompts and generate tokens.
 #ifndef COLTSFOOTTRAIL_ROUTE_ENGINEPACE_HPP
 #define COLTSFOOTTRAIL_ROUTE_ENGINEPACE_HPP
 
@@ -7,21 +7,21 @@
 
 namespace coltsfoottrail {
 
-/// @brief What operators declare of an engine that batches its requests, for
-/// one model.
+/// @brief Declared speed of an engine that batches its requests, for one model.
 struct EnginePace {
-  /// One token step of the whole batch, in seconds.
+  /// Duration of one token step of the whole batch, in seconds.
   double StepSeconds = 0.0;
-  /// Added to a step for each request that is written, in seconds.
+  /// Added to a step for each request in its decode phase, in seconds.
   double StepSecondsPerRequest = 0.0;
-  /// Prompt tokens read in a second; zero where no pace is declared.
+  /// Prompt tokens processed per second; zero if no speed is declared.
   double PromptTokensPerSecond = 0.0;
-  /// Prompt tokens read between two token steps at most; zero for no bound.
+  /// Maximum number of prompt tokens processed between two token steps; zero
+  /// for no limit.
   std::uint32_t ChunkTokens = 0;
   /// Token steps between two events of a stream.
   std::uint32_t Stride = 1;
 
-  /// @brief Whether anything can be forecast by it.
+  /// @brief Whether a speed is declared, so that times can be forecast.
   [[nodiscard]] bool isDeclared() const noexcept {
     return PromptTokensPerSecond > 0.0;
   }
--- a/packages/version/src/coltsfoottrail/route/fwd.hpp
+++ b/packages/version/src/coltsfoottrail/route/fwd.hpp
@@ -12,7 +12,7 @@
 struct Pool;
 struct RouteTable;
 
-/// Routes that are shared between threads and never change.
+/// Immutable routes, shared between threads.
 using RouteTablePtr = std::shared_ptr<const RouteTable>;
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/route/table.cpp
+++ b/packages/version/src/coltsfoottrail/route/table.cpp
@@ -7,101 +7,105 @@
 
 namespace {
 
-bool isDrained(const State &In, const HostName &Host,
+bool isDrained(const State &Agreed, const HostName &Host,
                const DataCentreName &DataCentre) {
-  return In.DrainedHosts.contains(Host) ||
-         In.DrainedDataCentres.contains(DataCentre);
+  return Agreed.DrainedHosts.contains(Host) ||
+         Agreed.DrainedDataCentres.contains(DataCentre);
 }
 
-std::string keyOf(const GroupId &Which, Offset Generation) {
-  return std::to_string(Which.Plan) + "." + std::to_string(Which.Number) + "@" +
+std::string endpointKey(const GroupId &Id, Offset Generation) {
+  return std::to_string(Id.Plan) + "." + std::to_string(Id.Number) + "@" +
          std::to_string(Generation);
 }
 
-std::string keyOf(const ServiceSpec &Service, const ServiceInstance &Each) {
-  return Service.Name.Text + "/" + Each.Host.Text + "/" + Each.Address + ":" +
-         std::to_string(Each.Port);
+std::string endpointKey(const ServiceSpec &Service,
+                        const ServiceInstance &Instance) {
+  return Service.Name.Text + "/" + Instance.Host.Text + "/" + Instance.Address +
+         ":" + std::to_string(Instance.Port);
 }
 
-/// Adds the addresses of all members.
-/// @return Whether each member is declared and none is drained.
-bool addMembers(const State &In, const Group &Known, EndpointSpec &Into) {
-  for (const HostName &Name : Known.Formed.Members) {
-    const HostSpec *const Host = findHost(In.Declared, Name);
-    if (Host == nullptr || isDrained(In, Name, Host->DataCentre))
+/// Adds the addresses of all members to an endpoint.
+/// @return Whether every member is declared and none is drained.
+bool addMembers(const State &Agreed, const Group &Source,
+                EndpointSpec &Endpoint) {
+  for (const HostName &Name : Source.Formed.Members) {
+    const HostSpec *const Host = findHost(Agreed.Declared, Name);
+    if (Host == nullptr || isDrained(Agreed, Name, Host->DataCentre))
       return false;
-    Into.Members.push_back(EngineAddress{Host->Address, Host->Port});
+    Endpoint.Members.push_back(EngineAddress{Host->Address, Host->Port});
   }
-  return !Into.Members.empty();
+  return !Endpoint.Members.empty();
 }
 
-void addGroup(const State &In, const GroupId &Which, const Group &Known,
-              RouteTable &Into) {
-  const ModelSpec *const Model = findModel(In.Declared, Known.Formed.Model);
-  if (Known.Phase != GroupPhase::Serving || Model == nullptr)
+void addGroup(const State &Agreed, const GroupId &Id, const Group &Source,
+              RouteTable &Table) {
+  const ModelSpec *const Model =
+      findModel(Agreed.Declared, Source.Formed.Model);
+  if (Source.Phase != GroupPhase::Serving || Model == nullptr)
     return;
-  EndpointSpec Made;
-  if (!addMembers(In, Known, Made))
+  EndpointSpec Endpoint;
+  if (!addMembers(Agreed, Source, Endpoint))
     return;
-  Made.Key = keyOf(Which, Known.Generation);
-  Made.Address = Made.Members.front();
-  Made.Host = Known.Formed.Members.front();
-  Made.DataCentre = Known.Formed.DataCentre;
-  Made.WarmBound = Model->WarmBound;
-  Made.ColdBound = Model->ColdBound;
-  Made.MemberRuns = Known.MemberRuns;
-  Made.Role = Known.Formed.Role;
-  Made.Version = Known.Formed.Version;
-  Into.Pools.find(modelPoolName(Model->Name.Text))
-      ->second.Endpoints.push_back(std::move(Made));
+  Endpoint.Key = endpointKey(Id, Source.Generation);
+  Endpoint.Address = Endpoint.Members.front();
+  Endpoint.Host = Source.Formed.Members.front();
+  Endpoint.DataCentre = Source.Formed.DataCentre;
+  Endpoint.WarmBound = Model->WarmBound;
+  Endpoint.ColdBound = Model->ColdBound;
+  Endpoint.MemberRuns = Source.MemberRuns;
+  Endpoint.Role = Source.Formed.Role;
+  Endpoint.Version = Source.Formed.Version;
+  Table.Pools.find(modelPoolName(Model->Name.Text))
+      ->second.Endpoints.push_back(std::move(Endpoint));
 }
 
-EndpointSpec endpointOf(const ServiceSpec &Service,
-                        const ServiceInstance &Each) {
-  EndpointSpec Made;
-  Made.Key = keyOf(Service, Each);
-  Made.Address = EngineAddress{Each.Address, Each.Port};
-  Made.Host = Each.Host;
-  Made.DataCentre = Each.DataCentre;
-  Made.WarmBound = Service.WarmBound;
-  Made.ColdBound = Service.ColdBound;
-  Made.Members.push_back(Made.Address);
-  return Made;
+EndpointSpec makeEndpoint(const ServiceSpec &Service,
+                          const ServiceInstance &Instance) {
+  EndpointSpec Endpoint;
+  Endpoint.Key = endpointKey(Service, Instance);
+  Endpoint.Address = EngineAddress{Instance.Address, Instance.Port};
+  Endpoint.Host = Instance.Host;
+  Endpoint.DataCentre = Instance.DataCentre;
+  Endpoint.WarmBound = Service.WarmBound;
+  Endpoint.ColdBound = Service.ColdBound;
+  Endpoint.Members.push_back(Endpoint.Address);
+  return Endpoint;
 }
 
-void addService(const State &In, const ServiceSpec &Service, RouteTable &Into) {
-  Pool Made;
-  Made.Name = servicePoolName(Service.Name.Text);
-  Made.RepeatablePaths = Service.RepeatablePaths;
-  for (const ServiceInstance &Each : Service.Instances)
-    if (!isDrained(In, Each.Host, Each.DataCentre))
-      Made.Endpoints.push_back(endpointOf(Service, Each));
-  std::string Name = Made.Name;
-  Into.Pools.emplace(std::move(Name), std::move(Made));
+void addService(const State &Agreed, const ServiceSpec &Service,
+                RouteTable &Table) {
+  Pool ServicePool;
+  ServicePool.Name = servicePoolName(Service.Name.Text);
+  ServicePool.RepeatablePaths = Service.RepeatablePaths;
+  for (const ServiceInstance &Instance : Service.Instances)
+    if (!isDrained(Agreed, Instance.Host, Instance.DataCentre))
+      ServicePool.Endpoints.push_back(makeEndpoint(Service, Instance));
+  std::string Name = ServicePool.Name;
+  Table.Pools.emplace(std::move(Name), std::move(ServicePool));
 }
 
-void addModels(const State &In, RouteTable &Into) {
-  for (const ModelSpec &Model : In.Declared.Models) {
+void addModels(const State &Agreed, RouteTable &Table) {
+  for (const ModelSpec &Model : Agreed.Declared.Models) {
     const std::string Name = modelPoolName(Model.Name.Text);
-    Into.Pools[Name].Name = Name;
+    Table.Pools[Name].Name = Name;
   }
-  for (const auto &[Which, Known] : In.Groups)
-    addGroup(In, Which, Known, Into);
+  for (const auto &[Id, Source] : Agreed.Groups)
+    addGroup(Agreed, Id, Source, Table);
 }
 
 } // namespace
 
-RouteTable buildRoutes(const State &Of) {
-  RouteTable Out;
-  Out.Version = Of.Next;
-  addModels(Of, Out);
-  for (const ServiceSpec &Service : Of.Declared.Services)
-    addService(Of, Service, Out);
-  for (auto &[Name, Each] : Out.Pools)
-    std::ranges::sort(Each.Endpoints, {}, &EndpointSpec::Key);
-  for (const TeamSpec &Team : Of.Declared.Teams)
-    Out.TeamsByCredential.emplace(Team.CredentialSha256, Team);
-  return Out;
+RouteTable buildRoutes(const State &Agreed) {
+  RouteTable Table;
+  Table.Version = Agreed.Next;
+  addModels(Agreed, Table);
+  for (const ServiceSpec &Service : Agreed.Declared.Services)
+    addService(Agreed, Service, Table);
+  for (auto &[Name, NamedPool] : Table.Pools)
+    std::ranges::sort(NamedPool.Endpoints, {}, &EndpointSpec::Key);
+  for (const TeamSpec &Team : Agreed.Declared.Teams)
+    Table.TeamsByCredential.emplace(Team.CredentialSha256, Team);
+  return Table;
 }
 
 std::string modelPoolName(std::string_view Model) {
--- a/packages/version/test/coltsfoottrail/fleet/catalogue.cpp
+++ b/packages/version/test/coltsfoottrail/fleet/catalogue.cpp
@@ -8,81 +8,83 @@
 
 constexpr TimePoint Start{seconds(100)};
 
-EndpointRecord record(const char *Name, std::uint64_t Born,
-                      std::uint64_t Sequence) {
-  EndpointRecord Out;
-  Out.Name = EndpointName(Name);
-  Out.StartedAtMs = Born;
-  Out.Sequence = Sequence;
-  return Out;
+EndpointRecord makeRecord(const char *Name, std::uint64_t StartedAtMs,
+                          std::uint64_t Sequence) {
+  EndpointRecord Record;
+  Record.Name = EndpointName(Name);
+  Record.StartedAtMs = StartedAtMs;
+  Record.Sequence = Sequence;
+  return Record;
 }
 
 TEST(Catalogue, HeartbeatThatChangesNothingKeepsTheVersion) {
-  EndpointCatalogue All;
-  EXPECT_TRUE(All.publish(record("a", 1, 1), Start));
-  const std::uint64_t Version = All.version();
-  EXPECT_FALSE(All.publish(record("a", 1, 2), Start + seconds(1)));
-  EXPECT_EQ(All.version(), Version);
+  EndpointCatalogue Catalogue;
+  EXPECT_TRUE(Catalogue.publish(makeRecord("a", 1, 1), Start));
+  const std::uint64_t Version = Catalogue.version();
+  EXPECT_FALSE(Catalogue.publish(makeRecord("a", 1, 2), Start + seconds(1)));
+  EXPECT_EQ(Catalogue.version(), Version);
 }
 
-// Callers are sent to a group that is over.
-// A record that was overtaken, or one of an earlier life, arrives late.
+// Guards against requests that are sent to a group that has ended: a record
+// that was overtaken by a newer one, or one from before a restart, arrives
+// late.
 TEST(Catalogue, LateRecordChangesNothing) {
-  EndpointCatalogue All;
-  All.publish(record("a", 5, 1), Start);
-  EndpointRecord Old = record("a", 4, 90);
+  EndpointCatalogue Catalogue;
+  Catalogue.publish(makeRecord("a", 5, 1), Start);
+  EndpointRecord Old = makeRecord("a", 4, 90);
   Old.State = EndpointState::Draining;
-  EXPECT_FALSE(All.publish(Old, Start));
-  EXPECT_EQ(All.find(EndpointName("a"))->Record.State, EndpointState::Serving);
+  EXPECT_FALSE(Catalogue.publish(Old, Start));
+  EXPECT_EQ(Catalogue.find(EndpointName("a"))->Record.State,
+            EndpointState::Serving);
 }
 
-// The whole fleet is gone for two seconds after each outage of the store.
-// Records lapse while the store is away, their removal is read on its return,
-// and the endpoints publish themselves again a moment later.
+// Guards against losing the whole fleet for two seconds after each outage of
+// the store: records lapse while the store is away, their removal is read on
+// its return, and the endpoints publish themselves again a moment later.
 TEST(Catalogue, RemovalsAfterAnOutageWaitForTheEndpoints) {
-  EndpointCatalogue All;
-  All.publish(record("back", 1, 1), Start);
-  All.publish(record("gone", 1, 1), Start);
-  All.storeReturned(Start);
-  EXPECT_FALSE(All.remove(EndpointName("back"), Start));
-  EXPECT_FALSE(All.remove(EndpointName("gone"), Start));
-  All.publish(record("back", 1, 2), Start + seconds(1));
-  EXPECT_TRUE(All.advance(Start + seconds(2)).empty());
-  const auto Gone = All.advance(Start + EndpointCatalogue::SettleTime);
-  EXPECT_EQ(Gone, std::vector<EndpointName>{EndpointName("gone")});
-  EXPECT_NE(All.find(EndpointName("back")), nullptr);
+  EndpointCatalogue Catalogue;
+  Catalogue.publish(makeRecord("back", 1, 1), Start);
+  Catalogue.publish(makeRecord("gone", 1, 1), Start);
+  Catalogue.storeReturned(Start);
+  EXPECT_FALSE(Catalogue.remove(EndpointName("back"), Start));
+  EXPECT_FALSE(Catalogue.remove(EndpointName("gone"), Start));
+  Catalogue.publish(makeRecord("back", 1, 2), Start + seconds(1));
+  EXPECT_TRUE(Catalogue.advance(Start + seconds(2)).empty());
+  const auto Dropped = Catalogue.advance(Start + EndpointCatalogue::SettleTime);
+  EXPECT_EQ(Dropped, std::vector<EndpointName>{EndpointName("gone")});
+  EXPECT_NE(Catalogue.find(EndpointName("back")), nullptr);
 }
 
-// A request goes to an endpoint that left two seconds ago.
-// It published itself after an outage of the store, and its entry was removed
-// after that: the entry did not lapse in the outage.
+// Guards against requests to an endpoint that has left: it published itself
+// after an outage of the store, and its record was removed after that, so the
+// record did not lapse in the outage.
 TEST(Catalogue, EndpointHeardSinceAnOutageHasLeft) {
-  EndpointCatalogue All;
-  All.publish(record("a", 1, 1), Start);
-  All.storeReturned(Start);
-  All.publish(record("a", 1, 2), Start + milliseconds(300));
-  EXPECT_TRUE(All.remove(EndpointName("a"), Start + milliseconds(600)));
+  EndpointCatalogue Catalogue;
+  Catalogue.publish(makeRecord("a", 1, 1), Start);
+  Catalogue.storeReturned(Start);
+  Catalogue.publish(makeRecord("a", 1, 2), Start + milliseconds(300));
+  EXPECT_TRUE(Catalogue.remove(EndpointName("a"), Start + milliseconds(600)));
 }
 
 TEST(Catalogue, RemovalInQuietTimesIsAtOnce) {
-  EndpointCatalogue All;
-  All.publish(record("a", 1, 1), Start);
-  EXPECT_TRUE(All.remove(EndpointName("a"), Start));
-  EXPECT_EQ(All.find(EndpointName("a")), nullptr);
+  EndpointCatalogue Catalogue;
+  Catalogue.publish(makeRecord("a", 1, 1), Start);
+  EXPECT_TRUE(Catalogue.remove(EndpointName("a"), Start));
+  EXPECT_EQ(Catalogue.find(EndpointName("a")), nullptr);
 }
 
-// A cold endpoint keeps its small share for the rest of the day.
-// Its cold time passes between two heartbeats.
+// Guards against a cold endpoint that keeps its small share of the work for
+// good, because its cold time passes between two heartbeats.
 TEST(Catalogue, ColdEndpointWarmsUpByTime) {
-  EndpointCatalogue All;
-  EndpointRecord Cold = record("a", 1, 1);
+  EndpointCatalogue Catalogue;
+  EndpointRecord Cold = makeRecord("a", 1, 1);
   Cold.ColdFor = milliseconds(500);
-  All.publish(Cold, Start);
-  const std::uint64_t Version = All.version();
-  EXPECT_TRUE(All.find(EndpointName("a"))->Cold);
-  (void)All.advance(Start + milliseconds(500));
-  EXPECT_FALSE(All.find(EndpointName("a"))->Cold);
-  EXPECT_GT(All.version(), Version);
+  Catalogue.publish(Cold, Start);
+  const std::uint64_t Version = Catalogue.version();
+  EXPECT_TRUE(Catalogue.find(EndpointName("a"))->Cold);
+  (void)Catalogue.advance(Start + milliseconds(500));
+  EXPECT_FALSE(Catalogue.find(EndpointName("a"))->Cold);
+  EXPECT_GT(Catalogue.version(), Version);
 }
 
 } // namespace
--- a/packages/version/test/coltsfoottrail/fleet/routeindex.cpp
+++ b/packages/version/test/coltsfoottrail/fleet/routeindex.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-RouteIndex index() {
+RouteIndex makeIndex() {
   PublishedConfig Config;
   for (const char *const Prefix : {"/", "/a/", "/a/b/"}) {
     RouteSpec Route;
@@ -20,7 +20,7 @@
 }
 
 TEST(RouteIndex, LongestPrefixWins) {
-  const RouteIndex Index = index();
+  const RouteIndex Index = makeIndex();
   EXPECT_EQ(Index.route("h.example", "/a/b/c")->Name, RouteName("/a/b/"));
   EXPECT_EQ(Index.route("h.example", "/a/bc")->Name, RouteName("/a/"));
   EXPECT_EQ(Index.route("h.example", "/a")->Name, RouteName("/"));
@@ -29,7 +29,7 @@
 }
 
 TEST(RouteIndex, FindsTeamsByCredential) {
-  const RouteIndex Index = index();
+  const RouteIndex Index = makeIndex();
   EXPECT_EQ(Index.team("key-2")->Name, TeamName("team"));
   EXPECT_EQ(Index.team("key-3"), nullptr);
   EXPECT_EQ(Index.team(""), nullptr);
--- a/packages/version/test/coltsfoottrail/route/table.cpp
+++ b/packages/version/test/coltsfoottrail/route/table.cpp
@@ -11,25 +11,25 @@
 using test::host;
 using test::model;
 
-/// A state with one group in each data centre.
+/// A state with one serving group in each data centre.
 State servingState() {
-  State Now;
-  Now.Declared = test::makeDeclaration();
-  Now.Next = 50;
+  State Agreed;
+  Agreed.Declared = test::makeDeclaration();
+  Agreed.Next = 50;
   for (std::uint32_t Index = 0; Index < 3; ++Index) {
-    const GroupId Which{10 + Index, 0};
-    Group &Each = Now.Groups[Which];
-    Each.Formed = test::formStep(Now.Declared, 0, model(0),
-                                 {host(Index, 0, 0), host(Index, 0, 1)});
-    Each.Phase = GroupPhase::Serving;
-    Each.Generation = 20 + Index;
-    Each.MemberRuns = {1, 2};
+    const GroupId Id{10 + Index, 0};
+    Group &Entry = Agreed.Groups[Id];
+    Entry.Formed = test::formStep(Agreed.Declared, 0, model(0),
+                                  {host(Index, 0, 0), host(Index, 0, 1)});
+    Entry.Phase = GroupPhase::Serving;
+    Entry.Generation = 20 + Index;
+    Entry.MemberRuns = {1, 2};
   }
-  return Now;
+  return Agreed;
 }
 
-const Pool &modelPool(const RouteTable &Of) {
-  return Of.Pools.at(modelPoolName("model0"));
+const Pool &modelPool(const RouteTable &Table) {
+  return Table.Pools.at(modelPoolName("model0"));
 }
 
 TEST(RouteTable, EndpointsCarryWhatIsDeclared) {
@@ -51,28 +51,28 @@
 }
 
 TEST(RouteTable, OnlyServingGroupsAreRoutedTo) {
-  State Now = servingState();
-  Now.Groups.at(GroupId{10, 0}).Phase = GroupPhase::Broken;
-  Now.Groups.at(GroupId{11, 0}).Phase = GroupPhase::Stopping;
-  Now.Groups.at(GroupId{12, 0}).Phase = GroupPhase::Forming;
-  EXPECT_TRUE(modelPool(buildRoutes(Now)).Endpoints.empty());
+  State Agreed = servingState();
+  Agreed.Groups.at(GroupId{10, 0}).Phase = GroupPhase::Broken;
+  Agreed.Groups.at(GroupId{11, 0}).Phase = GroupPhase::Stopping;
+  Agreed.Groups.at(GroupId{12, 0}).Phase = GroupPhase::Forming;
+  EXPECT_TRUE(modelPool(buildRoutes(Agreed)).Endpoints.empty());
 }
 
-// One machine of a group is drained, and it is not the leader, to which the
-// requests go. Its operator is about to pull it out.
+// Guards against requests to a group with a host that is about to be taken out:
+// the drained host is a member but not the leader, to which the requests go.
 TEST(RouteTable, GroupWithADrainedMemberGetsNothing) {
-  State Now = servingState();
-  Now.DrainedHosts.insert(host(0, 0, 1));
-  Now.DrainedHosts.insert(HostName("permits-1"));
-  const RouteTable Routes = buildRoutes(Now);
+  State Agreed = servingState();
+  Agreed.DrainedHosts.insert(host(0, 0, 1));
+  Agreed.DrainedHosts.insert(HostName("permits-1"));
+  const RouteTable Routes = buildRoutes(Agreed);
   EXPECT_EQ(modelPool(Routes).Endpoints.size(), 2U);
   EXPECT_EQ(Routes.Pools.at("service/permits").Endpoints.size(), 2U);
 }
 
 TEST(RouteTable, UndeclaredModelHasNoPool) {
-  State Now = servingState();
-  Now.Declared.Models.clear();
-  EXPECT_FALSE(buildRoutes(Now).Pools.contains("model/model0"));
+  State Agreed = servingState();
+  Agreed.Declared.Models.clear();
+  EXPECT_FALSE(buildRoutes(Agreed).Pools.contains("model/model0"));
 }
 
 } // namespace
