--- a/packages/version/src/coltsfoottrail/groups/agent.cpp
+++ b/packages/version/src/coltsfoottrail/groups/agent.cpp
@@ -6,66 +6,67 @@
 
 namespace {
 
-/// Set in the tickets of the watch, so that they differ from the executor's.
-constexpr CommandId WatchMark = CommandId{1} << 63U;
+/// Set in the command ids of the watch to distinguish them from those of the
+/// executor.
+constexpr CommandId WatchIdBit = CommandId{1} << 63U;
 
-bool isOfWatch(CommandId Which) { return (Which & WatchMark) != 0; }
+bool isWatchCommand(CommandId Id) { return (Id & WatchIdBit) != 0; }
 
 } // namespace
 
-GroupDecisions GroupAgent::poll(const State &Now, TimePoint At) {
-  GroupDecisions Out;
-  Out.Commands = Executor.poll(Now, At);
-  pollWatch(Now, At, Out);
-  addBeats(Now, At, Out);
-  return Out;
+GroupDecisions GroupAgent::poll(const State &Agreed, TimePoint Now) {
+  GroupDecisions Decisions;
+  Decisions.Commands = Executor.poll(Agreed, Now);
+  pollWatch(Agreed, Now, Decisions);
+  addBeats(Agreed, Now, Decisions);
+  return Decisions;
 }
 
-void GroupAgent::pollWatch(const State &Now, TimePoint At,
-                           GroupDecisions &Out) {
-  Live.follow(Now, Watch, At);
-  const auto OthersSilent = [this, At](const GroupId &Group) {
-    return Live.countOtherSilentWatchers(Group, At);
+void GroupAgent::pollWatch(const State &Agreed, TimePoint Now,
+                           GroupDecisions &Decisions) {
+  Liveness.follow(Agreed, Watch, Now);
+  const auto CountOthers = [this, Now](const GroupId &Group) {
+    return Liveness.countOtherSilentWatchers(Group, Now);
   };
-  for (GroupCommand &What : Watch.poll(Now, Live.plan(), OthersSilent, At)) {
-    std::visit([](auto &Each) { Each.Id |= WatchMark; }, What);
-    Out.Commands.push_back(std::move(What));
+  for (GroupCommand &Command :
+       Watch.poll(Agreed, Liveness.plan(), CountOthers, Now)) {
+    std::visit([](auto &Variant) { Variant.Id |= WatchIdBit; }, Command);
+    Decisions.Commands.push_back(std::move(Command));
   }
-  Live.follow(Now, Watch, At);
+  Liveness.follow(Agreed, Watch, Now);
 }
 
-void GroupAgent::addBeats(const State &Now, TimePoint At, GroupDecisions &Out) {
-  const bool Urgent = Live.takeUrgent();
-  if (At < NextBeat && !Urgent)
+void GroupAgent::addBeats(const State &Agreed, TimePoint Now,
+                          GroupDecisions &Decisions) {
+  const bool Urgent = Liveness.takeUrgent();
+  if (Now < NextBeat && !Urgent)
     return;
-  NextBeat = At + Times.BeatEvery;
-  for (const auto &[Name, Host] : Now.EntryHosts)
+  NextBeat = Now + Times.BeatEvery;
+  for (const auto &[Name, Host] : Agreed.EntryHosts)
     if (Name != Self)
-      Out.Beats.push_back({Name, Live.beatFor(Name, At)});
+      Decisions.Beats.push_back({Name, Liveness.beatFor(Name, Now)});
 }
 
-void GroupAgent::recordAppend(CommandId Which, const AppendResult &Outcome,
-                              TimePoint At) {
-  if (isOfWatch(Which))
-    Watch.recordAppend(Which & ~WatchMark, Outcome, At);
+void GroupAgent::recordAppend(CommandId Id, const AppendResult &Outcome,
+                              TimePoint Now) {
+  if (isWatchCommand(Id))
+    Watch.recordAppend(Id & ~WatchIdBit, Outcome, Now);
   else
-    Executor.recordAppend(Which, Outcome, At);
+    Executor.recordAppend(Id, Outcome, Now);
 }
 
-void GroupAgent::recordOrder(CommandId Which, OrderResult Result,
-                             TimePoint At) {
-  Executor.recordOrder(Which, Result, At);
+void GroupAgent::recordOrder(CommandId Id, OrderResult Result, TimePoint Now) {
+  Executor.recordOrder(Id, Result, Now);
 }
 
-void GroupAgent::recordReport(CommandId Which,
-                              std::optional<EngineReport> Report,
-                              TimePoint At) {
+void GroupAgent::recordReport(CommandId Id, std::optional<EngineReport> Report,
+                              TimePoint Now) {
   if (Report)
-    Executor.recordOtherAnswer(At);
-  if (isOfWatch(Which))
-    Watch.recordReport(Which & ~WatchMark, Report, At);
+    Executor.recordOtherAnswer(Now);
+  if (isWatchCommand(Id))
+    Watch.recordReport(Id & ~WatchIdBit, Report, Now);
   else
-    Executor.recordReport(Which, std::move(Report), At);
+    Executor.recordReport(Id, std::move(Report), Now);
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/agent.hpp
+++ b/packages/version/src/coltsfoottrail/groups/agent.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// All that one entry host decides about groups, behind one object.
+/// All decisions of one entry host about groups, behind one object.
 #ifndef COLTSFOOTTRAIL_GROUPS_AGENT_HPP
 #define COLTSFOOTTRAIL_GROUPS_AGENT_HPP
 
@@ -11,79 +11,82 @@
 
 namespace coltsfoottrail {
 
-/// @brief A beat that is due.
+/// @brief A liveness heartbeat to be sent to a peer.
 struct BeatToSend {
   HostName To;
   LivenessBeat Beat;
 };
 
-/// @brief What an agent wants done.
+/// @brief The decisions of one call of GroupAgent::poll().
 struct GroupDecisions {
   GroupCommands Commands;
   std::vector<BeatToSend> Beats;
 };
 
-/// @brief Ties the executor, the watch and the liveness of one entry host
-/// together. Pure and not thread-safe: it stands under one lock, or on one
-/// thread.
+/// @brief Combines the executor, the watch and the liveness of one entry host.
+/// Pure and not thread-safe: use it under one lock, or on one thread.
 ///
 /// Call poll() about ten times a second and after each change of state, carry
-/// out what it answers, and tell each command's outcome by its ticket.
+/// out the decisions that it returns, and report the outcome of each command
+/// under its id.
 class GroupAgent {
 public:
-  /// @brief Starts with nothing known.
-  /// @param Pacing Times of group life.
-  /// @param Watching Times of the watch.
-  /// @param Name This entry host.
-  /// @param Run This run of it.
+  /// @brief Makes an agent without state.
+  /// @param Pacing Timing of groups, leases and appends.
+  /// @param Watching Timing of the watch.
+  /// @param Name Name of this entry host.
+  /// @param Run Current run of this entry host.
   GroupAgent(const GroupTimes &Pacing, const WatchTimes &Watching,
              const HostName &Name, Incarnation Run)
       : Times(Watching), Self(Name), Executor(Pacing, Name, Run),
-        Watch(Watching, Pacing, Name), Live(Watching, Name, Run) {}
+        Watch(Watching, Pacing, Name), Liveness(Watching, Name, Run) {}
 
-  /// @brief Decides.
-  /// @param Now The agreed state; never older than the one given before.
-  /// @param At The time.
-  [[nodiscard]] GroupDecisions poll(const State &Now, TimePoint At);
+  /// @brief Decides what to do now.
+  /// @param Agreed The agreed state; never older than the one passed before.
+  /// @param Now The time.
+  [[nodiscard]] GroupDecisions poll(const State &Agreed, TimePoint Now);
 
-  /// @brief Takes an append's outcome.
-  void recordAppend(CommandId Which, const AppendResult &Outcome, TimePoint At);
-  /// @brief Takes an order's outcome.
-  void recordOrder(CommandId Which, OrderResult Result, TimePoint At);
-  /// @brief Takes a report, or nothing when none came.
-  void recordReport(CommandId Which, std::optional<EngineReport> Report,
-                    TimePoint At);
-  /// @brief Takes a peer's beat.
-  void receiveBeat(const LivenessBeat &Beat, TimePoint At) {
-    Live.receiveBeat(Beat, At);
+  /// @brief Records the outcome of an append.
+  void recordAppend(CommandId Id, const AppendResult &Outcome, TimePoint Now);
+  /// @brief Records the outcome of an order.
+  void recordOrder(CommandId Id, OrderResult Result, TimePoint Now);
+  /// @brief Records an engine report, or that none came.
+  void recordReport(CommandId Id, std::optional<EngineReport> Report,
+                    TimePoint Now);
+  /// @brief Handles a heartbeat from a peer.
+  void receiveBeat(const LivenessBeat &Beat, TimePoint Now) {
+    Liveness.receiveBeat(Beat, Now);
   }
-  /// @brief Has a group's members asked at once, because a request to it
+  /// @brief Queries the members of a group at once, because a request to it
   /// failed.
-  void suspect(const GroupId &Group, TimePoint At) { Watch.suspect(Group, At); }
+  void suspect(const GroupId &Group, TimePoint Now) {
+    Watch.suspect(Group, Now);
+  }
 
-  /// @brief Tells whether requests may be sent to a group.
-  [[nodiscard]] bool mayRoute(const GroupId &Group, TimePoint At) const {
-    return Live.mayRoute(Group, At);
+  /// @brief Whether requests may be sent to a group.
+  [[nodiscard]] bool mayRoute(const GroupId &Group, TimePoint Now) const {
+    return Liveness.mayRoute(Group, Now);
   }
-  /// @brief Until when each group may be used, if nothing is heard meanwhile;
-  /// a copy for the request path. A group that is not in it may not be used.
+  /// @brief Returns until when each group may be used if nothing is received in
+  /// the meantime; a copy for the request path. A group that is not included
+  /// may not be used.
   [[nodiscard]] std::map<GroupId, TimePoint> usableUntil() const {
-    return Live.usableUntil();
+    return Liveness.usableUntil();
   }
   /// @brief Hosts that are known not to answer, for planIntent().
-  [[nodiscard]] std::set<HostName> avoidedHosts(TimePoint At) const {
-    return Executor.avoidedHosts(At);
+  [[nodiscard]] std::set<HostName> avoidedHosts(TimePoint Now) const {
+    return Executor.avoidedHosts(Now);
   }
 
 private:
-  void pollWatch(const State &Now, TimePoint At, GroupDecisions &Out);
-  void addBeats(const State &Now, TimePoint At, GroupDecisions &Out);
+  void pollWatch(const State &Agreed, TimePoint Now, GroupDecisions &Decisions);
+  void addBeats(const State &Agreed, TimePoint Now, GroupDecisions &Decisions);
 
   WatchTimes Times;
   HostName Self;
   GroupExecutor Executor;
   GroupWatch Watch;
-  GroupLiveness Live;
+  GroupLiveness Liveness;
   TimePoint NextBeat;
 };
 
--- a/packages/version/src/coltsfoottrail/groups/beat.cpp
+++ b/packages/version/src/coltsfoottrail/groups/beat.cpp
@@ -10,40 +10,40 @@
 constexpr std::string_view BeatSource = "beat";
 
 Json writeGroups(const std::vector<GroupId> &Groups) {
-  Json Out = Json::array();
+  Json List = Json::array();
   for (const GroupId &Id : Groups)
-    Out.push_back(Json{{"p", Id.Plan}, {"n", Id.Number}});
-  return Out;
+    List.push_back(Json{{"p", Id.Plan}, {"n", Id.Number}});
+  return List;
 }
 
-std::vector<GroupId> readGroups(ObjectReader &From, std::string_view Key) {
+std::vector<GroupId> readGroups(ObjectReader &Reader, std::string_view Key) {
   std::vector<GroupId> Groups;
-  From.eachObject(Key, [&](ObjectReader &Each) {
+  Reader.eachObject(Key, [&](ObjectReader &Entry) {
     GroupId Id;
-    Id.Plan = Each.number("p");
+    Id.Plan = Entry.number("p");
     Id.Number = static_cast<std::uint32_t>(
-        Each.number("n", 0, std::numeric_limits<std::uint32_t>::max()));
+        Entry.number("n", 0, std::numeric_limits<std::uint32_t>::max()));
     Groups.push_back(Id);
   });
   if (Groups.size() > MaxListedGroups)
-    From.refuse(Key, "a list of groups within the limit");
+    Reader.refuse(Key, "a list of groups within the limit");
   return Groups;
 }
 
 } // namespace
 
 Json writeBeat(const LivenessBeat &Beat) {
-  Json Out{{"from", Beat.From.Text},         {"run", Beat.Id.Run},
-           {"seq", Beat.Id.Sequence},        {"echo_run", Beat.Echo.Run},
-           {"echo_seq", Beat.Echo.Sequence}, {"plan", Beat.PlanDigest},
-           {"through", Beat.StateNext}};
+  Json Body{{"from", Beat.From.Text},         {"run", Beat.Id.Run},
+            {"seq", Beat.Id.Sequence},        {"echo_run", Beat.Echo.Run},
+            {"echo_seq", Beat.Echo.Sequence}, {"plan", Beat.PlanDigest},
+            {"through", Beat.StateNext}};
   if (!Beat.Doubted.empty())
-    Out["doubted"] = writeGroups(Beat.Doubted);
+    Body["doubted"] = writeGroups(Beat.Doubted);
   if (!Beat.Silent.empty())
-    Out["silent"] = writeGroups(Beat.Silent);
+    Body["silent"] = writeGroups(Beat.Silent);
   if (!Beat.Broken.empty())
-    Out["broken"] = writeGroups(Beat.Broken);
-  return Out;
+    Body["broken"] = writeGroups(Beat.Broken);
+  return Body;
 }
 
 LivenessBeat readBeat(const Json &Value) {
--- a/packages/version/src/coltsfoottrail/groups/command.hpp
+++ b/packages/version/src/coltsfoottrail/groups/command.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What the decisions on groups want done; the process carries it out.
+/// Commands that the decisions about groups result in; the process carries them
+/// out.
 #ifndef COLTSFOOTTRAIL_GROUPS_COMMAND_HPP
 #define COLTSFOOTTRAIL_GROUPS_COMMAND_HPP
 
@@ -12,16 +13,17 @@
 
 namespace coltsfoottrail {
 
-/// Append a record and tell the outcome by appended().
+/// Append a record and report the outcome with recordAppend().
 struct AppendRecord {
   CommandId Id = 0;
   Record Body;
 };
 
-/// Give an order and tell the outcome by ordered(). Failure guarded against: a
-/// host that was paused after it decided gives an order under a lease that has
-/// lapsed meanwhile. Whoever sends it reads the BootClock last of all and tells
-/// OrderResult::NotDone instead when NotAfter has passed.
+/// Send an order and report the outcome with recordOrder(). Failure guarded
+/// against: a host that was paused after it decided sends an order under a
+/// lease that has lapsed in the meantime. So the sender reads the BootClock
+/// immediately before sending, and reports OrderResult::NotDone instead if
+/// NotAfter has passed.
 struct OrderEngine {
   CommandId Id = 0;
   HostName Host;
@@ -31,7 +33,7 @@
   TimePoint NotAfter = TimePoint::max();
 };
 
-/// Ask for a report and tell it by reported().
+/// Query an engine for a report and pass it to recordReport().
 struct AskEngine {
   CommandId Id = 0;
   HostName Host;
@@ -39,7 +41,7 @@
   milliseconds Timeout{0};
 };
 
-/// What is to be done.
+/// Any command.
 using GroupCommand = std::variant<AppendRecord, OrderEngine, AskEngine>;
 using GroupCommands = std::vector<GroupCommand>;
 
--- a/packages/version/src/coltsfoottrail/groups/enginebook.cpp
+++ b/packages/version/src/coltsfoottrail/groups/enginebook.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Duration ForgetAfter = std::chrono::minutes(5);
+constexpr Duration DropAfter = std::chrono::minutes(5);
 
 EngineAddress addressOf(const HostSpec &Host) {
   return EngineAddress{Host.Address, Host.Port};
@@ -14,126 +14,126 @@
 
 } // namespace
 
-void EngineTracker::ask(const HostSpec &Whom, TimePoint Now,
-                        GroupCommands &Out) {
-  EngineView &View = Known[Whom.Name];
-  View.LastUse = Now;
-  if (View.Asking || View.Ordering || Now < View.NextAsk)
+void EngineTracker::query(const HostSpec &Host, TimePoint Now,
+                          GroupCommands &Out) {
+  EngineView &Engine = Engines[Host.Name];
+  Engine.LastUse = Now;
+  if (Engine.QueryId || Engine.OrderId || Now < Engine.NextQuery)
     return;
-  View.Asking = Draw.drawTicket();
-  View.AskingSince = Now;
-  View.NextAsk = Now + Times.PollEvery;
-  Asked[*View.Asking] = Whom.Name;
+  Engine.QueryId = CommandIds.nextId();
+  Engine.QuerySentAt = Now;
+  Engine.NextQuery = Now + Times.PollEvery;
+  PendingQueries[*Engine.QueryId] = Host.Name;
   Out.emplace_back(
-      AskEngine{*View.Asking, Whom.Name, addressOf(Whom), Times.AskTimeout});
+      AskEngine{*Engine.QueryId, Host.Name, addressOf(Host), Times.AskTimeout});
 }
 
-void EngineTracker::order(const HostSpec &To, EngineOrder Order,
+void EngineTracker::order(const HostSpec &Host, EngineOrder Order,
                           TimePoint NotAfter, TimePoint Now,
                           GroupCommands &Out) {
-  EngineView &View = Known[To.Name];
-  View.LastUse = Now;
-  if (View.Ordering || Now < View.NextOrder)
+  EngineView &Engine = Engines[Host.Name];
+  Engine.LastUse = Now;
+  if (Engine.OrderId || Now < Engine.NextOrder)
     return;
-  View.Ordering = Draw.drawTicket();
-  View.NextOrder = Now + Times.OrderEvery;
-  View.LastResult.reset();
-  View.Last.reset();
-  Ordered[*View.Ordering] = To.Name;
-  Out.emplace_back(OrderEngine{*View.Ordering, To.Name, addressOf(To),
+  Engine.OrderId = CommandIds.nextId();
+  Engine.NextOrder = Now + Times.OrderEvery;
+  Engine.LastResult.reset();
+  Engine.LastReport.reset();
+  PendingOrders[*Engine.OrderId] = Host.Name;
+  Out.emplace_back(OrderEngine{*Engine.OrderId, Host.Name, addressOf(Host),
                                std::move(Order), Times.OrderTimeout, NotAfter});
 }
 
-void EngineTracker::recordReport(CommandId Which,
+void EngineTracker::recordReport(CommandId Id,
                                  std::optional<EngineReport> Report,
                                  TimePoint Now) {
-  const auto Found = Asked.find(Which);
-  if (Found == Asked.end())
+  const auto Pending = PendingQueries.find(Id);
+  if (Pending == PendingQueries.end())
     return;
-  const HostName Host = Found->second;
-  Asked.erase(Found);
-  const auto Entry = Known.find(Host);
-  if (Entry == Known.end() || Entry->second.Asking != Which)
+  const HostName Host = Pending->second;
+  PendingQueries.erase(Pending);
+  const auto Entry = Engines.find(Host);
+  if (Entry == Engines.end() || Entry->second.QueryId != Id)
     return;
-  EngineView &View = Entry->second;
-  View.Asking.reset();
+  EngineView &Engine = Entry->second;
+  Engine.QueryId.reset();
   if (!Report) {
-    if (!View.SilentSince)
-      View.SilentSince = View.AskingSince;
-    if (Now - *View.SilentSince > Times.SilentPollEvery)
-      View.NextAsk = Now + Times.SilentPollEvery;
-    View.Last.reset();
+    if (!Engine.SilentSince)
+      Engine.SilentSince = Engine.QuerySentAt;
+    if (Now - *Engine.SilentSince > Times.SilentPollEvery)
+      Engine.NextQuery = Now + Times.SilentPollEvery;
+    Engine.LastReport.reset();
     return;
   }
-  View.SilentSince.reset();
+  Engine.SilentSince.reset();
   LastAnswer = Now;
-  // Failure guarded against: an order is given while a question is under way,
-  // and the answer shows the engine as it was before the order.
-  if (View.Ordering)
+  // Failure guarded against: an order is sent while a query is in progress, and
+  // the answer shows the engine as it was before the order.
+  if (Engine.OrderId)
     return;
-  View.Last = std::move(Report);
-  View.AskedAt = View.AskingSince;
+  Engine.LastReport = std::move(Report);
+  Engine.LastQueriedAt = Engine.QuerySentAt;
 }
 
-void EngineTracker::recordOrder(CommandId Which, OrderResult Result,
+void EngineTracker::recordOrder(CommandId Id, OrderResult Result,
                                 TimePoint Now) {
-  const auto Found = Ordered.find(Which);
-  if (Found == Ordered.end())
+  const auto Pending = PendingOrders.find(Id);
+  if (Pending == PendingOrders.end())
     return;
-  const HostName Host = Found->second;
-  Ordered.erase(Found);
-  const auto Entry = Known.find(Host);
-  if (Entry == Known.end() || Entry->second.Ordering != Which)
+  const HostName Host = Pending->second;
+  PendingOrders.erase(Pending);
+  const auto Entry = Engines.find(Host);
+  if (Entry == Engines.end() || Entry->second.OrderId != Id)
     return;
-  EngineView &View = Entry->second;
-  View.Ordering.reset();
-  View.LastResult = Result;
-  View.Last.reset();
-  View.Asking.reset();
-  View.NextAsk = Now;
+  EngineView &Engine = Entry->second;
+  Engine.OrderId.reset();
+  Engine.LastResult = Result;
+  Engine.LastReport.reset();
+  Engine.QueryId.reset();
+  Engine.NextQuery = Now;
 }
 
-const EngineReport *EngineTracker::reportSince(const HostName &Of,
+const EngineReport *EngineTracker::reportSince(const HostName &Host,
                                                TimePoint Since) const {
-  const EngineView *View = find(Of);
-  if (View == nullptr || !View->Last || View->AskedAt < Since)
+  const EngineView *Engine = find(Host);
+  if (Engine == nullptr || !Engine->LastReport || Engine->LastQueriedAt < Since)
     return nullptr;
-  return &*View->Last;
+  return &*Engine->LastReport;
 }
 
-const EngineView *EngineTracker::find(const HostName &Of) const {
-  const auto Entry = Known.find(Of);
-  return Entry == Known.end() ? nullptr : &Entry->second;
+const EngineView *EngineTracker::find(const HostName &Host) const {
+  const auto Entry = Engines.find(Host);
+  return Entry == Engines.end() ? nullptr : &Entry->second;
 }
 
-bool EngineTracker::takeRefusedFence(const HostName &Of) {
-  const auto Entry = Known.find(Of);
-  if (Entry == Known.end() ||
+bool EngineTracker::takeRefusedFence(const HostName &Host) {
+  const auto Entry = Engines.find(Host);
+  if (Entry == Engines.end() ||
       Entry->second.LastResult != OrderResult::RefusedOldFence)
     return false;
   Entry->second.LastResult.reset();
   return true;
 }
 
-Duration EngineTracker::silentFor(const HostName &Of, TimePoint Now) const {
-  const EngineView *View = find(Of);
-  if (View == nullptr || !View->SilentSince)
+Duration EngineTracker::silentFor(const HostName &Host, TimePoint Now) const {
+  const EngineView *Engine = find(Host);
+  if (Engine == nullptr || !Engine->SilentSince)
     return Duration::zero();
-  return Now - *View->SilentSince;
+  return Now - *Engine->SilentSince;
 }
 
 bool EngineTracker::seemsCutOff(TimePoint Now) const {
   if (LastAnswer && Now - *LastAnswer < Times.CutOffAfter)
     return false;
-  for (const auto &[Host, View] : Known)
-    if (View.SilentSince && Now - *View.SilentSince >= Times.CutOffAfter)
+  for (const auto &[Host, Engine] : Engines)
+    if (Engine.SilentSince && Now - *Engine.SilentSince >= Times.CutOffAfter)
       return true;
   return false;
 }
 
 void EngineTracker::forgetIdle(TimePoint Now) {
-  std::erase_if(Known, [Now](const auto &Entry) {
-    return Now - Entry.second.LastUse > ForgetAfter;
+  std::erase_if(Engines, [Now](const auto &Entry) {
+    return Now - Entry.second.LastUse > DropAfter;
   });
 }
 
--- a/packages/version/src/coltsfoottrail/groups/enginebook.hpp
+++ b/packages/version/src/coltsfoottrail/groups/enginebook.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What an entry host knows of the engines that it deals with.
+/// Tracks the reports and orders of the engines that an entry host deals with.
 #ifndef COLTSFOOTTRAIL_GROUPS_ENGINEBOOK_HPP
 #define COLTSFOOTTRAIL_GROUPS_ENGINEBOOK_HPP
 
@@ -12,88 +12,90 @@
 
 namespace coltsfoottrail {
 
-/// @brief What is known of one engine.
+/// @brief State of one engine as seen by this host.
 struct EngineView {
-  /// Its last report; none since an order was given, so that no decision rests
+  /// Last report. Cleared when an order is sent, so that no decision is based
   /// on a report from before the order.
-  std::optional<EngineReport> Last;
-  /// When the question left that Last answers.
-  TimePoint AskedAt;
-  TimePoint NextAsk;
+  std::optional<EngineReport> LastReport;
+  /// When the query was sent that LastReport answers.
+  TimePoint LastQueriedAt;
+  TimePoint NextQuery;
   TimePoint NextOrder;
   /// Since when it has not answered.
   std::optional<TimePoint> SilentSince;
-  std::optional<CommandId> Asking;
-  std::optional<CommandId> Ordering;
-  TimePoint AskingSince;
+  std::optional<CommandId> QueryId;
+  std::optional<CommandId> OrderId;
+  TimePoint QuerySentAt;
   std::optional<OrderResult> LastResult;
   TimePoint LastUse;
 };
 
-/// @brief Asks engines and gives them orders, one of each at a time for one
-/// engine. A lost answer is resolved by asking. Not thread-safe.
+/// @brief Queries engines and sends them orders, at most one query and one
+/// order at a time per engine. A lost answer is resolved by querying. Not
+/// thread-safe.
 class EngineTracker {
 public:
-  /// @brief Starts with nothing known.
-  /// @param Given Times of the deployment.
-  /// @param Tickets Where tickets are drawn; must outlive the book.
-  EngineTracker(const GroupTimes &Given, AppendPacer &Tickets)
-      : Times(Given), Draw(Tickets) {}
-
-  /// @brief Asks an engine when the time has come.
-  /// @param Whom The host of the engine.
+  /// @brief Makes a tracker without engines.
+  /// @param Timing Timing of the deployment.
+  /// @param Ids Source of command ids; must outlive the tracker.
+  EngineTracker(const GroupTimes &Timing, AppendPacer &Ids)
+      : Times(Timing), CommandIds(Ids) {}
+
+  /// @brief Queries an engine if its next query is due.
+  /// @param Host The host of the engine.
   /// @param Now The time.
-  /// @param Out Where the command goes.
-  void ask(const HostSpec &Whom, TimePoint Now, GroupCommands &Out);
+  /// @param Out Commands are added here.
+  void query(const HostSpec &Host, TimePoint Now, GroupCommands &Out);
 
-  /// @brief Gives an order unless one is under way or was given a short while
+  /// @brief Sends an order unless one is in progress or was sent a short while
   /// ago.
-  /// @param To The host of the engine.
+  /// @param Host The host of the engine.
   /// @param Order The order.
-  /// @param NotAfter When the lease ends that it is given under.
+  /// @param NotAfter End of the lease that the order is sent under.
   /// @param Now The time.
-  /// @param Out Where the command goes.
-  void order(const HostSpec &To, EngineOrder Order, TimePoint NotAfter,
+  /// @param Out Commands are added here.
+  void order(const HostSpec &Host, EngineOrder Order, TimePoint NotAfter,
              TimePoint Now, GroupCommands &Out);
 
-  /// @brief Takes a report, or its absence.
-  void recordReport(CommandId Which, std::optional<EngineReport> Report,
+  /// @brief Records a report, or that none came.
+  void recordReport(CommandId Id, std::optional<EngineReport> Report,
                     TimePoint Now);
-  /// @brief Takes an order's outcome.
-  void recordOrder(CommandId Which, OrderResult Result, TimePoint Now);
+  /// @brief Records the outcome of an order.
+  void recordOrder(CommandId Id, OrderResult Result, TimePoint Now);
 
-  /// @brief Finds a report that was asked for at or after a time.
-  /// @return Null when there is none; valid until the next call.
-  [[nodiscard]] const EngineReport *reportSince(const HostName &Of,
+  /// @brief Finds a report whose query was sent at or after a time.
+  /// @return Null if there is none; valid until the next call.
+  [[nodiscard]] const EngineReport *reportSince(const HostName &Host,
                                                 TimePoint Since) const;
 
-  /// @brief Finds what is known of an engine; null when nothing is.
-  [[nodiscard]] const EngineView *find(const HostName &Of) const;
+  /// @brief Finds the state of an engine; null if it is unknown.
+  [[nodiscard]] const EngineView *find(const HostName &Host) const;
 
-  /// @brief Tells whether the last order was refused for its fence, and forgets
-  /// it.
-  [[nodiscard]] bool takeRefusedFence(const HostName &Of);
+  /// @brief Whether the last order was refused because of its fencing number;
+  /// clears the result.
+  [[nodiscard]] bool takeRefusedFence(const HostName &Host);
 
-  /// @brief Tells for how long an engine has not answered.
-  [[nodiscard]] Duration silentFor(const HostName &Of, TimePoint Now) const;
+  /// @brief How long an engine has not answered.
+  [[nodiscard]] Duration silentFor(const HostName &Host, TimePoint Now) const;
 
-  /// @brief Tells whether engines were asked and none has answered for a while,
-  /// which says more of this host than of them.
+  /// @brief Whether engines were queried and none has answered for a while,
+  /// which suggests that this host is cut off rather than that the engines are
+  /// down.
   [[nodiscard]] bool seemsCutOff(TimePoint Now) const;
 
-  /// @brief Tells that an engine answered to somebody else on this host.
+  /// @brief Records that an engine answered another component of this host.
   void recordOtherAnswer(TimePoint Now) { LastAnswer = Now; }
 
-  /// @brief Forgets engines that nothing has been asked of for a while.
+  /// @brief Drops engines that have not been used for a while.
   void forgetIdle(TimePoint Now);
 
 private:
   GroupTimes Times;
-  AppendPacer &Draw;
+  AppendPacer &CommandIds;
   std::optional<TimePoint> LastAnswer;
-  std::map<HostName, EngineView> Known;
-  std::map<CommandId, HostName> Asked;
-  std::map<CommandId, HostName> Ordered;
+  std::map<HostName, EngineView> Engines;
+  std::map<CommandId, HostName> PendingQueries;
+  std::map<CommandId, HostName> PendingOrders;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/executor.cpp
+++ b/packages/version/src/coltsfoottrail/groups/executor.cpp
@@ -2,31 +2,31 @@
 
 namespace coltsfoottrail {
 
-GroupCommands GroupExecutor::poll(const State &Now, TimePoint At) {
-  GroupCommands Out;
-  sortGroups(Now);
-  Leases.poll(Now, At, Book.seemsCutOff(At), Pace, Out);
-  Form.poll(Now, Forming, At, Leases, Book, Pace, Out);
-  Steps.poll(Now, At, Leases, Book, Pace, Out);
-  Release.poll(Now, Over, At, Book, Pace, Out);
-  for (const HostName &Host : Form.takeFailedHosts())
-    Repair.avoid(Host, At);
-  Repair.poll(Now, At, Book, Pace, Out);
-  Book.forgetIdle(At);
-  return Out;
+GroupCommands GroupExecutor::poll(const State &Agreed, TimePoint Now) {
+  GroupCommands Commands;
+  sortGroups(Agreed);
+  Leases.poll(Agreed, Now, Engines.seemsCutOff(Now), Appends, Commands);
+  Former.poll(Agreed, Forming, Now, Leases, Engines, Appends, Commands);
+  Steps.poll(Agreed, Now, Leases, Engines, Appends, Commands);
+  Releaser.poll(Agreed, Ended, Now, Engines, Appends, Commands);
+  for (const HostName &Host : Former.takeFailedHosts())
+    Repairer.avoid(Host, Now);
+  Repairer.poll(Agreed, Now, Engines, Appends, Commands);
+  Engines.forgetIdle(Now);
+  return Commands;
 }
 
-void GroupExecutor::sortGroups(const State &Now) {
-  if (SortedAt == Now.Next)
+void GroupExecutor::sortGroups(const State &Agreed) {
+  if (SortedNext == Agreed.Next)
     return;
-  SortedAt = Now.Next;
+  SortedNext = Agreed.Next;
   Forming.clear();
-  Over.clear();
-  for (const auto &[Id, Known] : Now.Groups) {
-    if (Known.Phase == GroupPhase::Forming)
+  Ended.clear();
+  for (const auto &[Id, Current] : Agreed.Groups) {
+    if (Current.Phase == GroupPhase::Forming)
       Forming.push_back(Id);
-    else if (Known.Phase != GroupPhase::Serving)
-      Over.push_back(Id);
+    else if (Current.Phase != GroupPhase::Serving)
+      Ended.push_back(Id);
   }
 }
 
--- a/packages/version/src/coltsfoottrail/groups/executor.hpp
+++ b/packages/version/src/coltsfoottrail/groups/executor.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The part that each entry host takes in carrying plans out.
+/// Executes plans on an entry host.
 #ifndef COLTSFOOTTRAIL_GROUPS_EXECUTOR_HPP
 #define COLTSFOOTTRAIL_GROUPS_EXECUTOR_HPP
 
@@ -14,67 +14,67 @@
 namespace coltsfoottrail {
 
 /// @brief Decides what one entry host does for plans and groups: takes leases
-/// on running plans, forms groups, carries steps on, releases the hosts of
-/// groups that are over and repairs what is missing.
+/// on running plans, forms groups, advances plan steps, releases the hosts of
+/// groups that have ended, and repairs missing groups.
 ///
-/// The same object runs on every entry host; who acts on what is spread by
-/// rendezvous hash, and whoever comes next steps in when the first one doesn't
-/// act. Pure: it goes by the agreed state, the answers that it is told and the
-/// times that it is given. Not thread-safe.
+/// The same object runs on every entry host. Rendezvous hashing spreads who
+/// acts on what, and the next host in rank steps in if the first one does not
+/// act. Pure: depends only on the agreed state, the recorded outcomes and the
+/// times passed in. Not thread-safe.
 class GroupExecutor {
 public:
-  /// @brief Starts with nothing known.
-  /// @param Given Times of the deployment.
-  /// @param Name This entry host.
-  /// @param Run This run of it.
-  GroupExecutor(const GroupTimes &Given, const HostName &Name, Incarnation Run)
-      : Pace(Given), Book(Given, Pace), Leases(Given, Name, Run), Form(Given),
-        Steps(Given), Release(Given, Name), Repair(Given, Name) {}
+  /// @brief Makes an executor without state.
+  /// @param Timing Timing of the deployment.
+  /// @param Name Name of this entry host.
+  /// @param Run Current run of this entry host.
+  GroupExecutor(const GroupTimes &Timing, const HostName &Name, Incarnation Run)
+      : Appends(Timing), Engines(Timing, Appends), Leases(Timing, Name, Run),
+        Former(Timing), Steps(Timing), Releaser(Timing, Name),
+        Repairer(Timing, Name) {}
 
-  /// @brief Decides. Call it several times a second and when the state has
-  /// changed.
-  /// @param Now The agreed state; never older than the one given before.
-  /// @param At The time.
-  /// @return What is to be done, in any order.
-  [[nodiscard]] GroupCommands poll(const State &Now, TimePoint At);
+  /// @brief Decides what to do now. Call it several times a second and when the
+  /// state has changed.
+  /// @param Agreed The agreed state; never older than the one passed before.
+  /// @param Now The time.
+  /// @return Commands, in any order.
+  [[nodiscard]] GroupCommands poll(const State &Agreed, TimePoint Now);
 
-  /// @brief Takes an append's outcome.
-  void recordAppend(CommandId Which, const AppendResult &Outcome,
-                    TimePoint At) {
-    Pace.recordAppend(Which, Outcome, At);
+  /// @brief Records the outcome of an append.
+  void recordAppend(CommandId Id, const AppendResult &Outcome, TimePoint Now) {
+    Appends.recordAppend(Id, Outcome, Now);
   }
-  /// @brief Takes an order's outcome.
-  void recordOrder(CommandId Which, OrderResult Result, TimePoint At) {
-    Book.recordOrder(Which, Result, At);
+  /// @brief Records the outcome of an order.
+  void recordOrder(CommandId Id, OrderResult Result, TimePoint Now) {
+    Engines.recordOrder(Id, Result, Now);
   }
-  /// @brief Takes a report, or nothing when none came.
-  void recordReport(CommandId Which, std::optional<EngineReport> Report,
-                    TimePoint At) {
-    Book.recordReport(Which, std::move(Report), At);
+  /// @brief Records an engine report, or that none came.
+  void recordReport(CommandId Id, std::optional<EngineReport> Report,
+                    TimePoint Now) {
+    Engines.recordReport(Id, std::move(Report), Now);
   }
-  /// @brief Tells that an engine has answered to the watch over members: this
+  /// @brief Records that an engine has answered a query of the watch, so this
   /// host is not cut off.
-  void recordOtherAnswer(TimePoint At) { Book.recordOtherAnswer(At); }
+  void recordOtherAnswer(TimePoint Now) { Engines.recordOtherAnswer(Now); }
 
   /// @brief Hosts that are known not to answer; intents are planned without
   /// them.
-  [[nodiscard]] std::set<HostName> avoidedHosts(TimePoint At) const {
-    return Repair.avoidedHosts(At);
+  [[nodiscard]] std::set<HostName> avoidedHosts(TimePoint Now) const {
+    return Repairer.avoidedHosts(Now);
   }
 
 private:
-  void sortGroups(const State &Now);
+  void sortGroups(const State &Agreed);
 
-  AppendPacer Pace;
-  EngineTracker Book;
+  AppendPacer Appends;
+  EngineTracker Engines;
   LeaseKeeper Leases;
-  GroupFormer Form;
+  GroupFormer Former;
   StepRunner Steps;
-  HostReleaser Release;
-  GroupRepairer Repair;
-  std::optional<Offset> SortedAt;
+  HostReleaser Releaser;
+  GroupRepairer Repairer;
+  std::optional<Offset> SortedNext;
   std::vector<GroupId> Forming;
-  std::vector<GroupId> Over;
+  std::vector<GroupId> Ended;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/former.cpp
+++ b/packages/version/src/coltsfoottrail/groups/former.cpp
@@ -7,45 +7,46 @@
 
 namespace coltsfoottrail {
 
-struct GroupFormer::Pass {
-  const State &Now;
-  TimePoint At;
+struct GroupFormer::PollContext {
+  const State &Agreed;
+  TimePoint Now;
   LeaseKeeper &Leases;
-  EngineTracker &Book;
-  AppendPacer &Pace;
+  EngineTracker &Engines;
+  AppendPacer &Appends;
   GroupCommands &Out;
 };
 
 namespace {
 
-/// The groups that may load: the oldest, as many as the weight store bears.
-std::vector<GroupId> groupsInTurn(const State &Now,
-                                  std::span<const GroupId> Forming) {
-  std::vector<std::pair<Offset, GroupId>> Waiting;
+/// Returns the groups that may load: the oldest ones, as many as the weight
+/// store supports.
+std::vector<GroupId> groupsAllowedToLoad(const State &Agreed,
+                                         std::span<const GroupId> Forming) {
+  std::vector<std::pair<Offset, GroupId>> ByAge;
   for (const GroupId &Id : Forming)
-    Waiting.emplace_back(Now.Groups.at(Id).Generation, Id);
-  const std::size_t Bears =
-      std::max<std::size_t>(1, Now.Declared.WeightLoadsAtOnce);
-  const std::size_t Count = std::min(Waiting.size(), Bears);
-  const auto End = Waiting.begin() + static_cast<std::ptrdiff_t>(Count);
-  std::partial_sort(Waiting.begin(), End, Waiting.end());
-  std::vector<GroupId> InTurn;
-  for (auto Each = Waiting.begin(); Each != End; ++Each)
-    InTurn.push_back(Each->second);
-  return InTurn;
+    ByAge.emplace_back(Agreed.Groups.at(Id).Generation, Id);
+  const std::size_t Limit =
+      std::max<std::size_t>(1, Agreed.Declared.WeightLoadsAtOnce);
+  const std::size_t Count = std::min(ByAge.size(), Limit);
+  const auto End = ByAge.begin() + static_cast<std::ptrdiff_t>(Count);
+  std::partial_sort(ByAge.begin(), End, ByAge.end());
+  std::vector<GroupId> Allowed;
+  for (auto Entry = ByAge.begin(); Entry != End; ++Entry)
+    Allowed.push_back(Entry->second);
+  return Allowed;
 }
 
-JoinGroup joinOrder(const State &Now, const GroupId &Id, const Group &Known,
-                    std::size_t Rank) {
+JoinGroup joinOrder(const State &Agreed, const GroupId &Id,
+                    const Group &Current, std::size_t Rank) {
   JoinGroup Join;
   Join.Group = Id;
-  Join.Model = Known.Formed.Model;
-  Join.Version = Known.Formed.Version;
-  Join.Adapters = Known.Formed.Adapters;
-  Join.Role = Known.Formed.Role;
+  Join.Model = Current.Formed.Model;
+  Join.Version = Current.Formed.Version;
+  Join.Adapters = Current.Formed.Adapters;
+  Join.Role = Current.Formed.Role;
   Join.Rank = static_cast<std::uint32_t>(Rank);
-  for (const HostName &Member : Known.Formed.Members) {
-    const HostSpec *Host = findHost(Now.Declared, Member);
+  for (const HostName &Member : Current.Formed.Members) {
+    const HostSpec *Host = findHost(Agreed.Declared, Member);
     Join.Members.push_back(Host == nullptr
                                ? EngineAddress{}
                                : EngineAddress{Host->Address, Host->Port});
@@ -54,106 +55,115 @@
 }
 
 bool isReady(const EngineReport &Report, const GroupId &Id,
-             const Group &Known) {
+             const Group &Current) {
   return Report.Group == Id && Report.Phase == EnginePhase::Ready &&
-         Report.Version == Known.Formed.Version;
+         Report.Version == Current.Formed.Version;
 }
 
 } // namespace
 
-void GroupFormer::poll(const State &Now, std::span<const GroupId> Forming,
-                       TimePoint At, LeaseKeeper &Leases, EngineTracker &Book,
-                       AppendPacer &Pace, GroupCommands &Out) {
-  std::erase_if(TurnSince, [&Now](const auto &Entry) {
-    const auto Found = Now.Groups.find(Entry.first);
-    return Found == Now.Groups.end() ||
+void GroupFormer::poll(const State &Agreed, std::span<const GroupId> Forming,
+                       TimePoint Now, LeaseKeeper &Leases,
+                       EngineTracker &Engines, AppendPacer &Appends,
+                       GroupCommands &Out) {
+  std::erase_if(LoadAllowedSince, [&Agreed](const auto &Entry) {
+    const auto Found = Agreed.Groups.find(Entry.first);
+    return Found == Agreed.Groups.end() ||
            Found->second.Phase != GroupPhase::Forming;
   });
-  const Pass In{Now, At, Leases, Book, Pace, Out};
-  for (const GroupId &Id : groupsInTurn(Now, Forming)) {
-    const auto Lease = Leases.held(Id.Plan, At);
+  const PollContext Context{Agreed, Now, Leases, Engines, Appends, Out};
+  for (const GroupId &Id : groupsAllowedToLoad(Agreed, Forming)) {
+    const auto Lease = Leases.held(Id.Plan, Now);
     if (!Lease) {
-      TurnSince.erase(Id);
+      LoadAllowedSince.erase(Id);
       continue;
     }
-    TurnSince.try_emplace(Id, At);
-    formGroup(In, Id, Now.Groups.at(Id), *Lease);
+    LoadAllowedSince.try_emplace(Id, Now);
+    formGroup(Context, Id, Agreed.Groups.at(Id), *Lease);
   }
 }
 
-void GroupFormer::formGroup(const Pass &In, const GroupId &Id,
-                            const Group &Known, const PlanLease &Lease) {
-  const std::vector<HostName> &Members = Known.Formed.Members;
-  std::size_t Ready = 0;
-  const HostName *Waiting = nullptr;
+void GroupFormer::formGroup(const PollContext &Context, const GroupId &Id,
+                            const Group &Current, const PlanLease &Lease) {
+  const std::vector<HostName> &Members = Current.Formed.Members;
+  std::size_t ReadyCount = 0;
+  const HostName *NotReady = nullptr;
   for (std::size_t Rank = 0; Rank < Members.size(); ++Rank) {
-    if (joinMember(In, Id, Known, Lease, Rank))
-      ++Ready;
-    else if (Waiting == nullptr)
-      Waiting = &Members[Rank];
-    if (In.Book.silentFor(Members[Rank], In.At) >= silenceAllowed(In))
-      return giveUp(In, Id, Members[Rank], "does not answer while it forms");
+    if (advanceMember(Context, Id, Current, Lease, Rank))
+      ++ReadyCount;
+    else if (NotReady == nullptr)
+      NotReady = &Members[Rank];
+    if (Context.Engines.silentFor(Members[Rank], Context.Now) >=
+        silenceLimit(Context))
+      return abandonGroup(Context, Id, Members[Rank],
+                          "does not answer while it forms");
   }
-  if (Waiting == nullptr)
-    return confirm(In, Id, Known, Lease);
-  if (In.At - TurnSince.at(Id) >= Times.FormTimeout)
-    giveUp(In, Id, *Waiting, "has not become ready in the time allowed");
+  if (NotReady == nullptr)
+    return confirm(Context, Id, Current, Lease);
+  if (Context.Now - LoadAllowedSince.at(Id) >= Times.FormTimeout)
+    abandonGroup(Context, Id, *NotReady,
+                 "has not become ready in the time allowed");
 }
 
-Duration GroupFormer::silenceAllowed(const Pass &In) const {
-  // Failure guarded against: this host is the one that is cut off, and gives up
-  // groups that are well. It lets its leases lapse, and another host has the
-  // plan before this time is over.
-  if (In.Book.seemsCutOff(In.At))
+Duration GroupFormer::silenceLimit(const PollContext &Context) const {
+  // Failure guarded against: this host is the one that is cut off, and it
+  // abandons groups that are healthy. While it is cut off, it lets its leases
+  // lapse, and another host has the plan before this longer time is over.
+  if (Context.Engines.seemsCutOff(Context.Now))
     return Times.MemberSilenceLimit + 2 * Times.leaseExpiredAfter();
   return Times.MemberSilenceLimit;
 }
 
-bool GroupFormer::joinMember(const Pass &In, const GroupId &Id,
-                             const Group &Known, const PlanLease &Lease,
-                             std::size_t Rank) const {
-  const HostSpec *Host = findHost(In.Now.Declared, Known.Formed.Members[Rank]);
+bool GroupFormer::advanceMember(const PollContext &Context, const GroupId &Id,
+                                const Group &Current, const PlanLease &Lease,
+                                std::size_t Rank) const {
+  const HostSpec *Host =
+      findHost(Context.Agreed.Declared, Current.Formed.Members[Rank]);
   if (Host == nullptr)
     return false;
-  if (In.Book.takeRefusedFence(Host->Name))
-    In.Leases.renewNow(Id.Plan);
-  In.Book.ask(*Host, In.At, In.Out);
-  const EngineReport *Report =
-      In.Book.reportSince(Host->Name, In.At - Times.ConfirmWindow);
+  if (Context.Engines.takeRefusedFence(Host->Name))
+    Context.Leases.renewNow(Id.Plan);
+  Context.Engines.query(*Host, Context.Now, Context.Out);
+  const EngineReport *Report = Context.Engines.reportSince(
+      Host->Name, Context.Now - Times.ConfirmWindow);
   if (Report == nullptr)
     return false;
-  if (isReady(*Report, Id, Known))
+  if (isReady(*Report, Id, Current))
     return true;
   const bool Joining =
       Report->Group == Id && Report->Phase == EnginePhase::Loading;
   if (Joining)
     return false;
-  // An engine that a late order has put back into a group that is gone must
-  // leave it first.
-  EngineOrder Order{Lease.Fence, joinOrder(In.Now, Id, Known, Rank)};
+  // An engine that a late order has put back into a group that no longer exists
+  // must leave it first.
+  EngineOrder Order{Lease.Fence, joinOrder(Context.Agreed, Id, Current, Rank)};
   if (Report->Group && Report->Group != Id)
     Order.What = LeaveGroup{*Report->Group};
-  In.Book.order(*Host, std::move(Order), Lease.End, In.At, In.Out);
+  Context.Engines.order(*Host, std::move(Order), Lease.End, Context.Now,
+                        Context.Out);
   return false;
 }
 
-void GroupFormer::confirm(const Pass &In, const GroupId &Id, const Group &Known,
-                          const PlanLease &Lease) const {
-  GroupConfirmed Said;
-  Said.Group = Id;
-  Said.Lease = Lease.Fence;
-  for (const HostName &Member : Known.Formed.Members)
-    Said.MemberRuns.push_back(
-        In.Book.reportSince(Member, In.At - Times.ConfirmWindow)->Run);
-  In.Pace.append("confirm/" + textOf(Id) + "/" + std::to_string(Lease.Fence),
-                 std::move(Said), In.At, In.Out);
+void GroupFormer::confirm(const PollContext &Context, const GroupId &Id,
+                          const Group &Current, const PlanLease &Lease) const {
+  GroupConfirmed Confirmation;
+  Confirmation.Group = Id;
+  Confirmation.Lease = Lease.Fence;
+  for (const HostName &Member : Current.Formed.Members)
+    Confirmation.MemberRuns.push_back(
+        Context.Engines.reportSince(Member, Context.Now - Times.ConfirmWindow)
+            ->Run);
+  Context.Appends.append("confirm/" + textOf(Id) + "/" +
+                             std::to_string(Lease.Fence),
+                         std::move(Confirmation), Context.Now, Context.Out);
 }
 
-void GroupFormer::giveUp(const Pass &In, const GroupId &Id,
-                         const HostName &Lost, std::string Why) {
-  GivenUp.push_back(Lost);
-  In.Pace.append("break/" + textOf(Id), GroupBroken{Id, Lost, std::move(Why)},
-                 In.At, In.Out);
+void GroupFormer::abandonGroup(const PollContext &Context, const GroupId &Id,
+                               const HostName &FailedHost, std::string Reason) {
+  FailedHosts.push_back(FailedHost);
+  Context.Appends.append("break/" + textOf(Id),
+                         GroupBroken{Id, FailedHost, std::move(Reason)},
+                         Context.Now, Context.Out);
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/former.hpp
+++ b/packages/version/src/coltsfoottrail/groups/former.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Brings groups from Forming to Serving.
+/// Forms groups: brings them from Forming to Serving.
 #ifndef COLTSFOOTTRAIL_GROUPS_FORMER_HPP
 #define COLTSFOOTTRAIL_GROUPS_FORMER_HPP
 
@@ -16,53 +16,55 @@
 namespace coltsfoottrail {
 
 /// @brief Orders the engines of forming groups to load, confirms a group once
-/// all its members have proved within one short time that they are ready, and
-/// gives up a group that can't form.
+/// all its members have reported within a short time window that they are
+/// ready, and abandons a group that cannot form.
 ///
-/// Only so many groups load at once as the weight store bears, over all plans:
-/// the oldest forming ones of the agreed state, so that all entry hosts choose
-/// the same without asking each other. Not thread-safe.
+/// Over all plans, only as many groups load concurrently as the weight store
+/// supports: the oldest forming groups of the agreed state, so that all entry
+/// hosts choose the same ones without communicating. Not thread-safe.
 class GroupFormer {
 public:
-  /// @brief Starts with nothing known.
-  explicit GroupFormer(const GroupTimes &Given) : Times(Given) {}
+  /// @brief Makes a former without state.
+  explicit GroupFormer(const GroupTimes &Timing) : Times(Timing) {}
 
-  /// @brief Acts on the forming groups of the plans whose lease is held.
-  /// @param Now The agreed state.
+  /// @brief Advances the forming groups of the plans whose lease this host
+  /// holds.
+  /// @param Agreed The agreed state.
   /// @param Forming Its forming groups.
-  /// @param At The time.
-  /// @param Leases The leases held.
-  /// @param Book The engines.
-  /// @param Pace Where appends go through.
-  /// @param Out Where commands go.
-  void poll(const State &Now, std::span<const GroupId> Forming, TimePoint At,
-            LeaseKeeper &Leases, EngineTracker &Book, AppendPacer &Pace,
-            GroupCommands &Out);
+  /// @param Now The time.
+  /// @param Leases The leases of this host.
+  /// @param Engines Reports and orders of the engines.
+  /// @param Appends Paces the appends.
+  /// @param Out Commands are added here.
+  void poll(const State &Agreed, std::span<const GroupId> Forming,
+            TimePoint Now, LeaseKeeper &Leases, EngineTracker &Engines,
+            AppendPacer &Appends, GroupCommands &Out);
 
-  /// @brief Hands over the hosts that groups were given up for since the last
-  /// call.
+  /// @brief Returns and clears the hosts because of which groups were abandoned
+  /// since the last call.
   [[nodiscard]] std::vector<HostName> takeFailedHosts() {
-    return std::exchange(GivenUp, {});
+    return std::exchange(FailedHosts, {});
   }
 
 private:
-  struct Pass;
+  struct PollContext;
 
-  void formGroup(const Pass &In, const GroupId &Id, const Group &Known,
-                 const PlanLease &Lease);
-  [[nodiscard]] Duration silenceAllowed(const Pass &In) const;
-  [[nodiscard]] bool joinMember(const Pass &In, const GroupId &Id,
-                                const Group &Known, const PlanLease &Lease,
-                                std::size_t Rank) const;
-  void confirm(const Pass &In, const GroupId &Id, const Group &Known,
-               const PlanLease &Lease) const;
-  void giveUp(const Pass &In, const GroupId &Id, const HostName &Lost,
-              std::string Why);
+  void formGroup(const PollContext &Context, const GroupId &Id,
+                 const Group &Current, const PlanLease &Lease);
+  [[nodiscard]] Duration silenceLimit(const PollContext &Context) const;
+  [[nodiscard]] bool advanceMember(const PollContext &Context,
+                                   const GroupId &Id, const Group &Current,
+                                   const PlanLease &Lease,
+                                   std::size_t Rank) const;
+  void confirm(const PollContext &Context, const GroupId &Id,
+               const Group &Current, const PlanLease &Lease) const;
+  void abandonGroup(const PollContext &Context, const GroupId &Id,
+                    const HostName &FailedHost, std::string Reason);
 
   GroupTimes Times;
-  /// Since when each group has had its turn to load.
-  std::map<GroupId, TimePoint> TurnSince;
-  std::vector<HostName> GivenUp;
+  /// Since when each group has been allowed to load.
+  std::map<GroupId, TimePoint> LoadAllowedSince;
+  std::vector<HostName> FailedHosts;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/fwd.hpp
+++ b/packages/version/src/coltsfoottrail/groups/fwd.hpp
@@ -30,7 +30,8 @@
 class StepRunner;
 class WatchPlan;
 
-/// Tells answers to commands apart; never the same twice in one run.
+/// Identifies a command, so that its outcome can be reported; unique within one
+/// run.
 using CommandId = std::uint64_t;
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/lease.cpp
+++ b/packages/version/src/coltsfoottrail/groups/lease.cpp
@@ -4,78 +4,81 @@
 
 namespace coltsfoottrail {
 
-void LeaseKeeper::poll(const State &Now, TimePoint At, bool CutOff,
-                       AppendPacer &Pace, GroupCommands &Out) {
-  std::erase_if(Plans, [&Now](const auto &Entry) {
-    const auto Found = Now.Plans.find(Entry.first);
-    return Found == Now.Plans.end() ||
+void LeaseKeeper::poll(const State &Agreed, TimePoint Now, bool CutOff,
+                       AppendPacer &Appends, GroupCommands &Out) {
+  std::erase_if(Leases, [&Agreed](const auto &Entry) {
+    const auto Found = Agreed.Plans.find(Entry.first);
+    return Found == Agreed.Plans.end() ||
            Found->second.Phase != PlanPhase::Running;
   });
-  const auto Joined = Now.EntryHosts.find(Self);
-  if (Joined == Now.EntryHosts.end() || Joined->second.Joined.Run != Run)
+  const auto Joined = Agreed.EntryHosts.find(Self);
+  if (Joined == Agreed.EntryHosts.end() || Joined->second.Joined.Run != Run)
     return;
-  for (const auto &[Plan, Progress] : Now.Plans) {
+  for (const auto &[Plan, Progress] : Agreed.Plans) {
     if (Progress.Phase != PlanPhase::Running)
       continue;
-    const auto [Entry, Fresh] = Plans.try_emplace(Plan);
-    Seen &Known = Entry->second;
-    if (Fresh)
-      Known.FirstSeen = At;
-    see(Progress, Known, At);
-    if (CutOff || !wants(Now, Plan, Known, At))
+    const auto [Entry, IsNew] = Leases.try_emplace(Plan);
+    LeaseState &Observed = Entry->second;
+    if (IsNew)
+      Observed.FirstSeenAt = Now;
+    observe(Progress, Observed, Now);
+    if (CutOff || !shouldRequest(Agreed, Plan, Observed, Now))
       continue;
     const std::string Key =
-        "lease/" + std::to_string(Plan) + "/" + std::to_string(Known.Lease);
-    if (!Pace.append(Key, ExecutorTaken{Plan, Self, Run, Known.Lease}, At, Out))
+        "lease/" + std::to_string(Plan) + "/" + std::to_string(Observed.Lease);
+    if (!Appends.append(Key, ExecutorTaken{Plan, Self, Run, Observed.Lease},
+                        Now, Out))
       continue;
-    if (!Known.AskedAt)
-      Known.AskedAt = At;
+    if (!Observed.RequestedAt)
+      Observed.RequestedAt = Now;
   }
 }
 
-std::optional<PlanLease> LeaseKeeper::held(Offset Plan, TimePoint At) const {
-  const auto Found = Plans.find(Plan);
-  if (Found == Plans.end() || !Found->second.Own || At >= Found->second.End)
+std::optional<PlanLease> LeaseKeeper::held(Offset Plan, TimePoint Now) const {
+  const auto Entry = Leases.find(Plan);
+  if (Entry == Leases.end() || !Entry->second.IsOwn || Now >= Entry->second.End)
     return std::nullopt;
-  return PlanLease{Found->second.Lease, Found->second.End};
+  return PlanLease{Entry->second.Lease, Entry->second.End};
 }
 
 void LeaseKeeper::renewNow(Offset Plan) {
-  const auto Found = Plans.find(Plan);
-  if (Found != Plans.end())
-    Found->second.RenewNow = true;
+  const auto Entry = Leases.find(Plan);
+  if (Entry != Leases.end())
+    Entry->second.RenewNow = true;
 }
 
-void LeaseKeeper::see(const PlanProgress &Progress, Seen &Known,
-                      TimePoint At) const {
-  if (Progress.Lease == Known.Lease)
+void LeaseKeeper::observe(const PlanProgress &Progress, LeaseState &Observed,
+                          TimePoint Now) const {
+  if (Progress.Lease == Observed.Lease)
     return;
-  Known.Lease = Progress.Lease;
-  Known.FirstSeen = At;
-  Known.Own = Progress.Executor == Self && Progress.ExecutorRun == Run;
-  // Failure guarded against: the answer to a request for the lease is lost, it
-  // is made again, and the first one took effect. The lease runs from the
-  // oldest request that may have been it, so it ends no later than others
-  // think.
-  Known.End =
-      Known.AskedAt.value_or(At - Times.LeaseLength) + Times.LeaseLength;
-  Known.AskedAt.reset();
-  Known.RenewNow = false;
+  Observed.Lease = Progress.Lease;
+  Observed.FirstSeenAt = Now;
+  Observed.IsOwn = Progress.Executor == Self && Progress.ExecutorRun == Run;
+  // Failure guarded against: the answer to a request for the lease is lost, the
+  // request is repeated, and the first one took effect. The lease runs from the
+  // oldest request that may have taken effect, so it ends no later than others
+  // assume.
+  Observed.End = Observed.RequestedAt.value_or(Now - Times.LeaseLength) +
+                 Times.LeaseLength;
+  Observed.RequestedAt.reset();
+  Observed.RenewNow = false;
 }
 
-bool LeaseKeeper::wants(const State &Now, Offset Plan, const Seen &Known,
-                        TimePoint At) const {
-  // A lapsed lease of one's own may be replaced at once: nobody else acts.
-  if (Known.Own)
-    return Known.RenewNow || At + Times.LeaseLength / 2 >= Known.End;
-  const Duration Over =
-      Known.Lease == 0 ? Duration::zero() : Times.leaseExpiredAfter();
-  if (At - Known.FirstSeen < Over)
+bool LeaseKeeper::shouldRequest(const State &Agreed, Offset Plan,
+                                const LeaseState &Observed,
+                                TimePoint Now) const {
+  // An own lease that has lapsed may be replaced at once: nobody else acts on
+  // the plan.
+  if (Observed.IsOwn)
+    return Observed.RenewNow || Now + Times.LeaseLength / 2 >= Observed.End;
+  const Duration Expiry =
+      Observed.Lease == 0 ? Duration::zero() : Times.leaseExpiredAfter();
+  if (Now - Observed.FirstSeenAt < Expiry)
     return false;
-  const std::string Duty = "plan/" + std::to_string(Plan);
-  const auto Turn =
-      static_cast<std::int64_t>(rendezvousRank(Duty, Now.EntryHosts, Self));
-  return At - Known.FirstSeen >= Over + Turn * Times.Stagger;
+  const std::string Task = "plan/" + std::to_string(Plan);
+  const auto Rank =
+      static_cast<std::int64_t>(rendezvousRank(Task, Agreed.EntryHosts, Self));
+  return Now - Observed.FirstSeenAt >= Expiry + Rank * Times.Stagger;
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/lease.hpp
+++ b/packages/version/src/coltsfoottrail/groups/lease.hpp
@@ -12,70 +12,72 @@
 
 namespace coltsfoottrail {
 
-/// @brief A lease that may be acted on.
+/// @brief A lease that this host holds.
 struct PlanLease {
-  /// Its record's offset: the fencing number of orders under it.
+  /// Offset of its record: the fencing number of orders under it.
   Offset Fence = 0;
   /// By this host's clock.
   TimePoint End;
 };
 
-/// @brief Takes, renews and gives up the leases on running plans.
+/// @brief Takes, renews and gives up leases on running plans.
 ///
-/// The holder counts a lease from before it asked for it; all others from when
+/// The holder counts a lease from before it requested it; all others from when
 /// they first saw it, plus the drift of clocks and the time that an order may
-/// be under way. So the holder stops before any other host may take over,
-/// however long it was paused. A renewal is a new lease in place of the own
+/// be in progress. So the holder stops before any other host may take over,
+/// however long it was paused. A renewal is a new lease that replaces the own
 /// one. Not thread-safe.
 class LeaseKeeper {
 public:
-  /// @brief Starts without leases.
-  /// @param Given Times of the deployment.
-  /// @param Name This entry host.
-  /// @param Number This run of it.
-  LeaseKeeper(const GroupTimes &Given, HostName Name, Incarnation Number)
-      : Times(Given), Self(std::move(Name)), Run(Number) {}
+  /// @brief Makes a keeper without leases.
+  /// @param Timing Timing of the deployment.
+  /// @param Name Name of this entry host.
+  /// @param RunNumber Current run of this entry host.
+  LeaseKeeper(const GroupTimes &Timing, HostName Name, Incarnation RunNumber)
+      : Times(Timing), Self(std::move(Name)), Run(RunNumber) {}
 
   /// @brief Takes and renews leases.
-  /// @param Now The agreed state.
-  /// @param At The time.
-  /// @param CutOff Whether this host hears from no engine: it takes and renews
-  /// nothing then, so that another host gets the plan.
-  /// @param Pace Where appends go through.
-  /// @param Out Where commands go.
-  void poll(const State &Now, TimePoint At, bool CutOff, AppendPacer &Pace,
-            GroupCommands &Out);
+  /// @param Agreed The agreed state.
+  /// @param Now The time.
+  /// @param CutOff Whether this host receives answers from no engine: it then
+  /// takes and renews nothing, so that another host gets the plan.
+  /// @param Appends Paces the appends.
+  /// @param Out Commands are added here.
+  void poll(const State &Agreed, TimePoint Now, bool CutOff,
+            AppendPacer &Appends, GroupCommands &Out);
 
-  /// @brief Finds a lease that is held and has not lapsed.
+  /// @brief Finds a lease that this host holds and that has not lapsed.
   /// @param Plan The plan.
-  /// @param At The time.
-  [[nodiscard]] std::optional<PlanLease> held(Offset Plan, TimePoint At) const;
+  /// @param Now The time.
+  [[nodiscard]] std::optional<PlanLease> held(Offset Plan, TimePoint Now) const;
 
-  /// @brief An engine has obeyed a higher fencing number: the lease is renewed
-  /// at once.
+  /// @brief Renews a lease at once, because an engine has obeyed a higher
+  /// fencing number.
   void renewNow(Offset Plan);
 
 private:
-  struct Seen {
+  /// The newest lease of a plan as observed by this host.
+  struct LeaseState {
     Offset Lease = 0;
-    TimePoint FirstSeen;
-    bool Own = false;
+    TimePoint FirstSeenAt;
+    bool IsOwn = false;
     /// End of the own lease.
     TimePoint End;
-    /// When the oldest request left that may have been the one that took
-    /// effect.
-    std::optional<TimePoint> AskedAt;
+    /// When the oldest request was made that may have taken effect.
+    std::optional<TimePoint> RequestedAt;
     bool RenewNow = false;
   };
 
-  void see(const PlanProgress &Progress, Seen &Known, TimePoint At) const;
-  [[nodiscard]] bool wants(const State &Now, Offset Plan, const Seen &Known,
-                           TimePoint At) const;
+  void observe(const PlanProgress &Progress, LeaseState &Observed,
+               TimePoint Now) const;
+  [[nodiscard]] bool shouldRequest(const State &Agreed, Offset Plan,
+                                   const LeaseState &Observed,
+                                   TimePoint Now) const;
 
   GroupTimes Times;
   HostName Self;
   Incarnation Run;
-  std::map<Offset, Seen> Plans;
+  std::map<Offset, LeaseState> Leases;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/pacer.hpp
+++ b/packages/version/src/coltsfoottrail/groups/pacer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Appends records without repeating them while they are under way.
+/// Appends records without repeating them while they are in progress.
 #ifndef COLTSFOOTTRAIL_GROUPS_PACER_HPP
 #define COLTSFOOTTRAIL_GROUPS_PACER_HPP
 
@@ -12,38 +12,38 @@
 
 namespace coltsfoottrail {
 
-/// @brief Paces appends. What a record is for is seen in the agreed state, so
-/// an append whose answer was lost is simply made again after a while; the fold
-/// voids the second one. Not thread-safe.
+/// @brief Paces appends. The effect of a record is seen in the agreed state, so
+/// an append whose answer was lost is repeated after a while, and the fold
+/// voids the second record. Not thread-safe.
 class AppendPacer {
 public:
-  /// @brief Starts without appends under way.
-  explicit AppendPacer(const GroupTimes &Given) : Times(Given) {}
+  /// @brief Makes a pacer without appends in progress.
+  explicit AppendPacer(const GroupTimes &Timing) : Times(Timing) {}
 
-  /// @brief Appends a record unless the same was appended a short while ago.
-  /// @param Key Names what the record is for.
+  /// @brief Appends a record unless one with the same key was appended a short
+  /// while ago.
+  /// @param Key Identifies the purpose of the record.
   /// @param Body The record.
   /// @param Now The time.
-  /// @param Out Where the command goes.
+  /// @param Out The command is added here.
   /// @return Whether it was appended.
   bool append(const std::string &Key, Record Body, TimePoint Now,
               GroupCommands &Out);
 
-  /// @brief Takes an append's outcome.
-  /// @return Whether the ticket was one of this object's.
-  bool recordAppend(CommandId Which, const AppendResult &Outcome,
-                    TimePoint Now);
+  /// @brief Records the outcome of an append.
+  /// @return Whether the command was issued by this object.
+  bool recordAppend(CommandId Id, const AppendResult &Outcome, TimePoint Now);
 
-  /// @brief Draws a ticket for another kind of command.
-  [[nodiscard]] CommandId drawTicket() { return ++LastTicket; }
+  /// @brief Returns a new command id for another kind of command.
+  [[nodiscard]] CommandId nextId() { return ++LastId; }
 
 private:
-  void forgetOld(TimePoint Now);
+  void dropOld(TimePoint Now);
 
   GroupTimes Times;
-  CommandId LastTicket = 0;
+  CommandId LastId = 0;
   std::map<std::string, TimePoint> NotBefore;
-  std::map<CommandId, std::string> UnderWay;
+  std::map<CommandId, std::string> InProgress;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/releaser.cpp
+++ b/packages/version/src/coltsfoottrail/groups/releaser.cpp
@@ -9,143 +9,154 @@
 
 namespace {
 
-/// Entry hosts that act on one group, one after the other.
-constexpr std::size_t MostTurns = 3;
-/// Between two looks at the turn, which moves as entry hosts come and go.
-constexpr Duration TurnLookEvery = seconds(5);
-
-/// Where a host is, also when it was dropped while a broken group held it.
-const HostSpec *findPlace(const State &Now, const HostName &Name) {
-  if (const HostSpec *Host = findHost(Now.Declared, Name))
+/// Maximum number of entry hosts that act on one group, one after the other.
+constexpr std::size_t MaxActingHosts = 3;
+/// Interval between two computations of the rank, which changes as entry hosts
+/// join and leave.
+constexpr Duration RankRefreshInterval = seconds(5);
+
+/// Finds the declaration of a host, including one that was removed from the
+/// declaration while a broken group held it.
+const HostSpec *findHostSpec(const State &Agreed, const HostName &Name) {
+  if (const HostSpec *Host = findHost(Agreed.Declared, Name))
     return Host;
-  const auto Gone = Now.Departed.find(Name);
-  return Gone == Now.Departed.end() ? nullptr : &Gone->second;
+  const auto Departed = Agreed.Departed.find(Name);
+  return Departed == Agreed.Departed.end() ? nullptr : &Departed->second;
 }
 
 } // namespace
 
-struct HostReleaser::Pass {
-  const State &Now;
-  TimePoint At;
-  EngineTracker &Book;
-  AppendPacer &Pace;
+struct HostReleaser::PollContext {
+  const State &Agreed;
+  TimePoint Now;
+  EngineTracker &Engines;
+  AppendPacer &Appends;
   GroupCommands &Out;
 };
 
-void HostReleaser::poll(const State &Now, std::span<const GroupId> Over,
-                        TimePoint At, EngineTracker &Book, AppendPacer &Pace,
-                        GroupCommands &Out) {
-  std::erase_if(Groups, [&Now](const auto &Entry) {
-    return !Now.Groups.contains(Entry.first);
+void HostReleaser::poll(const State &Agreed, std::span<const GroupId> Ended,
+                        TimePoint Now, EngineTracker &Engines,
+                        AppendPacer &Appends, GroupCommands &Out) {
+  std::erase_if(Groups, [&Agreed](const auto &Entry) {
+    return !Agreed.Groups.contains(Entry.first);
   });
-  const Pass In{Now, At, Book, Pace, Out};
-  for (const GroupId &Id : Over) {
-    const Group &Known = Now.Groups.at(Id);
-    const auto [Entry, Fresh] = Groups.try_emplace(Id);
-    Leaving &How = Entry->second;
-    if (Fresh || How.Phase != Known.Phase) {
-      How = Leaving();
-      How.Phase = Known.Phase;
-      How.Since = At;
-      How.Fence = Now.Next;
+  const PollContext Context{Agreed, Now, Engines, Appends, Out};
+  for (const GroupId &Id : Ended) {
+    const Group &Current = Agreed.Groups.at(Id);
+    const auto [Entry, IsNew] = Groups.try_emplace(Id);
+    ReleaseState &Release = Entry->second;
+    if (IsNew || Release.Phase != Current.Phase) {
+      Release = ReleaseState();
+      Release.Phase = Current.Phase;
+      Release.Since = Now;
+      Release.Fence = Agreed.Next;
     }
-    if (hasTurn(In, Id, How))
-      releaseGroup(In, Id, Known, How);
+    if (mayAct(Context, Id, Release))
+      releaseGroup(Context, Id, Current, Release);
   }
 }
 
-bool HostReleaser::hasTurn(const Pass &In, const GroupId &Id,
-                           Leaving &How) const {
-  if (In.At >= How.NextTurnLook) {
-    How.Turn = rendezvousRank("release/" + textOf(Id), In.Now.EntryHosts, Self);
-    How.NextTurnLook = In.At + TurnLookEvery;
+bool HostReleaser::mayAct(const PollContext &Context, const GroupId &Id,
+                          ReleaseState &Release) const {
+  if (Context.Now >= Release.NextRankRefresh) {
+    Release.Rank = rendezvousRank("release/" + textOf(Id),
+                                  Context.Agreed.EntryHosts, Self);
+    Release.NextRankRefresh = Context.Now + RankRefreshInterval;
   }
-  const auto Turn = static_cast<std::int64_t>(How.Turn);
-  return How.Turn < MostTurns && In.At - How.Since >= Turn * Times.Stagger;
+  const auto Rank = static_cast<std::int64_t>(Release.Rank);
+  return Release.Rank < MaxActingHosts &&
+         Context.Now - Release.Since >= Rank * Times.Stagger;
 }
 
-void HostReleaser::releaseGroup(const Pass &In, const GroupId &Id,
-                                const Group &Known, Leaving &How) const {
-  // A group that never served has nothing to finish, and a broken one can't.
+void HostReleaser::releaseGroup(const PollContext &Context, const GroupId &Id,
+                                const Group &Current,
+                                ReleaseState &Release) const {
+  // A group that never served has no requests to finish, and a broken one
+  // cannot finish them.
   const bool HasWork =
-      Known.Phase == GroupPhase::Stopping && !Known.MemberRuns.empty();
+      Current.Phase == GroupPhase::Stopping && !Current.MemberRuns.empty();
   if (!HasWork)
-    How.MayLeave = true;
-  for (const HostName &Name : Known.Held) {
-    const HostSpec *Host = findPlace(In.Now, Name);
+    Release.MayLeave = true;
+  for (const HostName &Name : Current.Held) {
+    const HostSpec *Host = findHostSpec(Context.Agreed, Name);
     if (Host == nullptr)
       continue;
-    In.Book.ask(*Host, In.At, In.Out);
-    if (How.MayLeave)
-      releaseHost(In, Id, *Host, How);
+    Context.Engines.query(*Host, Context.Now, Context.Out);
+    if (Release.MayLeave)
+      releaseHost(Context, Id, *Host, Release);
   }
-  if (!How.MayLeave)
-    watchQuiet(In, Id, Known, How);
+  if (!Release.MayLeave)
+    updateIdle(Context, Id, Current, Release);
 }
 
-void HostReleaser::watchQuiet(const Pass &In, const GroupId &Id,
-                              const Group &Known, Leaving &How) const {
-  bool Quiet = In.At - How.Since >= Times.StopSettle;
-  for (const HostName &Name : Known.Held) {
-    if (!In.Book.seemsCutOff(In.At) &&
-        In.Book.silentFor(Name, In.At) >= Times.MemberSilenceLimit) {
-      In.Pace.append(
+void HostReleaser::updateIdle(const PollContext &Context, const GroupId &Id,
+                              const Group &Current,
+                              ReleaseState &Release) const {
+  bool Idle = Context.Now - Release.Since >= Times.StopSettle;
+  for (const HostName &Name : Current.Held) {
+    if (!Context.Engines.seemsCutOff(Context.Now) &&
+        Context.Engines.silentFor(Name, Context.Now) >=
+            Times.MemberSilenceLimit) {
+      Context.Appends.append(
           "break/" + textOf(Id),
-          GroupBroken{Id, Name, "does not answer while its group stops"}, In.At,
-          In.Out);
+          GroupBroken{Id, Name, "does not answer while its group stops"},
+          Context.Now, Context.Out);
       return;
     }
     const EngineReport *Report =
-        In.Book.reportSince(Name, How.Since + Times.StopSettle);
-    Quiet = Quiet && Report != nullptr && Report->Running == 0 &&
-            Report->Queued == 0;
+        Context.Engines.reportSince(Name, Release.Since + Times.StopSettle);
+    Idle = Idle && Report != nullptr && Report->Running == 0 &&
+           Report->Queued == 0;
   }
-  if (!Quiet) {
-    How.QuietSince.reset();
+  if (!Idle) {
+    Release.IdleSince.reset();
     return;
   }
-  if (!How.QuietSince)
-    How.QuietSince = In.At;
-  How.MayLeave = In.At - *How.QuietSince >= Times.IdleFor;
+  if (!Release.IdleSince)
+    Release.IdleSince = Context.Now;
+  Release.MayLeave = Context.Now - *Release.IdleSince >= Times.IdleFor;
 }
 
-void HostReleaser::releaseHost(const Pass &In, const GroupId &Id,
-                               const HostSpec &Host, Leaving &How) const {
-  if (In.Book.takeRefusedFence(Host.Name))
-    How.Fence = In.Now.Next;
+void HostReleaser::releaseHost(const PollContext &Context, const GroupId &Id,
+                               const HostSpec &Host,
+                               ReleaseState &Release) const {
+  if (Context.Engines.takeRefusedFence(Host.Name))
+    Release.Fence = Context.Agreed.Next;
   const EngineReport *Report =
-      In.Book.reportSince(Host.Name, In.At - Times.ConfirmWindow);
+      Context.Engines.reportSince(Host.Name, Context.Now - Times.ConfirmWindow);
   if (Report == nullptr)
     return;
-  const bool Out = Report->Group != Id;
-  if (Out && isOutForGood(In, Host, *Report, How))
-    return release(In, Id, Host.Name);
-  const bool Obeyed = Report->Fence >= How.Fence;
-  const bool Leaves = !Out && Report->Phase == EnginePhase::Leaving;
-  const bool Waits = Out ? !Host.RefusesOldFences : Leaves && Obeyed;
-  if (!Waits)
-    In.Book.order(Host, EngineOrder{How.Fence, LeaveGroup{Id}},
-                  TimePoint::max(), In.At, In.Out);
+  const bool HasLeft = Report->Group != Id;
+  if (HasLeft && hasLeftForGood(Context, Host, *Report, Release))
+    return release(Context, Id, Host.Name);
+  const bool FenceObeyed = Report->Fence >= Release.Fence;
+  const bool IsLeaving = !HasLeft && Report->Phase == EnginePhase::Leaving;
+  const bool MustWait =
+      HasLeft ? !Host.RefusesOldFences : IsLeaving && FenceObeyed;
+  if (!MustWait)
+    Context.Engines.order(Host, EngineOrder{Release.Fence, LeaveGroup{Id}},
+                          TimePoint::max(), Context.Now, Context.Out);
 }
 
-bool HostReleaser::isOutForGood(const Pass &In, const HostSpec &Host,
-                                const EngineReport &Report,
-                                const Leaving &How) const {
-  if (Host.RefusesOldFences && Report.Fence >= How.Fence)
+bool HostReleaser::hasLeftForGood(const PollContext &Context,
+                                  const HostSpec &Host,
+                                  const EngineReport &Report,
+                                  const ReleaseState &Release) const {
+  if (Host.RefusesOldFences && Report.Fence >= Release.Fence)
     return true;
   // Failure guarded against: the executor that ordered this engine into the
-  // group is paused with one more such order on its way. The engine reports
-  // itself out, the host goes to another group, and the late order takes it
-  // back. Nobody may send that order once the lease is over by the holder's
-  // slowest clock, so a report asked for after that stays true.
-  const TimePoint Over = How.Since + Times.leaseExpiredAfter();
-  return In.Book.reportSince(Host.Name, Over) != nullptr;
+  // group is paused with another such order in progress. The engine reports
+  // that it has left, the host joins another group, and the late order takes it
+  // back. Nobody may send that order once the lease has expired by the slowest
+  // clock of its holder, so a report that was queried after that remains true.
+  const TimePoint LeaseExpired = Release.Since + Times.leaseExpiredAfter();
+  return Context.Engines.reportSince(Host.Name, LeaseExpired) != nullptr;
 }
 
-void HostReleaser::release(const Pass &In, const GroupId &Id,
+void HostReleaser::release(const PollContext &Context, const GroupId &Id,
                            const HostName &Host) const {
-  In.Pace.append("release/" + textOf(Id) + "/" + Host.Text,
-                 HostReleased{Host, Id}, In.At, In.Out);
+  Context.Appends.append("release/" + textOf(Id) + "/" + Host.Text,
+                         HostReleased{Host, Id}, Context.Now, Context.Out);
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/releaser.hpp
+++ b/packages/version/src/coltsfoottrail/groups/releaser.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Brings the hosts of stopping and broken groups back.
+/// Releases the hosts of stopping and broken groups.
 #ifndef COLTSFOOTTRAIL_GROUPS_RELEASER_HPP
 #define COLTSFOOTTRAIL_GROUPS_RELEASER_HPP
 
@@ -12,63 +12,66 @@
 
 namespace coltsfoottrail {
 
-/// @brief Has the engines of stopping and broken groups leave and releases each
-/// host once its engine has proved that it is out.
+/// @brief Orders the engines of stopping and broken groups to leave, and
+/// releases each host once its engine has proved that it has left.
 ///
-/// Needs no lease: to leave a group that is over may be ordered by anyone, and
-/// again. The fencing number is the Next of a state in which the group is over,
-/// which is above that of any lease under which the group was formed. An engine
-/// that refuses old fences is out for good once it has obeyed that number and
-/// reports itself out. One that ignores them is out for good when it reports so
-/// after all leases under which it may have been ordered in have run out by
-/// their holders' slowest clocks. Not thread-safe.
+/// Needs no lease: any host may order an engine to leave a group that has
+/// ended, any number of times. The fencing number is the Next of a state in
+/// which the group has ended, which is above that of any lease under which the
+/// group was formed. An engine that refuses old fences has left for good once
+/// it has obeyed that number and reports that it has left. An engine that
+/// ignores them has left for good when it reports so after all leases under
+/// which it may have been ordered to join have expired by the slowest clock of
+/// their holders. Not thread-safe.
 class HostReleaser {
 public:
-  /// @brief Starts with nothing known.
-  /// @param Given Times of the deployment.
-  /// @param Name This entry host.
-  HostReleaser(const GroupTimes &Given, HostName Name)
-      : Times(Given), Self(std::move(Name)) {}
+  /// @brief Makes a releaser without state.
+  /// @param Timing Timing of the deployment.
+  /// @param Name Name of this entry host.
+  HostReleaser(const GroupTimes &Timing, HostName Name)
+      : Times(Timing), Self(std::move(Name)) {}
 
-  /// @brief Acts on the groups that are over, where this entry host has its
-  /// turn.
-  /// @param Now The agreed state.
-  /// @param Over Its stopping and broken groups.
-  /// @param At The time.
-  /// @param Book The engines.
-  /// @param Pace Where appends go through.
-  /// @param Out Where commands go.
-  void poll(const State &Now, std::span<const GroupId> Over, TimePoint At,
-            EngineTracker &Book, AppendPacer &Pace, GroupCommands &Out);
+  /// @brief Advances the ended groups that this entry host may act on.
+  /// @param Agreed The agreed state.
+  /// @param Ended Its stopping and broken groups.
+  /// @param Now The time.
+  /// @param Engines Reports and orders of the engines.
+  /// @param Appends Paces the appends.
+  /// @param Out Commands are added here.
+  void poll(const State &Agreed, std::span<const GroupId> Ended, TimePoint Now,
+            EngineTracker &Engines, AppendPacer &Appends, GroupCommands &Out);
 
 private:
-  struct Pass;
-  struct Leaving {
+  struct PollContext;
+  /// Progress of releasing one group.
+  struct ReleaseState {
     GroupPhase Phase = GroupPhase::Stopping;
     TimePoint Since;
     Offset Fence = 0;
-    std::optional<TimePoint> QuietSince;
+    std::optional<TimePoint> IdleSince;
     bool MayLeave = false;
-    std::size_t Turn = 0;
-    TimePoint NextTurnLook;
+    std::size_t Rank = 0;
+    TimePoint NextRankRefresh;
   };
 
-  [[nodiscard]] bool hasTurn(const Pass &In, const GroupId &Id,
-                             Leaving &How) const;
-  void releaseGroup(const Pass &In, const GroupId &Id, const Group &Known,
-                    Leaving &How) const;
-  void watchQuiet(const Pass &In, const GroupId &Id, const Group &Known,
-                  Leaving &How) const;
-  void releaseHost(const Pass &In, const GroupId &Id, const HostSpec &Host,
-                   Leaving &How) const;
-  [[nodiscard]] bool isOutForGood(const Pass &In, const HostSpec &Host,
-                                  const EngineReport &Report,
-                                  const Leaving &How) const;
-  void release(const Pass &In, const GroupId &Id, const HostName &Host) const;
+  [[nodiscard]] bool mayAct(const PollContext &Context, const GroupId &Id,
+                            ReleaseState &Release) const;
+  void releaseGroup(const PollContext &Context, const GroupId &Id,
+                    const Group &Current, ReleaseState &Release) const;
+  void updateIdle(const PollContext &Context, const GroupId &Id,
+                  const Group &Current, ReleaseState &Release) const;
+  void releaseHost(const PollContext &Context, const GroupId &Id,
+                   const HostSpec &Host, ReleaseState &Release) const;
+  [[nodiscard]] bool hasLeftForGood(const PollContext &Context,
+                                    const HostSpec &Host,
+                                    const EngineReport &Report,
+                                    const ReleaseState &Release) const;
+  void release(const PollContext &Context, const GroupId &Id,
+               const HostName &Host) const;
 
   GroupTimes Times;
   HostName Self;
-  std::map<GroupId, Leaving> Groups;
+  std::map<GroupId, ReleaseState> Groups;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/repairer.cpp
+++ b/packages/version/src/coltsfoottrail/groups/repairer.cpp
@@ -6,157 +6,169 @@
 
 namespace coltsfoottrail {
 
-struct GroupRepairer::Pass {
-  const State &Now;
-  TimePoint At;
-  EngineTracker &Book;
-  AppendPacer &Pace;
+struct GroupRepairer::PollContext {
+  const State &Agreed;
+  TimePoint Now;
+  EngineTracker &Engines;
+  AppendPacer &Appends;
   GroupCommands &Out;
 };
 
 namespace {
 
-std::string keyOf(const MissingGroups &Where) {
-  return Where.Model.Text + "/" + Where.DataCentre.Text;
+std::string repairKey(const MissingGroups &Missing) {
+  return Missing.Model.Text + "/" + Missing.DataCentre.Text;
 }
 
 } // namespace
 
-void GroupRepairer::poll(const State &Now, TimePoint At, EngineTracker &Book,
-                         AppendPacer &Pace, GroupCommands &Out) {
-  if (At >= NextLook)
-    look(Now, At);
-  const Pass In{Now, At, Book, Pace, Out};
-  for (auto &[Where, How] : Repairs) {
-    const auto Turn = static_cast<std::int64_t>(How.Turn);
-    if (At - How.Since >= Turn * Times.Stagger)
-      repair(In, Where, How);
+void GroupRepairer::poll(const State &Agreed, TimePoint Now,
+                         EngineTracker &Engines, AppendPacer &Appends,
+                         GroupCommands &Out) {
+  if (Now >= NextRefresh)
+    refresh(Agreed, Now);
+  const PollContext Context{Agreed, Now, Engines, Appends, Out};
+  for (auto &[Missing, Repair] : Repairs) {
+    const auto Rank = static_cast<std::int64_t>(Repair.Rank);
+    if (Now - Repair.Since >= Rank * Times.Stagger)
+      repair(Context, Missing, Repair);
   }
 }
 
-std::set<HostName> GroupRepairer::avoidedHosts(TimePoint At) const {
+std::set<HostName> GroupRepairer::avoidedHosts(TimePoint Now) const {
   std::set<HostName> Names;
   for (const auto &[Host, Until] : Avoided)
-    if (At < Until)
+    if (Now < Until)
       Names.insert(Host);
   return Names;
 }
 
-void GroupRepairer::look(const State &Now, TimePoint At) {
-  NextLook = At + Times.RepairEvery;
-  if (Repairs.empty() && LookedAt == Now.LastChange)
+void GroupRepairer::refresh(const State &Agreed, TimePoint Now) {
+  NextRefresh = Now + Times.RepairEvery;
+  if (Repairs.empty() && RefreshedChange == Agreed.LastChange)
     return;
-  LookedAt = Now.LastChange;
+  RefreshedChange = Agreed.LastChange;
   std::erase_if(Avoided,
-                [At](const auto &Entry) { return Entry.second <= At; });
-  std::erase_if(ConfirmedAt, [&Now](const auto &Entry) {
-    return !Now.Plans.contains(Entry.first);
+                [Now](const auto &Entry) { return Entry.second <= Now; });
+  std::erase_if(ConfirmedAt, [&Agreed](const auto &Entry) {
+    return !Agreed.Plans.contains(Entry.first);
   });
-  std::map<MissingGroups, Repair> Still;
-  for (MissingGroups &Where : findMissing(Now)) {
-    const auto Before = Repairs.find(Where);
-    Repair How;
-    How.Since = At;
-    if (Before != Repairs.end())
-      How = std::move(Before->second);
-    How.Turn = rendezvousRank("repair/" + keyOf(Where), Now.EntryHosts, Self);
-    Still.emplace(std::move(Where), std::move(How));
+  std::map<MissingGroups, RepairState> Updated;
+  for (MissingGroups &Missing : findMissing(Agreed)) {
+    const auto Previous = Repairs.find(Missing);
+    RepairState Repair;
+    Repair.Since = Now;
+    if (Previous != Repairs.end())
+      Repair = std::move(Previous->second);
+    Repair.Rank =
+        rendezvousRank("repair/" + repairKey(Missing), Agreed.EntryHosts, Self);
+    Updated.emplace(std::move(Missing), std::move(Repair));
   }
-  Repairs = std::move(Still);
+  Repairs = std::move(Updated);
 }
 
-void GroupRepairer::repair(const Pass &In, const MissingGroups &Where,
-                           Repair &How) {
-  if (const auto Proposed = findProposed(In, Where)) {
-    ConfirmedAt.try_emplace(*Proposed, In.At);
-    In.Pace.append("confirm-plan/" + std::to_string(*Proposed),
-                   PlanConfirmed{*Proposed, RepairOperator}, In.At, In.Out);
+void GroupRepairer::repair(const PollContext &Context,
+                           const MissingGroups &Missing, RepairState &Repair) {
+  if (const auto Proposed = findProposed(Context, Missing)) {
+    ConfirmedAt.try_emplace(*Proposed, Context.Now);
+    Context.Appends.append("confirm-plan/" + std::to_string(*Proposed),
+                           PlanConfirmed{*Proposed, RepairOperator},
+                           Context.Now, Context.Out);
     return;
   }
-  if (awaitsSurvivors(In, Where, How))
+  if (awaitsSurvivors(Context, Missing, Repair))
     return;
-  plan(In, Where, How);
-  if (How.Candidate->Steps.empty() || !allAnswer(In, *How.Candidate))
+  plan(Context, Missing, Repair);
+  if (Repair.Candidate->Steps.empty() || !allAnswer(Context, *Repair.Candidate))
     return;
-  if (In.Pace.append("repair/" + keyOf(Where),
-                     PlanProposed{*How.Candidate, RepairOperator}, In.At,
-                     In.Out))
-    How.Candidate.reset();
+  if (Context.Appends.append("repair/" + repairKey(Missing),
+                             PlanProposed{*Repair.Candidate, RepairOperator},
+                             Context.Now, Context.Out))
+    Repair.Candidate.reset();
 }
 
-bool GroupRepairer::awaitsSurvivors(const Pass &In, const MissingGroups &Where,
-                                    const Repair &How) const {
-  if (In.At - How.Since >= Times.SurvivorWait)
+bool GroupRepairer::awaitsSurvivors(const PollContext &Context,
+                                    const MissingGroups &Missing,
+                                    const RepairState &Repair) const {
+  if (Context.Now - Repair.Since >= Times.SurvivorWait)
     return false;
-  bool Awaits = false;
-  for (const auto &[Id, Known] : In.Now.Groups)
-    if (Known.Phase == GroupPhase::Broken &&
-        Known.Formed.Model == Where.Model &&
-        Known.Formed.DataCentre == Where.DataCentre)
-      Awaits = hasSurvivors(In, Known) || Awaits;
-  return Awaits;
+  bool AnyAwaited = false;
+  for (const auto &[Id, Current] : Context.Agreed.Groups)
+    if (Current.Phase == GroupPhase::Broken &&
+        Current.Formed.Model == Missing.Model &&
+        Current.Formed.DataCentre == Missing.DataCentre)
+      AnyAwaited = hasSurvivors(Context, Current) || AnyAwaited;
+  return AnyAwaited;
 }
 
-/// Tells whether a broken group holds a host that may soon be free: one that
-/// answers, or has not been asked long enough to tell.
-bool GroupRepairer::hasSurvivors(const Pass &In, const Group &Broken) {
-  bool Any = false;
+/// Whether a broken group holds a host that may soon be free: one that answers,
+/// or that has not been queried for long enough to tell.
+bool GroupRepairer::hasSurvivors(const PollContext &Context,
+                                 const Group &Broken) {
+  bool AnySurvivor = false;
   for (const HostName &Member : Broken.Held) {
-    const HostSpec *Host = findHost(In.Now.Declared, Member);
+    const HostSpec *Host = findHost(Context.Agreed.Declared, Member);
     if (Host == nullptr)
       continue;
-    In.Book.ask(*Host, In.At, In.Out);
-    Any = Any || In.Book.silentFor(Member, In.At) == Duration::zero();
+    Context.Engines.query(*Host, Context.Now, Context.Out);
+    AnySurvivor = AnySurvivor || Context.Engines.silentFor(
+                                     Member, Context.Now) == Duration::zero();
   }
-  return Any;
+  return AnySurvivor;
 }
 
 std::optional<Offset>
-GroupRepairer::findProposed(const Pass &In, const MissingGroups &Where) const {
-  for (const auto &[Id, Progress] : In.Now.Plans) {
-    const auto *Asked =
+GroupRepairer::findProposed(const PollContext &Context,
+                            const MissingGroups &Missing) const {
+  for (const auto &[Id, Progress] : Context.Agreed.Plans) {
+    const auto *Intended =
         std::get_if<SetCapacity>(&Progress.Proposed.Proposal.Asked);
-    const bool Fits =
-        Progress.Phase == PlanPhase::Proposed && Asked != nullptr &&
-        Progress.Proposed.Operator == RepairOperator &&
-        Asked->Model == Where.Model && Asked->DataCentre == Where.DataCentre;
-    const auto Tried = ConfirmedAt.find(Id);
-    const bool Beaten = Tried != ConfirmedAt.end() &&
-                        In.At - Tried->second >= 2 * Times.AppendRetry;
-    if (Fits && !Beaten)
+    const bool Matches = Progress.Phase == PlanPhase::Proposed &&
+                         Intended != nullptr &&
+                         Progress.Proposed.Operator == RepairOperator &&
+                         Intended->Model == Missing.Model &&
+                         Intended->DataCentre == Missing.DataCentre;
+    const auto Confirmed = ConfirmedAt.find(Id);
+    const bool IsSuperseded =
+        Confirmed != ConfirmedAt.end() &&
+        Context.Now - Confirmed->second >= 2 * Times.AppendRetry;
+    if (Matches && !IsSuperseded)
       return Id;
   }
   return std::nullopt;
 }
 
-void GroupRepairer::plan(const Pass &In, const MissingGroups &Where,
-                         Repair &How) const {
-  const std::set<HostName> Out = avoidedHosts(In.At);
-  if (How.Candidate && How.PlannedOn == In.Now.LastChange &&
-      How.AvoidedThen == Out.size())
+void GroupRepairer::plan(const PollContext &Context,
+                         const MissingGroups &Missing,
+                         RepairState &Repair) const {
+  const std::set<HostName> Excluded = avoidedHosts(Context.Now);
+  if (Repair.Candidate && Repair.PlannedAtChange == Context.Agreed.LastChange &&
+      Repair.AvoidedCount == Excluded.size())
     return;
-  How.Candidate = planRepairOf(In.Now, Where, Out);
-  How.PlannedOn = In.Now.LastChange;
-  How.AvoidedThen = Out.size();
+  Repair.Candidate = planRepairOf(Context.Agreed, Missing, Excluded);
+  Repair.PlannedAtChange = Context.Agreed.LastChange;
+  Repair.AvoidedCount = Excluded.size();
 }
 
-bool GroupRepairer::allAnswer(const Pass &In, const Plan &Candidate) {
-  bool All = true;
-  for (const Step &What : Candidate.Steps)
-    for (const HostName &Member : std::get<FormGroup>(What).Members) {
-      const HostSpec *Host = findHost(In.Now.Declared, Member);
+bool GroupRepairer::allAnswer(const PollContext &Context,
+                              const Plan &Candidate) {
+  bool AllAnswer = true;
+  for (const Step &PlannedStep : Candidate.Steps)
+    for (const HostName &Member : std::get<FormGroup>(PlannedStep).Members) {
+      const HostSpec *Host = findHost(Context.Agreed.Declared, Member);
       if (Host == nullptr)
         return false;
-      In.Book.ask(*Host, In.At, In.Out);
+      Context.Engines.query(*Host, Context.Now, Context.Out);
       // Failure guarded against: the spare that a group would move to is dead
-      // as well, and the group waits for it until it is given up.
-      if (In.Book.silentFor(Member, In.At) > Duration::zero() &&
-          !In.Book.seemsCutOff(In.At))
-        avoid(Member, In.At);
-      const Duration Fresh = 2 * Times.PollEvery + Times.AskTimeout;
-      All = All && In.Book.reportSince(Member, In.At - Fresh) != nullptr;
+      // as well, and the group waits for it until it is abandoned.
+      if (Context.Engines.silentFor(Member, Context.Now) > Duration::zero() &&
+          !Context.Engines.seemsCutOff(Context.Now))
+        avoid(Member, Context.Now);
+      const Duration MaxAge = 2 * Times.PollEvery + Times.AskTimeout;
+      AllAnswer = AllAnswer && Context.Engines.reportSince(
+                                   Member, Context.Now - MaxAge) != nullptr;
     }
-  return All;
+  return AllAnswer;
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/repairer.hpp
+++ b/packages/version/src/coltsfoottrail/groups/repairer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Has missing groups formed again.
+/// Restores missing groups.
 #ifndef COLTSFOOTTRAIL_GROUPS_REPAIRER_HPP
 #define COLTSFOOTTRAIL_GROUPS_REPAIRER_HPP
 
@@ -13,73 +13,79 @@
 
 namespace coltsfoottrail {
 
-/// Operator that plans of repairs carry.
+/// Operator name in the plans of repairs.
 inline constexpr const char *RepairOperator = "repair";
 
-/// @brief Proposes and confirms plans that bring back the groups that are
-/// declared and missing.
+/// @brief Proposes and confirms plans that restore groups that are declared and
+/// missing.
 ///
-/// The declaration was confirmed by an operator, so keeping to it needs no
-/// second confirmation. A repair waits a short while for the survivors of a
-/// broken group, then asks each host that it would use before it proposes. Two
-/// entry hosts that repair the same do no harm: the fold voids the second. Not
-/// thread-safe.
+/// The declaration was confirmed by an operator, so restoring it needs no
+/// second confirmation. A repair waits a short while for the surviving hosts of
+/// a broken group, then queries each host that it would use before it proposes
+/// a plan. It does no harm if two entry hosts repair the same group: the fold
+/// voids the second plan. Not thread-safe.
 class GroupRepairer {
 public:
-  /// @brief Starts with nothing known.
-  /// @param Given Times of the deployment.
-  /// @param Name This entry host.
-  GroupRepairer(const GroupTimes &Given, HostName Name)
-      : Times(Given), Self(std::move(Name)) {}
+  /// @brief Makes a repairer without state.
+  /// @param Timing Timing of the deployment.
+  /// @param Name Name of this entry host.
+  GroupRepairer(const GroupTimes &Timing, HostName Name)
+      : Times(Timing), Self(std::move(Name)) {}
 
-  /// @brief Acts on missing groups, where this entry host has its turn.
-  /// @param Now The agreed state.
-  /// @param At The time.
-  /// @param Book The engines.
-  /// @param Pace Where appends go through.
-  /// @param Out Where commands go.
-  void poll(const State &Now, TimePoint At, EngineTracker &Book,
-            AppendPacer &Pace, GroupCommands &Out);
+  /// @brief Advances the repairs that this entry host may act on.
+  /// @param Agreed The agreed state.
+  /// @param Now The time.
+  /// @param Engines Reports and orders of the engines.
+  /// @param Appends Paces the appends.
+  /// @param Out Commands are added here.
+  void poll(const State &Agreed, TimePoint Now, EngineTracker &Engines,
+            AppendPacer &Appends, GroupCommands &Out);
 
-  /// @brief Keeps a host out of plans for a while.
-  void avoid(const HostName &Host, TimePoint At) {
-    Avoided[Host] = At + Times.AvoidFor;
+  /// @brief Excludes a host from plans for a while.
+  void avoid(const HostName &Host, TimePoint Now) {
+    Avoided[Host] = Now + Times.AvoidFor;
   }
 
-  /// @brief The hosts that are kept out of plans, for the planning of intents
-  /// as well.
-  [[nodiscard]] std::set<HostName> avoidedHosts(TimePoint At) const;
+  /// @brief The hosts that are excluded from plans, also for the planning of
+  /// intents.
+  [[nodiscard]] std::set<HostName> avoidedHosts(TimePoint Now) const;
 
 private:
-  struct Pass;
-  struct Repair {
+  struct PollContext;
+  struct RepairState {
     TimePoint Since;
-    std::size_t Turn = 0;
+    std::size_t Rank = 0;
     std::optional<Plan> Candidate;
-    Offset PlannedOn = 0;
-    std::size_t AvoidedThen = 0;
+    Offset PlannedAtChange = 0;
+    std::size_t AvoidedCount = 0;
   };
 
-  void look(const State &Now, TimePoint At);
-  void repair(const Pass &In, const MissingGroups &Where, Repair &How);
-  [[nodiscard]] bool awaitsSurvivors(const Pass &In, const MissingGroups &Where,
-                                     const Repair &How) const;
-  [[nodiscard]] static bool hasSurvivors(const Pass &In, const Group &Broken);
+  void refresh(const State &Agreed, TimePoint Now);
+  void repair(const PollContext &Context, const MissingGroups &Missing,
+              RepairState &Repair);
+  [[nodiscard]] bool awaitsSurvivors(const PollContext &Context,
+                                     const MissingGroups &Missing,
+                                     const RepairState &Repair) const;
+  [[nodiscard]] static bool hasSurvivors(const PollContext &Context,
+                                         const Group &Broken);
   [[nodiscard]] std::optional<Offset>
-  findProposed(const Pass &In, const MissingGroups &Where) const;
-  void plan(const Pass &In, const MissingGroups &Where, Repair &How) const;
-  [[nodiscard]] bool allAnswer(const Pass &In, const Plan &Candidate);
+  findProposed(const PollContext &Context, const MissingGroups &Missing) const;
+  void plan(const PollContext &Context, const MissingGroups &Missing,
+            RepairState &Repair) const;
+  [[nodiscard]] bool allAnswer(const PollContext &Context,
+                               const Plan &Candidate);
 
   GroupTimes Times;
   HostName Self;
-  std::map<MissingGroups, Repair> Repairs;
+  std::map<MissingGroups, RepairState> Repairs;
   std::map<HostName, TimePoint> Avoided;
-  /// When each proposed repair was confirmed. One that is still only proposed a
-  /// while later was beaten by a change, and a new one takes its place.
+  /// When each proposed repair was confirmed. A repair that is still only
+  /// proposed some time later was superseded by another change and is replaced
+  /// by a new one.
   std::map<Offset, TimePoint> ConfirmedAt;
-  TimePoint NextLook;
-  /// LastChange of the state that was looked at last.
-  std::optional<Offset> LookedAt;
+  TimePoint NextRefresh;
+  /// State::LastChange at the last refresh.
+  std::optional<Offset> RefreshedChange;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/spread.hpp
+++ b/packages/version/src/coltsfoottrail/groups/spread.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which entry host has the first turn at a duty.
+/// Ranks the entry hosts for a task.
 #ifndef COLTSFOOTTRAIL_GROUPS_SPREAD_HPP
 #define COLTSFOOTTRAIL_GROUPS_SPREAD_HPP
 
@@ -9,15 +9,15 @@
 
 namespace coltsfoottrail {
 
-/// @brief Turn of an entry host at a duty by rendezvous hash: zero acts first,
-/// the others only if it doesn't. Duties are spread, so no host is set aside.
-/// Thread-safe.
-/// @param Duty Names the duty.
-/// @param EntryHosts Those that have joined.
-/// @param Self Whose turn is asked for.
-/// @return How many entry hosts come before it.
+/// @brief Rank of an entry host for a task by rendezvous hash: the host of rank
+/// zero acts first, the others only if it does not. Tasks are spread over all
+/// hosts, so no host is set aside for them. Thread-safe.
+/// @param Task Key of the task.
+/// @param EntryHosts The entry hosts that have joined.
+/// @param Self The host whose rank is computed.
+/// @return The number of entry hosts that rank before it.
 [[nodiscard]] std::size_t
-rendezvousRank(std::string_view Duty,
+rendezvousRank(std::string_view Task,
                const std::map<HostName, EntryHost> &EntryHosts,
                const HostName &Self);
 
--- a/packages/version/src/coltsfoottrail/groups/steps.cpp
+++ b/packages/version/src/coltsfoottrail/groups/steps.cpp
@@ -8,23 +8,23 @@
 
 namespace coltsfoottrail {
 
-struct StepRunner::Pass {
-  const State &Now;
-  TimePoint At;
+struct StepRunner::PollContext {
+  const State &Agreed;
+  TimePoint Now;
   LeaseKeeper &Leases;
-  EngineTracker &Book;
-  AppendPacer &Pace;
+  EngineTracker &Engines;
+  AppendPacer &Appends;
   GroupCommands &Out;
 };
 
 namespace {
 
-bool stillForms(const State &Now, Offset Plan) {
+bool hasFormingGroups(const State &Agreed, Offset Plan) {
   const GroupId First{Plan, 0};
   const GroupId Last{Plan, std::numeric_limits<std::uint32_t>::max()};
-  for (auto Each = Now.Groups.lower_bound(First);
-       Each != Now.Groups.end() && Each->first <= Last; ++Each)
-    if (Each->second.Phase == GroupPhase::Forming)
+  for (auto Entry = Agreed.Groups.lower_bound(First);
+       Entry != Agreed.Groups.end() && Entry->first <= Last; ++Entry)
+    if (Entry->second.Phase == GroupPhase::Forming)
       return true;
   return false;
 }
@@ -37,128 +37,133 @@
 
 } // namespace
 
-void StepRunner::poll(const State &Now, TimePoint At, LeaseKeeper &Leases,
-                      EngineTracker &Book, AppendPacer &Pace,
+void StepRunner::poll(const State &Agreed, TimePoint Now, LeaseKeeper &Leases,
+                      EngineTracker &Engines, AppendPacer &Appends,
                       GroupCommands &Out) {
-  std::erase_if(Waits, [&Now](const auto &Entry) {
-    const auto Found = Now.Plans.find(Entry.first);
-    return Found == Now.Plans.end() ||
+  std::erase_if(StepWaits, [&Agreed](const auto &Entry) {
+    const auto Found = Agreed.Plans.find(Entry.first);
+    return Found == Agreed.Plans.end() ||
            Found->second.Phase != PlanPhase::Running;
   });
-  const Pass In{Now, At, Leases, Book, Pace, Out};
-  for (const auto &[Plan, Progress] : Now.Plans) {
+  const PollContext Context{Agreed, Now, Leases, Engines, Appends, Out};
+  for (const auto &[Plan, Progress] : Agreed.Plans) {
     if (Progress.Phase != PlanPhase::Running)
       continue;
-    if (const auto Lease = Leases.held(Plan, At))
-      runPlan(In, Plan, Progress, *Lease);
+    if (const auto Lease = Leases.held(Plan, Now))
+      runPlan(Context, Plan, Progress, *Lease);
   }
 }
 
-void StepRunner::runPlan(const Pass &In, Offset Plan,
+void StepRunner::runPlan(const PollContext &Context, Offset Plan,
                          const PlanProgress &Progress, const PlanLease &Lease) {
-  const Step &What = Progress.Proposed.Proposal.Steps.at(Progress.StepsDone);
-  Outcome Found;
-  if (const auto *Form = std::get_if<FormGroup>(&What))
-    Found = formOutcome(In, Plan, Progress, *Form);
-  else if (const auto *Stop = std::get_if<StopGroup>(&What))
-    Found = stopOutcome(In, Plan, Progress, *Stop);
+  const Step &Current = Progress.Proposed.Proposal.Steps.at(Progress.StepsDone);
+  Outcome Result;
+  if (const auto *Form = std::get_if<FormGroup>(&Current))
+    Result = formOutcome(Context, Plan, Progress, *Form);
+  else if (const auto *Stop = std::get_if<StopGroup>(&Current))
+    Result = stopOutcome(Context, Plan, Progress, *Stop);
   else
-    Found =
-        swapOutcome(In, Plan, Progress, std::get<SwapAdapters>(What), Lease);
+    Result = swapOutcome(Context, Plan, Progress,
+                         std::get<SwapAdapters>(Current), Lease);
   const std::string Key = "/" + std::to_string(Plan) + "/" +
                           std::to_string(Progress.StepsDone) + "/" +
                           std::to_string(Lease.Fence);
-  if (Found.Is == Standing::Finished)
-    In.Pace.append("step" + Key,
-                   StepFinished{Plan, Lease.Fence, Progress.StepsDone}, In.At,
-                   In.Out);
-  // Abandoning a plan stops what it still forms: one lost host must not take
-  // down the other groups of the plan, so they are formed first.
-  if (Found.Is == Standing::Impossible && !stillForms(In.Now, Plan))
-    In.Pace.append("abandon" + Key, PlanAbandoned{Plan, Found.Why}, In.At,
-                   In.Out);
+  if (Result.Status == StepStatus::Finished)
+    Context.Appends.append("step" + Key,
+                           StepFinished{Plan, Lease.Fence, Progress.StepsDone},
+                           Context.Now, Context.Out);
+  // Abandoning a plan stops the groups that it is still forming. One lost host
+  // must not take down the other groups of the plan, so they are formed first.
+  if (Result.Status == StepStatus::Impossible &&
+      !hasFormingGroups(Context.Agreed, Plan))
+    Context.Appends.append("abandon" + Key, PlanAbandoned{Plan, Result.Reason},
+                           Context.Now, Context.Out);
 }
 
-StepRunner::Outcome StepRunner::formOutcome(const Pass &In, Offset Plan,
+StepRunner::Outcome StepRunner::formOutcome(const PollContext &Context,
+                                            Offset Plan,
                                             const PlanProgress &Progress,
                                             const FormGroup &Form) {
   const GroupId Id{Plan, Form.Number};
-  const auto Found = In.Now.Groups.find(Id);
-  const std::string Lost = "group " + textOf(Id) + " broke";
-  if (Found == In.Now.Groups.end()) {
-    const bool Gone = Progress.Formed.contains(Form.Number);
-    return Gone ? Outcome{Standing::Impossible, Lost} : Outcome{};
+  const auto Entry = Context.Agreed.Groups.find(Id);
+  const std::string LossReason = "group " + textOf(Id) + " broke";
+  if (Entry == Context.Agreed.Groups.end()) {
+    const bool WasFormed = Progress.Formed.contains(Form.Number);
+    return WasFormed ? Outcome{StepStatus::Impossible, LossReason} : Outcome{};
   }
-  switch (Found->second.Phase) {
+  switch (Entry->second.Phase) {
   case GroupPhase::Forming:
     return Outcome{};
   case GroupPhase::Serving:
-    return Outcome{Standing::Finished, {}};
+    return Outcome{StepStatus::Finished, {}};
   case GroupPhase::Stopping:
   case GroupPhase::Broken:
     break;
   }
-  return Outcome{Standing::Impossible, Lost};
+  return Outcome{StepStatus::Impossible, LossReason};
 }
 
-StepRunner::Outcome StepRunner::stopOutcome(const Pass &In, Offset Plan,
+StepRunner::Outcome StepRunner::stopOutcome(const PollContext &Context,
+                                            Offset Plan,
                                             const PlanProgress &Progress,
                                             const StopGroup &Stop) {
-  const auto Found = In.Now.Groups.find(Stop.Group);
-  if (Found == In.Now.Groups.end())
-    return Outcome{Standing::Finished, {}};
-  const Group &Known = Found->second;
-  if (Known.Phase != GroupPhase::Broken ||
-      !patienceIsOver(In, Plan, Progress.StepsDone, Known.Held.size()))
+  const auto Entry = Context.Agreed.Groups.find(Stop.Group);
+  if (Entry == Context.Agreed.Groups.end())
+    return Outcome{StepStatus::Finished, {}};
+  const Group &Current = Entry->second;
+  if (Current.Phase != GroupPhase::Broken ||
+      !isTimedOut(Context, Plan, Progress.StepsDone, Current.Held.size()))
     return Outcome{};
-  return Outcome{Standing::Impossible, "host " + Known.Held.begin()->Text +
-                                           " of group " + textOf(Stop.Group) +
-                                           " has not proved that it stopped"};
+  return Outcome{StepStatus::Impossible, "host " + Current.Held.begin()->Text +
+                                             " of group " + textOf(Stop.Group) +
+                                             " has not proved that it stopped"};
 }
 
-StepRunner::Outcome StepRunner::swapOutcome(const Pass &In, Offset Plan,
+StepRunner::Outcome StepRunner::swapOutcome(const PollContext &Context,
+                                            Offset Plan,
                                             const PlanProgress &Progress,
                                             const SwapAdapters &Swap,
                                             const PlanLease &Lease) {
-  const auto Found = In.Now.Groups.find(Swap.Group);
-  if (Found == In.Now.Groups.end() ||
-      Found->second.Phase != GroupPhase::Serving)
-    return Outcome{Standing::Impossible,
+  const auto Entry = Context.Agreed.Groups.find(Swap.Group);
+  if (Entry == Context.Agreed.Groups.end() ||
+      Entry->second.Phase != GroupPhase::Serving)
+    return Outcome{StepStatus::Impossible,
                    "group " + textOf(Swap.Group) + " broke"};
-  std::size_t Waiting = 0;
-  for (const HostName &Member : Found->second.Formed.Members) {
-    const HostSpec *Host = findHost(In.Now.Declared, Member);
+  std::size_t WaitingCount = 0;
+  for (const HostName &Member : Entry->second.Formed.Members) {
+    const HostSpec *Host = findHost(Context.Agreed.Declared, Member);
     if (Host == nullptr)
       continue;
-    if (In.Book.takeRefusedFence(Member))
-      In.Leases.renewNow(Plan);
-    In.Book.ask(*Host, In.At, In.Out);
+    if (Context.Engines.takeRefusedFence(Member))
+      Context.Leases.renewNow(Plan);
+    Context.Engines.query(*Host, Context.Now, Context.Out);
     const EngineReport *Report =
-        In.Book.reportSince(Member, In.At - Times.ConfirmWindow);
+        Context.Engines.reportSince(Member, Context.Now - Times.ConfirmWindow);
     if (Report != nullptr && sameAdapters(Report->Adapters, Swap.Adapters))
       continue;
-    ++Waiting;
+    ++WaitingCount;
     if (Report != nullptr && Report->Group == Swap.Group)
-      In.Book.order(
+      Context.Engines.order(
           *Host,
           EngineOrder{Lease.Fence, LoadAdapters{Swap.Group, Swap.Adapters}},
-          Lease.End, In.At, In.Out);
+          Lease.End, Context.Now, Context.Out);
   }
-  if (Waiting == 0)
-    return Outcome{Standing::Finished, {}};
-  if (!patienceIsOver(In, Plan, Progress.StepsDone, Waiting))
+  if (WaitingCount == 0)
+    return Outcome{StepStatus::Finished, {}};
+  if (!isTimedOut(Context, Plan, Progress.StepsDone, WaitingCount))
     return Outcome{};
-  return Outcome{Standing::Impossible,
+  return Outcome{StepStatus::Impossible,
                  "group " + textOf(Swap.Group) + " has not taken the adapters"};
 }
 
-bool StepRunner::patienceIsOver(const Pass &In, Offset Plan, std::uint32_t Step,
-                                std::size_t Held) {
-  const auto [Entry, Fresh] = Waits.try_emplace(Plan, Wait{Step, Held, In.At});
-  Wait &Known = Entry->second;
-  if (Known.Step != Step || Known.Held != Held)
-    Known = Wait{Step, Held, In.At};
-  return In.At - Known.Since >= Times.StepTimeout;
+bool StepRunner::isTimedOut(const PollContext &Context, Offset Plan,
+                            std::uint32_t Step, std::size_t HostCount) {
+  const auto [Entry, IsNew] =
+      StepWaits.try_emplace(Plan, StepWait{Step, HostCount, Context.Now});
+  StepWait &Current = Entry->second;
+  if (Current.Step != Step || Current.HostCount != HostCount)
+    Current = StepWait{Step, HostCount, Context.Now};
+  return Context.Now - Current.Since >= Times.StepTimeout;
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/steps.hpp
+++ b/packages/version/src/coltsfoottrail/groups/steps.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Carries the steps of running plans on.
+/// Advances the steps of running plans.
 #ifndef COLTSFOOTTRAIL_GROUPS_STEPS_HPP
 #define COLTSFOOTTRAIL_GROUPS_STEPS_HPP
 
@@ -14,56 +14,57 @@
 
 namespace coltsfoottrail {
 
-/// @brief Finishes the steps of the plans whose lease is held, and abandons a
-/// plan that can't go on. All it goes by stands in the agreed state, so another
-/// entry host carries on where this one stopped. Not thread-safe.
+/// @brief Finishes the steps of the plans whose lease this host holds, and
+/// abandons a plan that cannot go on. It depends only on the agreed state, so
+/// another entry host can continue where this one stopped. Not thread-safe.
 class StepRunner {
 public:
-  /// @brief Starts with nothing known.
-  explicit StepRunner(const GroupTimes &Given) : Times(Given) {}
+  /// @brief Makes a runner without state.
+  explicit StepRunner(const GroupTimes &Timing) : Times(Timing) {}
 
-  /// @brief Acts on the running plans whose lease is held.
-  /// @param Now The agreed state.
-  /// @param At The time.
-  /// @param Leases The leases held.
-  /// @param Book The engines.
-  /// @param Pace Where appends go through.
-  /// @param Out Where commands go.
-  void poll(const State &Now, TimePoint At, LeaseKeeper &Leases,
-            EngineTracker &Book, AppendPacer &Pace, GroupCommands &Out);
+  /// @brief Advances the running plans whose lease this host holds.
+  /// @param Agreed The agreed state.
+  /// @param Now The time.
+  /// @param Leases The leases of this host.
+  /// @param Engines Reports and orders of the engines.
+  /// @param Appends Paces the appends.
+  /// @param Out Commands are added here.
+  void poll(const State &Agreed, TimePoint Now, LeaseKeeper &Leases,
+            EngineTracker &Engines, AppendPacer &Appends, GroupCommands &Out);
 
 private:
-  struct Pass;
-  /// Since when a step has waited for the same hosts.
-  struct Wait {
+  struct PollContext;
+  /// Since when a step has waited for the same number of hosts.
+  struct StepWait {
     std::uint32_t Step = 0;
-    std::size_t Held = 0;
+    std::size_t HostCount = 0;
     TimePoint Since;
   };
-  enum class Standing : std::uint8_t { Open, Finished, Impossible };
+  enum class StepStatus : std::uint8_t { Pending, Finished, Impossible };
 
   struct Outcome {
-    Standing Is = Standing::Open;
-    std::string Why;
+    StepStatus Status = StepStatus::Pending;
+    std::string Reason;
   };
 
-  void runPlan(const Pass &In, Offset Plan, const PlanProgress &Progress,
-               const PlanLease &Lease);
-  [[nodiscard]] static Outcome formOutcome(const Pass &In, Offset Plan,
+  void runPlan(const PollContext &Context, Offset Plan,
+               const PlanProgress &Progress, const PlanLease &Lease);
+  [[nodiscard]] static Outcome formOutcome(const PollContext &Context,
+                                           Offset Plan,
                                            const PlanProgress &Progress,
                                            const FormGroup &Form);
-  [[nodiscard]] Outcome stopOutcome(const Pass &In, Offset Plan,
+  [[nodiscard]] Outcome stopOutcome(const PollContext &Context, Offset Plan,
                                     const PlanProgress &Progress,
                                     const StopGroup &Stop);
-  [[nodiscard]] Outcome swapOutcome(const Pass &In, Offset Plan,
+  [[nodiscard]] Outcome swapOutcome(const PollContext &Context, Offset Plan,
                                     const PlanProgress &Progress,
                                     const SwapAdapters &Swap,
                                     const PlanLease &Lease);
-  [[nodiscard]] bool patienceIsOver(const Pass &In, Offset Plan,
-                                    std::uint32_t Step, std::size_t Held);
+  [[nodiscard]] bool isTimedOut(const PollContext &Context, Offset Plan,
+                                std::uint32_t Step, std::size_t HostCount);
 
   GroupTimes Times;
-  std::map<Offset, Wait> Waits;
+  std::map<Offset, StepWait> StepWaits;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/times.hpp
+++ b/packages/version/src/coltsfoottrail/groups/times.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The times that group life, leases and the watch over members go by.
+/// Timing of groups and leases.
 #ifndef COLTSFOOTTRAIL_GROUPS_TIMES_HPP
 #define COLTSFOOTTRAIL_GROUPS_TIMES_HPP
 
@@ -10,57 +10,59 @@
 
 namespace coltsfoottrail {
 
-/// @brief Times of group life. All hosts of one deployment use the same.
+/// @brief Timing of groups, leases and appends. All hosts of one deployment use
+/// the same values.
 struct GroupTimes {
-  /// How long an executor may act on its lease, by its own clock, counted from
-  /// before it asked for it.
+  /// How long an executor may act on its lease by its own clock, counted from
+  /// before it requested the lease.
   Duration LeaseLength = seconds(20);
-  /// A clock of one host gains or loses at most one part in this many on
-  /// another's.
+  /// The clocks of two hosts drift apart by at most one part in this many.
   std::uint32_t DriftParts = 100;
-  /// Within this an order's answer has come or is given up.
+  /// Time after which an unanswered order is given up.
   milliseconds OrderTimeout = milliseconds(3000);
-  /// Within this a report has come or is given up.
+  /// Time after which an unanswered query for a report is given up.
   milliseconds AskTimeout = milliseconds(500);
-  /// Between the turns of entry hosts that may do the same.
+  /// Delay between entry hosts of successive ranks that may act on the same
+  /// task.
   Duration Stagger = seconds(2);
-  /// Before a record that had no effect is appended again.
+  /// Time after which a record that had no effect is appended again.
   Duration AppendRetry = seconds(3);
-  /// Between two reports asked of an engine that loads or leaves.
+  /// Interval between two queries of an engine that loads or leaves.
   Duration PollEvery = milliseconds(500);
-  /// Between two reports asked of an engine that doesn't answer.
+  /// Interval between two queries of an engine that does not answer.
   Duration SilentPollEvery = seconds(5);
-  /// Between two orders of one kind to one engine.
+  /// Minimum interval between two orders to one engine.
   Duration OrderEvery = seconds(1);
-  /// A group whose member hasn't answered for so long while it forms or stops
-  /// is given up.
+  /// A group is abandoned if a member has not answered for this long while the
+  /// group forms or stops.
   Duration MemberSilenceLimit = seconds(30);
-  /// A group that hasn't formed in this time since its turn to load came is
-  /// given up.
+  /// A group is abandoned if it has not formed within this time after it was
+  /// allowed to load.
   Duration FormTimeout = std::chrono::minutes(20);
-  /// Who asked engines and heard from none of them for so long takes itself for
-  /// cut off and leaves leases and judgements to others.
+  /// A host that has queried engines and received no answer from any for this
+  /// long considers itself cut off, and leaves leases and failure decisions to
+  /// others.
   Duration CutOffAfter = seconds(10);
-  /// Reports of all members that are this fresh prove together that a group is
-  /// whole.
+  /// A group is confirmed when the reports of all members are ready and no
+  /// older than this.
   Duration ConfirmWindow = seconds(2);
-  /// After this no entry host sends work to a group that is stopping: longer
+  /// Time after which no entry host sends requests to a stopping group: longer
   /// than a record takes to be in force everywhere.
   Duration StopSettle = seconds(5);
-  /// A group at rest for so long in its engines' reports, which lag, is told to
-  /// leave.
+  /// A stopping group is ordered to leave after its engines have reported no
+  /// requests for this long, since their reports lag.
   Duration IdleFor = seconds(1);
-  /// A step that waits so long for hosts of a broken group is given up.
+  /// A step that has waited this long for hosts of a broken group is abandoned.
   Duration StepTimeout = seconds(120);
-  /// Between two looks for groups that are missing.
+  /// Interval between two checks for missing groups.
   Duration RepairEvery = seconds(1);
-  /// A repair waits so long for the survivors of a broken group.
+  /// How long a repair waits for the surviving hosts of a broken group.
   Duration SurvivorWait = seconds(5);
-  /// A host that didn't answer gets no group for so long.
+  /// How long a host that did not answer is excluded from new groups.
   Duration AvoidFor = seconds(60);
 
-  /// @brief After this, counted by any clock from when a lease was seen to be
-  /// held, no order under it is sent or under way. Thread-safe.
+  /// @brief Time after which, counted by any clock from when a lease was seen
+  /// to be held, no order under it is sent or in progress. Thread-safe.
   [[nodiscard]] Duration leaseExpiredAfter() const {
     return LeaseLength + 2 * LeaseLength / DriftParts + OrderTimeout +
            seconds(1);
--- a/packages/version/src/coltsfoottrail/groups/watch.cpp
+++ b/packages/version/src/coltsfoottrail/groups/watch.cpp
@@ -7,158 +7,167 @@
 
 namespace coltsfoottrail {
 
-GroupCommands GroupWatch::poll(const State &Now, const WatchPlan &Plan,
-                               const CountSilent &OthersSilent, TimePoint At) {
+GroupCommands GroupWatch::poll(const State &Agreed, const WatchPlan &Plan,
+                               const CountSilent &CountOthers, TimePoint Now) {
   GroupCommands Out;
-  if (FollowedNext != Now.Next || FollowedDigest != Plan.digest())
-    follow(Now, Plan, At);
-  for (auto &[Id, Over] : Groups) {
-    ask(Id, Over, At, Out);
-    judge(Id, sightOf(Over, At), Plan, OthersSilent, At, Out);
+  if (SeenNext != Agreed.Next || SeenDigest != Plan.digest())
+    follow(Agreed, Plan, Now);
+  for (auto &[Id, Group] : Groups) {
+    queryMembers(Id, Group, Now, Out);
+    declareIfBroken(Id, healthOf(Group, Now), Plan, CountOthers, Now, Out);
   }
   return Out;
 }
 
-void GroupWatch::follow(const State &Now, const WatchPlan &Plan, TimePoint At) {
-  FollowedNext = Now.Next;
-  FollowedDigest = Plan.digest();
-  const std::set<GroupId> &Mine = Plan.watchedBy(Self);
-  std::erase_if(Groups, [&Mine](const auto &Entry) {
-    return !Mine.contains(Entry.first);
+void GroupWatch::follow(const State &Agreed, const WatchPlan &Plan,
+                        TimePoint Now) {
+  SeenNext = Agreed.Next;
+  SeenDigest = Plan.digest();
+  const std::set<GroupId> &OwnGroups = Plan.watchedBy(Self);
+  std::erase_if(Groups, [&OwnGroups](const auto &Entry) {
+    return !OwnGroups.contains(Entry.first);
   });
-  for (const GroupId &Id : Mine) {
-    const auto Known = Now.Groups.find(Id);
-    if (Known != Now.Groups.end() && !Groups.contains(Id))
-      Groups.emplace(Id, start(Now, Known->second, At));
+  for (const GroupId &Id : OwnGroups) {
+    const auto Serving = Agreed.Groups.find(Id);
+    if (Serving != Agreed.Groups.end() && !Groups.contains(Id))
+      Groups.emplace(Id, startWatching(Agreed, Serving->second, Now));
   }
 }
 
-GroupWatch::Watched GroupWatch::start(const State &Now, const Group &Known,
-                                      TimePoint At) const {
-  Watched Over;
-  for (std::size_t Rank = 0; Rank < Known.Formed.Members.size(); ++Rank) {
-    Member Of;
-    Of.Host = Known.Formed.Members[Rank];
-    if (const HostSpec *Host = findHost(Now.Declared, Of.Host))
-      Of.Address = EngineAddress{Host->Address, Host->Port};
-    if (Rank < Known.MemberRuns.size())
-      Of.Run = Known.MemberRuns[Rank];
-    // Questions are spread over the interval, so that no burst leaves at once.
-    const std::uint64_t Spread = rendezvousWeight(Of.Host.Text, Self.Text);
+GroupWatch::WatchedGroup GroupWatch::startWatching(const State &Agreed,
+                                                   const Group &Source,
+                                                   TimePoint Now) const {
+  WatchedGroup Group;
+  for (std::size_t Rank = 0; Rank < Source.Formed.Members.size(); ++Rank) {
+    WatchedMember Member;
+    Member.Host = Source.Formed.Members[Rank];
+    if (const HostSpec *Host = findHost(Agreed.Declared, Member.Host))
+      Member.Address = EngineAddress{Host->Address, Host->Port};
+    if (Rank < Source.MemberRuns.size())
+      Member.Run = Source.MemberRuns[Rank];
+    // Queries are spread over the interval, so that they are not sent in one
+    // burst.
+    const std::uint64_t Hash = rendezvousWeight(Member.Host.Text, Self.Text);
     const auto Interval = static_cast<std::uint64_t>(Times.AskEvery.count());
-    Of.NextAsk = At + Duration(static_cast<Duration::rep>(Spread % Interval));
-    Over.Members.push_back(std::move(Of));
+    Member.NextQuery =
+        Now + Duration(static_cast<Duration::rep>(Hash % Interval));
+    Group.Members.push_back(std::move(Member));
   }
-  return Over;
+  return Group;
 }
 
-void GroupWatch::ask(const GroupId &Id, Watched &Over, TimePoint At,
-                     GroupCommands &Out) {
-  for (std::size_t Rank = 0; Rank < Over.Members.size(); ++Rank) {
-    Member &Of = Over.Members[Rank];
-    if (Of.Asking || At < Of.NextAsk)
+void GroupWatch::queryMembers(const GroupId &Id, WatchedGroup &Group,
+                              TimePoint Now, GroupCommands &Out) {
+  for (std::size_t Rank = 0; Rank < Group.Members.size(); ++Rank) {
+    WatchedMember &Member = Group.Members[Rank];
+    if (Member.QueryId || Now < Member.NextQuery)
       continue;
-    const CommandId Which = Pace.drawTicket();
-    Of.Asking = Which;
-    Of.AskedAt = At;
-    Of.NextAsk = std::max(Of.NextAsk + Times.AskEvery, At + Times.AskEvery / 2);
-    Asked[Which] = {Id, Rank};
-    Out.emplace_back(AskEngine{Which, Of.Host, Of.Address, Times.AskTimeout});
+    const CommandId Query = Appends.nextId();
+    Member.QueryId = Query;
+    Member.QuerySentAt = Now;
+    Member.NextQuery =
+        std::max(Member.NextQuery + Times.AskEvery, Now + Times.AskEvery / 2);
+    PendingQueries[Query] = {Id, Rank};
+    Out.emplace_back(
+        AskEngine{Query, Member.Host, Member.Address, Times.AskTimeout});
   }
 }
 
-void GroupWatch::judge(const GroupId &Id, const GroupHealth &Sight,
-                       const WatchPlan &Plan, const CountSilent &OthersSilent,
-                       TimePoint At, GroupCommands &Out) {
-  bool Broken = Sight.Broken;
-  if (!Broken && Sight.SilentFor >= Times.LossAfter) {
+void GroupWatch::declareIfBroken(const GroupId &Id, const GroupHealth &Health,
+                                 const WatchPlan &Plan,
+                                 const CountSilent &CountOthers, TimePoint Now,
+                                 GroupCommands &Out) {
+  bool Broken = Health.Broken;
+  if (!Broken && Health.SilentFor >= Times.LossAfter) {
     const std::size_t Watchers = Plan.watchersOf(Id).size();
-    Broken = 1 + OthersSilent(Id) >= Watchers;
+    Broken = 1 + CountOthers(Id) >= Watchers;
   }
   if (Broken)
-    Pace.append("break/" + textOf(Id),
-                GroupBroken{Id, Sight.LostMember, Sight.Why}, At, Out);
+    Appends.append("break/" + textOf(Id),
+                   GroupBroken{Id, Health.LostMember, Health.Why}, Now, Out);
 }
 
-void GroupWatch::recordReport(CommandId Which,
+void GroupWatch::recordReport(CommandId Query,
                               const std::optional<EngineReport> &Report,
-                              TimePoint At) {
-  const auto Found = Asked.find(Which);
-  if (Found == Asked.end())
+                              TimePoint Now) {
+  const auto Pending = PendingQueries.find(Query);
+  if (Pending == PendingQueries.end())
     return;
-  const auto [Id, Rank] = Found->second;
-  Asked.erase(Found);
+  const auto [Id, Rank] = Pending->second;
+  PendingQueries.erase(Pending);
   const auto Entry = Groups.find(Id);
-  if (Entry == Groups.end() || Entry->second.Members[Rank].Asking != Which)
+  if (Entry == Groups.end() || Entry->second.Members[Rank].QueryId != Query)
     return;
-  Member &Of = Entry->second.Members[Rank];
-  Of.Asking.reset();
+  WatchedMember &Member = Entry->second.Members[Rank];
+  Member.QueryId.reset();
   if (Report)
-    return take(Id, Entry->second, Of, *Report);
-  if (!Of.SilentSince)
-    Of.SilentSince = Of.AskedAt;
-  Of.NextAsk = std::min(Of.NextAsk, At + Times.AskEvery / 2);
+    return applyReport(Id, Entry->second, Member, *Report);
+  if (!Member.SilentSince)
+    Member.SilentSince = Member.QuerySentAt;
+  Member.NextQuery = std::min(Member.NextQuery, Now + Times.AskEvery / 2);
 }
 
-void GroupWatch::take(const GroupId &Id, Watched &Over, Member &Of,
-                      const EngineReport &Report) {
-  Of.SilentSince.reset();
-  const bool OtherRun = Report.Run != Of.Run;
+void GroupWatch::applyReport(const GroupId &Id, WatchedGroup &Group,
+                             WatchedMember &Member,
+                             const EngineReport &Report) {
+  Member.SilentSince.reset();
+  const bool OtherRun = Report.Run != Member.Run;
   if (OtherRun || Report.Group != Id) {
-    Over.Lost = Of.Host;
-    Over.Why = OtherRun ? "its engine has restarted"
-                        : "its engine serves this group no more";
+    Group.Lost = Member.Host;
+    Group.Reason = OtherRun ? "its engine has restarted"
+                            : "its engine serves this group no more";
     return;
   }
-  // An engine that leaves or loads is no proof of a loss, but no answer to
-  // vouch for either.
+  // A report of an engine that leaves or loads neither proves a loss nor lets
+  // the watcher vouch for the group.
   if (Report.Phase == EnginePhase::Ready)
-    Of.WellAt = Of.AskedAt;
+    Member.HealthyAt = Member.QuerySentAt;
 }
 
-void GroupWatch::suspect(const GroupId &Group, TimePoint At) {
-  const auto Found = Groups.find(Group);
-  if (Found == Groups.end())
+void GroupWatch::suspect(const GroupId &Id, TimePoint Now) {
+  const auto Entry = Groups.find(Id);
+  if (Entry == Groups.end())
     return;
-  for (Member &Of : Found->second.Members)
-    Of.NextAsk = std::min(Of.NextAsk, At);
+  for (WatchedMember &Member : Entry->second.Members)
+    Member.NextQuery = std::min(Member.NextQuery, Now);
 }
 
-std::map<GroupId, GroupHealth> GroupWatch::healthByGroup(TimePoint At) const {
-  std::map<GroupId, GroupHealth> All;
-  for (const auto &[Id, Over] : Groups)
-    All.emplace_hint(All.end(), Id, sightOf(Over, At));
-  return All;
+std::map<GroupId, GroupHealth> GroupWatch::healthByGroup(TimePoint Now) const {
+  std::map<GroupId, GroupHealth> HealthById;
+  for (const auto &[Id, Group] : Groups)
+    HealthById.emplace_hint(HealthById.end(), Id, healthOf(Group, Now));
+  return HealthById;
 }
 
-bool GroupWatch::isHealthy(const GroupHealth &Sight, TimePoint At) const {
-  return !Sight.Broken && Sight.HealthySince &&
-         At - *Sight.HealthySince <= Times.healthyWithin();
+bool GroupWatch::isHealthy(const GroupHealth &Health, TimePoint Now) const {
+  return !Health.Broken && Health.HealthySince &&
+         Now - *Health.HealthySince <= Times.healthyWithin();
 }
 
-GroupHealth GroupWatch::sightOf(const Watched &Over, TimePoint At) const {
-  GroupHealth Sight;
-  if (Over.Lost) {
-    Sight.Broken = true;
-    Sight.LostMember = *Over.Lost;
-    Sight.Why = Over.Why;
-    return Sight;
+GroupHealth GroupWatch::healthOf(const WatchedGroup &Group,
+                                 TimePoint Now) const {
+  GroupHealth Health;
+  if (Group.Lost) {
+    Health.Broken = true;
+    Health.LostMember = *Group.Lost;
+    Health.Why = Group.Reason;
+    return Health;
   }
   bool AllAnswered = true;
-  for (const Member &Of : Over.Members) {
-    if (Of.SilentSince && At - *Of.SilentSince > Sight.SilentFor) {
-      Sight.SilentFor = At - *Of.SilentSince;
-      Sight.LostMember = Of.Host;
-      Sight.Why = "its engine does not answer";
+  for (const WatchedMember &Member : Group.Members) {
+    if (Member.SilentSince && Now - *Member.SilentSince > Health.SilentFor) {
+      Health.SilentFor = Now - *Member.SilentSince;
+      Health.LostMember = Member.Host;
+      Health.Why = "its engine does not answer";
     }
-    if (!Of.WellAt)
+    if (!Member.HealthyAt)
       AllAnswered = false;
-    else if (!Sight.HealthySince || *Of.WellAt < *Sight.HealthySince)
-      Sight.HealthySince = Of.WellAt;
+    else if (!Health.HealthySince || *Member.HealthyAt < *Health.HealthySince)
+      Health.HealthySince = Member.HealthyAt;
   }
   if (!AllAnswered)
-    Sight.HealthySince.reset();
-  return Sight;
+    Health.HealthySince.reset();
+  return Health;
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/watch.hpp
+++ b/packages/version/src/coltsfoottrail/groups/watch.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One entry host's watch over the members of groups.
+/// Monitors the members of the groups that one entry host watches.
 #ifndef COLTSFOOTTRAIL_GROUPS_WATCH_HPP
 #define COLTSFOOTTRAIL_GROUPS_WATCH_HPP
 
@@ -16,103 +16,104 @@
 
 namespace coltsfoottrail {
 
-/// @brief How a watcher finds a group.
+/// @brief Health of a group as seen by one watcher.
 struct GroupHealth {
-  /// All members have answered, with the run that was confirmed, to questions
-  /// that left at or after this time.
+  /// All members have answered, with the run that was confirmed, queries that
+  /// were sent at or after this time.
   std::optional<TimePoint> HealthySince;
-  /// A member has proved that the group is broken.
+  /// A report of a member has proved that the group is broken.
   bool Broken = false;
-  /// For how long the longest silent member has not answered.
+  /// How long the member that has been silent longest has not answered.
   Duration SilentFor = Duration::zero();
   HostName LostMember;
   std::string Why;
 };
 
-/// Tells how many of a group's watchers, this host left out, take it for lost
-/// as well.
+/// Counts the other watchers of a group that also take it for lost.
 using CountSilent = std::function<std::size_t(const GroupId &)>;
 
-/// @brief Asks the members of the groups that this entry host watches over, and
-/// has a group declared broken.
+/// @brief Queries the members of the groups that this entry host watches, and
+/// declares groups broken.
 ///
-/// Proof is a report with another run or without the group: the member that was
-/// confirmed is gone, and one such report suffices. Silence is none: the
-/// watcher may be cut off itself. A group that is silent is declared broken
-/// only when most of its watchers find it so. Its commands carry tickets of its
-/// own: tell their outcomes to this object. Not thread-safe.
+/// A report with another run or without the group is proof: the member that was
+/// confirmed is gone, and one such report suffices. Silence is no proof, since
+/// the watcher may be cut off itself: a silent group is declared broken only
+/// when all of its watchers find it silent. The commands carry ids of this
+/// object: report their outcomes to it. Not thread-safe.
 class GroupWatch {
 public:
-  /// @brief Starts without groups.
-  /// @param Given Times of the watch.
-  /// @param Pacing Times of appends.
-  /// @param Name This entry host.
-  GroupWatch(const WatchTimes &Given, const GroupTimes &Pacing, HostName Name)
-      : Times(Given), Self(std::move(Name)), Pace(Pacing) {}
+  /// @brief Makes a watch without groups.
+  /// @param Timing Timing of the watch.
+  /// @param Pacing Timing of appends.
+  /// @param Name Name of this entry host.
+  GroupWatch(const WatchTimes &Timing, const GroupTimes &Pacing, HostName Name)
+      : Times(Timing), Self(std::move(Name)), Appends(Pacing) {}
 
-  /// @brief Asks the members whose time has come and judges the groups.
-  /// @param Now The agreed state.
-  /// @param Plan Who watches over what in this state.
-  /// @param OthersSilent See there.
-  /// @param At The time.
-  [[nodiscard]] GroupCommands poll(const State &Now, const WatchPlan &Plan,
-                                   const CountSilent &OthersSilent,
-                                   TimePoint At);
+  /// @brief Queries the members that are due and declares groups broken.
+  /// @param Agreed The agreed state.
+  /// @param Plan Assignment of watchers to groups in this state.
+  /// @param CountOthers Counts the other watchers that take a group for lost.
+  /// @param Now The time.
+  [[nodiscard]] GroupCommands poll(const State &Agreed, const WatchPlan &Plan,
+                                   const CountSilent &CountOthers,
+                                   TimePoint Now);
 
-  /// @brief Takes a report, or nothing when none came.
-  void recordReport(CommandId Which, const std::optional<EngineReport> &Report,
-                    TimePoint At);
-  /// @brief Takes an append's outcome.
-  void recordAppend(CommandId Which, const AppendResult &Outcome,
-                    TimePoint At) {
-    Pace.recordAppend(Which, Outcome, At);
+  /// @brief Records an engine report, or that none came.
+  void recordReport(CommandId Query, const std::optional<EngineReport> &Report,
+                    TimePoint Now);
+  /// @brief Records the outcome of an append.
+  void recordAppend(CommandId Id, const AppendResult &Outcome, TimePoint Now) {
+    Appends.recordAppend(Id, Outcome, Now);
   }
-  /// @brief Asks all members of a group at once, because a request to it
+  /// @brief Queries all members of a group at once, because a request to it
   /// failed.
-  void suspect(const GroupId &Group, TimePoint At);
+  void suspect(const GroupId &Id, TimePoint Now);
 
-  /// @brief How this host finds the groups that it watches over.
+  /// @brief Health of the groups that this host watches.
   [[nodiscard]] std::map<GroupId, GroupHealth>
-  healthByGroup(TimePoint At) const;
+  healthByGroup(TimePoint Now) const;
 
-  /// @brief Tells whether a group with this sight is well. Thread-safe.
-  [[nodiscard]] bool isHealthy(const GroupHealth &Sight, TimePoint At) const;
+  /// @brief Whether a group with this health counts as healthy. Thread-safe.
+  [[nodiscard]] bool isHealthy(const GroupHealth &Health, TimePoint Now) const;
 
 private:
-  struct Member {
+  struct WatchedMember {
     HostName Host;
     EngineAddress Address;
     Incarnation Run = 0;
-    TimePoint NextAsk;
-    std::optional<CommandId> Asking;
-    TimePoint AskedAt;
-    /// When the last question left that was answered well.
-    std::optional<TimePoint> WellAt;
+    TimePoint NextQuery;
+    std::optional<CommandId> QueryId;
+    TimePoint QuerySentAt;
+    /// When the last query was sent that was answered by a ready member.
+    std::optional<TimePoint> HealthyAt;
     std::optional<TimePoint> SilentSince;
   };
-  struct Watched {
-    std::vector<Member> Members;
+  struct WatchedGroup {
+    std::vector<WatchedMember> Members;
     std::optional<HostName> Lost;
-    std::string Why;
+    std::string Reason;
   };
 
-  void follow(const State &Now, const WatchPlan &Plan, TimePoint At);
-  [[nodiscard]] Watched start(const State &Now, const Group &Known,
-                              TimePoint At) const;
-  void ask(const GroupId &Id, Watched &Over, TimePoint At, GroupCommands &Out);
-  void judge(const GroupId &Id, const GroupHealth &Sight, const WatchPlan &Plan,
-             const CountSilent &OthersSilent, TimePoint At, GroupCommands &Out);
-  [[nodiscard]] GroupHealth sightOf(const Watched &Over, TimePoint At) const;
-  void take(const GroupId &Id, Watched &Over, Member &Of,
-            const EngineReport &Report);
+  void follow(const State &Agreed, const WatchPlan &Plan, TimePoint Now);
+  [[nodiscard]] WatchedGroup
+  startWatching(const State &Agreed, const Group &Source, TimePoint Now) const;
+  void queryMembers(const GroupId &Id, WatchedGroup &Group, TimePoint Now,
+                    GroupCommands &Out);
+  void declareIfBroken(const GroupId &Id, const GroupHealth &Health,
+                       const WatchPlan &Plan, const CountSilent &CountOthers,
+                       TimePoint Now, GroupCommands &Out);
+  [[nodiscard]] GroupHealth healthOf(const WatchedGroup &Group,
+                                     TimePoint Now) const;
+  void applyReport(const GroupId &Id, WatchedGroup &Group,
+                   WatchedMember &Member, const EngineReport &Report);
 
   WatchTimes Times;
   HostName Self;
-  AppendPacer Pace;
-  std::map<GroupId, Watched> Groups;
-  std::map<CommandId, std::pair<GroupId, std::size_t>> Asked;
-  Offset FollowedNext = 0;
-  std::uint64_t FollowedDigest = 0;
+  AppendPacer Appends;
+  std::map<GroupId, WatchedGroup> Groups;
+  std::map<CommandId, std::pair<GroupId, std::size_t>> PendingQueries;
+  Offset SeenNext = 0;
+  std::uint64_t SeenDigest = 0;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/groups/watchplan.cpp
+++ b/packages/version/src/coltsfoottrail/groups/watchplan.cpp
@@ -8,34 +8,37 @@
 
 namespace coltsfoottrail {
 
-WatchPlan::WatchPlan(const std::map<HostName, EntryHost> &Joined)
-    : Digest(digestOf(Joined)) {
-  for (const auto &[Name, Host] : Joined)
-    Centres[Host.Joined.DataCentre].push_back(Name);
+WatchPlan::WatchPlan(const std::map<HostName, EntryHost> &EntryHosts)
+    : Digest(digestOf(EntryHosts)) {
+  for (const auto &[Name, Host] : EntryHosts)
+    HostsByDataCentre[Host.Joined.DataCentre].push_back(Name);
 }
 
-std::uint64_t WatchPlan::digestOf(const std::map<HostName, EntryHost> &Joined) {
-  std::uint64_t Digest = Joined.size();
-  for (const auto &[Name, Host] : Joined) {
+std::uint64_t
+WatchPlan::digestOf(const std::map<HostName, EntryHost> &EntryHosts) {
+  std::uint64_t Digest = EntryHosts.size();
+  for (const auto &[Name, Host] : EntryHosts) {
     Digest = hashText(Name.Text, Digest);
     Digest = hashText(Host.Joined.DataCentre.Text, Digest);
   }
   return Digest;
 }
 
-void WatchPlan::follow(const State &Now) {
+void WatchPlan::follow(const State &Agreed) {
   std::erase_if(Watchers, [&](const auto &Entry) {
-    const auto Found = Now.Groups.find(Entry.first);
-    if (Found != Now.Groups.end() && Found->second.Phase == GroupPhase::Serving)
+    const auto Group = Agreed.Groups.find(Entry.first);
+    if (Group != Agreed.Groups.end() &&
+        Group->second.Phase == GroupPhase::Serving)
       return false;
     for (const HostName &Name : Entry.second)
       Watched[Name].erase(Entry.first);
     return true;
   });
-  for (const auto &[Id, Known] : Now.Groups) {
-    if (Known.Phase != GroupPhase::Serving || Watchers.contains(Id))
+  for (const auto &[Id, Serving] : Agreed.Groups) {
+    if (Serving.Phase != GroupPhase::Serving || Watchers.contains(Id))
       continue;
-    std::vector<HostName> Chosen = choose(Id, Known.Formed.DataCentre);
+    std::vector<HostName> Chosen =
+        chooseWatchers(Id, Serving.Formed.DataCentre);
     for (const HostName &Name : Chosen)
       Watched[Name].insert(Id);
     Watchers.emplace(Id, std::move(Chosen));
@@ -44,27 +47,28 @@
 
 const std::vector<HostName> &WatchPlan::watchersOf(const GroupId &Group) const {
   static const std::vector<HostName> None;
-  const auto Found = Watchers.find(Group);
-  return Found == Watchers.end() ? None : Found->second;
+  const auto Entry = Watchers.find(Group);
+  return Entry == Watchers.end() ? None : Entry->second;
 }
 
 const std::set<GroupId> &WatchPlan::watchedBy(const HostName &Host) const {
   static const std::set<GroupId> None;
-  const auto Found = Watched.find(Host);
-  return Found == Watched.end() ? None : Found->second;
+  const auto Entry = Watched.find(Host);
+  return Entry == Watched.end() ? None : Entry->second;
 }
 
-std::vector<HostName> WatchPlan::choose(const GroupId &Group,
-                                        const DataCentreName &Where) const {
+std::vector<HostName>
+WatchPlan::chooseWatchers(const GroupId &Group,
+                          const DataCentreName &Home) const {
   const std::string Key = "watch/" + textOf(Group);
   struct Candidate {
     std::size_t Round;
-    std::size_t Centre;
+    std::size_t CentreRank;
     const HostName *Name;
   };
   std::vector<Candidate> Candidates;
-  std::size_t Centre = 0;
-  for (const std::vector<HostName> *Hosts : orderCentres(Key, Where)) {
+  std::size_t CentreRank = 0;
+  for (const std::vector<HostName> *Hosts : rankDataCentres(Key, Home)) {
     std::vector<std::pair<std::uint64_t, const HostName *>> Ranked;
     for (const HostName &Name : *Hosts)
       Ranked.emplace_back(rendezvousWeight(Key, Name.Text), &Name);
@@ -73,27 +77,27 @@
                       Ranked.begin() + static_cast<std::ptrdiff_t>(Count),
                       Ranked.end(), std::greater<>());
     for (std::size_t Round = 0; Round < Count; ++Round)
-      Candidates.push_back({Round, Centre, Ranked[Round].second});
-    ++Centre;
+      Candidates.push_back({Round, CentreRank, Ranked[Round].second});
+    ++CentreRank;
   }
   std::sort(Candidates.begin(), Candidates.end(),
             [](const Candidate &Left, const Candidate &Right) {
-              return std::pair(Left.Round, Left.Centre) <
-                     std::pair(Right.Round, Right.Centre);
+              return std::pair(Left.Round, Left.CentreRank) <
+                     std::pair(Right.Round, Right.CentreRank);
             });
   std::vector<HostName> Chosen;
-  for (const Candidate &Each : Candidates)
+  for (const Candidate &Option : Candidates)
     if (Chosen.size() < WatchersPerGroup)
-      Chosen.push_back(*Each.Name);
+      Chosen.push_back(*Option.Name);
   return Chosen;
 }
 
 std::vector<const std::vector<HostName> *>
-WatchPlan::orderCentres(const std::string &Key,
-                        const DataCentreName &Where) const {
+WatchPlan::rankDataCentres(const std::string &Key,
+                           const DataCentreName &Home) const {
   std::vector<std::pair<std::uint64_t, const std::vector<HostName> *>> Ranked;
-  for (const auto &[Name, Hosts] : Centres) {
-    const std::uint64_t Weight = Name == Where
+  for (const auto &[Name, Hosts] : HostsByDataCentre) {
+    const std::uint64_t Weight = Name == Home
                                      ? std::numeric_limits<std::uint64_t>::max()
                                      : rendezvousWeight(Key, Name.Text);
     Ranked.emplace_back(Weight, &Hosts);
--- a/packages/version/src/coltsfoottrail/groups/watchtimes.hpp
+++ b/packages/version/src/coltsfoottrail/groups/watchtimes.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The times that the watch over members goes by, and the bounds that follow.
+/// Timing of the watch over group members, and the bounds that follow from it.
 #ifndef COLTSFOOTTRAIL_GROUPS_WATCHTIMES_HPP
 #define COLTSFOOTTRAIL_GROUPS_WATCHTIMES_HPP
 
@@ -7,26 +7,28 @@
 
 namespace coltsfoottrail {
 
-/// @brief Times of the watch. All hosts of one deployment use the same.
+/// @brief Timing of the watch. All hosts of one deployment use the same values.
 struct WatchTimes {
-  /// Between two questions of one watcher to one member.
+  /// Interval between two queries of one watcher to one member.
   Duration AskEvery = seconds(1);
-  /// Within this a report has come or is given up.
+  /// Time after which an unanswered query is given up.
   milliseconds AskTimeout = milliseconds(500);
-  /// Between two beats to one peer.
+  /// Interval between two heartbeats to one peer.
   Duration BeatEvery = seconds(1);
-  /// How long a group may be used after the beat left that a sighting answers.
+  /// How long a group may be used on the word of a watcher, counted from when
+  /// the heartbeat was sent that the watcher echoes.
   Duration VouchLifetime = seconds(6);
-  /// How long a watcher has had no answer from a member before it counts the
-  /// member as lost.
+  /// How long a member must not have answered a watcher before the watcher
+  /// counts it as lost.
   Duration LossAfter = seconds(4);
 
-  /// @brief A group whose members have all answered to questions this fresh is
-  /// well: one lost answer is borne, two in a row are not. Thread-safe.
+  /// @brief A group is healthy if all its members have answered queries no
+  /// older than this. One lost answer is tolerated, two in a row are not.
+  /// Thread-safe.
   [[nodiscard]] Duration healthyWithin() const {
     return 2 * AskEvery + AskTimeout;
   }
-  /// @brief Longest time from the loss of a member until the last entry host
+  /// @brief Maximum time from the loss of a member until the last entry host
   /// has stopped using its group, whatever the network does. Thread-safe.
   [[nodiscard]] Duration maxUseAfterLoss() const { return VouchLifetime; }
 };
--- a/packages/version/test/coltsfoottrail/groups/fleet.hpp
+++ b/packages/version/test/coltsfoottrail/groups/fleet.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Small fakes of the log and the engines under simulated time, with the real
-/// fold and the real executors of several entry hosts.
+/// Fakes of the log and the engines under simulated time, combined with the
+/// real fold and the real executors of several entry hosts.
 #ifndef COLTSFOOTTRAIL_TEST_GROUPS_FLEET_HPP
 #define COLTSFOOTTRAIL_TEST_GROUPS_FLEET_HPP
 
@@ -19,62 +19,62 @@
 
 namespace coltsfoottrail {
 
-/// @brief An engine as the platform describes it.
+/// @brief An engine that behaves as the platform specifies.
 struct FakeEngine {
   bool Unreachable = false;
   bool RefusesOldFences = true;
   Duration LoadTime = seconds(10);
   TimePoint LoadedAt;
-  EngineReport Now;
+  EngineReport Current;
 
-  /// @brief Becomes another run that knows nothing.
+  /// @brief Restarts the engine under a new run without any state.
   void restart() {
-    const Incarnation Run = Now.Run + 1;
-    Now = EngineReport{};
-    Now.Run = Run;
+    const Incarnation Run = Current.Run + 1;
+    Current = EngineReport{};
+    Current.Run = Run;
   }
 
-  /// @brief What it says at a time.
-  EngineReport report(TimePoint At) {
-    if (Now.Phase == EnginePhase::Loading && At >= LoadedAt)
-      Now.Phase = EnginePhase::Ready;
-    if (Now.Phase == EnginePhase::Leaving && Now.Running == 0) {
-      Now.Phase = EnginePhase::Idle;
-      Now.Group.reset();
+  /// @brief The report of the engine at a time.
+  EngineReport report(TimePoint Time) {
+    if (Current.Phase == EnginePhase::Loading && Time >= LoadedAt)
+      Current.Phase = EnginePhase::Ready;
+    if (Current.Phase == EnginePhase::Leaving && Current.Running == 0) {
+      Current.Phase = EnginePhase::Idle;
+      Current.Group.reset();
     }
-    return Now;
+    return Current;
   }
 
-  /// @brief Obeys an order or refuses it.
-  OrderResult obey(const EngineOrder &Order, TimePoint At) {
-    (void)report(At);
-    if (RefusesOldFences && Order.Fence < Now.Fence)
+  /// @brief Carries out an order or refuses it.
+  OrderResult obey(const EngineOrder &Order, TimePoint Time) {
+    (void)report(Time);
+    if (RefusesOldFences && Order.Fence < Current.Fence)
       return OrderResult::RefusedOldFence;
-    Now.Fence = std::max(Now.Fence, Order.Fence);
+    Current.Fence = std::max(Current.Fence, Order.Fence);
     if (const auto *Join = std::get_if<JoinGroup>(&Order.What))
-      return join(*Join, At);
+      return join(*Join, Time);
     if (const auto *Load = std::get_if<LoadAdapters>(&Order.What)) {
-      if (Now.Group != Load->Group)
+      if (Current.Group != Load->Group)
         return OrderResult::RefusedOther;
-      Now.Adapters = Load->Adapters;
+      Current.Adapters = Load->Adapters;
       return OrderResult::Accepted;
     }
-    if (Now.Group == std::get<LeaveGroup>(Order.What).Group)
-      Now.Phase = EnginePhase::Leaving;
+    if (Current.Group == std::get<LeaveGroup>(Order.What).Group)
+      Current.Phase = EnginePhase::Leaving;
     return OrderResult::Accepted;
   }
 
 private:
-  OrderResult join(const JoinGroup &Join, TimePoint At) {
-    if (Now.Group == Join.Group && Now.Phase != EnginePhase::Leaving)
+  OrderResult join(const JoinGroup &Join, TimePoint Time) {
+    if (Current.Group == Join.Group && Current.Phase != EnginePhase::Leaving)
       return OrderResult::Accepted;
-    if (Now.Running > 0)
+    if (Current.Running > 0)
       return OrderResult::RefusedOther;
-    Now.Group = Join.Group;
-    Now.Version = Join.Version;
-    Now.Adapters = Join.Adapters;
-    Now.Phase = EnginePhase::Loading;
-    LoadedAt = At + LoadTime;
+    Current.Group = Join.Group;
+    Current.Version = Join.Version;
+    Current.Adapters = Join.Adapters;
+    Current.Phase = EnginePhase::Loading;
+    LoadedAt = Time + LoadTime;
     return OrderResult::Accepted;
   }
 };
@@ -90,47 +90,48 @@
     State Seen;
     bool Alive = true;
     TimePoint PausedUntil;
-    /// Orders that it decides on leave so much later.
+    /// Delay until its orders are sent.
     Duration OrderDelay = Duration::zero();
-    /// Its orders take long on their way.
+    /// Its orders are in transit for a long time.
     bool SlowOrders = false;
-    std::vector<std::function<void()>> Waiting;
+    std::vector<std::function<void()>> PendingCallbacks;
     std::uint64_t Sequence = 0;
-    std::set<HostName> CutFrom;
+    std::set<HostName> UnreachableHosts;
   };
 
-  Fleet(Declaration Declared, int Nodes, std::uint64_t Seed,
-        const GroupTimes &Given = {})
-      : Times(Given), Draw(Seed), Hosts(std::move(Declared)) {
+  Fleet(Declaration Declared, int NodeCount, std::uint64_t Seed,
+        const GroupTimes &Timing = {})
+      : Times(Timing), Generator(Seed), Hosts(std::move(Declared)) {
     for (const HostSpec &Host : Hosts.Hosts) {
-      Engines[Host.Name].Now.Run = 1;
+      Engines[Host.Name].Current.Run = 1;
       Engines[Host.Name].RefusesOldFences = Host.RefusesOldFences;
     }
-    for (int Number = 0; Number < Nodes; ++Number)
+    for (int Number = 0; Number < NodeCount; ++Number)
       startNode(HostName("entry-" + std::to_string(Number)));
     applyIntent(ApplyDeclaration{Hosts});
   }
 
   Node &startNode(const HostName &Name) {
-    auto Fresh = std::make_unique<Node>();
-    Fresh->Name = Name;
-    Fresh->Run = ++LastRun;
-    Fresh->Agent =
-        std::make_unique<GroupAgent>(Times, WatchBy, Name, Fresh->Run);
-    const DataCentreName Where(Nodes.size() % 2 == 0 ? "east" : "west");
-    append(*Fresh, EntryHostJoined{Name, Fresh->Run, Where, "127.0.0.1", 1, 2});
-    Nodes.push_back(std::move(Fresh));
+    auto Started = std::make_unique<Node>();
+    Started->Name = Name;
+    Started->Run = ++LastRun;
+    Started->Agent =
+        std::make_unique<GroupAgent>(Times, Watching, Name, Started->Run);
+    const DataCentreName DataCentre(Nodes.size() % 2 == 0 ? "east" : "west");
+    append(*Started,
+           EntryHostJoined{Name, Started->Run, DataCentre, "127.0.0.1", 1, 2});
+    Nodes.push_back(std::move(Started));
     return *Nodes.back();
   }
 
-  /// @brief An operator plans and confirms at once.
-  /// @return The plan's offset.
-  Offset applyIntent(const Intent &Asked) {
-    const Plan Made = planIntent(Agreed, Asked);
-    const Offset At = Log.size();
-    operatorAppends(PlanProposed{Made, "anna"});
-    operatorAppends(PlanConfirmed{At, "anna"});
-    return At;
+  /// @brief Plans an intent and confirms the plan at once, as an operator.
+  /// @return The offset of the plan.
+  Offset applyIntent(const Intent &Requested) {
+    const Plan Proposal = planIntent(Agreed, Requested);
+    const Offset PlanOffset = Log.size();
+    operatorAppends(PlanProposed{Proposal, "anna"});
+    operatorAppends(PlanConfirmed{PlanOffset, "anna"});
+    return PlanOffset;
   }
 
   void operatorAppends(Record Body) {
@@ -144,7 +145,7 @@
   }
 
   /// @brief Runs until a condition holds.
-  /// @return Whether it came to hold in time.
+  /// @return Whether the condition came to hold in time.
   bool runUntil(const std::function<bool()> &Holds, Duration AtMost) {
     for (const TimePoint End = Clock + AtMost; Clock < End; step())
       if (Holds())
@@ -155,12 +156,12 @@
   void step() {
     Clock += milliseconds(100);
     while (!Events.empty() && Events.begin()->first <= Clock) {
-      const auto What = std::move(Events.begin()->second);
+      const auto Event = std::move(Events.begin()->second);
       Events.erase(Events.begin());
-      What();
+      Event();
     }
-    for (const auto &Each : Nodes)
-      stepNode(*Each);
+    for (const auto &Member : Nodes)
+      stepNode(*Member);
     check();
   }
 
@@ -170,8 +171,8 @@
 
   [[nodiscard]] std::size_t serving() const {
     std::size_t Count = 0;
-    for (const auto &[Id, Known] : Agreed.Groups)
-      Count += Known.Phase == GroupPhase::Serving ? 1 : 0;
+    for (const auto &[Id, Current] : Agreed.Groups)
+      Count += Current.Phase == GroupPhase::Serving ? 1 : 0;
     return Count;
   }
 
@@ -186,148 +187,152 @@
     std::set<GroupId> Loading;
     for (auto &[Host, Engine] : Engines) {
       const EngineReport Report = Engine.report(Clock);
-      const auto Known = Report.Group ? Agreed.Groups.find(*Report.Group)
+      const auto Group = Report.Group ? Agreed.Groups.find(*Report.Group)
                                       : Agreed.Groups.end();
       if (Report.Phase == EnginePhase::Loading &&
-          Known != Agreed.Groups.end() &&
-          Known->second.Phase == GroupPhase::Forming)
+          Group != Agreed.Groups.end() &&
+          Group->second.Phase == GroupPhase::Forming)
         Loading.insert(*Report.Group);
     }
     return Loading.size();
   }
 
-  /// @brief The node that holds a plan's lease.
+  /// @brief The node that holds the lease of a plan.
   Node *executorOf(Offset Plan) {
     const PlanProgress &Progress = Agreed.Plans.at(Plan);
-    for (const auto &Each : Nodes)
-      if (Each->Alive && Each->Run == Progress.ExecutorRun)
-        return Each.get();
+    for (const auto &Member : Nodes)
+      if (Member->Alive && Member->Run == Progress.ExecutorRun)
+        return Member.get();
     return nullptr;
   }
 
-  /// @brief Breaks a group as the watch over members would.
+  /// @brief Declares a group broken as the watch over members would.
   void breakGroup(const GroupId &Id, const HostName &Lost) {
     operatorAppends(GroupBroken{Id, Lost, "lost"});
   }
 
   GroupTimes Times;
-  WatchTimes WatchBy;
+  WatchTimes Watching;
   TimePoint Clock{seconds(1000)};
   std::vector<std::vector<std::byte>> Log;
-  /// The fold of all of the log.
+  /// The fold of the whole log.
   State Agreed;
   std::map<HostName, FakeEngine> Engines;
   std::vector<std::unique_ptr<Node>> Nodes;
   bool LogDown = false;
-  /// One in so many answers is lost; none when zero.
+  /// One in this many answers is lost; none if zero.
   std::uint64_t LoseOneIn = 0;
   std::vector<std::string> Violations;
-  /// Records that had no effect, and why.
+  /// Records that had no effect, with the reason.
   std::vector<std::string> Refused;
   std::size_t Appends = 0;
   std::size_t Orders = 0;
   std::size_t Asks = 0;
 
 private:
-  [[nodiscard]] bool loses() {
-    return LoseOneIn > 0 && Draw.below(LoseOneIn) == 0;
+  [[nodiscard]] bool drawLoss() {
+    return LoseOneIn > 0 && Generator.below(LoseOneIn) == 0;
   }
 
-  void stepNode(Node &Of) {
-    if (!Of.Alive || Clock < Of.PausedUntil)
+  void stepNode(Node &Self) {
+    if (!Self.Alive || Clock < Self.PausedUntil)
       return;
-    while (Of.Seen.Next < Log.size() && !LogDown)
-      foldRecord(Of.Seen, Of.Seen.Next, Log[Of.Seen.Next]);
-    for (const auto &Answer : std::exchange(Of.Waiting, {}))
-      Answer();
-    GroupDecisions Decided = Of.Agent->poll(Of.Seen, Clock);
-    for (GroupCommand &What : Decided.Commands)
-      std::visit([&](auto &Each) { carry(Of, Each); }, What);
+    while (Self.Seen.Next < Log.size() && !LogDown)
+      foldRecord(Self.Seen, Self.Seen.Next, Log[Self.Seen.Next]);
+    for (const auto &Callback : std::exchange(Self.PendingCallbacks, {}))
+      Callback();
+    GroupDecisions Decided = Self.Agent->poll(Self.Seen, Clock);
+    for (GroupCommand &Command : Decided.Commands)
+      std::visit([&](auto &Variant) { execute(Self, Variant); }, Command);
     for (BeatToSend &Beat : Decided.Beats)
       sendBeat(std::move(Beat));
   }
 
-  void sendBeat(BeatToSend What) {
+  void sendBeat(BeatToSend Outgoing) {
     for (const auto &Peer : Nodes)
-      if (Peer->Name == What.To)
-        answer(*Peer, milliseconds(5), [this, &To = *Peer, Beat = What.Beat] {
-          To.Agent->receiveBeat(Beat, Clock);
-        });
+      if (Peer->Name == Outgoing.To)
+        answer(*Peer, milliseconds(5),
+               [this, &To = *Peer, Beat = Outgoing.Beat] {
+                 To.Agent->receiveBeat(Beat, Clock);
+               });
   }
 
-  void later(Duration After, std::function<void()> What) {
-    Events.emplace(Clock + After, std::move(What));
+  void schedule(Duration Delay, std::function<void()> Event) {
+    Events.emplace(Clock + Delay, std::move(Event));
   }
 
-  void answer(Node &To, Duration After, std::function<void()> What) {
-    later(After, [&To, What = std::move(What)] {
+  void answer(Node &To, Duration Delay, std::function<void()> Callback) {
+    schedule(Delay, [&To, Callback = std::move(Callback)] {
       if (To.Alive)
-        To.Waiting.push_back(What);
+        To.PendingCallbacks.push_back(Callback);
     });
   }
 
-  void carry(Node &From, AppendRecord &What) {
+  void execute(Node &From, AppendRecord &Command) {
     if (LogDown) {
-      answer(From, seconds(1), [this, &From, Id = What.Id] {
+      answer(From, seconds(1), [this, &From, Id = Command.Id] {
         From.Agent->recordAppend(Id, LogFailure::NotDone, Clock);
       });
       return;
     }
-    const bool Lost = loses();
-    const Offset At = Log.size();
-    append(From, std::move(What.Body));
+    const bool Lost = drawLoss();
+    const Offset RecordOffset = Log.size();
+    append(From, std::move(Command.Body));
     answer(From, milliseconds(Lost ? 2000 : 20),
-           [this, &From, Id = What.Id, Lost, At] {
-             AppendResult Outcome = At;
+           [this, &From, Id = Command.Id, Lost, RecordOffset] {
+             AppendResult Outcome = RecordOffset;
              if (Lost)
                Outcome = LogFailure::Unknown;
              From.Agent->recordAppend(Id, Outcome, Clock);
            });
   }
 
-  void carry(Node &From, OrderEngine &What) {
-    later(From.OrderDelay, [this, &From, What] { send(From, What); });
+  void execute(Node &From, OrderEngine &Command) {
+    schedule(From.OrderDelay, [this, &From, Command] { send(From, Command); });
   }
 
-  /// As the process does it: the clock is read last of all.
-  void send(Node &From, const OrderEngine &What) {
-    if (Clock > What.NotAfter) {
-      answer(From, Duration::zero(), [this, &From, Id = What.Id] {
+  /// Sends an order as the process does: reads the clock immediately before
+  /// sending.
+  void send(Node &From, const OrderEngine &Command) {
+    if (Clock > Command.NotAfter) {
+      answer(From, Duration::zero(), [this, &From, Id = Command.Id] {
         From.Agent->recordOrder(Id, OrderResult::NotDone, Clock);
       });
       return;
     }
     ++Orders;
     const Duration Transit = milliseconds(From.SlowOrders ? 2500 : 5);
-    later(Transit, [this, &From, What] { arrive(From, What); });
+    schedule(Transit, [this, &From, Command] { arrive(From, Command); });
   }
 
-  void arrive(Node &From, const OrderEngine &What) {
-    FakeEngine &Engine = Engines.at(What.Host);
+  void arrive(Node &From, const OrderEngine &Command) {
+    FakeEngine &Engine = Engines.at(Command.Host);
     const bool Reached =
-        !Engine.Unreachable && !From.CutFrom.contains(What.Host);
-    const bool Known = Reached && !loses();
+        !Engine.Unreachable && !From.UnreachableHosts.contains(Command.Host);
+    const bool Known = Reached && !drawLoss();
     OrderResult Result = OrderResult::Unknown;
     if (Reached)
-      Result = Engine.obey(What.Order, Clock);
+      Result = Engine.obey(Command.Order, Clock);
     if (!Known)
       Result = OrderResult::Unknown;
-    answer(From, Known ? Duration(milliseconds(5)) : Duration(What.Timeout),
-           [this, &From, Id = What.Id, Result] {
+    answer(From, Known ? Duration(milliseconds(5)) : Duration(Command.Timeout),
+           [this, &From, Id = Command.Id, Result] {
              From.Agent->recordOrder(Id, Result, Clock);
            });
   }
 
-  void carry(Node &From, AskEngine &What) {
+  void execute(Node &From, AskEngine &Command) {
     ++Asks;
-    FakeEngine &Engine = Engines.at(What.Host);
-    const bool Reached =
-        !Engine.Unreachable && !From.CutFrom.contains(What.Host) && !loses();
+    FakeEngine &Engine = Engines.at(Command.Host);
+    const bool Reached = !Engine.Unreachable &&
+                         !From.UnreachableHosts.contains(Command.Host) &&
+                         !drawLoss();
     std::optional<EngineReport> Report;
     if (Reached)
       Report = Engine.report(Clock);
-    answer(From, Reached ? Duration(milliseconds(5)) : Duration(What.Timeout),
-           [this, &From, Id = What.Id, Report] {
+    answer(From,
+           Reached ? Duration(milliseconds(5)) : Duration(Command.Timeout),
+           [this, &From, Id = Command.Id, Report] {
              From.Agent->recordReport(Id, Report, Clock);
            });
   }
@@ -345,28 +350,29 @@
     Log.push_back(std::move(Bytes));
   }
 
-  /// What must hold at every step.
+  /// Checks the invariants that hold at every step.
   void check() {
-    const std::size_t Bears = Agreed.Declared.WeightLoadsAtOnce;
-    if (loadingGroups() > Bears)
-      Violations.push_back("more loads at once than the weight store bears");
-    for (const auto &[Id, Known] : Agreed.Groups)
-      if (Known.Phase == GroupPhase::Serving)
-        checkMembers(Id, Known);
+    const std::size_t Limit = Agreed.Declared.WeightLoadsAtOnce;
+    if (loadingGroups() > Limit)
+      Violations.push_back("more loads at once than the weight store supports");
+    for (const auto &[Id, Current] : Agreed.Groups)
+      if (Current.Phase == GroupPhase::Serving)
+        checkMembers(Id, Current);
   }
 
-  /// An engine of this group's own run that has gone to another group.
-  void checkMembers(const GroupId &Id, const Group &Known) {
-    for (std::size_t Rank = 0; Rank < Known.Formed.Members.size(); ++Rank) {
-      const HostName &Host = Known.Formed.Members[Rank];
+  /// Records a violation if an engine with the confirmed run of this group is
+  /// in another group.
+  void checkMembers(const GroupId &Id, const Group &Current) {
+    for (std::size_t Rank = 0; Rank < Current.Formed.Members.size(); ++Rank) {
+      const HostName &Host = Current.Formed.Members[Rank];
       const EngineReport Report = Engines.at(Host).report(Clock);
-      if (Report.Run == Known.MemberRuns[Rank] && Report.Group &&
+      if (Report.Run == Current.MemberRuns[Rank] && Report.Group &&
           Report.Group != Id)
         Violations.push_back("host " + Host.Text + " serves two groups");
     }
   }
 
-  Random Draw;
+  Random Generator;
   Declaration Hosts;
   std::multimap<TimePoint, std::function<void()>> Events;
   Incarnation LastRun = 100;
--- a/packages/version/test/coltsfoottrail/groups/lease.cpp
+++ b/packages/version/test/coltsfoottrail/groups/lease.cpp
@@ -10,7 +10,7 @@
 
 constexpr Offset Plan = 10;
 
-/// Two entry hosts whose clocks run apart, before one running plan.
+/// Two entry hosts whose clocks drift apart, and one running plan.
 class TwoKeepers {
 public:
   TwoKeepers() {
@@ -21,37 +21,39 @@
     Agreed.Next = Plan + 2;
   }
 
-  /// One of the hosts looks at the state and asks for the lease if it wants it.
-  void poll(LeaseKeeper &Who, AppendPacer &Pace, TimePoint At) {
+  /// Polls one of the hosts and applies its request for the lease.
+  void poll(LeaseKeeper &Keeper, AppendPacer &Appends, TimePoint Now) {
     GroupCommands Out;
-    Who.poll(Agreed, At, false, Pace, Out);
-    for (const GroupCommand &What : Out)
-      take(std::get<ExecutorTaken>(std::get<AppendRecord>(What).Body));
+    Keeper.poll(Agreed, Now, false, Appends, Out);
+    for (const GroupCommand &Command : Out)
+      applyRequest(
+          std::get<ExecutorTaken>(std::get<AppendRecord>(Command).Body));
   }
 
   State Agreed;
 
 private:
-  void take(const ExecutorTaken &Said) {
+  void applyRequest(const ExecutorTaken &Request) {
     PlanProgress &Progress = Agreed.Plans.at(Plan);
-    if (Progress.Lease != Said.Replaces)
+    if (Progress.Lease != Request.Replaces)
       return;
     Progress.Lease = ++Agreed.Next;
-    Progress.Executor = Said.Host;
-    Progress.ExecutorRun = Said.Run;
+    Progress.Executor = Request.Host;
+    Progress.ExecutorRun = Request.Run;
   }
 };
 
-// The holder's clock is slow and it is paused again and again, so it believes
-// for long that it holds the lease; the other one's clock is fast. At no moment
-// do both hold it, and the plan is never left without a holder for good.
+// The clock of the holder is slow and it is paused repeatedly, so it believes
+// for a long time that it holds the lease; the clock of the other host is fast.
+// They never hold the lease at the same time, and the plan always finds a
+// holder again.
 TEST(LeaseKeeper, NeverTwoHoldersWhateverTheirClocks) {
   for (std::uint64_t Seed = 0; Seed < 50; ++Seed) {
-    Random Draw(Seed);
+    Random Generator(Seed);
     GroupTimes Times;
-    TwoKeepers Both;
-    AppendPacer PaceA(Times);
-    AppendPacer PaceB(Times);
+    TwoKeepers Hosts;
+    AppendPacer AppendsA(Times);
+    AppendPacer AppendsB(Times);
     LeaseKeeper KeeperA(Times, HostName("a"), 1);
     LeaseKeeper KeeperB(Times, HostName("b"), 1);
     milliseconds AwakeA{0};
@@ -61,57 +63,57 @@
          Real += milliseconds(100)) {
       const TimePoint ClockA{Real * 995 / 1000};
       const TimePoint ClockB{Real * 1005 / 1000 + seconds(77)};
-      if (Draw.below(400) == 0)
-        AwakeA = Real + seconds(Draw.below(60));
-      if (Draw.below(400) == 0)
-        AwakeB = Real + seconds(Draw.below(60));
+      if (Generator.below(400) == 0)
+        AwakeA = Real + seconds(Generator.below(60));
+      if (Generator.below(400) == 0)
+        AwakeB = Real + seconds(Generator.below(60));
       if (Real >= AwakeA)
-        Both.poll(KeeperA, PaceA, ClockA);
+        Hosts.poll(KeeperA, AppendsA, ClockA);
       if (Real >= AwakeB)
-        Both.poll(KeeperB, PaceB, ClockB);
+        Hosts.poll(KeeperB, AppendsB, ClockB);
       const bool HeldA = KeeperA.held(Plan, ClockA).has_value();
       const bool HeldB = KeeperB.held(Plan, ClockB).has_value();
       ASSERT_FALSE(HeldA && HeldB) << "seed " << Seed;
-      Holders.insert(Both.Agreed.Plans.at(Plan).Executor);
+      Holders.insert(Hosts.Agreed.Plans.at(Plan).Executor);
     }
     EXPECT_GE(Holders.size(), 2U) << "seed " << Seed;
   }
 }
 
-// The answer to a request for the lease is late by minutes. The lease must not
-// be counted from when the answer came.
+// The answer to a request for the lease is minutes late. The lease must not be
+// counted from when the answer arrived.
 TEST(LeaseKeeper, LeaseRunsFromTheRequest) {
   const GroupTimes Times;
-  TwoKeepers Both;
-  AppendPacer Pace(Times);
+  TwoKeepers Hosts;
+  AppendPacer Appends(Times);
   LeaseKeeper Keeper(Times, HostName("a"), 1);
   GroupCommands Out;
-  TimePoint At{seconds(100)};
+  TimePoint Now{seconds(100)};
   while (Out.empty()) {
-    At += seconds(1);
-    Keeper.poll(Both.Agreed, At, false, Pace, Out);
+    Now += seconds(1);
+    Keeper.poll(Hosts.Agreed, Now, false, Appends, Out);
   }
-  PlanProgress &Progress = Both.Agreed.Plans.at(Plan);
+  PlanProgress &Progress = Hosts.Agreed.Plans.at(Plan);
   Progress.Lease = 20;
   Progress.Executor = HostName("a");
   Progress.ExecutorRun = 1;
   GroupCommands Later;
-  const TimePoint Seen = At + Times.LeaseLength - seconds(1);
-  Keeper.poll(Both.Agreed, Seen, false, Pace, Later);
+  const TimePoint Seen = Now + Times.LeaseLength - seconds(1);
+  Keeper.poll(Hosts.Agreed, Seen, false, Appends, Later);
   EXPECT_TRUE(Keeper.held(Plan, Seen));
-  EXPECT_FALSE(Keeper.held(Plan, At + Times.LeaseLength));
+  EXPECT_FALSE(Keeper.held(Plan, Now + Times.LeaseLength));
 }
 
-// A host that hears from no engine keeps a plan to itself and nothing goes on.
-// It takes and renews no lease then.
+// Guards against a host that receives no answers from any engine and keeps a
+// plan that it cannot advance: it takes and renews no lease then.
 TEST(LeaseKeeper, CutOffHostLeavesThePlanToOthers) {
   const GroupTimes Times;
-  TwoKeepers Both;
-  AppendPacer Pace(Times);
+  TwoKeepers Hosts;
+  AppendPacer Appends(Times);
   LeaseKeeper Keeper(Times, HostName("a"), 1);
   GroupCommands Out;
   for (int Second = 0; Second < 100; ++Second)
-    Keeper.poll(Both.Agreed, TimePoint{seconds(Second)}, true, Pace, Out);
+    Keeper.poll(Hosts.Agreed, TimePoint{seconds(Second)}, true, Appends, Out);
   EXPECT_TRUE(Out.empty());
 }
 
--- a/packages/version/test/coltsfoottrail/groups/watchers.hpp
+++ b/packages/version/test/coltsfoottrail/groups/watchers.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Entry hosts that watch over groups, under simulated time and a network that
-/// cuts and delays.
+/// Entry hosts that watch groups, under simulated time and a network that drops
+/// and delays messages.
 #ifndef COLTSFOOTTRAIL_TEST_GROUPS_WATCHERS_HPP
 #define COLTSFOOTTRAIL_TEST_GROUPS_WATCHERS_HPP
 
@@ -17,48 +17,49 @@
 
 namespace coltsfoottrail {
 
-/// @brief A few entry hosts over one agreed state.
+/// @brief A few entry hosts that share one agreed state.
 class Watchers {
 public:
   struct Node {
     HostName Name;
     GroupWatch Watch;
-    GroupLiveness Live;
-    /// Its clock is ahead of real time by this.
-    Duration Ahead;
+    GroupLiveness Liveness;
+    /// Its clock is ahead of the simulated time by this.
+    Duration ClockOffset;
     TimePoint NextBeat;
     bool Alive = true;
-    /// What it has folded; null as long as that is all there is.
-    std::unique_ptr<State> Older;
+    /// An older state that the host has folded; null if it is up to date.
+    std::unique_ptr<State> OldState;
   };
 
-  Watchers(State Now, std::uint64_t Seed) : Agreed(std::move(Now)), Draw(Seed) {
+  Watchers(State Initial, std::uint64_t Seed)
+      : Agreed(std::move(Initial)), Generator(Seed) {
     for (const auto &[Name, Host] : Agreed.EntryHosts)
       Nodes.push_back(std::make_unique<Node>(
           Node{Name, GroupWatch(Times, GroupTimes(), Name),
                GroupLiveness(Times, Name, Host.Joined.Run),
-               seconds(Draw.below(1000)), TimePoint(), true, nullptr}));
-    for (const auto &[Id, Known] : Agreed.Groups)
-      for (std::size_t Rank = 0; Rank < Known.Formed.Members.size(); ++Rank) {
-        EngineReport &Report = Engines[Known.Formed.Members[Rank]];
-        Report.Run = Known.MemberRuns[Rank];
+               seconds(Generator.below(1000)), TimePoint(), true, nullptr}));
+    for (const auto &[Id, Current] : Agreed.Groups)
+      for (std::size_t Rank = 0; Rank < Current.Formed.Members.size(); ++Rank) {
+        EngineReport &Report = Engines[Current.Formed.Members[Rank]];
+        Report.Run = Current.MemberRuns[Rank];
         Report.Group = Id;
         Report.Phase = EnginePhase::Ready;
       }
   }
 
-  [[nodiscard]] TimePoint clockOf(const Node &Of) const {
-    return Clock + Of.Ahead;
+  [[nodiscard]] TimePoint clockOf(const Node &Host) const {
+    return Clock + Host.ClockOffset;
   }
 
-  [[nodiscard]] bool mayRoute(std::size_t At, const GroupId &Group) const {
-    return Nodes[At]->Live.mayRoute(Group, clockOf(*Nodes[At]));
+  [[nodiscard]] bool mayRoute(std::size_t Index, const GroupId &Group) const {
+    return Nodes[Index]->Liveness.mayRoute(Group, clockOf(*Nodes[Index]));
   }
 
-  [[nodiscard]] std::size_t routers(const GroupId &Group) const {
+  [[nodiscard]] std::size_t countRouters(const GroupId &Group) const {
     std::size_t Count = 0;
-    for (std::size_t At = 0; At < Nodes.size(); ++At)
-      Count += mayRoute(At, Group) ? 1 : 0;
+    for (std::size_t Index = 0; Index < Nodes.size(); ++Index)
+      Count += mayRoute(Index, Group) ? 1 : 0;
     return Count;
   }
 
@@ -70,97 +71,99 @@
   void step() {
     Clock += milliseconds(50);
     while (!Events.empty() && Events.begin()->first <= Clock) {
-      const auto What = std::move(Events.begin()->second);
+      const auto Event = std::move(Events.begin()->second);
       Events.erase(Events.begin());
-      What();
+      Event();
     }
-    for (const auto &Each : Nodes)
-      if (Each->Alive)
-        stepNode(*Each);
+    for (const auto &Host : Nodes)
+      if (Host->Alive)
+        stepNode(*Host);
   }
 
   void cut(const HostName &Left, const HostName &Right) {
-    Cut.insert({Left, Right});
-    Cut.insert({Right, Left});
+    DroppedLinks.insert({Left, Right});
+    DroppedLinks.insert({Right, Left});
   }
 
   WatchTimes Times;
   TimePoint Clock{seconds(5000)};
   State Agreed;
   std::vector<std::unique_ptr<Node>> Nodes;
-  /// What engines report; none for a dark one.
+  /// Reports of the engines.
   std::map<HostName, EngineReport> Engines;
-  std::set<HostName> Dark;
-  /// Pairs that don't hear each other, the first one speaking.
-  std::set<std::pair<HostName, HostName>> Cut;
-  /// One in so many answers and beats is lost; none when zero.
+  std::set<HostName> Unreachable;
+  /// Pairs (sender, receiver) whose messages are dropped.
+  std::set<std::pair<HostName, HostName>> DroppedLinks;
+  /// One in this many answers and heartbeats is lost; none if zero.
   std::uint64_t LoseOneIn = 0;
-  Duration MostDelay = milliseconds(5);
+  Duration MaxDelay = milliseconds(5);
   std::vector<GroupBroken> Breaks;
   std::size_t Asks = 0;
   std::size_t Beats = 0;
 
 private:
-  [[nodiscard]] bool loses() {
-    return LoseOneIn > 0 && Draw.below(LoseOneIn) == 0;
+  [[nodiscard]] bool drawLoss() {
+    return LoseOneIn > 0 && Generator.below(LoseOneIn) == 0;
   }
   [[nodiscard]] Duration delay() {
-    const auto Most = static_cast<std::uint64_t>(MostDelay.count());
-    return Duration(static_cast<Duration::rep>(Draw.below(Most)));
+    const auto Max = static_cast<std::uint64_t>(MaxDelay.count());
+    return Duration(static_cast<Duration::rep>(Generator.below(Max)));
   }
 
-  void stepNode(Node &Of) {
-    const State &Seen = Of.Older ? *Of.Older : Agreed;
-    const TimePoint At = clockOf(Of);
-    Of.Live.follow(Seen, Of.Watch, At);
-    const auto Others = [&](const GroupId &Group) {
-      return Of.Live.countOtherSilentWatchers(Group, At);
+  void stepNode(Node &Self) {
+    const State &Known = Self.OldState ? *Self.OldState : Agreed;
+    const TimePoint Now = clockOf(Self);
+    Self.Liveness.follow(Known, Self.Watch, Now);
+    const auto CountOthers = [&](const GroupId &Group) {
+      return Self.Liveness.countOtherSilentWatchers(Group, Now);
     };
-    for (GroupCommand &What : Of.Watch.poll(Seen, Of.Live.plan(), Others, At)) {
-      if (auto *Ask = std::get_if<AskEngine>(&What))
-        carry(Of, *Ask);
+    for (GroupCommand &Command :
+         Self.Watch.poll(Known, Self.Liveness.plan(), CountOthers, Now)) {
+      if (auto *Query = std::get_if<AskEngine>(&Command))
+        execute(Self, *Query);
       else
-        carry(Of, std::get<AppendRecord>(What));
+        execute(Self, std::get<AppendRecord>(Command));
     }
-    Of.Live.follow(Seen, Of.Watch, At);
-    if (At >= Of.NextBeat || Of.Live.takeUrgent()) {
-      Of.NextBeat = At + Times.BeatEvery;
+    Self.Liveness.follow(Known, Self.Watch, Now);
+    if (Now >= Self.NextBeat || Self.Liveness.takeUrgent()) {
+      Self.NextBeat = Now + Times.BeatEvery;
       for (const auto &Peer : Nodes)
-        if (Peer->Name != Of.Name)
-          sendBeat(Of, *Peer);
+        if (Peer->Name != Self.Name)
+          sendBeat(Self, *Peer);
     }
   }
 
-  void carry(Node &From, const AskEngine &What) {
+  void execute(Node &From, const AskEngine &Command) {
     ++Asks;
     std::optional<EngineReport> Report;
-    const bool Reached = !Dark.contains(What.Host) &&
-                         !Cut.contains({From.Name, What.Host}) && !loses();
+    const bool Reached = !Unreachable.contains(Command.Host) &&
+                         !DroppedLinks.contains({From.Name, Command.Host}) &&
+                         !drawLoss();
     if (Reached)
-      Report = Engines.at(What.Host);
-    const Duration After = Reached ? delay() : Duration(What.Timeout);
-    Events.emplace(Clock + After, [this, &From, Id = What.Id, Report] {
+      Report = Engines.at(Command.Host);
+    const Duration Delay = Reached ? delay() : Duration(Command.Timeout);
+    Events.emplace(Clock + Delay, [this, &From, Id = Command.Id, Report] {
       From.Watch.recordReport(Id, Report, clockOf(From));
     });
   }
 
-  void carry(Node &From, const AppendRecord &What) {
-    Breaks.push_back(std::get<GroupBroken>(What.Body));
-    From.Watch.recordAppend(What.Id, Offset{1}, clockOf(From));
+  void execute(Node &From, const AppendRecord &Command) {
+    Breaks.push_back(std::get<GroupBroken>(Command.Body));
+    From.Watch.recordAppend(Command.Id, Offset{1}, clockOf(From));
   }
 
   void sendBeat(Node &From, Node &To) {
     ++Beats;
-    const LivenessBeat Beat = From.Live.beatFor(To.Name, clockOf(From));
-    if (Cut.contains({From.Name, To.Name}) || loses())
+    const LivenessBeat Beat = From.Liveness.beatFor(To.Name, clockOf(From));
+    if (DroppedLinks.contains({From.Name, To.Name}) || drawLoss())
       return;
     Events.emplace(Clock + delay(), [this, &To, Beat] {
       if (To.Alive)
-        To.Live.receiveBeat(Beat, clockOf(To));
+        To.Liveness.receiveBeat(Beat, clockOf(To));
     });
   }
 
-  Random Draw;
+  Random Generator;
   std::multimap<TimePoint, std::function<void()>> Events;
 };
 
