--- a/packages/version/src/coltsfoottrail/membership/membership.cpp
+++ b/packages/version/src/coltsfoottrail/membership/membership.cpp
@@ -7,49 +7,50 @@
 
 namespace {
 
-constexpr milliseconds CheckEvery{100};
-constexpr std::uint32_t MaxDoublings = 5;
+constexpr milliseconds CheckInterval{100};
+constexpr std::uint32_t MaxTimeoutDoublings = 5;
 
 } // namespace
 
-Membership::Membership(const MembershipOptions &Limits)
-    : Options(Limits), Draw(Limits.Seed), Ranks(Limits.Watchers) {}
+Membership::Membership(const MembershipOptions &Settings)
+    : Options(Settings), Generator(Settings.Seed), Ranks(Settings.Watchers) {}
 
-milliseconds Membership::withRandom(milliseconds Span) {
-  const auto Part = static_cast<double>(Span.count()) * Draw.fraction();
-  return Span / 2 + milliseconds(static_cast<std::int64_t>(Part));
+milliseconds Membership::withJitter(milliseconds Span) {
+  const auto RandomPart =
+      static_cast<double>(Span.count()) * Generator.fraction();
+  return Span / 2 + milliseconds(static_cast<std::int64_t>(RandomPart));
 }
 
 void Membership::applyState(const State &Agreed, TimePoint Now,
                             MembershipCommands &Out) {
-  const auto Own = Agreed.EntryHosts.find(Options.Self.Host);
-  const bool There = Own != Agreed.EntryHosts.end() &&
-                     Own->second.Joined.Run == Options.Self.Run;
-  // Failure guarded against: this run slept, its peers found it gone and have
-  // taken over what it held. It must not go on under its old run, nor append
-  // the old join again: what was granted to that run is void for all.
-  if (Joined && !There && !Ended) {
+  const auto OwnEntry = Agreed.EntryHosts.find(Options.Self.Host);
+  const bool IsMember = OwnEntry != Agreed.EntryHosts.end() &&
+                        OwnEntry->second.Joined.Run == Options.Self.Run;
+  // Failure guarded against: this run was suspended, and its peers have removed
+  // it and taken over what it held. It must not continue under its old run, nor
+  // append the old join again: what was granted to that run is void everywhere.
+  if (Joined && !IsMember && !Ended) {
     Ended = true;
     if (!Leaving)
       Out.emplace_back(RunEnded{});
   }
-  Joined = There;
-  std::map<HostName, Incarnation> Next;
-  for (const auto &[Name, Known] : Agreed.EntryHosts)
-    Next.emplace(Name, Known.Joined.Run);
-  if (Next == Members)
+  Joined = IsMember;
+  std::map<HostName, Incarnation> NewMembers;
+  for (const auto &[Name, Entry] : Agreed.EntryHosts)
+    NewMembers.emplace(Name, Entry.Joined.Run);
+  if (NewMembers == Members)
     return;
-  Members = std::move(Next);
-  choose(Now);
+  Members = std::move(NewMembers);
+  updateWatchedHosts(Now);
   advance(Now, Out);
 }
 
-void Membership::choose(TimePoint Now) {
-  std::vector<HostName> All;
+void Membership::updateWatchedHosts(TimePoint Now) {
+  std::vector<HostName> Names;
   for (const auto &[Name, Run] : Members)
-    All.push_back(Name);
-  Ranks.setMembers(All);
-  std::map<HostName, Watch> Next;
+    Names.push_back(Name);
+  Ranks.setMembers(Names);
+  std::map<HostName, WatchedHost> NewWatched;
   for (const auto &[Name, Run] : Members) {
     if (Name == Options.Self.Host) {
       Watchers = Ranks.watchersOf(Name);
@@ -57,24 +58,25 @@
     }
     if (!Ranks.watches(Options.Self.Host, Name))
       continue;
-    const auto Known = Watched.find(Name);
-    Watch Kept;
-    if (Known != Watched.end() && Known->second.Run == Run)
-      Kept = std::move(Known->second);
+    const auto Previous = WatchedHosts.find(Name);
+    WatchedHost Target;
+    if (Previous != WatchedHosts.end() && Previous->second.Run == Run)
+      Target = std::move(Previous->second);
     else
-      Kept.LastHeard = Now;
-    Kept.Run = Run;
-    Kept.Watchers = Ranks.watchersOf(Name);
-    Next.emplace(Name, std::move(Kept));
+      Target.LastHeard = Now;
+    Target.Run = Run;
+    Target.Watchers = Ranks.watchersOf(Name);
+    NewWatched.emplace(Name, std::move(Target));
   }
-  for (const auto &[Name, Kept] : Watched) {
-    const auto Still = Next.find(Name);
-    const bool Over = !Members.contains(Name) ||
-                      (Still != Next.end() && Still->second.Run != Kept.Run);
-    if (Over && !Kept.Heard)
+  for (const auto &[Name, Target] : WatchedHosts) {
+    const auto Current = NewWatched.find(Name);
+    const bool HasEnded =
+        !Members.contains(Name) ||
+        (Current != NewWatched.end() && Current->second.Run != Target.Run);
+    if (HasEnded && !Target.Heard)
       ++UnheardRuns[Name];
   }
-  Watched = std::move(Next);
+  WatchedHosts = std::move(NewWatched);
 }
 
 void Membership::applyHostList(std::span<const ListedHost> Hosts) {
@@ -84,22 +86,23 @@
     (Host.Leaving ? ListedLeaving : ListedLive).insert(Host.Name);
 }
 
-milliseconds Membership::patience(const HostName &Host,
-                                  const Watch &Kept) const {
-  // Failure guarded against: two regions lose each other while both reach the
-  // log. Each finds the other's hosts gone, they join again under new runs, and
-  // would be found gone anew every few seconds.
-  if (!Kept.Heard) {
-    const auto Before = UnheardRuns.find(Host);
-    const std::uint32_t Count = Before == UnheardRuns.end()
-                                    ? 0
-                                    : std::min(Before->second, MaxDoublings);
+milliseconds Membership::suspicionTimeout(const HostName &Host,
+                                          const WatchedHost &Target) const {
+  // Failure guarded against: two regions lose contact with each other while
+  // both reach the log. Each removes the hosts of the other, these join again
+  // under new runs, and would be removed again every few seconds.
+  if (!Target.Heard) {
+    const auto UnheardRunCount = UnheardRuns.find(Host);
+    const std::uint32_t Count =
+        UnheardRunCount == UnheardRuns.end()
+            ? 0
+            : std::min(UnheardRunCount->second, MaxTimeoutDoublings);
     return Options.SuspectUnheardAfter * (1U << Count);
   }
   const bool HasList = !ListedLive.empty();
-  const bool Gone =
+  const bool ListedAsGone =
       ListedLeaving.contains(Host) || (HasList && !ListedLive.contains(Host));
-  return Gone ? Options.SuspectListedAfter : Options.SuspectAfter;
+  return ListedAsGone ? Options.SuspectListedAfter : Options.SuspectAfter;
 }
 
 void Membership::receive(const HostName &From, const MembershipMessage &Message,
@@ -109,28 +112,29 @@
 
 void Membership::handle(const HostName &From, const Heartbeat &Message,
                         TimePoint Now, MembershipCommands & /*Out*/) {
-  const auto Found = Watched.find(From);
-  // A heartbeat of an earlier run says nothing of this one.
-  if (Found == Watched.end() || Found->second.Run != Message.Run)
+  const auto Entry = WatchedHosts.find(From);
+  // A heartbeat of an earlier run says nothing about this one.
+  if (Entry == WatchedHosts.end() || Entry->second.Run != Message.Run)
     return;
-  Found->second.LastHeard = std::max(Found->second.LastHeard, Now);
-  Found->second.Heard = true;
+  Entry->second.LastHeard = std::max(Entry->second.LastHeard, Now);
+  Entry->second.Heard = true;
   UnheardRuns.erase(From);
-  clear(Found->second);
+  clearSuspicion(Entry->second);
 }
 
 void Membership::handle(const HostName &From, const SuspicionQuery &Message,
                         TimePoint Now, MembershipCommands &Out) {
-  const auto Found = Watched.find(Message.Host);
-  // Whoever does not watch the host, or was asleep itself, cannot tell.
-  noticePause(Now);
-  if (Found == Watched.end() || Found->second.Run != Message.Run)
+  const auto Entry = WatchedHosts.find(Message.Host);
+  // A host that does not watch the suspect, or was suspended itself, cannot
+  // tell.
+  detectPause(Now);
+  if (Entry == WatchedHosts.end() || Entry->second.Run != Message.Run)
     return;
-  const Watch &Kept = Found->second;
-  const Duration Silence = Now - Kept.LastHeard;
-  const bool Heard = Kept.Heard && Silence < Options.SuspectListedAfter;
+  const WatchedHost &Target = Entry->second;
+  const Duration Silence = Now - Target.LastHeard;
+  const bool Heard = Target.Heard && Silence < Options.SuspectListedAfter;
   const bool Silent =
-      Kept.Heard ? !Heard : Silence >= patience(Message.Host, Kept);
+      Target.Heard ? !Heard : Silence >= suspicionTimeout(Message.Host, Target);
   if (!Heard && !Silent)
     return;
   Out.emplace_back(MembershipSend{
@@ -139,16 +143,18 @@
 
 void Membership::handle(const HostName &From, const SuspicionReply &Message,
                         TimePoint Now, MembershipCommands & /*Out*/) {
-  const auto Found = Watched.find(Message.Host);
-  if (Found == Watched.end() || Found->second.AskNumber != Message.Number)
+  const auto Entry = WatchedHosts.find(Message.Host);
+  if (Entry == WatchedHosts.end() ||
+      Entry->second.QueryNumber != Message.Number)
     return;
   if (!Message.Heard) {
-    Found->second.Agreeing.insert(From);
+    Entry->second.Agreeing.insert(From);
     return;
   }
-  // Another watcher hears it: the path from here is at fault, not the host.
-  clear(Found->second);
-  Found->second.LastHeard = Now;
+  // Another watcher hears the host, so the path from here is at fault, not the
+  // host.
+  clearSuspicion(Entry->second);
+  Entry->second.LastHeard = Now;
 }
 
 void Membership::handle(const HostName & /*From*/,
@@ -159,11 +165,11 @@
                         const FreshnessReply & /*Message*/, TimePoint /*Now*/,
                         MembershipCommands & /*Out*/) {}
 
-void Membership::clear(Watch &Kept) {
-  Kept.AskNumber = 0;
-  Kept.Agreeing.clear();
-  Kept.AppendAt.reset();
-  Kept.Delay = milliseconds{0};
+void Membership::clearSuspicion(WatchedHost &Target) {
+  Target.QueryNumber = 0;
+  Target.Agreeing.clear();
+  Target.AppendAt.reset();
+  Target.Delay = milliseconds{0};
 }
 
 void Membership::leave(TimePoint Now, MembershipCommands &Out) {
@@ -173,9 +179,9 @@
   advance(Now, Out);
 }
 
-void Membership::appendOwn(TimePoint Now, MembershipCommands &Out) {
-  const bool Wanted = Leaving ? Joined : !Joined && !Ended;
-  if (!Wanted)
+void Membership::appendOwnRecord(TimePoint Now, MembershipCommands &Out) {
+  const bool IsNeeded = Leaving ? Joined : !Joined && !Ended;
+  if (!IsNeeded)
     return;
   if (OwnAppendAt && *OwnAppendAt > Now)
     return;
@@ -186,106 +192,108 @@
     Out.emplace_back(MembershipAppend{Options.Self});
   OwnDelay =
       std::min(Options.MaxRetry, std::max(Options.RetryAfter, OwnDelay * 2));
-  OwnAppendAt = Now + withRandom(2 * OwnDelay);
+  OwnAppendAt = Now + withJitter(2 * OwnDelay);
 }
 
-void Membership::beat(TimePoint Now, MembershipCommands &Out) {
-  if (!Joined || Ended || Now < NextBeat)
+void Membership::sendHeartbeats(TimePoint Now, MembershipCommands &Out) {
+  if (!Joined || Ended || Now < NextHeartbeat)
     return;
-  NextBeat = Now + Options.HeartbeatEvery;
+  NextHeartbeat = Now + Options.HeartbeatEvery;
   for (const HostName &Watcher : Watchers)
     Out.emplace_back(MembershipSend{Watcher, Heartbeat{Options.Self.Run}});
 }
 
-void Membership::noticePause(TimePoint Now) {
-  // Failure guarded against: this host slept, and on waking finds all others
-  // silent. It is the one that was away; they get their time anew.
-  const bool Slept = LastAdvance != TimePoint{} &&
-                     Now - LastAdvance > Options.SuspectListedAfter / 2;
+void Membership::detectPause(TimePoint Now) {
+  // Failure guarded against: this host was suspended, and after waking up finds
+  // all others silent. Since it was the one that was away, their time starts
+  // anew.
+  const bool WasSuspended = LastAdvance != TimePoint{} &&
+                            Now - LastAdvance > Options.SuspectListedAfter / 2;
   LastAdvance = Now;
-  if (!Slept)
+  if (!WasSuspended)
     return;
-  for (auto &[Host, Kept] : Watched) {
-    Kept.LastHeard = Now;
-    clear(Kept);
+  for (auto &[Host, Target] : WatchedHosts) {
+    Target.LastHeard = Now;
+    clearSuspicion(Target);
   }
 }
 
 void Membership::advance(TimePoint Now, MembershipCommands &Out) {
-  noticePause(Now);
-  appendOwn(Now, Out);
-  beat(Now, Out);
+  detectPause(Now);
+  appendOwnRecord(Now, Out);
+  sendHeartbeats(Now, Out);
   if (Joined && !Ended)
-    for (auto &[Host, Kept] : Watched)
-      check(Host, Kept, Now, Out);
-  NextWake = Now + CheckEvery;
+    for (auto &[Host, Target] : WatchedHosts)
+      checkHost(Host, Target, Now, Out);
+  NextWake = Now + CheckInterval;
 }
 
-std::size_t Membership::rankAmong(const Watch &Kept) const {
-  const auto Own =
-      std::find(Kept.Watchers.begin(), Kept.Watchers.end(), Options.Self.Host);
-  return static_cast<std::size_t>(Own - Kept.Watchers.begin());
+std::size_t Membership::rankAmongWatchers(const WatchedHost &Target) const {
+  const auto OwnPosition = std::find(Target.Watchers.begin(),
+                                     Target.Watchers.end(), Options.Self.Host);
+  return static_cast<std::size_t>(OwnPosition - Target.Watchers.begin());
 }
 
-bool Membership::hearsMost(TimePoint Now) const {
+bool Membership::hearsAtLeastHalf(TimePoint Now) const {
   std::size_t Heard = 0;
-  for (const auto &[Host, Kept] : Watched)
-    Heard += Now - Kept.LastHeard < Options.SuspectAfter ? 1 : 0;
-  return 2 * Heard >= Watched.size();
+  for (const auto &[Host, Target] : WatchedHosts)
+    Heard += Now - Target.LastHeard < Options.SuspectAfter ? 1 : 0;
+  return 2 * Heard >= WatchedHosts.size();
 }
 
-bool Membership::mayAppend(const Watch &Kept, TimePoint Now) const {
-  if (Now - Kept.AskedAt < Options.ObjectionTime)
+bool Membership::mayAppend(const WatchedHost &Target, TimePoint Now) const {
+  if (Now - Target.QuerySentAt < Options.ObjectionTime)
     return false;
-  if (Kept.Watchers.size() == 1)
+  if (Target.Watchers.size() == 1)
     return true;
-  // Failure guarded against: this host's own network, or that of its region, is
-  // cut while it reaches the log, and it would declare all others gone. It
-  // needs another watcher's word, and to hear most of the hosts that it
-  // watches. Where those are gone too, as with a data centre, one of the two is
-  // enough, much later.
-  const bool Agreed = !Kept.Agreeing.empty();
-  if (Agreed && hearsMost(Now))
+  // Failure guarded against: the network of this host, or of its region, is cut
+  // off while it reaches the log, and it would remove all other hosts. So it
+  // needs the confirmation of another watcher, and has to hear at least half of
+  // the hosts that it watches. Where those are gone too, as with the loss of a
+  // data centre, one of the two is enough, after a much longer time.
+  const bool Confirmed = !Target.Agreeing.empty();
+  if (Confirmed && hearsAtLeastHalf(Now))
     return true;
-  return Now - Kept.LastHeard >= Options.SoloRemovalAfter &&
-         (Agreed || hearsMost(Now));
+  return Now - Target.LastHeard >= Options.SoloRemovalAfter &&
+         (Confirmed || hearsAtLeastHalf(Now));
 }
 
-void Membership::suspect(const HostName &Host, Watch &Kept, TimePoint Now,
-                         MembershipCommands &Out) {
-  Kept.AskNumber = NextNumber++;
-  Kept.AskedAt = Now;
-  for (const HostName &Other : Kept.Watchers)
+void Membership::startSuspicion(const HostName &Host, WatchedHost &Target,
+                                TimePoint Now, MembershipCommands &Out) {
+  Target.QueryNumber = NextNumber++;
+  Target.QuerySentAt = Now;
+  for (const HostName &Other : Target.Watchers)
     if (Other != Options.Self.Host)
       Out.emplace_back(MembershipSend{
-          Other, SuspicionQuery{Kept.AskNumber, Host, Kept.Run}});
+          Other, SuspicionQuery{Target.QueryNumber, Host, Target.Run}});
 }
 
-void Membership::check(const HostName &Host, Watch &Kept, TimePoint Now,
-                       MembershipCommands &Out) {
-  if (Now - Kept.LastHeard < patience(Host, Kept)) {
-    clear(Kept);
+void Membership::checkHost(const HostName &Host, WatchedHost &Target,
+                           TimePoint Now, MembershipCommands &Out) {
+  if (Now - Target.LastHeard < suspicionTimeout(Host, Target)) {
+    clearSuspicion(Target);
     return;
   }
-  const bool AskAgain =
-      Kept.AskNumber == 0 || (Kept.Agreeing.empty() &&
-                              Now - Kept.AskedAt >= 3 * Options.ObjectionTime);
-  if (AskAgain)
-    suspect(Host, Kept, Now, Out);
-  if (!mayAppend(Kept, Now))
+  const bool QueryDue = Target.QueryNumber == 0 ||
+                        (Target.Agreeing.empty() &&
+                         Now - Target.QuerySentAt >= 3 * Options.ObjectionTime);
+  if (QueryDue)
+    startSuspicion(Host, Target, Now, Out);
+  if (!mayAppend(Target, Now))
     return;
-  if (!Kept.AppendAt)
-    Kept.AppendAt = Now + withRandom(Options.AppendSpread) +
-                    Options.AppendStagger * static_cast<int>(rankAmong(Kept));
-  if (*Kept.AppendAt > Now)
+  if (!Target.AppendAt)
+    Target.AppendAt =
+        Now + withJitter(Options.AppendSpread) +
+        Options.AppendStagger * static_cast<int>(rankAmongWatchers(Target));
+  if (*Target.AppendAt > Now)
     return;
   Out.emplace_back(MembershipAppend{
-      EntryHostLeft{Host, Kept.Run},
-      RemovalBasis{Now - Kept.LastHeard, Kept.Heard, Kept.Agreeing.size(),
-                   Kept.Watchers.size()}});
-  Kept.Delay = std::min(Options.MaxRetry,
-                        std::max(Options.RetryAfter * 4, Kept.Delay * 2));
-  Kept.AppendAt = Now + withRandom(2 * Kept.Delay);
+      EntryHostLeft{Host, Target.Run},
+      RemovalBasis{Now - Target.LastHeard, Target.Heard, Target.Agreeing.size(),
+                   Target.Watchers.size()}});
+  Target.Delay = std::min(Options.MaxRetry,
+                          std::max(Options.RetryAfter * 4, Target.Delay * 2));
+  Target.AppendAt = Now + withJitter(2 * Target.Delay);
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/membership/stateproof.cpp
+++ b/packages/version/src/coltsfoottrail/membership/stateproof.cpp
@@ -7,134 +7,137 @@
 
 namespace {
 
-constexpr std::size_t MaxAsks = 64;
+constexpr std::size_t MaxPendingQueries = 64;
 
-milliseconds roundedUp(Duration Span) {
+milliseconds ceilMilliseconds(Duration Span) {
   return std::chrono::ceil<milliseconds>(Span);
 }
 
-/// An age measured by a peer whose clock may run one in a hundred slower.
-Duration widened(milliseconds Age) { return Age + Age / 100; }
+/// Extends an age measured by a peer, whose clock may run one in a hundred
+/// slower.
+Duration withClockDrift(milliseconds Age) { return Age + Age / 100; }
 
 } // namespace
 
-StateProof::StateProof(const MembershipOptions &Limits) : Options(Limits) {}
+StateProof::StateProof(const MembershipOptions &Settings) : Options(Settings) {}
 
 void StateProof::setMembers(const std::vector<HostName> &Others) {
-  Jury = rankedHosts(Options.Self.Host.Text, Others, Options.FreshnessPeers);
-  std::erase_if(Words, [&](const auto &Entry) {
-    return std::find(Jury.begin(), Jury.end(), Entry.first) == Jury.end();
+  Peers = rankedHosts(Options.Self.Host.Text, Others, Options.FreshnessPeers);
+  std::erase_if(Replies, [&](const auto &Entry) {
+    return std::find(Peers.begin(), Peers.end(), Entry.first) == Peers.end();
   });
 }
 
 void StateProof::setVersion(Offset Next) { Version = std::max(Version, Next); }
 
-void StateProof::prove(TimePoint At, FreshSource Source) {
+void StateProof::prove(TimePoint ProofTime, FreshSource Source) {
   if (Source != FreshSource::LogDownForAll &&
-      (!ProvenByLog || *ProvenByLog < At))
-    ProvenByLog = At;
-  if (Proven && *Proven >= At)
+      (!ProvenByLog || *ProvenByLog < ProofTime))
+    ProvenByLog = ProofTime;
+  if (ProvenAt && *ProvenAt >= ProofTime)
     return;
-  Proven = At;
-  By = Source;
+  ProvenAt = ProofTime;
+  ProvenBy = Source;
 }
 
-void StateProof::recordLogRead(TimePoint Left) {
+void StateProof::recordLogRead(TimePoint SentAt) {
   LogFails = false;
-  prove(Left, FreshSource::Log);
+  prove(SentAt, FreshSource::Log);
 }
 
 void StateProof::recordLogFailure() { LogFails = true; }
 
-FreshnessReply StateProof::answer(const FreshnessQuery &Asked,
+FreshnessReply StateProof::answer(const FreshnessQuery &Query,
                                   TimePoint Now) const {
-  FreshnessReply Answer;
-  Answer.Number = Asked.Number;
-  Answer.Version = Version;
-  Answer.LogFails = LogFails;
+  FreshnessReply Reply;
+  Reply.Number = Query.Number;
+  Reply.Version = Version;
+  Reply.LogFails = LogFails;
   if (ProvenByLog && Now - *ProvenByLog < Options.FreshFor) {
-    Answer.Proven = true;
-    Answer.ProofAge = roundedUp(Now - *ProvenByLog);
+    Reply.Proven = true;
+    Reply.ProofAge = ceilMilliseconds(Now - *ProvenByLog);
   }
-  return Answer;
+  return Reply;
 }
 
 void StateProof::recordReply(const HostName &From,
                              const FreshnessReply &Message, TimePoint Now) {
-  const auto Asked = Asks.find(Message.Number);
-  if (Asked == Asks.end())
+  const auto Query = PendingQueries.find(Message.Number);
+  if (Query == PendingQueries.end())
     return;
   PeerVersion = std::max(PeerVersion, Message.Version);
-  // A peer that knows more proves that this host is behind: its records come
-  // over the mesh first.
+  // A peer that knows more proves that this host is behind: the missing records
+  // have to come over the mesh first.
   if (Message.Version > Version) {
-    Words.erase(From);
+    Replies.erase(From);
     return;
   }
   if (Message.Proven) {
-    Words.erase(From);
-    // Counted from when the ask left: the answer may have been on its way for
-    // any time since.
-    prove(Asked->second - widened(Message.ProofAge), FreshSource::Peer);
+    Replies.erase(From);
+    // Counted from when the query was sent, since the answer may have taken any
+    // time to arrive.
+    prove(Query->second - withClockDrift(Message.ProofAge), FreshSource::Peer);
     return;
   }
-  if (std::find(Jury.begin(), Jury.end(), From) == Jury.end())
+  if (std::find(Peers.begin(), Peers.end(), From) == Peers.end())
     return;
-  Word &Last = Words[From];
-  if (Asked->second >= Last.AskLeft)
-    Last = Word{Asked->second, Message.LogFails};
-  weigh(Now);
+  PeerReply &LastReply = Replies[From];
+  if (Query->second >= LastReply.QuerySentAt)
+    LastReply = PeerReply{Query->second, Message.LogFails};
+  evaluateReplies(Now);
 }
 
-void StateProof::weigh(TimePoint Now) {
+void StateProof::evaluateReplies(TimePoint Now) {
   // Failure guarded against: this host alone is cut off from the log, takes it
-  // for an outage and serves on, while a drain stands on the log. Only when
-  // most of those asked say that the log fails them too is it down for all.
+  // for an outage and continues to serve, while a drain is on the log. The log
+  // counts as down for all only if most of the queried peers report that they
+  // cannot read it either.
   if (!LogFails || PeerVersion > Version)
     return;
-  std::vector<TimePoint> Failing;
-  for (const auto &[Host, Last] : Words)
-    if (Last.LogFails && Now - Last.AskLeft < Options.FreshFor)
-      Failing.push_back(Last.AskLeft);
-  const std::size_t Needed = (Jury.size() + 1) / 2 + 1;
-  if (Failing.size() + 1 < Needed)
+  std::vector<TimePoint> FailedReadTimes;
+  for (const auto &[Host, Reply] : Replies)
+    if (Reply.LogFails && Now - Reply.QuerySentAt < Options.FreshFor)
+      FailedReadTimes.push_back(Reply.QuerySentAt);
+  const std::size_t Needed = (Peers.size() + 1) / 2 + 1;
+  if (FailedReadTimes.size() + 1 < Needed)
     return;
-  std::sort(Failing.rbegin(), Failing.rend());
-  prove(Needed < 2 ? Now : Failing[Needed - 2], FreshSource::LogDownForAll);
+  std::sort(FailedReadTimes.rbegin(), FailedReadTimes.rend());
+  prove(Needed < 2 ? Now : FailedReadTimes[Needed - 2],
+        FreshSource::LogDownForAll);
 }
 
 void StateProof::advance(TimePoint Now, MembershipCommands &Out) {
-  const bool Young =
-      Proven && By == FreshSource::Log && Now - *Proven < Options.AskPeersAfter;
-  if (Young || Now < NextAsk)
+  const bool IsFresh = ProvenAt && ProvenBy == FreshSource::Log &&
+                       Now - *ProvenAt < Options.AskPeersAfter;
+  if (IsFresh || Now < NextQuery)
     return;
-  NextAsk = Now + Options.AskPeersEvery;
-  if (Jury.empty()) {
-    // Alone: nobody else could have changed anything but through the log, and
-    // there is nobody to be behind of.
-    weigh(Now);
+  NextQuery = Now + Options.AskPeersEvery;
+  if (Peers.empty()) {
+    // Without peers, the agreed stream can change only through the log, and
+    // there is no host to be behind of.
+    evaluateReplies(Now);
     return;
   }
   const std::uint64_t Number = NextNumber++;
-  Asks[Number] = Now;
-  while (Asks.size() > MaxAsks)
-    Asks.erase(Asks.begin());
-  for (const HostName &Peer : Jury)
+  PendingQueries[Number] = Now;
+  while (PendingQueries.size() > MaxPendingQueries)
+    PendingQueries.erase(PendingQueries.begin());
+  for (const HostName &Peer : Peers)
     Out.emplace_back(MembershipSend{Peer, FreshnessQuery{Number}});
 }
 
 std::optional<TimePoint> StateProof::nextWake() const {
-  if (!Proven)
-    return NextAsk;
-  return std::max(NextAsk, *Proven + Options.AskPeersAfter);
+  if (!ProvenAt)
+    return NextQuery;
+  return std::max(NextQuery, *ProvenAt + Options.AskPeersAfter);
 }
 
 LeaseGuard StateProof::lease() const {
-  return Proven ? LeaseGuard(*Proven + Options.FreshFor) : LeaseGuard();
+  return ProvenAt ? LeaseGuard(*ProvenAt + Options.FreshFor) : LeaseGuard();
 }
 
 FreshSource StateProof::source(TimePoint Now) const {
-  return lease().holds(Now) ? By : FreshSource::None;
+  return lease().holds(Now) ? ProvenBy : FreshSource::None;
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/membership/stateproof.hpp
+++ b/packages/version/src/coltsfoottrail/membership/stateproof.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Whether this host knows all of the agreed stream, and since when it may not.
+/// Tracks whether the agreed state of this host is up to date.
 #ifndef COLTSFOOTTRAIL_MEMBERSHIP_STATEPROOF_HPP
 #define COLTSFOOTTRAIL_MEMBERSHIP_STATEPROOF_HPP
 
@@ -12,80 +12,81 @@
 
 namespace coltsfoottrail {
 
-/// What the newest proof of freshness rests on.
+/// Source of the newest proof of freshness.
 enum class FreshSource : std::uint8_t { None, Log, Peer, LogDownForAll };
 
-/// @brief Proofs that this host's state is not behind: from its own reads of
-/// the log, from a peer that has such a proof, or from most peers saying that
-/// the log fails them too while none knows more. Pure.
+/// @brief Tracks proofs that the state of this host is up to date: from its own
+/// reads of the log, from a peer that has such a proof, or from most peers
+/// reporting that they cannot read the log either while none knows more. Pure.
 ///
 /// Not thread-safe. Times must not go back.
 class StateProof {
 public:
-  /// @brief Starts without a proof.
-  explicit StateProof(const MembershipOptions &Limits);
+  /// @brief Makes an object without a proof.
+  explicit StateProof(const MembershipOptions &Settings);
 
-  /// @brief Takes the other members.
+  /// @brief Sets the other members.
   void setMembers(const std::vector<HostName> &Others);
-  /// @brief Takes how far the state goes.
+  /// @brief Sets the version of the state.
   /// @param Next Next offset to fold.
   void setVersion(Offset Next);
-  /// @brief A read of the agreed stream was answered and all that it showed is
-  /// folded.
-  /// @param Left When it left.
-  void recordLogRead(TimePoint Left);
-  /// @brief A read of the agreed stream failed.
+  /// @brief Records a successful read of the agreed stream, after all records
+  /// that it returned are folded.
+  /// @param SentAt When the read was sent.
+  void recordLogRead(TimePoint SentAt);
+  /// @brief Records a failed read of the agreed stream.
   void recordLogFailure();
 
-  /// @brief Answers a peer.
-  [[nodiscard]] FreshnessReply answer(const FreshnessQuery &Asked,
+  /// @brief Answers a query of a peer.
+  [[nodiscard]] FreshnessReply answer(const FreshnessQuery &Query,
                                       TimePoint Now) const;
-  /// @brief Takes a peer's answer; any number of times, in any order.
+  /// @brief Handles a reply of a peer, which may arrive any number of times and
+  /// in any order.
   void recordReply(const HostName &From, const FreshnessReply &Message,
                    TimePoint Now);
-  /// @brief Asks the peers when it is time to.
+  /// @brief Queries the peers if a query is due.
   void advance(TimePoint Now, MembershipCommands &Out);
   /// @brief When advance() should be called next.
   [[nodiscard]] std::optional<TimePoint> nextWake() const;
 
-  /// @brief When the newest proof was made; nothing before the first.
+  /// @brief Time of the newest proof; nothing before the first one.
   [[nodiscard]] std::optional<TimePoint> provenAt() const noexcept {
-    return Proven;
+    return ProvenAt;
   }
-  /// @brief Leave to act on the state.
+  /// @brief Permission to act on the state.
   [[nodiscard]] LeaseGuard lease() const;
-  /// @brief What the newest proof rests on.
+  /// @brief Source of the newest proof.
   /// @param Now The time.
-  /// @return None once it has run out.
+  /// @return None once the proof has expired.
   [[nodiscard]] FreshSource source(TimePoint Now) const;
 
 private:
-  struct Word {
-    TimePoint AskLeft;
+  struct PeerReply {
+    TimePoint QuerySentAt;
     bool LogFails = false;
   };
 
-  void prove(TimePoint At, FreshSource By);
-  void weigh(TimePoint Now);
+  void prove(TimePoint ProofTime, FreshSource Source);
+  void evaluateReplies(TimePoint Now);
 
   MembershipOptions Options;
-  std::vector<HostName> Jury;
-  /// The last word of each peer that knows no more than this host and has no
+  std::vector<HostName> Peers;
+  /// The last reply of each peer that knows no more than this host and has no
   /// proof.
-  std::map<HostName, Word> Words;
-  /// When each ask that may still be answered left.
-  std::map<std::uint64_t, TimePoint> Asks;
+  std::map<HostName, PeerReply> Replies;
+  /// When each query was sent that may still be answered.
+  std::map<std::uint64_t, TimePoint> PendingQueries;
   std::uint64_t NextNumber = 1;
   Offset Version = 0;
-  /// The most that any peer is known to know.
+  /// Highest version that any peer is known to have.
   Offset PeerVersion = 0;
   bool LogFails = false;
-  std::optional<TimePoint> Proven;
-  /// The newest proof that does not rest on the peers' failing logs: only this
-  /// one is told to peers.
+  std::optional<TimePoint> ProvenAt;
+  /// The newest proof that does not rest on peers that cannot read the log.
+  /// Only this proof is reported to peers.
   std::optional<TimePoint> ProvenByLog;
-  FreshSource By = FreshSource::None;
-  TimePoint NextAsk;
+  FreshSource ProvenBy = FreshSource::None;
+  TimePoint NextQuery;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/membership/types.cpp
+++ b/packages/version/src/coltsfoottrail/membership/types.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 5> MessageWords{
+constexpr std::array<std::string_view, 5> MessageKinds{
     "heartbeat", "suspect-ask", "suspect-answer", "fresh-ask", "fresh-answer"};
 constexpr std::uint64_t MaxAgeMs = 24ULL * 3600 * 1000;
 
@@ -41,14 +41,14 @@
   }
 };
 
-FreshnessReply readFreshAnswer(ObjectReader &From) {
-  FreshnessReply Answer;
-  Answer.Number = From.number("n");
-  Answer.Version = From.number("version");
-  Answer.Proven = From.flagOr("proven", false);
-  Answer.ProofAge = milliseconds(From.numberOr("age_ms", 0, 0, MaxAgeMs));
-  Answer.LogFails = From.flagOr("log_fails", false);
-  return Answer;
+FreshnessReply readFreshnessReply(ObjectReader &Reader) {
+  FreshnessReply Reply;
+  Reply.Number = Reader.number("n");
+  Reply.Version = Reader.number("version");
+  Reply.Proven = Reader.flagOr("proven", false);
+  Reply.ProofAge = milliseconds(Reader.numberOr("age_ms", 0, 0, MaxAgeMs));
+  Reply.LogFails = Reader.flagOr("log_fails", false);
+  return Reply;
 }
 
 } // namespace
@@ -56,51 +56,57 @@
 Json writeMembershipMessage(const MembershipMessage &Message) {
   MessageWriter Writer;
   std::visit(Writer, Message);
-  Writer.Out["is"] = MessageWords[Message.index()];
+  Writer.Out["is"] = MessageKinds[Message.index()];
   return std::move(Writer.Out);
 }
 
 MembershipMessage readMembershipMessage(const Json &Value,
                                         std::string_view Source) {
-  enum : std::size_t { Beat, Ask, Answer, AskFresh };
-  ObjectReader From(Value, Source, "", UnknownKeys::Ignore);
-  switch (From.word("is", MessageWords)) {
-  case Beat:
-    return Heartbeat{From.number("run")};
-  case Ask: {
-    const std::uint64_t Number = From.number("n");
-    HostName Host(From.text("host"));
-    return SuspicionQuery{Number, std::move(Host), From.number("run")};
+  enum : std::size_t {
+    HeartbeatKind,
+    SuspicionQueryKind,
+    SuspicionReplyKind,
+    FreshnessQueryKind
+  };
+  ObjectReader Reader(Value, Source, "", UnknownKeys::Ignore);
+  switch (Reader.word("is", MessageKinds)) {
+  case HeartbeatKind:
+    return Heartbeat{Reader.number("run")};
+  case SuspicionQueryKind: {
+    const std::uint64_t Number = Reader.number("n");
+    HostName Host(Reader.text("host"));
+    return SuspicionQuery{Number, std::move(Host), Reader.number("run")};
   }
-  case Answer: {
-    const std::uint64_t Number = From.number("n");
-    HostName Host(From.text("host"));
-    return SuspicionReply{Number, std::move(Host), From.flagOr("heard", true)};
+  case SuspicionReplyKind: {
+    const std::uint64_t Number = Reader.number("n");
+    HostName Host(Reader.text("host"));
+    return SuspicionReply{Number, std::move(Host),
+                          Reader.flagOr("heard", true)};
   }
-  case AskFresh:
-    return FreshnessQuery{From.number("n")};
+  case FreshnessQueryKind:
+    return FreshnessQuery{Reader.number("n")};
   default:
-    return readFreshAnswer(From);
+    return readFreshnessReply(Reader);
   }
 }
 
 std::vector<HostName> rankedHosts(std::string_view Key,
-                                  const std::vector<HostName> &Among,
+                                  const std::vector<HostName> &Candidates,
                                   std::size_t Count) {
   std::vector<std::pair<std::uint64_t, HostName>> Weights;
-  Weights.reserve(Among.size());
-  for (const HostName &Name : Among)
+  Weights.reserve(Candidates.size());
+  for (const HostName &Name : Candidates)
     Weights.emplace_back(rendezvousWeight(Key, Name.Text), Name);
-  const std::size_t Kept = std::min(Count, Weights.size());
-  const auto Middle = Weights.begin() + static_cast<std::ptrdiff_t>(Kept);
-  std::partial_sort(Weights.begin(), Middle, Weights.end(),
+  const std::size_t ResultCount = std::min(Count, Weights.size());
+  const auto End = Weights.begin() + static_cast<std::ptrdiff_t>(ResultCount);
+  std::partial_sort(Weights.begin(), End, Weights.end(),
                     [](const auto &Left, const auto &Right) {
                       return Left.first != Right.first
                                  ? Left.first > Right.first
                                  : Left.second.Text < Right.second.Text;
                     });
   std::vector<HostName> Ranked;
-  for (std::size_t Index = 0; Index < Kept; ++Index)
+  for (std::size_t Index = 0; Index < ResultCount; ++Index)
     Ranked.push_back(std::move(Weights[Index].second));
   return Ranked;
 }
--- a/packages/version/src/coltsfoottrail/membership/watchers.cpp
+++ b/packages/version/src/coltsfoottrail/membership/watchers.cpp
@@ -23,33 +23,33 @@
   return Left.Text < Right.Text;
 }
 
-std::vector<HostName> without(const std::vector<HostName> &From,
-                              const std::vector<HostName> &These) {
-  std::vector<HostName> Left;
-  std::set_difference(From.begin(), From.end(), These.begin(), These.end(),
-                      std::back_inserter(Left), isBefore);
-  return Left;
+std::vector<HostName> without(const std::vector<HostName> &Names,
+                              const std::vector<HostName> &Excluded) {
+  std::vector<HostName> Remaining;
+  std::set_difference(Names.begin(), Names.end(), Excluded.begin(),
+                      Excluded.end(), std::back_inserter(Remaining), isBefore);
+  return Remaining;
 }
 
 } // namespace
 
-void WatcherRanks::insert(const HostName &Host, Ranked &Into,
+void WatcherRanks::insert(const HostName &Host, HostRanking &Ranking,
                           const HostName &Watcher) {
   if (Watcher == Host)
     return;
   const std::pair<std::uint64_t, HostName> Entry(weightOf(Host, Watcher),
                                                  Watcher);
-  Into.insert(std::lower_bound(Into.begin(), Into.end(), Entry, isHigher),
-              Entry);
-  if (Into.size() > Count)
-    Into.pop_back();
+  Ranking.insert(
+      std::lower_bound(Ranking.begin(), Ranking.end(), Entry, isHigher), Entry);
+  if (Ranking.size() > Count)
+    Ranking.pop_back();
 }
 
-WatcherRanks::Ranked WatcherRanks::rankAll(const HostName &Host) const {
+WatcherRanks::HostRanking WatcherRanks::rankAll(const HostName &Host) const {
   const std::string Key = "watch/" + Host.Text;
   std::vector<std::pair<std::uint64_t, const HostName *>> Weights;
-  Weights.reserve(All.size());
-  for (const HostName &Watcher : All)
+  Weights.reserve(Hosts.size());
+  for (const HostName &Watcher : Hosts)
     if (Watcher != Host)
       Weights.emplace_back(rendezvousWeight(Key, Watcher.Text), &Watcher);
   const std::size_t Kept = std::min(Count, Weights.size());
@@ -60,52 +60,53 @@
                                  ? Left.first > Right.first
                                  : Left.second->Text < Right.second->Text;
                     });
-  Ranked Best;
+  HostRanking Best;
   for (std::size_t Index = 0; Index < Kept; ++Index)
     Best.emplace_back(Weights[Index].first, *Weights[Index].second);
   return Best;
 }
 
 void WatcherRanks::setMembers(const std::vector<HostName> &Members) {
-  const std::vector<HostName> Gone = without(All, Members);
-  const std::vector<HostName> Come = without(Members, All);
-  All = Members;
-  for (const HostName &Host : Gone)
-    Ranks.erase(Host);
-  for (auto &[Host, Known] : Ranks) {
-    const bool Lost =
-        std::any_of(Known.begin(), Known.end(), [&](const auto &Entry) {
-          return std::binary_search(Gone.begin(), Gone.end(), Entry.second,
-                                    isBefore);
+  const std::vector<HostName> Removed = without(Hosts, Members);
+  const std::vector<HostName> Added = without(Members, Hosts);
+  Hosts = Members;
+  for (const HostName &Host : Removed)
+    Rankings.erase(Host);
+  for (auto &[Host, Ranking] : Rankings) {
+    const bool LostWatcher =
+        std::any_of(Ranking.begin(), Ranking.end(), [&](const auto &Entry) {
+          return std::binary_search(Removed.begin(), Removed.end(),
+                                    Entry.second, isBefore);
         });
-    if (Lost) {
-      Known = rankAll(Host);
+    if (LostWatcher) {
+      Ranking = rankAll(Host);
       continue;
     }
-    for (const HostName &Watcher : Come)
-      insert(Host, Known, Watcher);
+    for (const HostName &Watcher : Added)
+      insert(Host, Ranking, Watcher);
   }
-  for (const HostName &Host : Come)
-    Ranks.emplace(Host, rankAll(Host));
+  for (const HostName &Host : Added)
+    Rankings.emplace(Host, rankAll(Host));
 }
 
 std::vector<HostName> WatcherRanks::watchersOf(const HostName &Host) const {
   std::vector<HostName> Watchers;
-  const auto Found = Ranks.find(Host);
-  if (Found == Ranks.end())
+  const auto Entry = Rankings.find(Host);
+  if (Entry == Rankings.end())
     return Watchers;
-  for (const auto &[Weight, Watcher] : Found->second)
+  for (const auto &[Weight, Watcher] : Entry->second)
     Watchers.push_back(Watcher);
   return Watchers;
 }
 
 bool WatcherRanks::watches(const HostName &Watcher,
                            const HostName &Host) const {
-  const auto Found = Ranks.find(Host);
-  return Found != Ranks.end() &&
-         std::any_of(
-             Found->second.begin(), Found->second.end(),
-             [&](const auto &Entry) { return Entry.second == Watcher; });
+  const auto Entry = Rankings.find(Host);
+  return Entry != Rankings.end() &&
+         std::any_of(Entry->second.begin(), Entry->second.end(),
+                     [&](const auto &Candidate) {
+                       return Candidate.second == Watcher;
+                     });
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/membership/watchers.hpp
+++ b/packages/version/src/coltsfoottrail/membership/watchers.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Who watches whom among the entry hosts.
+/// Assigns the watchers of each entry host.
 #ifndef COLTSFOOTTRAIL_MEMBERSHIP_WATCHERS_HPP
 #define COLTSFOOTTRAIL_MEMBERSHIP_WATCHERS_HPP
 
@@ -11,36 +11,37 @@
 
 namespace coltsfoottrail {
 
-/// @brief The watchers of each host: those with the highest rendezvous weights
-/// for it. Keeps the ranks, so that a change of one member among a thousand
-/// costs some thousand hashes and not a million.
+/// @brief The watchers of each host: the hosts with the highest rendezvous
+/// weights for it. Keeps the rankings, so that a change of one member among a
+/// thousand costs some thousand hashes rather than a million.
 ///
 /// Not thread-safe.
 class WatcherRanks {
 public:
-  /// @brief Starts without hosts.
-  /// @param Count Watchers of each host.
+  /// @brief Makes an object without hosts.
+  /// @param Count Number of watchers of each host.
   explicit WatcherRanks(std::size_t Count) : Count(Count) {}
 
-  /// @brief Takes the members.
-  /// @param Members In order, each once.
+  /// @brief Sets the members.
+  /// @param Members Sorted and without duplicates.
   void setMembers(const std::vector<HostName> &Members);
-  /// @brief Watchers of a member, the highest first.
+  /// @brief Watchers of a member, the highest ranked first.
   /// @param Host A member.
   [[nodiscard]] std::vector<HostName> watchersOf(const HostName &Host) const;
-  /// @brief Tells whether one host watches another.
+  /// @brief Whether one host watches another.
   [[nodiscard]] bool watches(const HostName &Watcher,
                              const HostName &Host) const;
 
 private:
-  using Ranked = std::vector<std::pair<std::uint64_t, HostName>>;
+  using HostRanking = std::vector<std::pair<std::uint64_t, HostName>>;
 
-  [[nodiscard]] Ranked rankAll(const HostName &Host) const;
-  void insert(const HostName &Host, Ranked &Into, const HostName &Watcher);
+  [[nodiscard]] HostRanking rankAll(const HostName &Host) const;
+  void insert(const HostName &Host, HostRanking &Ranking,
+              const HostName &Watcher);
 
   std::size_t Count;
-  std::vector<HostName> All;
-  std::map<HostName, Ranked> Ranks;
+  std::vector<HostName> Hosts;
+  std::map<HostName, HostRanking> Rankings;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/test/coltsfoottrail/membership/membership.cpp
+++ b/packages/version/test/coltsfoottrail/membership/membership.cpp
@@ -11,17 +11,17 @@
 namespace coltsfoottrail {
 namespace {
 
-/// Hosts around a log that takes joins and leaves, stepped by hand.
+/// Simulated hosts and a log of joins and leaves, advanced step by step.
 class Hosts {
 public:
   struct Host {
     HostName Name;
     Incarnation Run = 0;
     bool Up = true;
-    bool Asleep = false;
-    bool LogCut = false;
-    int Ended = 0;
-    std::unique_ptr<Membership> Part;
+    bool Suspended = false;
+    bool CutOffFromLog = false;
+    int RunEndedCount = 0;
+    std::unique_ptr<Membership> Member;
   };
 
   explicit Hosts(std::size_t Count) {
@@ -41,8 +41,8 @@
     Options.Self.Run = Started.Run = ++LastRun;
     Options.Seed = LastRun;
     Started.Up = true;
-    Started.Asleep = false;
-    Started.Part = std::make_unique<Membership>(Options);
+    Started.Suspended = false;
+    Started.Member = std::make_unique<Membership>(Options);
   }
 
   void run(milliseconds Span) {
@@ -50,31 +50,33 @@
     while (Now < End) {
       Now += milliseconds(50);
       for (std::size_t Index = 0; Index < All.size(); ++Index) {
-        act(Index, [&](Membership &Part, MembershipCommands &Out) {
-          if (!All[Index].LogCut)
-            Part.applyState(Agreed, Now, Out);
+        runAction(Index, [&](Membership &Member, MembershipCommands &Out) {
+          if (!All[Index].CutOffFromLog)
+            Member.applyState(Agreed, Now, Out);
         });
-        act(Index, [&](Membership &Part, MembershipCommands &Out) {
-          Part.advance(Now, Out);
+        runAction(Index, [&](Membership &Member, MembershipCommands &Out) {
+          Member.advance(Now, Out);
         });
       }
     }
   }
 
-  void act(std::size_t Index,
-           const std::function<void(Membership &, MembershipCommands &)> &Act) {
-    Host &Acting = All[Index];
-    if (!Acting.Up || Acting.Asleep)
+  void runAction(
+      std::size_t Index,
+      const std::function<void(Membership &, MembershipCommands &)> &Action) {
+    Host &Actor = All[Index];
+    if (!Actor.Up || Actor.Suspended)
       return;
     MembershipCommands Out;
-    Act(*Acting.Part, Out);
+    Action(*Actor.Member, Out);
     for (const MembershipCommand &Command : Out) {
       if (const auto *const Sent = std::get_if<MembershipSend>(&Command))
         deliver(Index, *Sent);
-      else if (const auto *const Made = std::get_if<MembershipAppend>(&Command))
-        append(Acting, Made->Payload);
+      else if (const auto *const Appended =
+                   std::get_if<MembershipAppend>(&Command))
+        append(Actor, Appended->Payload);
       else
-        ++Acting.Ended;
+        ++Actor.RunEndedCount;
     }
   }
 
@@ -84,14 +86,14 @@
            Found->second.Joined.Run == All[Index].Run;
   }
 
-  /// Whether a message from one to the other gets through.
-  std::function<bool(std::size_t, std::size_t)> Open =
+  /// Whether a message from one host to another is delivered.
+  std::function<bool(std::size_t, std::size_t)> IsDelivered =
       [](std::size_t, std::size_t) { return true; };
   std::vector<Host> All;
   State Agreed;
   bool LogDown = false;
   std::size_t Appends = 0;
-  std::size_t Tries = 0;
+  std::size_t AppendAttempts = 0;
   TimePoint Now{seconds(1000)};
 
 private:
@@ -99,34 +101,35 @@
     const Json Message =
         parseCbor(writeCbor(writeMembershipMessage(Sent.Payload)), "mesh");
     for (std::size_t To = 0; To < All.size(); ++To)
-      if (All[To].Name == Sent.To && Open(From, To))
-        act(To, [&](Membership &Part, MembershipCommands &Out) {
-          Part.receive(All[From].Name, readMembershipMessage(Message, "mesh"),
-                       Now, Out);
+      if (All[To].Name == Sent.To && IsDelivered(From, To))
+        runAction(To, [&](Membership &Member, MembershipCommands &Out) {
+          Member.receive(All[From].Name, readMembershipMessage(Message, "mesh"),
+                         Now, Out);
         });
   }
-  void append(const Host &By, const Record &What) {
-    ++Tries;
-    if (LogDown || By.LogCut)
+  void append(const Host &Author, const Record &Body) {
+    ++AppendAttempts;
+    if (LogDown || Author.CutOffFromLog)
       return;
     ++Appends;
-    const Offset At = Agreed.Next++;
-    if (const auto *const Came = std::get_if<EntryHostJoined>(&What)) {
-      Agreed.EntryHosts[Came->Host] = EntryHost{*Came, At};
+    const Offset RecordOffset = Agreed.Next++;
+    if (const auto *const Joined = std::get_if<EntryHostJoined>(&Body)) {
+      Agreed.EntryHosts[Joined->Host] = EntryHost{*Joined, RecordOffset};
       return;
     }
-    const auto &Gone = std::get<EntryHostLeft>(What);
-    const auto Found = Agreed.EntryHosts.find(Gone.Host);
-    if (Found != Agreed.EntryHosts.end() &&
-        Found->second.Joined.Run == Gone.Run)
-      Agreed.EntryHosts.erase(Found);
+    const auto &Left = std::get<EntryHostLeft>(Body);
+    const auto Entry = Agreed.EntryHosts.find(Left.Host);
+    if (Entry != Agreed.EntryHosts.end() &&
+        Entry->second.Joined.Run == Left.Run)
+      Agreed.EntryHosts.erase(Entry);
   }
 
   Incarnation LastRun = 0;
 };
 
-// A host's machine dies. What it held as a lease is taken over only when the
-// log says that it is gone; one record is enough, whoever noticed.
+// Guards against several records for one dead host. What it held under a lease
+// is taken over only when the log says that it is gone; one record is enough,
+// whichever watcher noticed.
 TEST(Membership, DeadHostIsAppendedOnce) {
   Hosts Nine(9);
   Nine.All[4].Up = false;
@@ -147,44 +150,44 @@
   EXPECT_LE(Nine.Appends, 4U);
 }
 
-// The path from one watcher to a host is broken; all others reach it. Were it
-// called gone, a healthy host would lose what it holds.
+// Guards against the removal of a healthy host, which would lose what it holds:
+// the path from one watcher to the host is broken, and all others reach it.
 TEST(Membership, BrokenPathIsNoDeath) {
   Hosts Nine(9);
-  Nine.Open = [](std::size_t From, std::size_t To) {
+  Nine.IsDelivered = [](std::size_t From, std::size_t To) {
     return !(From == 0 && To % 2 == 1) && !(To == 0 && From % 2 == 1);
   };
   Nine.run(milliseconds(60'000));
   EXPECT_EQ(Nine.Appends, 0U);
 }
 
-// One host is cut off from all others but reaches the log. It must not declare
-// everybody gone; they declare it, and it learns that its run is over.
+// One host is cut off from all others but reaches the log. It must not remove
+// the others; they remove it, and it learns that its run has ended.
 TEST(Membership, IsolatedHostDoesNotDeclareTheOthers) {
   Hosts Nine(9);
-  Nine.Open = [](std::size_t From, std::size_t To) {
+  Nine.IsDelivered = [](std::size_t From, std::size_t To) {
     return From != 0 && To != 0;
   };
   Nine.run(milliseconds(60'000));
   EXPECT_EQ(Nine.Agreed.EntryHosts.size(), 8U);
-  EXPECT_EQ(Nine.All[0].Ended, 1);
+  EXPECT_EQ(Nine.All[0].RunEndedCount, 1);
   EXPECT_EQ(Nine.Appends, 1U);
 }
 
-// A host sleeps and wakes. It finds all others silent, but it was the one that
-// was away; its own run has been declared over, and it must not join again
+// A host is suspended and wakes up. It finds all others silent, but it was the
+// one that was away. Its own run has been removed, and it must not join again
 // under it, as all that was granted to that run is void.
 TEST(Membership, SleeperWakesToItsEnd) {
   Hosts Nine(9);
   const LeaseGuard Lease(Nine.Now + milliseconds(2000));
-  Nine.All[6].Asleep = true;
+  Nine.All[6].Suspended = true;
   EXPECT_TRUE(Lease.holds(Nine.Now));
   Nine.run(milliseconds(20'000));
-  Nine.All[6].Asleep = false;
+  Nine.All[6].Suspended = false;
   EXPECT_FALSE(Lease.holds(Nine.Now));
   Nine.run(milliseconds(20'000));
-  EXPECT_EQ(Nine.All[6].Ended, 1);
-  EXPECT_TRUE(Nine.All[6].Part->runEnded());
+  EXPECT_EQ(Nine.All[6].RunEndedCount, 1);
+  EXPECT_TRUE(Nine.All[6].Member->runEnded());
   EXPECT_FALSE(Nine.isMember(6));
   EXPECT_EQ(Nine.Appends, 1U);
   Nine.start(6);
@@ -192,21 +195,21 @@
   EXPECT_TRUE(Nine.isMember(6));
 }
 
-// A short sleep, shorter than the suspicion of the others: nobody is declared
-// gone, least of all by the sleeper.
+// A host is suspended for less than the suspicion timeout of the others: no
+// host is removed, least of all by the suspended one.
 TEST(Membership, ShortSleepHarmsNobody) {
   Hosts Nine(9);
   for (int Round = 0; Round < 10; ++Round) {
-    Nine.All[1].Asleep = true;
+    Nine.All[1].Suspended = true;
     Nine.run(milliseconds(2400));
-    Nine.All[1].Asleep = false;
+    Nine.All[1].Suspended = false;
     Nine.run(milliseconds(2000));
   }
   EXPECT_EQ(Nine.Appends, 0U);
 }
 
-// A data centre with a third of the hosts goes dark, and some dead host has
-// only dead watchers beside one. All must be found gone in the end.
+// A data centre with a third of the hosts fails, and some dead host has only
+// one live watcher. All dead hosts must be removed eventually.
 TEST(Membership, DataCentreLossIsFoundInTheEnd) {
   Hosts Nine(9);
   for (const std::size_t Index : {0U, 3U, 6U, 1U, 4U})
@@ -216,22 +219,24 @@
   EXPECT_LE(Nine.Appends, 8U);
 }
 
-// Two regions lose each other for five minutes while both reach the log. Each
-// side finds the other's hosts gone, and they join again: not in a storm.
+// Two regions lose contact for five minutes while both reach the log. Each side
+// removes the hosts of the other, and they join again, without a storm of
+// records.
 TEST(Membership, RegionsThatLoseEachOtherAreNoStorm) {
   Hosts Nine(9);
-  Nine.Open = [](std::size_t From, std::size_t To) {
+  Nine.IsDelivered = [](std::size_t From, std::size_t To) {
     return (From < 3) == (To < 3);
   };
   for (int Second = 0; Second < 300; ++Second) {
     Nine.run(milliseconds(1000));
     for (std::size_t Index = 0; Index < 9; ++Index)
-      if (Nine.All[Index].Part->runEnded())
+      if (Nine.All[Index].Member->runEnded())
         Nine.start(Index);
   }
-  // Two records for each host when the sides part and for each two minutes.
+  // Two records for each host when the regions lose contact, and for each two
+  // minutes after that.
   EXPECT_LE(Nine.Appends, 9U * 2U * 3U);
-  Nine.Open = [](std::size_t, std::size_t) { return true; };
+  Nine.IsDelivered = [](std::size_t, std::size_t) { return true; };
   Nine.Appends = 0;
   Nine.run(milliseconds(60'000));
   EXPECT_EQ(Nine.Agreed.EntryHosts.size(), 9U);
@@ -246,34 +251,34 @@
   EXPECT_TRUE(Two.isMember(0));
 }
 
-// A planned stop is one record, and nobody has to find out.
+// A planned stop takes one record, and no host has to detect it.
 TEST(Membership, LeavingIsOneRecord) {
   Hosts Nine(9);
-  Nine.act(3, [&](Membership &Part, MembershipCommands &Out) {
-    Part.leave(Nine.Now, Out);
+  Nine.runAction(3, [&](Membership &Member, MembershipCommands &Out) {
+    Member.leave(Nine.Now, Out);
   });
   Nine.run(milliseconds(10'000));
   EXPECT_FALSE(Nine.isMember(3));
   EXPECT_EQ(Nine.Appends, 1U);
-  EXPECT_EQ(Nine.All[3].Ended, 0);
+  EXPECT_EQ(Nine.All[3].RunEndedCount, 0);
 }
 
-// The log is down for ten minutes while a host is dead. The tries must not
-// become a storm when all watchers retry, and the record comes after.
+// The log is down for ten minutes while a host is dead. The retries of all its
+// watchers must not become a storm, and the record is written afterwards.
 TEST(Membership, OutageOfTheLogIsNoStorm) {
   Hosts Nine(9);
   Nine.LogDown = true;
-  Nine.Tries = 0;
+  Nine.AppendAttempts = 0;
   Nine.All[4].Up = false;
   Nine.run(milliseconds(600'000));
-  EXPECT_LE(Nine.Tries, 5U * 60U);
+  EXPECT_LE(Nine.AppendAttempts, 5U * 60U);
   Nine.LogDown = false;
   Nine.run(milliseconds(60'000));
   EXPECT_FALSE(Nine.isMember(4));
 }
 
-// A rack of twenty hosts goes at once out of two hundred: the log's budget is
-// some hundred appends a second for everybody, and the records must be few.
+// A rack of twenty hosts out of two hundred fails at once. The log takes some
+// hundred appends a second in total, so the records must be few.
 TEST(Membership, RackLossStaysWithinTheBudget) {
   Hosts Many(200);
   for (std::size_t Index = 0; Index < 20; ++Index)
@@ -284,14 +289,14 @@
 }
 
 // The platform's list lags: a host that it no longer shows is suspected sooner,
-// but never declared while its heartbeats come.
+// but never removed while its heartbeats arrive.
 TEST(Membership, HostListIsOnlyAHint) {
   Hosts Nine(9);
   std::vector<ListedHost> List;
   for (std::size_t Index = 1; Index < 9; ++Index)
     List.push_back({Nine.All[Index].Name, Index == 2});
   for (std::size_t Index = 0; Index < 9; ++Index)
-    Nine.All[Index].Part->applyHostList(List);
+    Nine.All[Index].Member->applyHostList(List);
   Nine.run(milliseconds(60'000));
   EXPECT_EQ(Nine.Appends, 0U);
   Nine.All[2].Up = false;
--- a/packages/version/test/coltsfoottrail/membership/watchers.cpp
+++ b/packages/version/test/coltsfoottrail/membership/watchers.cpp
@@ -8,16 +8,17 @@
 namespace coltsfoottrail {
 namespace {
 
-// Two hosts came to the same members by other ways, one change at a time or all
-// at once. Did they differ on who watches whom, a dead host could be left with
-// watchers of which each believes that another is first in rank.
+// Guards against two hosts that arrived at the same members in different ways,
+// one change at a time or all at once, and disagree on who watches whom: a dead
+// host could be left with watchers of which each assumes that another one is
+// first in rank.
 TEST(WatcherRanks, SameMembersGiveSameWatchersWhateverCameBefore) {
-  Random Draw(11);
+  Random Generator(11);
   WatcherRanks Stepwise(5);
   std::set<std::string> Names;
   for (int Step = 0; Step < 300; ++Step) {
-    for (std::uint64_t Change = Draw.below(4); Change > 0; --Change) {
-      const std::string Name = "host-" + std::to_string(Draw.below(40));
+    for (std::uint64_t Change = Generator.below(4); Change > 0; --Change) {
+      const std::string Name = "host-" + std::to_string(Generator.below(40));
       if (!Names.erase(Name))
         Names.insert(Name);
     }
