--- a/packages/process/src/coltsfoottrail/fleethost/attempt.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/attempt.cpp
@@ -1,6 +1,6 @@
 // The part of the relay that sends a request to an endpoint and carries the
 // answer back.
-#include "coltsfoottrail/fleethost/relay.hpp"
+#include "coltsfoottrail/fleethost/callerproxy.hpp"
 
 #include "coltsfoottrail/admission/idleshare.hpp"
 #include "coltsfoottrail/server/attempts.hpp"
@@ -65,7 +65,7 @@
 
 } // namespace
 
-void FleetRelay::measureEvent(Work &Asked) {
+void CallerProxy::measureEvent(Work &Asked) {
   const TimePoint Now = BootClock::now();
   if (Asked.EventAt) {
     Measured.paused(Now - *Asked.EventAt);
@@ -79,13 +79,13 @@
 
 // A request that must not run twice gets a connection of its own: written to
 // one that the endpoint is just closing, nobody could tell whether it ran.
-ConnectionUse FleetRelay::connectionUse(const Work &Asked) const {
+ConnectionUse CallerProxy::connectionUse(const Work &Asked) const {
   return {Asked.Route->repeatable() ? Reuse::Allowed : Reuse::Never,
           idleShare(Asked.Service->MaxConnections, EntryHosts)};
 }
 
 /// Counts a request of a pool from its send until it begins to be answered.
-class FleetRelay::MixMark {
+class CallerProxy::MixMark {
 public:
   MixMark(std::shared_ptr<PoolMix> Where, bool IsLate)
       : Mix(std::move(Where)), Late(IsLate) {
@@ -105,8 +105,8 @@
   bool Late;
 };
 
-Awaitable<AttemptResult> FleetRelay::attempt(Exchange &Call, Work &Asked,
-                                             const EndpointSpec &To) {
+Awaitable<AttemptResult> CallerProxy::attempt(Exchange &Call, Work &Asked,
+                                              const EndpointSpec &To) {
   const TimePoint Start = BootClock::now();
   const Duration Left = Asked.AnswerBy - Start;
   if (Left < LeastUsefulTime)
@@ -190,13 +190,13 @@
 
 } // namespace
 
-bool FleetRelay::mayWarm(const KnownEndpoint &Known, TimePoint Now) {
+bool CallerProxy::mayWarm(const KnownEndpoint &Known, TimePoint Now) {
   const std::optional<double> Rate = coldRate(View.config(), Known);
   return !Rate || Gate.open(Known.Record.Name.Text, *Rate, Now);
 }
 
-bool FleetRelay::bears(const Work &Asked, const EndpointSpec &To,
-                       TimePoint Now) {
+bool CallerProxy::bears(const Work &Asked, const EndpointSpec &To,
+                        TimePoint Now) {
   const KnownEndpoint *const Known =
       View.endpoints().find(EndpointName(To.Host.Text));
   if (Known == nullptr || !View.mayBeCold(*Known))
@@ -210,7 +210,7 @@
   return Admitted;
 }
 
-void FleetRelay::observe(const EndpointSpec &From, const AnswerMarks &Marks) {
+void CallerProxy::observe(const EndpointSpec &From, const AnswerMarks &Marks) {
   if (!Marks.Reported)
     return;
   LoadReport Report;
@@ -220,9 +220,9 @@
   Routing.observe(Report);
 }
 
-Awaitable<AttemptResult> FleetRelay::relayWhole(Exchange &Call, Work &Asked,
-                                                HttpCall Answer,
-                                                TimePoint Start) {
+Awaitable<AttemptResult> CallerProxy::relayWhole(Exchange &Call, Work &Asked,
+                                                 HttpCall Answer,
+                                                 TimePoint Start) {
   const TimePoint FirstByte = BootClock::now();
   HttpResponse Whole = Wire.answerHead(Answer.head());
   while (true) {
@@ -249,8 +249,8 @@
 }
 
 /// Tells of a broken stream whether it can go on at another endpoint.
-void FleetRelay::markDelivered(const Work &Asked, bool MayMove,
-                               AttemptResult &Result) {
+void CallerProxy::markDelivered(const Work &Asked, bool MayMove,
+                                AttemptResult &Result) {
   const bool Continues = MayMove && !Asked.Events.lastId().empty();
   Result.CallerSawBytes = Asked.Events.any() && !Continues;
   Result.Resumable = Asked.Events.any() && Continues;
@@ -261,11 +261,11 @@
 // up. Only whole events are passed on; a stream that breaks, or is silent for
 // several times the pause that is on time, goes on behind the last event from
 // another endpoint; and one that cannot is cut so that the caller sees it.
-Awaitable<AttemptResult> FleetRelay::relayStream(Exchange &Call, Work &Asked,
-                                                 HttpCall Answer,
-                                                 const EndpointSpec &To,
-                                                 TimePoint Start,
-                                                 MixMark &Waits) {
+Awaitable<AttemptResult> CallerProxy::relayStream(Exchange &Call, Work &Asked,
+                                                  HttpCall Answer,
+                                                  const EndpointSpec &To,
+                                                  TimePoint Start,
+                                                  MixMark &Waits) {
   const TimePoint FirstByte = BootClock::now();
   const bool MayMove =
       Asked.Route->repeatable() && Asked.Runs + 1 < Asked.Route->MaxAttempts;
--- a/packages/process/src/coltsfoottrail/fleethost/relay.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/callerproxy.cpp
@@ -1,4 +1,4 @@
-#include "coltsfoottrail/fleethost/relay.hpp"
+#include "coltsfoottrail/fleethost/callerproxy.hpp"
 
 #include "coltsfoottrail/core/hash.hpp"
 
@@ -45,7 +45,7 @@
 } // namespace
 
 /// Writes a request's lines when its coroutine ends, however it does.
-class FleetRelay::TrailMark {
+class CallerProxy::TrailMark {
 public:
   TrailMark(Work &Of, std::shared_ptr<TrailBudget> Limits)
       : Asked(Of), Budget(std::move(Limits)) {}
@@ -65,8 +65,8 @@
   std::shared_ptr<TrailBudget> Budget;
 };
 
-void FleetRelay::ended(Work &Asked, std::string_view Outcome, unsigned Status,
-                       const Verdict &Final) {
+void CallerProxy::ended(Work &Asked, std::string_view Outcome, unsigned Status,
+                        const Verdict &Final) {
   Asked.Ended = true;
   const bool Answered = Outcome == "answered";
   if (!Answered || Asked.Sends > 1)
@@ -87,16 +87,16 @@
                   BootClock::now());
 }
 
-void FleetRelay::measureEnd(const Work &Asked, std::string_view Outcome,
-                            std::string_view Why) {
+void CallerProxy::measureEnd(const Work &Asked, std::string_view Outcome,
+                             std::string_view Why) {
   const RunPolicy Kind =
       Asked.Route != nullptr ? Asked.Route->Policy : RunPolicy::AtMostOnce;
   Measured.ended(Asked.Service != nullptr ? Asked.Service->Name : ServiceName(),
                  Kind, Outcome, Why, BootClock::now() - Asked.ArrivedAt);
 }
 
-void FleetRelay::noteFailure(Work &Asked, const EndpointSpec &To,
-                             const AttemptResult &Result) {
+void CallerProxy::noteFailure(Work &Asked, const EndpointSpec &To,
+                              const AttemptResult &Result) {
   Asked.Trail.tells();
   Asked.Trail.add(
       Event::AttemptFailed,
@@ -110,7 +110,7 @@
       BootClock::now());
 }
 
-Awaitable<void> FleetRelay::serve(Exchange &Call) {
+Awaitable<void> CallerProxy::serve(Exchange &Call) {
   ++Counts.Requests;
   Work Asked;
   const TrailMark Mark(Asked, Budget);
@@ -137,8 +137,8 @@
   co_await route(Call, Asked);
 }
 
-std::optional<HttpResponse> FleetRelay::admit(const HttpRequest &Request,
-                                              Work &Asked) {
+std::optional<HttpResponse> CallerProxy::admit(const HttpRequest &Request,
+                                               Work &Asked) {
   Asked.ArrivedAt = BootClock::now();
   Asked.AnswerBy = Asked.ArrivedAt;
   Asked.Said = Wire.read(Request);
@@ -177,7 +177,7 @@
   return std::nullopt;
 }
 
-std::optional<HttpResponse> FleetRelay::choosePool(Work &Asked) {
+std::optional<HttpResponse> CallerProxy::choosePool(Work &Asked) {
   std::uint64_t Total = 0;
   for (const WeightedService &Each : Asked.Route->Services)
     Total += Each.Weight;
@@ -210,19 +210,19 @@
   return std::nullopt;
 }
 
-double FleetRelay::recentRequests(const std::string &Pool,
-                                  TimePoint Now) const {
+double CallerProxy::recentRequests(const std::string &Pool,
+                                   TimePoint Now) const {
   const auto Found = Mixes.find(Pool);
   return Found == Mixes.end() ? 0.0 : Found->second->Recent.value(Now);
 }
 
-double FleetRelay::PoolMix::freshPart() const noexcept {
+double CallerProxy::PoolMix::freshPart() const noexcept {
   // One of each is added: a host with few requests knows little.
   return (Fresh + 1.0) / (Fresh + Late + 2.0);
 }
 
-WorkItem FleetRelay::itemOf(const HttpRequest &Request, const Work &Asked,
-                            const PoolMix &Mix) const {
+WorkItem CallerProxy::itemOf(const HttpRequest &Request, const Work &Asked,
+                             const PoolMix &Mix) const {
   WorkItem Out;
   Out.Team = Asked.Team;
   CallerCase Case;
@@ -246,7 +246,7 @@
   return Out;
 }
 
-Awaitable<void> FleetRelay::route(Exchange &Call, Work &Asked) {
+Awaitable<void> CallerProxy::route(Exchange &Call, Work &Asked) {
   std::shared_ptr<PoolMix> &Mix = Mixes[Asked.Pool];
   if (!Mix)
     Mix = std::make_shared<PoolMix>();
@@ -291,7 +291,7 @@
   co_await finish(Call, Asked, None);
 }
 
-void FleetRelay::recordRefusal(Work &Asked, const RefusalBasis &Basis) {
+void CallerProxy::recordRefusal(Work &Asked, const RefusalBasis &Basis) {
   if (Basis.Stop == RetryStop::NotTried)
     return;
   const TimePoint Now = BootClock::now();
@@ -311,12 +311,13 @@
 // come back late, and are refused again. A stream that finds no place in time
 // to be on time is late, whatever is done; behind the others it still gets the
 // first place that none of them needs.
-bool FleetRelay::mayDemote(const Work &Asked, const Verdict &Final) {
+bool CallerProxy::mayDemote(const Work &Asked, const Verdict &Final) {
   return Asked.Route->streams() && !Asked.late() && Asked.Runs == 0 &&
          Final.State == RunState::NotRun && Final.Why == Reason::Overloaded;
 }
 
-Awaitable<void> FleetRelay::finish(Exchange &Call, Work &Asked, Verdict Final) {
+Awaitable<void> CallerProxy::finish(Exchange &Call, Work &Asked,
+                                    Verdict Final) {
   if (Call.begun()) {
     ++Counts.CutStreams;
     ended(Asked, "cut", StatusOk, Final);
@@ -333,7 +334,7 @@
 
 // Callers that were refused together would come back together: the time is
 // drawn from its upper half.
-milliseconds FleetRelay::comeBackAfter(const Work &Asked) {
+milliseconds CallerProxy::comeBackAfter(const Work &Asked) {
   if (!View.credentialsFresh(BootClock::now()) || Stopping)
     return ElsewhereRetryAfter;
   const Duration Left = Asked.AnswerBy - BootClock::now();
@@ -345,7 +346,7 @@
                   std::chrono::duration_cast<milliseconds>(Most * Part));
 }
 
-HttpResponse FleetRelay::refusal(const Work &Asked, const Verdict &Final) {
+HttpResponse CallerProxy::refusal(const Work &Asked, const Verdict &Final) {
   const bool NotRun = Final.State == RunState::NotRun;
   if (NotRun)
     ++Counts.RefusedNotRun;
--- a/packages/process/src/coltsfoottrail/fleethost/relay.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/callerproxy.hpp
@@ -1,14 +1,14 @@
 /// @file
 /// Carries callers' requests to endpoints and the answers back.
-#ifndef COLTSFOOTTRAIL_FLEETHOST_RELAY_HPP
-#define COLTSFOOTTRAIL_FLEETHOST_RELAY_HPP
+#ifndef COLTSFOOTTRAIL_FLEETHOST_CALLERPROXY_HPP
+#define COLTSFOOTTRAIL_FLEETHOST_CALLERPROXY_HPP
 
 #include "coltsfoottrail/admission/coldgate.hpp"
 #include "coltsfoottrail/boundary/wire.hpp"
 #include "coltsfoottrail/core/random.hpp"
 #include "coltsfoottrail/dispatch/terms.hpp"
-#include "coltsfoottrail/fleethost/eventtail.hpp"
-#include "coltsfoottrail/fleethost/relaymetrics.hpp"
+#include "coltsfoottrail/fleethost/eventstreambuffer.hpp"
+#include "coltsfoottrail/fleethost/proxymetrics.hpp"
 #include "coltsfoottrail/fleethost/view.hpp"
 #include "coltsfoottrail/http/client.hpp"
 #include "coltsfoottrail/http/server.hpp"
@@ -26,7 +26,7 @@
 namespace coltsfoottrail {
 
 /// @brief What a relay has done since its start.
-struct FleetRelayCounts {
+struct CallerProxyCounts {
   std::uint64_t Requests = 0;
   std::uint64_t Answered = 0;
   std::uint64_t RefusedNotRun = 0;
@@ -37,7 +37,7 @@
 };
 
 /// @brief Serves callers. Belongs to one thread.
-class FleetRelay {
+class CallerProxy {
 public:
   /// @brief Makes a relay; what it is given must outlive it.
   /// @param Believed What this host believes.
@@ -46,8 +46,8 @@
   /// @param Fields Reads and writes header fields.
   /// @param Heard Is told which endpoints' streams move.
   /// @param Seed Starts the choice among a route's services.
-  FleetRelay(const FleetView &Believed, Router &Decides, HttpClient &Out,
-             const CallerWire &Fields, SilenceWatch &Heard, std::uint64_t Seed)
+  CallerProxy(const FleetView &Believed, Router &Decides, HttpClient &Out,
+              const CallerWire &Fields, SilenceWatch &Heard, std::uint64_t Seed)
       : View(Believed), Routing(Decides), Client(Out), Wire(Fields),
         Silence(Heard), Draw(Seed), Gate(Draw()) {}
 
@@ -85,11 +85,11 @@
   }
 
   /// @brief How requests ended and how long they took.
-  [[nodiscard]] const RelayMetrics &measured() const noexcept {
+  [[nodiscard]] const ProxyMetrics &measured() const noexcept {
     return Measured;
   }
   /// @brief What it has done.
-  [[nodiscard]] const FleetRelayCounts &counts() const noexcept {
+  [[nodiscard]] const CallerProxyCounts &counts() const noexcept {
     return Counts;
   }
 
@@ -112,7 +112,7 @@
     const ServiceProfile *Service = nullptr;
     /// Endpoints that may have run it.
     std::uint32_t Runs = 0;
-    EventTail Events;
+    EventStreamBuffer Events;
     /// When the last event left for the caller.
     std::optional<TimePoint> EventAt;
     /// From its arrival to the first event, and the longest pause after it.
@@ -180,8 +180,8 @@
   SilenceWatch &Silence;
   Random Draw;
   ColdGate Gate;
-  FleetRelayCounts Counts;
-  RelayMetrics Measured;
+  CallerProxyCounts Counts;
+  ProxyMetrics Measured;
   /// Shared with the coroutines, which may end after this object.
   std::shared_ptr<TrailBudget> Budget =
       std::make_shared<TrailBudget>(TrailLimits{});
--- a/packages/process/src/coltsfoottrail/fleethost/eventtail.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/eventstreambuffer.cpp
@@ -1,4 +1,4 @@
-#include "coltsfoottrail/fleethost/eventtail.hpp"
+#include "coltsfoottrail/fleethost/eventstreambuffer.hpp"
 
 #include <algorithm>
 
@@ -19,7 +19,7 @@
 
 } // namespace
 
-std::string_view EventTail::take(std::string_view Part) {
+std::string_view EventStreamBuffer::take(std::string_view Part) {
   Pending += Part;
   const std::size_t Length = wholeLength(Pending);
   if (Length == 0)
@@ -30,7 +30,7 @@
   return Ready;
 }
 
-void EventTail::note(std::string_view Events) {
+void EventStreamBuffer::note(std::string_view Events) {
   Any = true;
   while (!Events.empty()) {
     const std::size_t End = std::min(Events.find('\n'), Events.size());
--- a/packages/process/src/coltsfoottrail/fleethost/eventtail.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/eventstreambuffer.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Splits an event stream at the ends of events and knows the last one's id.
-#ifndef COLTSFOOTTRAIL_FLEETHOST_EVENTTAIL_HPP
-#define COLTSFOOTTRAIL_FLEETHOST_EVENTTAIL_HPP
+#ifndef COLTSFOOTTRAIL_FLEETHOST_EVENTSTREAMBUFFER_HPP
+#define COLTSFOOTTRAIL_FLEETHOST_EVENTSTREAMBUFFER_HPP
 
 #include <string>
 #include <string_view>
@@ -10,7 +10,7 @@
 
 /// @brief Passes on whole events only, so that a stream that broke in the
 /// middle of one goes on behind the last whole event. Not thread-safe.
-class EventTail {
+class EventStreamBuffer {
 public:
   /// @brief Takes bytes as they came.
   /// @param Part Any part of the stream.
--- a/packages/process/src/coltsfoottrail/fleethost/fwd.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/fwd.hpp
@@ -10,8 +10,8 @@
 struct FleetBounds;
 class FleetView;
 class FeedFollower;
-class FleetRelay;
-class AssemblyDesk;
+class CallerProxy;
+class GroupCoordinator;
 class FleetHost;
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/fleethost/assemblydesk.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/groupcoordinator.cpp
@@ -1,4 +1,4 @@
-#include "coltsfoottrail/fleethost/assemblydesk.hpp"
+#include "coltsfoottrail/fleethost/groupcoordinator.hpp"
 
 #include "coltsfoottrail/core/overloaded.hpp"
 #include "coltsfoottrail/logging/log.hpp"
@@ -73,14 +73,15 @@
 
 } // namespace
 
-AssemblyDesk::AssemblyDesk(FleetStore &Where, FleetEngines &Given,
-                           const FleetView &Believed, const SilenceWatch &Heard,
-                           std::string Member, AssemblyTimes Wanted,
-                           Candidacy Rule)
+GroupCoordinator::GroupCoordinator(FleetStore &Where, FleetEngines &Given,
+                                   const FleetView &Believed,
+                                   const SilenceWatch &Heard,
+                                   std::string Member, AssemblyTimes Wanted,
+                                   Candidacy Rule)
     : Store(Where), Engines(Given), View(Believed), Silence(Heard),
       Self(std::move(Member)), Times(Wanted), Election(Rule) {}
 
-Awaitable<void> AssemblyDesk::holdDuty() {
+Awaitable<void> GroupCoordinator::holdDuty() {
   Renewal.emplace(co_await asio::this_coro::executor);
   const TimePoint Began = BootClock::now();
   milliseconds Next = Pace.RenewEvery;
@@ -115,13 +116,13 @@
 // A host that was cut off from the store alone reports to nobody and does not
 // hear of its successor. Were it to ask for the lease, the store would deal it
 // out anew.
-Awaitable<bool> AssemblyDesk::isSucceeded() {
+Awaitable<bool> GroupCoordinator::isSucceeded() {
   const auto Answer = co_await Store.dutyHolder();
   const auto *const Holder = std::get_if<std::string>(&Answer);
   co_return Holder != nullptr && !Holder->empty() && *Holder != Self;
 }
 
-void AssemblyDesk::endTerm() {
+void GroupCoordinator::endTerm() {
   Term.giveUp();
   Election.recordCoordinator(true, BootClock::now());
   logEvent(Event::DutyLost, {{"generation", Term.generation()}});
@@ -129,14 +130,14 @@
     Changed(false);
 }
 
-Awaitable<void> AssemblyDesk::pauseRenewal(milliseconds Span) {
+Awaitable<void> GroupCoordinator::pauseRenewal(milliseconds Span) {
   Renewal->expires_after(Span);
   boost::system::error_code Hurried;
   co_await Renewal->async_wait(
       asio::redirect_error(asio::use_awaitable, Hurried));
 }
 
-void AssemblyDesk::take(const DutyGrant &Grant, TimePoint AskedAt) {
+void GroupCoordinator::take(const DutyGrant &Grant, TimePoint AskedAt) {
   const TimePoint Now = BootClock::now();
   const DutyChange What = Term.take(Grant, AskedAt, Now);
   if (What == DutyChange::None)
@@ -152,7 +153,7 @@
     Changed(Gained);
 }
 
-Awaitable<void> AssemblyDesk::drive() {
+Awaitable<void> GroupCoordinator::drive() {
   Executor = co_await asio::this_coro::executor;
   asio::steady_timer Pause(*Executor);
   while (true) {
@@ -162,12 +163,12 @@
   }
 }
 
-void AssemblyDesk::lookNow() {
+void GroupCoordinator::lookNow() {
   if (Executor)
     look(BootClock::now(), *Executor);
 }
 
-void AssemblyDesk::look(TimePoint Now, const asio::any_io_executor &On) {
+void GroupCoordinator::look(TimePoint Now, const asio::any_io_executor &On) {
   if (!Term.mayAct(Now, View.allEndpointsAsOf()) || !View.config())
     return;
   for (const ServiceProfile &Service : View.config()->config().Services) {
@@ -197,12 +198,12 @@
   logNotes();
 }
 
-std::size_t AssemblyDesk::ordersLeft() const noexcept {
+std::size_t GroupCoordinator::ordersLeft() const noexcept {
   return Pace.MostOrders - std::min(Pace.MostOrders, OrdersUnderWay);
 }
 
-void AssemblyDesk::logSummary(const Assembler &Of, const AssemblyView &Seen,
-                              TimePoint Now) {
+void GroupCoordinator::logSummary(const Assembler &Of, const AssemblyView &Seen,
+                                  TimePoint Now) {
   if (Now < SummaryDue)
     return;
   for (const DomainSummary &Each : Of.summary(Seen, Now)) {
@@ -221,8 +222,8 @@
   }
 }
 
-Awaitable<void> AssemblyDesk::carryOut(SeatCommand Command,
-                                       std::uint64_t Fence) {
+Awaitable<void> GroupCoordinator::carryOut(SeatCommand Command,
+                                           std::uint64_t Fence) {
   const EndpointName To = Command.To;
   const SeatOrder Order = Command.Order;
   const OrderOutcome Outcome =
@@ -241,7 +242,7 @@
     Term.fenced();
 }
 
-void AssemblyDesk::logNotes() {
+void GroupCoordinator::logNotes() {
   for (auto &[Name, Each] : Assemblers)
     for (const GroupNote &Note : Each.takeNotes())
       logEvent(Event::GroupChanged, {{"fate", fateName(Note.Fate)},
@@ -251,22 +252,22 @@
                                      {"why", Note.Why}});
 }
 
-Awaitable<void> AssemblyDesk::leave() {
+Awaitable<void> GroupCoordinator::leave() {
   Leaving = true;
   Term.giveUp();
   co_await Store.leaveDuty(Self);
 }
 
 /// Members of one leader, and which of them answered.
-struct AssemblyDesk::Inquiry {
+struct GroupCoordinator::Inquiry {
   std::string Leader;
   std::vector<EndpointName> Members;
   std::vector<bool> Answered;
   std::size_t Left = 0;
 };
 
-void AssemblyDesk::askAbout(const std::string &Leader,
-                            const asio::any_io_executor &On) {
+void GroupCoordinator::askAbout(const std::string &Leader,
+                                const asio::any_io_executor &On) {
   const TimePoint Now = BootClock::now();
   std::erase_if(NotAskedBefore,
                 [&](const auto &Entry) { return Entry.second <= Now; });
@@ -287,9 +288,9 @@
 }
 
 /// Throws when there is no answer.
-Awaitable<void> AssemblyDesk::answersLater(EngineAddress Address,
-                                           EndpointName Name,
-                                           milliseconds After) {
+Awaitable<void> GroupCoordinator::answersLater(EngineAddress Address,
+                                               EndpointName Name,
+                                               milliseconds After) {
   asio::steady_timer Pause(co_await asio::this_coro::executor, After);
   co_await Pause.async_wait(asio::use_awaitable);
   if (!co_await Engines.answers(Address, Name, Pace.AnswerWithin - After))
@@ -300,8 +301,8 @@
 // dead, and its group is closed. With one packet in forty lost, a tenth of the
 // questions stays without an answer in time; of three in parallel, one in a
 // thousand. Asked one after the other they would take three times as long.
-Awaitable<bool> AssemblyDesk::answers(EngineAddress Address,
-                                      EndpointName Name) {
+Awaitable<bool> GroupCoordinator::answers(EngineAddress Address,
+                                          EndpointName Name) {
   using namespace asio::experimental::awaitable_operators;
   try {
     co_await (answersLater(Address, Name, milliseconds(0)) ||
@@ -313,8 +314,8 @@
   co_return true;
 }
 
-Awaitable<void> AssemblyDesk::askMissing(ServiceName Service,
-                                         MemberQuestion Whom) {
+Awaitable<void> GroupCoordinator::askMissing(ServiceName Service,
+                                             MemberQuestion Whom) {
   const bool Alive = co_await answers(Whom.Address, Whom.Name);
   logEvent(Event::MissingAsked, {{"endpoint", Whom.Name}, {"alive", Alive}});
   if (const auto Found = Assemblers.find(Service); Found != Assemblers.end())
@@ -323,8 +324,8 @@
     lookNow();
 }
 
-Awaitable<void> AssemblyDesk::ask(std::shared_ptr<Inquiry> Round,
-                                  std::size_t Index) {
+Awaitable<void> GroupCoordinator::ask(std::shared_ptr<Inquiry> Round,
+                                      std::size_t Index) {
   const KnownEndpoint *const Known =
       View.endpoints().find(Round->Members[Index]);
   if (Known != nullptr) {
@@ -336,7 +337,8 @@
     conclude(*Round);
 }
 
-bool AssemblyDesk::hearsNeighbours(const Inquiry &Round, TimePoint Now) const {
+bool GroupCoordinator::hearsNeighbours(const Inquiry &Round,
+                                       TimePoint Now) const {
   const KnownEndpoint *const Leader =
       View.endpoints().find(EndpointName(Round.Leader));
   if (Leader == nullptr)
@@ -352,7 +354,7 @@
 // link loses packets, and it takes sound groups for broken. A member counts as
 // dead only if another member of the same group answered in the same round, or
 // streams from the same data centre move.
-void AssemblyDesk::conclude(const Inquiry &Round) {
+void GroupCoordinator::conclude(const Inquiry &Round) {
   const auto Heard =
       std::count(Round.Answered.begin(), Round.Answered.end(), true);
   const bool Credible = Heard > 0 || hearsNeighbours(Round, BootClock::now());
--- a/packages/process/src/coltsfoottrail/fleethost/assemblydesk.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/groupcoordinator.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Holds the duty to drive the groups and carries the assembly's orders out.
-#ifndef COLTSFOOTTRAIL_FLEETHOST_ASSEMBLYDESK_HPP
-#define COLTSFOOTTRAIL_FLEETHOST_ASSEMBLYDESK_HPP
+#ifndef COLTSFOOTTRAIL_FLEETHOST_GROUPCOORDINATOR_HPP
+#define COLTSFOOTTRAIL_FLEETHOST_GROUPCOORDINATOR_HPP
 
 #include "coltsfoottrail/assembly/assembler.hpp"
 #include "coltsfoottrail/boundary/engines.hpp"
@@ -54,7 +54,7 @@
 
 /// @brief Takes part in the duty and acts while it is held. Belongs to one
 /// thread.
-class AssemblyDesk {
+class GroupCoordinator {
 public:
   /// @brief Makes a desk; what it is given must outlive it.
   /// @param Where The store.
@@ -64,9 +64,9 @@
   /// @param Member Unique for this run of the process.
   /// @param Times Times of the assembly.
   /// @param Election Whether it stands aside for others.
-  AssemblyDesk(FleetStore &Where, FleetEngines &Given,
-               const FleetView &Believed, const SilenceWatch &Heard,
-               std::string Member, AssemblyTimes Times, Candidacy Election);
+  GroupCoordinator(FleetStore &Where, FleetEngines &Given,
+                   const FleetView &Believed, const SilenceWatch &Heard,
+                   std::string Member, AssemblyTimes Times, Candidacy Election);
 
   /// @brief Joins the duty and renews it until it is cancelled.
   [[nodiscard]] Awaitable<void> holdDuty();
--- a/packages/process/src/coltsfoottrail/fleethost/host.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/host.cpp
@@ -363,7 +363,7 @@
 }
 
 std::string FleetHost::metricsText() const {
-  const FleetRelayCounts &Done = Relay.counts();
+  const CallerProxyCounts &Done = Relay.counts();
   std::string Out;
   const auto Line = [&Out](std::string_view Name, std::uint64_t Value) {
     Out += "coltsfoottrail_";
--- a/packages/process/src/coltsfoottrail/fleethost/host.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/host.hpp
@@ -8,9 +8,9 @@
 #include "coltsfoottrail/boundary/wire.hpp"
 #include "coltsfoottrail/core/random.hpp"
 #include "coltsfoottrail/dissemination/link.hpp"
-#include "coltsfoottrail/fleethost/assemblydesk.hpp"
+#include "coltsfoottrail/fleethost/callerproxy.hpp"
 #include "coltsfoottrail/fleethost/follower.hpp"
-#include "coltsfoottrail/fleethost/relay.hpp"
+#include "coltsfoottrail/fleethost/groupcoordinator.hpp"
 #include "coltsfoottrail/fleethost/settings.hpp"
 #include "coltsfoottrail/fleethost/view.hpp"
 
@@ -112,10 +112,10 @@
   Router Routing;
   HttpClient Client;
   SilenceWatch Silence;
-  FleetRelay Relay;
+  CallerProxy Relay;
   /// Names this run of the host.
   std::string Member;
-  AssemblyDesk Desk;
+  GroupCoordinator Desk;
   FeedFollower Operators;
   FeedFollower Endpoints;
   /// Endpoints that the driver was told of, and when.
--- a/packages/process/src/coltsfoottrail/fleethost/relaymetrics.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/proxymetrics.cpp
@@ -1,4 +1,4 @@
-#include "coltsfoottrail/fleethost/relaymetrics.hpp"
+#include "coltsfoottrail/fleethost/proxymetrics.hpp"
 
 namespace coltsfoottrail {
 
@@ -22,7 +22,7 @@
 
 } // namespace
 
-void RelayMetrics::ended(const ServiceName &Service, RunPolicy Kind,
+void ProxyMetrics::ended(const ServiceName &Service, RunPolicy Kind,
                          std::string_view Outcome, std::string_view Why,
                          Duration Span) {
   of(Kind).Whole.record(Span);
@@ -31,7 +31,7 @@
           std::string(Why)}];
 }
 
-void RelayMetrics::appendTo(std::string &Out) const {
+void ProxyMetrics::appendTo(std::string &Out) const {
   appendHead(Out, "coltsfoottrail_ended_total", "counter",
              "Requests by how they ended.");
   for (const auto &[Which, Count] : Ends) {
--- a/packages/process/src/coltsfoottrail/fleethost/relaymetrics.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/proxymetrics.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Counters and latencies of callers' requests.
-#ifndef COLTSFOOTTRAIL_FLEETHOST_RELAYMETRICS_HPP
-#define COLTSFOOTTRAIL_FLEETHOST_RELAYMETRICS_HPP
+#ifndef COLTSFOOTTRAIL_FLEETHOST_PROXYMETRICS_HPP
+#define COLTSFOOTTRAIL_FLEETHOST_PROXYMETRICS_HPP
 
 #include "coltsfoottrail/core/name.hpp"
 #include "coltsfoottrail/fleet/config.hpp"
@@ -20,7 +20,7 @@
 ///
 /// Series are bounded: services come from the operators' configuration and
 /// outcomes and reasons from lists of this program, never from callers.
-class RelayMetrics {
+class ProxyMetrics {
 public:
   /// @brief A request waited so long for a place before it was sent first.
   void waited(RunPolicy Kind, Duration Span) { of(Kind).Wait.record(Span); }
--- a/packages/process/test/coltsfoottrail/fleethost/eventtail.cpp
+++ b/packages/process/test/coltsfoottrail/fleethost/eventstreambuffer.cpp
@@ -1,4 +1,4 @@
-#include "coltsfoottrail/fleethost/eventtail.hpp"
+#include "coltsfoottrail/fleethost/eventstreambuffer.hpp"
 
 #include <gtest/gtest.h>
 
@@ -6,8 +6,8 @@
 
 namespace {
 
-TEST(EventTail, PassesOnWholeEventsOnly) {
-  EventTail Tail;
+TEST(EventStreamBuffer, PassesOnWholeEventsOnly) {
+  EventStreamBuffer Tail;
   EXPECT_EQ(Tail.take("id: 1\nda"), "");
   EXPECT_FALSE(Tail.any());
   EXPECT_EQ(Tail.take("ta: x\n\nid: 2\n"), "id: 1\ndata: x\n\n");
@@ -20,15 +20,15 @@
 
 // A resumed stream has half an event in its middle.
 // The first endpoint broke off inside an event; what it left is dropped.
-TEST(EventTail, PartOfAnEventIsDroppedBeforeAnotherEndpointGoesOn) {
-  EventTail Tail;
+TEST(EventStreamBuffer, PartOfAnEventIsDroppedBeforeAnotherEndpointGoesOn) {
+  EventStreamBuffer Tail;
   (void)Tail.take("id: 1\ndata: x\n\nid: 2\nda");
   Tail.dropPartial();
   EXPECT_EQ(Tail.take("id: 2\ndata: y\n\n"), "id: 2\ndata: y\n\n");
 }
 
-TEST(EventTail, UnderstandsLongLineEnds) {
-  EventTail Tail;
+TEST(EventStreamBuffer, UnderstandsLongLineEnds) {
+  EventStreamBuffer Tail;
   EXPECT_EQ(Tail.take("id:7\r\ndata: x\r\n\r\n"), "id:7\r\ndata: x\r\n\r\n");
   EXPECT_EQ(Tail.lastId(), "7");
 }
