--- a/packages/process/src/coltsfoottrail/fleethost/attempt.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/attempt.cpp
@@ -13,40 +13,40 @@
 namespace {
 
 constexpr unsigned StatusOk = 200;
-constexpr unsigned StatusFirstOther = 300;
+constexpr unsigned StatusFirstNonSuccess = 300;
 constexpr unsigned StatusFirstServerError = 500;
 
 /// Less time than this is no use to an endpoint: a connection and a step of an
 /// engine take about as long.
-constexpr Duration LeastUsefulTime = milliseconds(10);
+constexpr Duration MinUsefulTime = milliseconds(10);
 /// Silence after which a stream is taken up elsewhere: several times the pause
 /// that is on time, and well before the platform's callers give up, which is
 /// after two seconds at the earliest.
 constexpr int SilenceFactor = 2;
-constexpr Duration ShortestSilence = milliseconds(500);
-constexpr Duration LongestSilence = milliseconds(1500);
+constexpr Duration MinSilence = milliseconds(500);
+constexpr Duration MaxSilence = milliseconds(1500);
 /// Places in an engine's queue: a stream that broke off is waited for most.
 constexpr std::uint32_t ResumedRank = 1;
 constexpr std::uint32_t FreshRank = 4;
 constexpr std::uint32_t LateRank = 8;
 
 bool isSuccess(unsigned Status) {
-  return Status >= StatusOk && Status < StatusFirstOther;
+  return Status >= StatusOk && Status < StatusFirstNonSuccess;
 }
 
 Duration silenceLimit(const RouteSpec &Route) {
-  return std::clamp<Duration>(Route.TargetGap * SilenceFactor, ShortestSilence,
-                              LongestSilence);
+  return std::clamp<Duration>(Route.TargetGap * SilenceFactor, MinSilence,
+                              MaxSilence);
 }
 
 /// Tells the watch of one stream, however it ends.
-class StreamMark {
+class StreamGuard {
 public:
-  StreamMark(SilenceWatch &Told, const std::string &Endpoint)
-      : Watch(Told), Name(Endpoint) {}
-  StreamMark(const StreamMark &) = delete;
-  StreamMark &operator=(const StreamMark &) = delete;
-  ~StreamMark() {
+  StreamGuard(SilenceWatch &Silence, const std::string &Endpoint)
+      : Watch(Silence), Name(Endpoint) {}
+  StreamGuard(const StreamGuard &) = delete;
+  StreamGuard &operator=(const StreamGuard &) = delete;
+  ~StreamGuard() {
     if (Begun)
       Watch.ended(Name);
   }
@@ -65,114 +65,116 @@
 
 } // namespace
 
-void CallerProxy::measureEvent(Work &Asked) {
+void CallerProxy::measureEvent(RequestContext &Context) {
   const TimePoint Now = BootClock::now();
-  if (Asked.EventAt) {
-    Measured.paused(Now - *Asked.EventAt);
-    Asked.LongestPause = std::max(Asked.LongestPause, Now - *Asked.EventAt);
+  if (Context.LastEventAt) {
+    Metrics.recordEventGap(Now - *Context.LastEventAt);
+    Context.LongestEventGap =
+        std::max(Context.LongestEventGap, Now - *Context.LastEventAt);
   } else {
-    Measured.begun(Asked.Route->Policy, Now - Asked.ArrivedAt);
-    Asked.FirstEvent = Now - Asked.ArrivedAt;
+    Metrics.recordResponseStart(Context.Route->Policy, Now - Context.ArrivedAt);
+    Context.TimeToFirstEvent = Now - Context.ArrivedAt;
   }
-  Asked.EventAt = Now;
+  Context.LastEventAt = Now;
 }
 
 // A request that must not run twice gets a connection of its own: written to
 // one that the endpoint is just closing, nobody could tell whether it ran.
-ConnectionUse CallerProxy::connectionUse(const Work &Asked) const {
-  return {Asked.Route->repeatable() ? Reuse::Allowed : Reuse::Never,
-          idleShare(Asked.Service->MaxConnections, EntryHosts)};
+ConnectionUse CallerProxy::connectionUse(const RequestContext &Context) const {
+  return {Context.Route->repeatable() ? Reuse::Allowed : Reuse::Never,
+          idleShare(Context.Service->MaxConnections, EntryHosts)};
 }
 
 /// Counts a request of a pool from its send until it begins to be answered.
-class CallerProxy::MixMark {
+class CallerProxy::BacklogGuard {
 public:
-  MixMark(std::shared_ptr<PoolMix> Where, bool IsLate)
-      : Mix(std::move(Where)), Late(IsLate) {
-    ++(Late ? Mix->Late : Mix->Fresh);
+  BacklogGuard(std::shared_ptr<PoolBacklog> PoolCounts, bool Late)
+      : Backlog(std::move(PoolCounts)), Late(Late) {
+    ++(Late ? Backlog->Late : Backlog->Fresh);
   }
-  MixMark(const MixMark &) = delete;
-  MixMark &operator=(const MixMark &) = delete;
-  ~MixMark() { begun(); }
+  BacklogGuard(const BacklogGuard &) = delete;
+  BacklogGuard &operator=(const BacklogGuard &) = delete;
+  ~BacklogGuard() { begun(); }
   void begun() {
-    if (Mix)
-      --(Late ? Mix->Late : Mix->Fresh);
-    Mix.reset();
+    if (Backlog)
+      --(Late ? Backlog->Late : Backlog->Fresh);
+    Backlog.reset();
   }
 
 private:
-  std::shared_ptr<PoolMix> Mix;
+  std::shared_ptr<PoolBacklog> Backlog;
   bool Late;
 };
 
-Awaitable<AttemptResult> CallerProxy::attempt(Exchange &Call, Work &Asked,
-                                              const EndpointSpec &To) {
+Awaitable<AttemptResult> CallerProxy::attempt(Exchange &Call,
+                                              RequestContext &Context,
+                                              const EndpointSpec &Target) {
   const TimePoint Start = BootClock::now();
-  const Duration Left = Asked.AnswerBy - Start;
-  if (Left < LeastUsefulTime)
+  const Duration TimeLeft = Context.Deadline - Start;
+  if (TimeLeft < MinUsefulTime)
     co_return failed(RunState::NotRun, Reason::DeadlinePassed, Start);
-  if (!bears(Asked, To, Start))
+  if (!admitCold(Context, Target, Start))
     co_return failed(RunState::NotRun, Reason::EndpointRefused, Start);
   ForwardMarks Marks;
-  Marks.Endpoint = EndpointName(To.Host.Text);
-  Marks.Team = Asked.Team;
-  Marks.TimeLeft = std::chrono::floor<milliseconds>(Left);
-  if (Asked.Route->streams())
-    Marks.Rank = Asked.late() ? LateRank : FreshRank;
+  Marks.Endpoint = EndpointName(Target.Host.Text);
+  Marks.Team = Context.Team;
+  Marks.TimeLeft = std::chrono::floor<milliseconds>(TimeLeft);
+  if (Context.Route->streams())
+    Marks.Rank = Context.isLate() ? LateRank : FreshRank;
   // Failure guarded against: an endpoint breaks off inside its first event, and
   // the part of it is put before the first event of the next endpoint.
-  Asked.Events.dropPartial();
-  if (Asked.Events.any()) {
+  Context.Events.dropPartial();
+  if (Context.Events.hasReleased()) {
     Marks.Rank = ResumedRank;
-    Marks.LastEvent = Asked.Events.lastId();
+    Marks.LastEvent = Context.Events.lastId();
     ++Counts.Resumed;
   }
   ++Counts.Sends;
-  if (++Asked.Sends == 1)
-    Measured.waited(Asked.Route->Policy, Start - Asked.ArrivedAt);
-  Asked.Trail.add(Event::RequestPlaced,
-                  {{"pool", Asked.Pool},
-                   {"endpoint", To.Host},
-                   {"team", Asked.Team},
-                   {"config", Asked.Config->version()},
-                   {"left_ms", Marks.TimeLeft.count()},
-                   {"send", Asked.Sends},
-                   {"late", Asked.late()}},
-                  Start);
-  const bool Repeatable = Asked.Route->repeatable();
+  if (++Context.Sends == 1)
+    Metrics.recordWait(Context.Route->Policy, Start - Context.ArrivedAt);
+  Context.Trail.add(Event::RequestPlaced,
+                    {{"pool", Context.Pool},
+                     {"endpoint", Target.Host},
+                     {"team", Context.Team},
+                     {"config", Context.Config->version()},
+                     {"left_ms", Marks.TimeLeft.count()},
+                     {"send", Context.Sends},
+                     {"late", Context.isLate()}},
+                    Start);
+  const bool Repeatable = Context.Route->repeatable();
   HttpRequest Sent = Wire.forward(Call.request(), Marks);
-  MixMark Waits(Mixes[Asked.Pool], Asked.late());
-  const bool MayMove = Repeatable && Asked.Route->streams() &&
-                       Asked.Runs + 1 < Asked.Route->MaxAttempts;
-  const TimePoint HeadBy =
-      MayMove ? std::min(Asked.AnswerBy, Start + LongestSilence)
-              : Asked.AnswerBy;
-  auto Started = co_await Client.start(To.Address, std::move(Sent), HeadBy,
-                                       connectionUse(Asked));
+  BacklogGuard QueuedGuard(Backlogs[Context.Pool], Context.isLate());
+  const bool MayMove = Repeatable && Context.Route->streams() &&
+                       Context.Runs + 1 < Context.Route->MaxAttempts;
+  const TimePoint HeadDeadline =
+      MayMove ? std::min(Context.Deadline, Start + MaxSilence)
+              : Context.Deadline;
+  auto Started = co_await Client.start(Target.Address, std::move(Sent),
+                                       HeadDeadline, connectionUse(Context));
   if (const auto *const Failure = std::get_if<CallFailure>(&Started)) {
     AttemptResult Result = failed(*Failure, Start);
     if (Failure->Why == Reason::EndpointTimedOut &&
-        BootClock::now() < Asked.AnswerBy)
+        BootClock::now() < Context.Deadline)
       Result.Why = Reason::EndpointCut;
     co_return Result;
   }
-  HttpCall Answer = std::move(std::get<HttpCall>(Started));
-  const AnswerMarks Said = Wire.readAnswer(Answer.head());
-  observe(To, Said);
-  if (!Said.Id.empty() && Said.Id != Asked.Said.Id)
+  HttpCall UpstreamCall = std::move(std::get<HttpCall>(Started));
+  const AnswerMarks AnswerHeaders = Wire.readAnswer(UpstreamCall.head());
+  recordLoad(Target, AnswerHeaders);
+  if (!AnswerHeaders.Id.empty() && AnswerHeaders.Id != Context.Caller.Id)
     co_return failed(RunState::MayHaveRun, Reason::EndpointCut, Start);
-  if (ReportUnusable && Said.provesUnusable(To.Address))
-    ReportUnusable(EndpointName(To.Host.Text), Said.AtFault);
-  if (Said.NotRun || Said.WrongEndpoint)
+  if (ReportUnusable && AnswerHeaders.provesUnusable(Target.Address))
+    ReportUnusable(EndpointName(Target.Host.Text), AnswerHeaders.AtFault);
+  if (AnswerHeaders.NotRun || AnswerHeaders.WrongEndpoint)
     co_return failed(RunState::NotRun, Reason::EndpointRefused, Start);
-  const unsigned Status = Answer.head().Status;
-  const bool Broken = isSuccess(Status) ? !Said.Signed : Call.begun();
+  const unsigned Status = UpstreamCall.head().Status;
+  const bool Broken = isSuccess(Status) ? !AnswerHeaders.Signed : Call.begun();
   if (Broken)
     co_return failed(RunState::MayHaveRun, Reason::EndpointFailed, Start);
-  if (Asked.Route->streams() && isSuccess(Status))
-    co_return co_await relayStream(Call, Asked, std::move(Answer), To, Start,
-                                   Waits);
-  co_return co_await relayWhole(Call, Asked, std::move(Answer), Start);
+  if (Context.Route->streams() && isSuccess(Status))
+    co_return co_await relayStream(Call, Context, std::move(UpstreamCall),
+                                   Target, Start, QueuedGuard);
+  co_return co_await relayWhole(Call, Context, std::move(UpstreamCall), Start);
 }
 
 namespace {
@@ -180,9 +182,9 @@
 /// Requests a second that an endpoint bears while it is cold; nothing where it
 /// is not limited.
 std::optional<double> coldRate(const RouteIndexPtr &Config,
-                               const KnownEndpoint &Known) {
+                               const KnownEndpoint &Entry) {
   const ServiceProfile *const Service =
-      Config ? Config->service(Known.Record.Service) : nullptr;
+      Config ? Config->service(Entry.Record.Service) : nullptr;
   if (Service == nullptr || Service->ColdRequestsPerSecond <= 0.0)
     return std::nullopt;
   return Service->ColdRequestsPerSecond;
@@ -190,70 +192,73 @@
 
 } // namespace
 
-bool CallerProxy::mayWarm(const KnownEndpoint &Known, TimePoint Now) {
-  const std::optional<double> Rate = coldRate(View.config(), Known);
-  return !Rate || Gate.open(Known.Record.Name.Text, *Rate, Now);
+bool CallerProxy::mayUseCold(const KnownEndpoint &Entry, TimePoint Now) {
+  const std::optional<double> Rate = coldRate(View.config(), Entry);
+  return !Rate || Gate.open(Entry.Record.Name.Text, *Rate, Now);
 }
 
-bool CallerProxy::bears(const Work &Asked, const EndpointSpec &To,
-                        TimePoint Now) {
-  const KnownEndpoint *const Known =
-      View.endpoints().find(EndpointName(To.Host.Text));
-  if (Known == nullptr || !View.mayBeCold(*Known))
+bool CallerProxy::admitCold(const RequestContext &Context,
+                            const EndpointSpec &Target, TimePoint Now) {
+  const KnownEndpoint *const Entry =
+      View.endpoints().find(EndpointName(Target.Host.Text));
+  if (Entry == nullptr || !View.mayBeCold(*Entry))
     return true;
-  const std::optional<double> Rate = coldRate(Asked.Config, *Known);
+  const std::optional<double> Rate = coldRate(Context.Config, *Entry);
   if (!Rate)
     return true;
-  const bool Admitted = Gate.admit(To.Host.Text, *Rate, Now);
+  const bool Admitted = Gate.admit(Target.Host.Text, *Rate, Now);
   // The next one waits for its turn elsewhere and not in vain here.
-  Routing.setShares({{To.Key, 0}});
+  Routing.setShares({{Target.Key, 0}});
   return Admitted;
 }
 
-void CallerProxy::observe(const EndpointSpec &From, const AnswerMarks &Marks) {
-  if (!Marks.Reported)
+void CallerProxy::recordLoad(const EndpointSpec &Endpoint,
+                             const AnswerMarks &AnswerHeaders) {
+  if (!AnswerHeaders.Reported)
     return;
   LoadReport Report;
-  Report.EndpointKey = From.Key;
-  Report.Running = Marks.Reported->Running;
-  Report.Queued = Marks.Reported->Waiting;
+  Report.EndpointKey = Endpoint.Key;
+  Report.Running = AnswerHeaders.Reported->Running;
+  Report.Queued = AnswerHeaders.Reported->Waiting;
   Routing.observe(Report);
 }
 
-Awaitable<AttemptResult> CallerProxy::relayWhole(Exchange &Call, Work &Asked,
-                                                 HttpCall Answer,
+Awaitable<AttemptResult> CallerProxy::relayWhole(Exchange &Call,
+                                                 RequestContext &Context,
+                                                 HttpCall UpstreamCall,
                                                  TimePoint Start) {
   const TimePoint FirstByte = BootClock::now();
-  HttpResponse Whole = Wire.answerHead(Answer.head());
+  HttpResponse Reply = Wire.answerHead(UpstreamCall.head());
   while (true) {
-    auto Next = co_await Answer.next(Asked.AnswerBy);
+    auto Next = co_await UpstreamCall.next(Context.Deadline);
     if (const auto *const Failure = std::get_if<CallFailure>(&Next))
       co_return failed(*Failure, Start);
-    auto &Part = std::get<std::optional<std::string>>(Next);
-    if (!Part)
+    auto &Chunk = std::get<std::optional<std::string>>(Next);
+    if (!Chunk)
       break;
-    Whole.Body += *Part;
+    Reply.Body += *Chunk;
   }
-  const bool Worthwhile = Whole.Status >= StatusFirstServerError &&
-                          Asked.Route->repeatable() &&
-                          Asked.Runs + 1 < Asked.Route->MaxAttempts;
-  if (Worthwhile) {
-    Asked.Kept = std::move(Whole);
+  const bool RetryElsewhere = Reply.Status >= StatusFirstServerError &&
+                              Context.Route->repeatable() &&
+                              Context.Runs + 1 < Context.Route->MaxAttempts;
+  if (RetryElsewhere) {
+    Context.FallbackResponse = std::move(Reply);
     co_return failed(RunState::MayHaveRun, Reason::EndpointFailed, Start);
   }
-  ended(Asked, "answered", Whole.Status, {});
-  Measured.begun(Asked.Route->Policy, BootClock::now() - Asked.ArrivedAt);
-  Asked.Mine->begun();
-  co_await Call.respond(std::move(Whole));
+  recordEnd(Context, "answered", Reply.Status, {});
+  Metrics.recordResponseStart(Context.Route->Policy,
+                              BootClock::now() - Context.ArrivedAt);
+  Context.RouterPlace->begun();
+  co_await Call.respond(std::move(Reply));
   co_return answered(Start, FirstByte);
 }
 
 /// Tells of a broken stream whether it can go on at another endpoint.
-void CallerProxy::markDelivered(const Work &Asked, bool MayMove,
+void CallerProxy::markDelivered(const RequestContext &Context, bool MayMove,
                                 AttemptResult &Result) {
-  const bool Continues = MayMove && !Asked.Events.lastId().empty();
-  Result.CallerSawBytes = Asked.Events.any() && !Continues;
-  Result.Resumable = Asked.Events.any() && Continues;
+  const bool CanContinue = MayMove && !Context.Events.lastId().empty();
+  Result.CallerSawBytes = Context.Events.hasReleased() && !CanContinue;
+  Result.Resumable = Context.Events.hasReleased() && CanContinue;
 }
 
 // Failure guarded against: an endpoint dies or falls silent in the middle of a
@@ -261,56 +266,56 @@
 // up. Only whole events are passed on; a stream that breaks, or is silent for
 // several times the pause that is on time, goes on behind the last event from
 // another endpoint; and one that cannot is cut so that the caller sees it.
-Awaitable<AttemptResult> CallerProxy::relayStream(Exchange &Call, Work &Asked,
-                                                  HttpCall Answer,
-                                                  const EndpointSpec &To,
-                                                  TimePoint Start,
-                                                  MixMark &Waits) {
+Awaitable<AttemptResult>
+CallerProxy::relayStream(Exchange &Call, RequestContext &Context,
+                         HttpCall UpstreamCall, const EndpointSpec &Target,
+                         TimePoint Start, BacklogGuard &QueuedGuard) {
   const TimePoint FirstByte = BootClock::now();
-  const bool MayMove =
-      Asked.Route->repeatable() && Asked.Runs + 1 < Asked.Route->MaxAttempts;
-  StreamMark Mark(Silence, To.Host.Text);
+  const bool MayMove = Context.Route->repeatable() &&
+                       Context.Runs + 1 < Context.Route->MaxAttempts;
+  StreamGuard Mark(Silence, Target.Host.Text);
   while (true) {
-    TimePoint Until = Asked.AnswerBy;
+    TimePoint ReadDeadline = Context.Deadline;
     if (MayMove)
-      Until = std::min(Until, BootClock::now() + silenceLimit(*Asked.Route));
-    auto Next = co_await Answer.next(Until);
+      ReadDeadline = std::min(ReadDeadline,
+                              BootClock::now() + silenceLimit(*Context.Route));
+    auto Next = co_await UpstreamCall.next(ReadDeadline);
     if (const auto *const Failure = std::get_if<CallFailure>(&Next)) {
       AttemptResult Result = failed(*Failure, Start);
-      const bool Fell = Failure->Why == Reason::EndpointTimedOut &&
-                        BootClock::now() < Asked.AnswerBy;
-      if (Fell)
+      const bool WentSilent = Failure->Why == Reason::EndpointTimedOut &&
+                              BootClock::now() < Context.Deadline;
+      if (WentSilent)
         Result.Why = Reason::EndpointCut;
-      markDelivered(Asked, MayMove, Result);
+      markDelivered(Context, MayMove, Result);
       co_return Result;
     }
-    auto &Part = std::get<std::optional<std::string>>(Next);
-    if (!Part)
+    auto &Chunk = std::get<std::optional<std::string>>(Next);
+    if (!Chunk)
       break;
     Mark.heard();
-    Waits.begun();
-    Asked.Mine->begun();
-    const std::string_view Events = Asked.Events.take(*Part);
+    QueuedGuard.begun();
+    Context.RouterPlace->begun();
+    const std::string_view Events = Context.Events.append(*Chunk);
     if (Events.empty())
       continue;
     if (!Call.begun()) {
-      HttpResponse Head = Wire.answerHead(Answer.head());
+      HttpResponse Head = Wire.answerHead(UpstreamCall.head());
       co_await Call.begin(std::move(Head));
     }
-    measureEvent(Asked);
+    measureEvent(Context);
     co_await Call.write(Events);
   }
-  if (!Asked.Events.whole()) {
+  if (!Context.Events.endsOnBoundary()) {
     AttemptResult Result =
         failed(RunState::MayHaveRun, Reason::EndpointCut, Start);
-    markDelivered(Asked, MayMove, Result);
+    markDelivered(Context, MayMove, Result);
     co_return Result;
   }
   if (!Call.begun()) {
-    HttpResponse Head = Wire.answerHead(Answer.head());
+    HttpResponse Head = Wire.answerHead(UpstreamCall.head());
     co_await Call.begin(std::move(Head));
   }
-  ended(Asked, "answered", StatusOk, {});
+  recordEnd(Context, "answered", StatusOk, {});
   co_await Call.end();
   co_return answered(Start, FirstByte);
 }
--- a/packages/process/src/coltsfoottrail/fleethost/callerproxy.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/callerproxy.cpp
@@ -25,13 +25,13 @@
 /// A request with less of its route's time than this has been refused before.
 /// Callers' first attempts come with 85 to 100 in 100 of it; those that come
 /// back have waited three quarters of a second or more.
-constexpr double CameBackPart = 0.845;
+constexpr double RetriedTimeFraction = 0.845;
 /// When to come back, as a part of the time left: later than a third of it
 /// callers do not wait, and a group is repaired in two to four seconds.
-constexpr double ComeBackPart = 0.3;
-constexpr milliseconds LatestComeBack{1'500};
+constexpr double RetryAfterFraction = 0.3;
+constexpr milliseconds MaxRetryAfter{1'500};
 
-std::int64_t wholeMs(Duration Span) {
+std::int64_t toMilliseconds(Duration Span) {
   return std::chrono::duration_cast<milliseconds>(Span).count();
 }
 
@@ -45,265 +45,277 @@
 } // namespace
 
 /// Writes a request's lines when its coroutine ends, however it does.
-class CallerProxy::TrailMark {
+class CallerProxy::TrailGuard {
 public:
-  TrailMark(Work &Of, std::shared_ptr<TrailBudget> Limits)
-      : Asked(Of), Budget(std::move(Limits)) {}
-  TrailMark(const TrailMark &) = delete;
-  TrailMark &operator=(const TrailMark &) = delete;
-  ~TrailMark() {
+  TrailGuard(RequestContext &Context, std::shared_ptr<TrailBudget> Budget)
+      : Context(Context), Budget(std::move(Budget)) {}
+  TrailGuard(const TrailGuard &) = delete;
+  TrailGuard &operator=(const TrailGuard &) = delete;
+  ~TrailGuard() {
     const TimePoint Now = BootClock::now();
-    if (!Asked.Ended) {
-      Asked.Trail.tells();
-      Asked.Trail.add(Event::CallerLeft, {{"sends", Asked.Sends}}, Now);
+    if (!Context.Ended) {
+      Context.Trail.tells();
+      Context.Trail.add(Event::CallerLeft, {{"sends", Context.Sends}}, Now);
     }
-    Asked.Trail.end(*Budget, Now);
+    Context.Trail.end(*Budget, Now);
   }
 
 private:
-  Work &Asked;
+  RequestContext &Context;
   std::shared_ptr<TrailBudget> Budget;
 };
 
-void CallerProxy::ended(Work &Asked, std::string_view Outcome, unsigned Status,
-                        const Verdict &Final) {
-  Asked.Ended = true;
+void CallerProxy::recordEnd(RequestContext &Context, std::string_view Outcome,
+                            unsigned Status, const Verdict &Final) {
+  Context.Ended = true;
   const bool Answered = Outcome == "answered";
-  if (!Answered || Asked.Sends > 1)
-    Asked.Trail.tells();
-  const std::string_view Why = Answered ? "none" : reasonCode(Final.Why);
+  if (!Answered || Context.Sends > 1)
+    Context.Trail.tells();
+  const std::string_view ReasonText = Answered ? "none" : reasonCode(Final.Why);
   const std::string_view Ran = Answered ? "ran" : runStateCode(Final.State);
-  measureEnd(Asked, Outcome, Why);
-  Asked.Trail.add(Event::RequestEnded,
-                  {{"outcome", Outcome},
-                   {"status", Status},
-                   {"verdict", Ran},
-                   {"reason", Why},
-                   {"sends", Asked.Sends},
-                   {"last_event", Asked.Events.lastId()},
-                   {"pool", Asked.Pool},
-                   {"first_ms", wholeMs(Asked.FirstEvent)},
-                   {"pause_ms", wholeMs(Asked.LongestPause)}},
-                  BootClock::now());
+  measureEnd(Context, Outcome, ReasonText);
+  Context.Trail.add(Event::RequestEnded,
+                    {{"outcome", Outcome},
+                     {"status", Status},
+                     {"verdict", Ran},
+                     {"reason", ReasonText},
+                     {"sends", Context.Sends},
+                     {"last_event", Context.Events.lastId()},
+                     {"pool", Context.Pool},
+                     {"first_ms", toMilliseconds(Context.TimeToFirstEvent)},
+                     {"pause_ms", toMilliseconds(Context.LongestEventGap)}},
+                    BootClock::now());
 }
 
-void CallerProxy::measureEnd(const Work &Asked, std::string_view Outcome,
-                             std::string_view Why) {
+void CallerProxy::measureEnd(const RequestContext &Context,
+                             std::string_view Outcome,
+                             std::string_view ReasonText) {
   const RunPolicy Kind =
-      Asked.Route != nullptr ? Asked.Route->Policy : RunPolicy::AtMostOnce;
-  Measured.ended(Asked.Service != nullptr ? Asked.Service->Name : ServiceName(),
-                 Kind, Outcome, Why, BootClock::now() - Asked.ArrivedAt);
+      Context.Route != nullptr ? Context.Route->Policy : RunPolicy::AtMostOnce;
+  Metrics.recordEnd(
+      Context.Service != nullptr ? Context.Service->Name : ServiceName(), Kind,
+      Outcome, ReasonText, BootClock::now() - Context.ArrivedAt);
 }
 
-void CallerProxy::noteFailure(Work &Asked, const EndpointSpec &To,
-                              const AttemptResult &Result) {
-  Asked.Trail.tells();
-  Asked.Trail.add(
+void CallerProxy::logFailure(RequestContext &Context,
+                             const EndpointSpec &Target,
+                             const AttemptResult &Result) {
+  Context.Trail.tells();
+  Context.Trail.add(
       Event::AttemptFailed,
-      {{"endpoint", To.Host},
+      {{"endpoint", Target.Host},
        {"verdict", runStateCode(Result.State)},
        {"reason", reasonCode(Result.Why)},
        {"connection_lost", Result.ConnectionLost},
        {"after_ms",
         std::chrono::duration_cast<milliseconds>(Result.Total).count()},
-       {"last_event", Asked.Events.lastId()}},
+       {"last_event", Context.Events.lastId()}},
       BootClock::now());
 }
 
 Awaitable<void> CallerProxy::serve(Exchange &Call) {
   ++Counts.Requests;
-  Work Asked;
-  const TrailMark Mark(Asked, Budget);
-  std::optional<HttpResponse> Refused = admit(Call.request(), Asked);
+  RequestContext Context;
+  const TrailGuard Mark(Context, Budget);
+  std::optional<HttpResponse> Refused = admit(Call.request(), Context);
   if (!Refused)
-    Refused = choosePool(Asked);
+    Refused = choosePool(Context);
   if (Refused) {
     const TimePoint Now = BootClock::now();
-    Asked.Ended = true;
-    measureEnd(Asked, "turned-away", std::to_string(Refused->Status));
-    Asked.Trail.tells();
-    Asked.Trail.add(Event::RequestTurnedAway,
-                    {{"status", Refused->Status},
-                     {"answer", Refused->Body},
-                     {"config", Asked.Config ? Asked.Config->version() : 0},
-                     {"config_age_ms", std::chrono::duration_cast<milliseconds>(
-                                           View.configAge(Now))
-                                           .count()}},
-                    Now);
-    Wire.mark(*Refused, Asked.Said.Id);
+    Context.Ended = true;
+    measureEnd(Context, "turned-away", std::to_string(Refused->Status));
+    Context.Trail.tells();
+    Context.Trail.add(
+        Event::RequestTurnedAway,
+        {{"status", Refused->Status},
+         {"answer", Refused->Body},
+         {"config", Context.Config ? Context.Config->version() : 0},
+         {"config_age_ms",
+          std::chrono::duration_cast<milliseconds>(View.configAge(Now))
+              .count()}},
+        Now);
+    Wire.mark(*Refused, Context.Caller.Id);
     co_await Call.respond(std::move(*Refused));
     co_return;
   }
-  co_await route(Call, Asked);
+  co_await route(Call, Context);
 }
 
 std::optional<HttpResponse> CallerProxy::admit(const HttpRequest &Request,
-                                               Work &Asked) {
-  Asked.ArrivedAt = BootClock::now();
-  Asked.AnswerBy = Asked.ArrivedAt;
-  Asked.Said = Wire.read(Request);
-  Asked.Trail.begin(Asked.Said.Id, Asked.ArrivedAt);
-  Asked.Config = View.config();
-  const Verdict Elsewhere{RunState::NotRun, Reason::Stale, ElsewhereRetryAfter};
-  if (!Asked.Config || Stopping)
-    return refusal(Asked, Elsewhere);
-  Asked.Route = Asked.Config->route(Asked.Said.HostHeader, Asked.Said.Path);
+                                               RequestContext &Context) {
+  Context.ArrivedAt = BootClock::now();
+  Context.Deadline = Context.ArrivedAt;
+  Context.Caller = Wire.read(Request);
+  Context.Trail.begin(Context.Caller.Id, Context.ArrivedAt);
+  Context.Config = View.config();
+  const Verdict StaleVerdict{RunState::NotRun, Reason::Stale,
+                             ElsewhereRetryAfter};
+  if (!Context.Config || Stopping)
+    return refusal(Context, StaleVerdict);
+  Context.Route =
+      Context.Config->route(Context.Caller.HostHeader, Context.Caller.Path);
   // A host that cannot prove its configuration does not know that there is no
   // such route.
-  if (Asked.Route == nullptr && !View.credentialsFresh(Asked.ArrivedAt))
-    return refusal(Asked, Elsewhere);
-  if (Asked.Route == nullptr)
+  if (Context.Route == nullptr && !View.credentialsFresh(Context.ArrivedAt))
+    return refusal(Context, StaleVerdict);
+  if (Context.Route == nullptr)
     return jsonResponse(StatusNotFound, R"({"error":"no-route"})");
   // Where callers have credentials a host serves none of them once it cannot
   // prove these. A public route needs no credential, but may be withdrawn.
-  if (Asked.Route->Public && Asked.Config->hasTeams() &&
-      !View.routesFresh(Asked.ArrivedAt))
-    return refusal(Asked, Elsewhere);
-  if (!Asked.Route->Public && Asked.Config->hasTeams()) {
-    if (!View.credentialsFresh(Asked.ArrivedAt))
-      return refusal(Asked, Elsewhere);
-    const TeamKeys *const Team = Asked.Config->team(Asked.Said.Credential);
+  if (Context.Route->Public && Context.Config->hasTeams() &&
+      !View.routesFresh(Context.ArrivedAt))
+    return refusal(Context, StaleVerdict);
+  if (!Context.Route->Public && Context.Config->hasTeams()) {
+    if (!View.credentialsFresh(Context.ArrivedAt))
+      return refusal(Context, StaleVerdict);
+    const TeamKeys *const Team =
+        Context.Config->team(Context.Caller.Credential);
     if (Team == nullptr)
       return jsonResponse(StatusUnauthenticated,
                           R"({"error":"unknown-credential"})");
-    Asked.Team = Team->Name;
+    Context.Team = Team->Name;
   }
-  milliseconds Patience = Asked.Route->Timeout;
-  if (Asked.Said.Patience)
-    Patience = std::min(Patience, *Asked.Said.Patience);
-  Asked.AnswerBy = Asked.ArrivedAt + Patience;
-  if (Patience < Asked.Route->Timeout * CameBackPart)
-    Asked.How = Timeliness::CameBack;
+  milliseconds CallerTimeout = Context.Route->Timeout;
+  if (Context.Caller.Patience)
+    CallerTimeout = std::min(CallerTimeout, *Context.Caller.Patience);
+  Context.Deadline = Context.ArrivedAt + CallerTimeout;
+  if (CallerTimeout < Context.Route->Timeout * RetriedTimeFraction)
+    Context.Freshness = Timeliness::CameBack;
   return std::nullopt;
 }
 
-std::optional<HttpResponse> CallerProxy::choosePool(Work &Asked) {
+std::optional<HttpResponse> CallerProxy::choosePool(RequestContext &Context) {
   std::uint64_t Total = 0;
-  for (const WeightedService &Each : Asked.Route->Services)
-    Total += Each.Weight;
+  for (const WeightedService &Weighted : Context.Route->Services)
+    Total += Weighted.Weight;
   if (Total == 0)
     return jsonResponse(StatusNotFound, R"({"error":"no-service"})");
   std::uint64_t Point = Draw.below(Total);
   const WeightedService *Chosen = nullptr;
-  for (const WeightedService &Each : Asked.Route->Services) {
-    Chosen = &Each;
-    if (Point < Each.Weight)
+  for (const WeightedService &Weighted : Context.Route->Services) {
+    Chosen = &Weighted;
+    if (Point < Weighted.Weight)
       break;
-    Point -= Each.Weight;
+    Point -= Weighted.Weight;
   }
-  const ServiceProfile *const Service = Asked.Config->service(Chosen->Service);
+  const ServiceProfile *const Service =
+      Context.Config->service(Chosen->Service);
   if (Service == nullptr)
     return jsonResponse(StatusNotFound, R"({"error":"no-service"})");
   ModelName Model;
   if (Service->Engine && !Service->Engine->Models.empty()) {
     const auto &Models = Service->Engine->Models;
-    const bool Known =
-        std::any_of(Models.begin(), Models.end(), [&](const ServedModel &One) {
-          return One.Name == Asked.Said.Model;
+    const bool IsServed = std::any_of(
+        Models.begin(), Models.end(), [&](const ServedModel &Candidate) {
+          return Candidate.Name == Context.Caller.Model;
         });
-    if (!Known)
+    if (!IsServed)
       return jsonResponse(StatusBadRequest, R"({"error":"unknown-model"})");
-    Model = Asked.Said.Model;
+    Model = Context.Caller.Model;
   }
-  Asked.Service = Service;
-  Asked.Pool = FleetView::poolName(Service->Name, Model);
+  Context.Service = Service;
+  Context.Pool = FleetView::poolName(Service->Name, Model);
   return std::nullopt;
 }
 
 double CallerProxy::recentRequests(const std::string &Pool,
                                    TimePoint Now) const {
-  const auto Found = Mixes.find(Pool);
-  return Found == Mixes.end() ? 0.0 : Found->second->Recent.value(Now);
+  const auto It = Backlogs.find(Pool);
+  return It == Backlogs.end() ? 0.0 : It->second->Recent.value(Now);
 }
 
-double CallerProxy::PoolMix::freshPart() const noexcept {
+double CallerProxy::PoolBacklog::freshFraction() const noexcept {
   // One of each is added: a host with few requests knows little.
   return (Fresh + 1.0) / (Fresh + Late + 2.0);
 }
 
-WorkItem CallerProxy::itemOf(const HttpRequest &Request, const Work &Asked,
-                             const PoolMix &Mix) const {
-  WorkItem Out;
-  Out.Team = Asked.Team;
+WorkItem CallerProxy::makeWorkItem(const HttpRequest &Request,
+                                   const RequestContext &Context,
+                                   const PoolBacklog &Backlog) const {
+  WorkItem Result;
+  Result.Team = Context.Team;
   CallerCase Case;
-  Case.How = Asked.How;
-  Case.Streams = Asked.Route->streams();
-  Case.ArrivedAt = Asked.ArrivedAt;
-  Case.AnswerBy = Asked.AnswerBy;
-  Case.TargetLatency = Asked.Route->TargetLatency;
-  setTerms(Case, BootClock::now(), Out);
+  Case.How = Context.Freshness;
+  Case.Streams = Context.Route->streams();
+  Case.ArrivedAt = Context.ArrivedAt;
+  Case.AnswerBy = Context.Deadline;
+  Case.TargetLatency = Context.Route->TargetLatency;
+  setTerms(Case, BootClock::now(), Result);
   // Failure guarded against: late requests that wait in a leader's queue make
   // it look full, fresh ones are refused and come back late, and soon nothing
   // is on time. Fresh ones go before late ones there; other hosts' mix is taken
   // to be like this host's.
-  if (!Asked.late())
-    Out.WaitingPart = Mix.freshPart();
-  Out.PromptTokens = Asked.Said.PromptTokens;
-  Out.Repeatable = Asked.Route->repeatable();
-  Out.Fingerprint = hashText(
-      Request.Body, hashText(Request.Target, hashText(Asked.Team.Text)));
-  Out.Bytes = Request.Body.size();
-  return Out;
+  if (!Context.isLate())
+    Result.WaitingPart = Backlog.freshFraction();
+  Result.PromptTokens = Context.Caller.PromptTokens;
+  Result.Repeatable = Context.Route->repeatable();
+  Result.Fingerprint = hashText(
+      Request.Body, hashText(Request.Target, hashText(Context.Team.Text)));
+  Result.Bytes = Request.Body.size();
+  return Result;
 }
 
-Awaitable<void> CallerProxy::route(Exchange &Call, Work &Asked) {
-  std::shared_ptr<PoolMix> &Mix = Mixes[Asked.Pool];
-  if (!Mix)
-    Mix = std::make_shared<PoolMix>();
-  Mix->Recent.add(Asked.ArrivedAt);
+Awaitable<void> CallerProxy::route(Exchange &Call, RequestContext &Context) {
+  std::shared_ptr<PoolBacklog> &Backlog = Backlogs[Context.Pool];
+  if (!Backlog)
+    Backlog = std::make_shared<PoolBacklog>();
+  Backlog->Recent.add(Context.ArrivedAt);
   const auto Executor = co_await boost::asio::this_coro::executor;
-  std::optional<Place> Mine =
-      Routing.submit(Asked.Pool, itemOf(Call.request(), Asked, *Mix), Executor);
-  while (Mine) {
-    const Decision Next = co_await Mine->next();
+  std::optional<Place> RouterPlace = Routing.submit(
+      Context.Pool, makeWorkItem(Call.request(), Context, *Backlog), Executor);
+  while (RouterPlace) {
+    const Decision Next = co_await RouterPlace->next();
     if (const auto *const Refused = std::get_if<Refusal>(&Next)) {
-      if (!mayDemote(Asked, Refused->Final)) {
-        recordRefusal(Asked, Refused->Basis);
-        co_await finish(Call, Asked, Refused->Final);
+      if (!mayDemote(Context, Refused->Final)) {
+        logRetryEnd(Context, Refused->Basis);
+        co_await finish(Call, Context, Refused->Final);
         co_return;
       }
-      Asked.How = Timeliness::Demoted;
-      Asked.Trail.add(Event::RequestDemoted, {{"pool", Asked.Pool}},
-                      BootClock::now());
-      Mine.reset();
-      std::optional<Place> Behind = Routing.submit(
-          Asked.Pool, itemOf(Call.request(), Asked, *Mix), Executor);
-      if (Behind)
-        Mine.emplace(std::move(*Behind));
+      Context.Freshness = Timeliness::Demoted;
+      Context.Trail.add(Event::RequestDemoted, {{"pool", Context.Pool}},
+                        BootClock::now());
+      RouterPlace.reset();
+      std::optional<Place> DemotedPlace = Routing.submit(
+          Context.Pool, makeWorkItem(Call.request(), Context, *Backlog),
+          Executor);
+      if (DemotedPlace)
+        RouterPlace.emplace(std::move(*DemotedPlace));
       continue;
     }
-    const auto To = std::get<Assignment>(Next).Endpoint;
-    Asked.Mine = &*Mine;
-    AttemptResult Result = co_await attempt(Call, Asked, *To);
+    const auto Target = std::get<Assignment>(Next).Endpoint;
+    Context.RouterPlace = &*RouterPlace;
+    AttemptResult Result = co_await attempt(Call, Context, *Target);
     if (Result.State != RunState::NotRun)
-      ++Asked.Runs;
+      ++Context.Runs;
     // The operators bound how many endpoints may run one request.
-    if (!Result.Answered && Asked.Runs >= Asked.Route->MaxAttempts)
+    if (!Result.Answered && Context.Runs >= Context.Route->MaxAttempts)
       Result.CallerSawBytes = true;
-    Mine->report(Result);
+    RouterPlace->report(Result);
     if (Result.Answered) {
       ++Counts.Answered;
       co_return;
     }
-    noteFailure(Asked, *To, Result);
+    logFailure(Context, *Target, Result);
   }
-  const Verdict None{RunState::NotRun, Reason::NoEndpoint, ElsewhereRetryAfter};
-  co_await finish(Call, Asked, None);
+  const Verdict NoEndpointVerdict{RunState::NotRun, Reason::NoEndpoint,
+                                  ElsewhereRetryAfter};
+  co_await finish(Call, Context, NoEndpointVerdict);
 }
 
-void CallerProxy::recordRefusal(Work &Asked, const RefusalBasis &Basis) {
+void CallerProxy::logRetryEnd(RequestContext &Context,
+                              const RefusalBasis &Basis) {
   if (Basis.Stop == RetryStop::NotTried)
     return;
   const TimePoint Now = BootClock::now();
-  Asked.Trail.add(
+  Context.Trail.add(
       Event::RetryEnded,
       {{"why", retryStopCode(Basis.Stop)},
        {"attempts", Basis.Attempts},
-       {"runs", Asked.Runs},
+       {"runs", Context.Runs},
        {"budget_waits", Basis.BudgetWaits},
        {"endpoints", Basis.Endpoints},
-       {"since_failure_ms", wholeMs(Now - Basis.FailedAt.value_or(Now))},
-       {"left_ms", wholeMs(Asked.AnswerBy - Now)}},
+       {"since_failure_ms", toMilliseconds(Now - Basis.FailedAt.value_or(Now))},
+       {"left_ms", toMilliseconds(Context.Deadline - Now)}},
       Now);
 }
 
@@ -311,42 +323,45 @@
 // come back late, and are refused again. A stream that finds no place in time
 // to be on time is late, whatever is done; behind the others it still gets the
 // first place that none of them needs.
-bool CallerProxy::mayDemote(const Work &Asked, const Verdict &Final) {
-  return Asked.Route->streams() && !Asked.late() && Asked.Runs == 0 &&
+bool CallerProxy::mayDemote(const RequestContext &Context,
+                            const Verdict &Final) {
+  return Context.Route->streams() && !Context.isLate() && Context.Runs == 0 &&
          Final.State == RunState::NotRun && Final.Why == Reason::Overloaded;
 }
 
-Awaitable<void> CallerProxy::finish(Exchange &Call, Work &Asked,
+Awaitable<void> CallerProxy::finish(Exchange &Call, RequestContext &Context,
                                     Verdict Final) {
   if (Call.begun()) {
     ++Counts.CutStreams;
-    ended(Asked, "cut", StatusOk, Final);
+    recordEnd(Context, "cut", StatusOk, Final);
     Call.cut();
     co_return;
   }
-  HttpResponse Out = Asked.Kept && Final.State != RunState::NotRun
-                         ? std::move(*Asked.Kept)
-                         : refusal(Asked, Final);
-  ended(Asked, Final.State == RunState::NotRun ? "refused" : "failed",
-        Out.Status, Final);
-  co_await Call.respond(std::move(Out));
+  HttpResponse Reply =
+      Context.FallbackResponse && Final.State != RunState::NotRun
+          ? std::move(*Context.FallbackResponse)
+          : refusal(Context, Final);
+  recordEnd(Context, Final.State == RunState::NotRun ? "refused" : "failed",
+            Reply.Status, Final);
+  co_await Call.respond(std::move(Reply));
 }
 
 // Callers that were refused together would come back together: the time is
 // drawn from its upper half.
-milliseconds CallerProxy::comeBackAfter(const Work &Asked) {
+milliseconds CallerProxy::retryAfter(const RequestContext &Context) {
   if (!View.credentialsFresh(BootClock::now()) || Stopping)
     return ElsewhereRetryAfter;
-  const Duration Left = Asked.AnswerBy - BootClock::now();
-  const auto Most = std::min<Duration>(
-      LatestComeBack,
-      std::chrono::duration_cast<Duration>(Left * ComeBackPart));
-  const double Part = 0.5 + 0.5 * Draw.fraction();
-  return std::max(milliseconds(1),
-                  std::chrono::duration_cast<milliseconds>(Most * Part));
+  const Duration TimeLeft = Context.Deadline - BootClock::now();
+  const auto MaxDelay = std::min<Duration>(
+      MaxRetryAfter,
+      std::chrono::duration_cast<Duration>(TimeLeft * RetryAfterFraction));
+  const double Fraction = 0.5 + 0.5 * Draw.fraction();
+  return std::max(milliseconds(1), std::chrono::duration_cast<milliseconds>(
+                                       MaxDelay * Fraction));
 }
 
-HttpResponse CallerProxy::refusal(const Work &Asked, const Verdict &Final) {
+HttpResponse CallerProxy::refusal(const RequestContext &Context,
+                                  const Verdict &Final) {
   const bool NotRun = Final.State == RunState::NotRun;
   if (NotRun)
     ++Counts.RefusedNotRun;
@@ -358,17 +373,17 @@
                      Final.Why == Reason::DeadlinePassed
                  ? StatusGatewayTimeout
                  : StatusBadGateway;
-  HttpResponse Out = jsonResponse(
+  HttpResponse Reply = jsonResponse(
       Status, R"({"verdict":")" + std::string(runStateCode(Final.State)) +
                   R"(","reason":")" + std::string(reasonCode(Final.Why)) +
                   "\"}");
   if (NotRun)
-    Out.Fields.push_back(
+    Reply.Fields.push_back(
         {"Retry-After",
-         secondsText(Asked.Route != nullptr ? comeBackAfter(Asked)
-                                            : ElsewhereRetryAfter)});
-  Wire.mark(Out, Asked.Said.Id);
-  return Out;
+         secondsText(Context.Route != nullptr ? retryAfter(Context)
+                                              : ElsewhereRetryAfter)});
+  Wire.mark(Reply, Context.Caller.Id);
+  return Reply;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/fleethost/callerproxy.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/callerproxy.hpp
@@ -46,17 +46,17 @@
   /// @param Fields Reads and writes header fields.
   /// @param Heard Is told which endpoints' streams move.
   /// @param Seed Starts the choice among a route's services.
-  CallerProxy(const FleetView &Believed, Router &Decides, HttpClient &Out,
-              const CallerWire &Fields, SilenceWatch &Heard, std::uint64_t Seed)
-      : View(Believed), Routing(Decides), Client(Out), Wire(Fields),
-        Silence(Heard), Draw(Seed), Gate(Draw()) {}
+  CallerProxy(const FleetView &View, Router &Routing, HttpClient &Client,
+              const CallerWire &Wire, SilenceWatch &Silence, std::uint64_t Seed)
+      : View(View), Routing(Routing), Client(Client), Wire(Wire),
+        Silence(Silence), Draw(Seed), Gate(Draw()) {}
 
   /// @brief Calls a function when an endpoint's answer proves that it can serve
   /// nobody: with the endpoint, and the address of the member that it lacks
   /// if it names one.
   void onUnusable(
-      std::function<void(const EndpointName &, const std::string &)> Call) {
-    ReportUnusable = std::move(Call);
+      std::function<void(const EndpointName &, const std::string &)> Callback) {
+    ReportUnusable = std::move(Callback);
   }
 
   /// @brief Serves one request.
@@ -65,12 +65,12 @@
 
   /// @brief Sets how many entry hosts share what cold endpoints bear and the
   /// connections that endpoints take; zero for not known.
-  void shareAmong(std::size_t Hosts) noexcept {
+  void setEntryHosts(std::size_t Hosts) noexcept {
     Gate.share(Hosts);
     EntryHosts = Hosts > 0 ? Hosts : std::size_t(ColdGate::UnknownHosts);
   }
   /// @brief Whether a cold endpoint may get a request of this host now.
-  [[nodiscard]] bool mayWarm(const KnownEndpoint &Known, TimePoint Now);
+  [[nodiscard]] bool mayUseCold(const KnownEndpoint &Entry, TimePoint Now);
 
   /// @brief Own requests of a pool in the last window of the bound on retries.
   [[nodiscard]] double recentRequests(const std::string &Pool,
@@ -85,9 +85,7 @@
   }
 
   /// @brief How requests ended and how long they took.
-  [[nodiscard]] const ProxyMetrics &measured() const noexcept {
-    return Measured;
-  }
+  [[nodiscard]] const ProxyMetrics &metrics() const noexcept { return Metrics; }
   /// @brief What it has done.
   [[nodiscard]] const CallerProxyCounts &counts() const noexcept {
     return Counts;
@@ -95,18 +93,18 @@
 
 private:
   /// A request and what is known of it.
-  struct Work {
-    CallerWork Said;
+  struct RequestContext {
+    CallerWork Caller;
     /// Keeps the route alive.
     RouteIndexPtr Config;
     const RouteSpec *Route = nullptr;
     TeamName Team;
     TimePoint ArrivedAt;
-    TimePoint AnswerBy;
-    Timeliness How = Timeliness::Fresh;
+    TimePoint Deadline;
+    Timeliness Freshness = Timeliness::Fresh;
 
-    [[nodiscard]] bool late() const noexcept {
-      return How != Timeliness::Fresh;
+    [[nodiscard]] bool isLate() const noexcept {
+      return Freshness != Timeliness::Fresh;
     }
     std::string Pool;
     const ServiceProfile *Service = nullptr;
@@ -114,64 +112,72 @@
     std::uint32_t Runs = 0;
     EventStreamBuffer Events;
     /// When the last event left for the caller.
-    std::optional<TimePoint> EventAt;
+    std::optional<TimePoint> LastEventAt;
     /// From its arrival to the first event, and the longest pause after it.
-    Duration FirstEvent{};
-    Duration LongestPause{};
+    Duration TimeToFirstEvent{};
+    Duration LongestEventGap{};
     /// An endpoint's failure, to be passed on if nothing better comes.
-    std::optional<HttpResponse> Kept;
+    std::optional<HttpResponse> FallbackResponse;
     RequestTrail Trail;
     std::uint32_t Sends = 0;
     /// Its place among those that wait or run; set while it has one.
-    Place *Mine = nullptr;
+    Place *RouterPlace = nullptr;
     bool Ended = false;
   };
 
   [[nodiscard]] std::optional<HttpResponse> admit(const HttpRequest &Request,
-                                                  Work &Asked);
-  [[nodiscard]] std::optional<HttpResponse> choosePool(Work &Asked);
+                                                  RequestContext &Context);
+  [[nodiscard]] std::optional<HttpResponse> choosePool(RequestContext &Context);
   /// Own requests that wait at the endpoints of a pool, and those that came
   /// lately.
-  struct PoolMix {
+  struct PoolBacklog {
     std::uint32_t Fresh = 0;
     std::uint32_t Late = 0;
     RecentCount Recent;
 
     /// @brief Estimates which part of all that waits there is fresh.
-    [[nodiscard]] double freshPart() const noexcept;
+    [[nodiscard]] double freshFraction() const noexcept;
   };
-  class MixMark;
-
-  [[nodiscard]] milliseconds comeBackAfter(const Work &Asked);
-  [[nodiscard]] WorkItem itemOf(const HttpRequest &Request, const Work &Asked,
-                                const PoolMix &Mix) const;
-  [[nodiscard]] ConnectionUse connectionUse(const Work &Asked) const;
-  [[nodiscard]] static bool mayDemote(const Work &Asked, const Verdict &Final);
-  static void markDelivered(const Work &Asked, bool MayMove,
+  class BacklogGuard;
+
+  [[nodiscard]] milliseconds retryAfter(const RequestContext &Context);
+  [[nodiscard]] WorkItem makeWorkItem(const HttpRequest &Request,
+                                      const RequestContext &Context,
+                                      const PoolBacklog &Backlog) const;
+  [[nodiscard]] ConnectionUse
+  connectionUse(const RequestContext &Context) const;
+  [[nodiscard]] static bool mayDemote(const RequestContext &Context,
+                                      const Verdict &Final);
+  static void markDelivered(const RequestContext &Context, bool MayMove,
                             AttemptResult &Result);
-  static void recordRefusal(Work &Asked, const RefusalBasis &Basis);
-  [[nodiscard]] Awaitable<void> route(Exchange &Call, Work &Asked);
-  [[nodiscard]] Awaitable<AttemptResult> attempt(Exchange &Call, Work &Asked,
-                                                 const EndpointSpec &To);
+  static void logRetryEnd(RequestContext &Context, const RefusalBasis &Basis);
+  [[nodiscard]] Awaitable<void> route(Exchange &Call, RequestContext &Context);
   [[nodiscard]] Awaitable<AttemptResult>
-  relayWhole(Exchange &Call, Work &Asked, HttpCall Answer, TimePoint Start);
+  attempt(Exchange &Call, RequestContext &Context, const EndpointSpec &Target);
+  [[nodiscard]] Awaitable<AttemptResult> relayWhole(Exchange &Call,
+                                                    RequestContext &Context,
+                                                    HttpCall Answer,
+                                                    TimePoint Start);
   [[nodiscard]] Awaitable<AttemptResult>
-  relayStream(Exchange &Call, Work &Asked, HttpCall Answer,
-              const EndpointSpec &To, TimePoint Start, MixMark &Waits);
-  [[nodiscard]] Awaitable<void> finish(Exchange &Call, Work &Asked,
+  relayStream(Exchange &Call, RequestContext &Context, HttpCall UpstreamCall,
+              const EndpointSpec &Target, TimePoint Start,
+              BacklogGuard &QueuedGuard);
+  [[nodiscard]] Awaitable<void> finish(Exchange &Call, RequestContext &Context,
                                        Verdict Final);
-  [[nodiscard]] HttpResponse refusal(const Work &Asked, const Verdict &Final);
-  class TrailMark;
-  void ended(Work &Asked, std::string_view Outcome, unsigned Status,
-             const Verdict &Final);
-  void measureEnd(const Work &Asked, std::string_view Outcome,
-                  std::string_view Why);
-  void measureEvent(Work &Asked);
-  void noteFailure(Work &Asked, const EndpointSpec &To,
-                   const AttemptResult &Result);
-  [[nodiscard]] bool bears(const Work &Asked, const EndpointSpec &To,
-                           TimePoint Now);
-  void observe(const EndpointSpec &From, const AnswerMarks &Marks);
+  [[nodiscard]] HttpResponse refusal(const RequestContext &Context,
+                                     const Verdict &Final);
+  class TrailGuard;
+  void recordEnd(RequestContext &Context, std::string_view Outcome,
+                 unsigned Status, const Verdict &Final);
+  void measureEnd(const RequestContext &Context, std::string_view Outcome,
+                  std::string_view ReasonText);
+  void measureEvent(RequestContext &Context);
+  void logFailure(RequestContext &Context, const EndpointSpec &Target,
+                  const AttemptResult &Result);
+  [[nodiscard]] bool admitCold(const RequestContext &Context,
+                               const EndpointSpec &Target, TimePoint Now);
+  void recordLoad(const EndpointSpec &Endpoint,
+                  const AnswerMarks &AnswerHeaders);
 
   const FleetView &View;
   Router &Routing;
@@ -181,12 +187,12 @@
   Random Draw;
   ColdGate Gate;
   CallerProxyCounts Counts;
-  ProxyMetrics Measured;
+  ProxyMetrics Metrics;
   /// Shared with the coroutines, which may end after this object.
   std::shared_ptr<TrailBudget> Budget =
       std::make_shared<TrailBudget>(TrailLimits{});
   /// Shared with the coroutines, which may end after this object.
-  std::map<std::string, std::shared_ptr<PoolMix>> Mixes;
+  std::map<std::string, std::shared_ptr<PoolBacklog>> Backlogs;
   std::size_t EntryHosts = std::size_t(ColdGate::UnknownHosts);
   std::function<void(const EndpointName &, const std::string &)> ReportUnusable;
   bool Stopping = false;
--- a/packages/process/src/coltsfoottrail/fleethost/candidacy.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/candidacy.cpp
@@ -6,18 +6,18 @@
 
 void Candidacy::recordStore(bool Answers, TimePoint Now) noexcept {
   if (Answers && !StoreAnswers)
-    AloneSince = Now;
+    LastSignAt = Now;
   StoreAnswers = Answers;
   LostStore = LostStore || !Answers;
 }
 
-bool Candidacy::standsAside(bool Holds, TimePoint Now) const noexcept {
-  if (Holds)
+bool Candidacy::standsAside(bool WasLastHolder, TimePoint Now) const noexcept {
+  if (WasLastHolder)
     return false;
-  const Duration Alone = Now - AloneSince;
+  const Duration SinceLastSign = Now - LastSignAt;
   if (Role == DutyRole::Candidate)
-    return LostStore && Now >= MemberUntil && Alone < Times.Candidate;
-  return !StoreAnswers || Alone < Times.Reserve;
+    return LostStore && Now >= MemberUntil && SinceLastSign < Times.Candidate;
+  return !StoreAnswers || SinceLastSign < Times.Reserve;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/fleethost/candidacy.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/candidacy.hpp
@@ -34,15 +34,15 @@
 class Candidacy {
 public:
   /// @brief Starts without a sign of a coordinator.
-  Candidacy(DutyRole Given, CandidacyTimes Spans, TimePoint Now) noexcept
-      : Role(Given), Times(Spans), AloneSince(Now) {}
+  Candidacy(DutyRole Role, CandidacyTimes Times, TimePoint Now) noexcept
+      : Role(Role), Times(Times), LastSignAt(Now) {}
 
   /// @brief Takes a sign that another host coordinates.
   /// @param LeaseIsValid Whether it may act: one that is cut off from the store
   /// may not, and a candidate is to take over from it.
   void recordCoordinator(bool LeaseIsValid, TimePoint Now) noexcept {
     if (LeaseIsValid || Role == DutyRole::Reserve)
-      AloneSince = Now;
+      LastSignAt = Now;
   }
   /// @brief Takes that the store counts this host as a member until a time.
   void recordMembership(TimePoint Until) noexcept {
@@ -54,13 +54,14 @@
 
   /// @brief Whether this host leaves the lease to others.
   /// @param Holds Whether it had the lease last.
-  [[nodiscard]] bool standsAside(bool Holds, TimePoint Now) const noexcept;
+  [[nodiscard]] bool standsAside(bool WasLastHolder,
+                                 TimePoint Now) const noexcept;
 
 private:
   DutyRole Role;
   CandidacyTimes Times;
   /// Since when there has been no sign of a coordinator.
-  TimePoint AloneSince;
+  TimePoint LastSignAt;
   TimePoint MemberUntil{};
   bool StoreAnswers = true;
   /// Whether the store was away since this host was a member.
--- a/packages/process/src/coltsfoottrail/fleethost/changelog.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/changelog.cpp
@@ -9,70 +9,70 @@
 
 /// What is new in an endpoint's record; empty for a mere heartbeat. Seats are
 /// left out: the driver logs its orders and the fate of groups.
-std::string_view whatChanged(const KnownEndpoint *Known,
-                             const EndpointRecord &Record) {
-  if (Known == nullptr)
+std::string_view changeKind(const KnownEndpoint *Entry,
+                            const EndpointRecord &Record) {
+  if (Entry == nullptr)
     return "learned";
-  if (Known->Record.Born != Record.Born)
+  if (Entry->Record.Born != Record.Born)
     return "restarted";
-  if (Known->Record.State != Record.State)
+  if (Entry->Record.State != Record.State)
     return Record.State == EndpointState::Draining ? "draining" : "serving";
-  if (Known->Record.Address != Record.Address)
+  if (Entry->Record.Address != Record.Address)
     return "moved";
-  if (Known->MissingUntil)
+  if (Entry->MissingUntil)
     return "back";
-  if (Record.ColdFor.count() > 0 && !Known->Cold)
+  if (Record.ColdFor.count() > 0 && !Entry->Cold)
     return "cold";
   return {};
 }
 
 } // namespace
 
-void logFeedChanges(const FeedPage &Page, const FleetView &Before,
-                    TimePoint AskedAt, TimePoint Now) {
+void logFeedChanges(const FeedPage &Page, const FleetView &OldView,
+                    TimePoint RequestedAt, TimePoint Now) {
   const auto Age =
-      std::chrono::duration_cast<milliseconds>(Now - AskedAt).count();
+      std::chrono::duration_cast<milliseconds>(Now - RequestedAt).count();
   for (const FleetChange &Change : Page.Changes)
-    std::visit(Overloaded{
-                   [&](const ConfigPublished &One) {
-                     logEvent(
-                         Event::ConfigInForce,
-                         {{"version", One.Config.Version}, {"age_ms", Age}});
-                   },
-                   [&](const DataCentreDrained &One) {
-                     logEvent(Event::Drained, {{"data_centre", One.DataCentre},
-                                               {"drained", true},
-                                               {"age_ms", Age}});
-                   },
-                   [&](const DataCentreReturned &One) {
-                     logEvent(Event::Drained, {{"data_centre", One.DataCentre},
-                                               {"drained", false},
-                                               {"age_ms", Age}});
-                   },
-                   [&](const EndpointPublished &One) {
-                     const std::string_view What = whatChanged(
-                         Before.endpoints().find(One.Record.Name), One.Record);
-                     if (!What.empty())
-                       logEvent(Event::EndpointChanged,
-                                {{"endpoint", One.Record.Name},
-                                 {"what", What},
-                                 {"service", One.Record.Service},
-                                 {"data_centre", One.Record.DataCentre},
-                                 {"sequence", One.Record.Sequence},
-                                 {"age_ms", Age}});
-                   },
-                   [&](const EndpointRemoved &One) {
-                     if (Before.endpoints().find(One.Name) != nullptr)
-                       logEvent(Event::EndpointChanged, {{"endpoint", One.Name},
-                                                         {"what", "removed"},
-                                                         {"age_ms", Age}});
-                   },
-                   [](const UnreadableEntry &One) {
-                     logEvent(Event::EntryUnreadable,
-                              {{"key", One.Key}, {"problem", One.Problem}});
-                   },
-               },
-               Change);
+    std::visit(
+        Overloaded{
+            [&](const ConfigPublished &Item) {
+              logEvent(Event::ConfigInForce,
+                       {{"version", Item.Config.Version}, {"age_ms", Age}});
+            },
+            [&](const DataCentreDrained &Item) {
+              logEvent(Event::Drained, {{"data_centre", Item.DataCentre},
+                                        {"drained", true},
+                                        {"age_ms", Age}});
+            },
+            [&](const DataCentreReturned &Item) {
+              logEvent(Event::Drained, {{"data_centre", Item.DataCentre},
+                                        {"drained", false},
+                                        {"age_ms", Age}});
+            },
+            [&](const EndpointPublished &Item) {
+              const std::string_view ChangeKind = changeKind(
+                  OldView.endpoints().find(Item.Record.Name), Item.Record);
+              if (!ChangeKind.empty())
+                logEvent(Event::EndpointChanged,
+                         {{"endpoint", Item.Record.Name},
+                          {"what", ChangeKind},
+                          {"service", Item.Record.Service},
+                          {"data_centre", Item.Record.DataCentre},
+                          {"sequence", Item.Record.Sequence},
+                          {"age_ms", Age}});
+            },
+            [&](const EndpointRemoved &Item) {
+              if (OldView.endpoints().find(Item.Name) != nullptr)
+                logEvent(Event::EndpointChanged, {{"endpoint", Item.Name},
+                                                  {"what", "removed"},
+                                                  {"age_ms", Age}});
+            },
+            [](const UnreadableEntry &Item) {
+              logEvent(Event::EntryUnreadable,
+                       {{"key", Item.Key}, {"problem", Item.Problem}});
+            },
+        },
+        Change);
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/fleethost/changelog.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/changelog.hpp
@@ -15,8 +15,8 @@
 /// @param Before What this host believed until now.
 /// @param AskedAt When the question left this host.
 /// @param Now The time.
-void logFeedChanges(const FeedPage &Page, const FleetView &Before,
-                    TimePoint AskedAt, TimePoint Now);
+void logFeedChanges(const FeedPage &Page, const FleetView &OldView,
+                    TimePoint RequestedAt, TimePoint Now);
 
 } // namespace coltsfoottrail
 
--- a/packages/process/src/coltsfoottrail/fleethost/dutyterm.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/dutyterm.cpp
@@ -8,39 +8,41 @@
 namespace {
 
 /// Answers that a lease must outlast: the next one, and one more that is lost.
-constexpr int AnswersInALease = 3;
+constexpr int ResponsesPerLease = 3;
 
 } // namespace
 
 milliseconds DutyTerm::lease() const noexcept {
-  const auto Slow =
-      std::chrono::duration_cast<milliseconds>(AnswerTook * AnswersInALease);
-  return std::min(Times.Lease + Slow, Times.LongestLease);
+  const auto ResponseAllowance = std::chrono::duration_cast<milliseconds>(
+      LastResponseTime * ResponsesPerLease);
+  return std::min(Times.Lease + ResponseAllowance, Times.LongestLease);
 }
 
-DutyChange DutyTerm::take(const DutyGrant &Grant, TimePoint AskedAt,
-                          TimePoint Now) {
-  const milliseconds Asked = lease();
-  AnswerTook = Now - AskedAt;
-  const bool Moved =
+DutyChange DutyTerm::applyGrant(const DutyGrant &Grant, TimePoint RequestedAt,
+                                TimePoint Now) {
+  const milliseconds RequestedLease = lease();
+  LastResponseTime = Now - RequestedAt;
+  const bool GenerationChanged =
       std::exchange(Generation, Grant.Generation) != Grant.Generation;
   if (!Grant.Holds)
-    return std::exchange(Held, false) ? DutyChange::Lost : DutyChange::None;
-  const bool Acting = holds(Now);
-  const bool SameTerm = Held && !Over && (Acting || !Moved);
-  Held = true;
-  HeldUntil = AskedAt + Asked - Times.Margin;
+    return std::exchange(LastHolder, false) ? DutyChange::Lost
+                                            : DutyChange::None;
+  const bool LeaseValid = holds(Now);
+  const bool SameTerm =
+      LastHolder && !Superseded && (LeaseValid || !GenerationChanged);
+  LastHolder = true;
+  LeaseEnd = RequestedAt + RequestedLease - Times.Margin;
   if (SameTerm)
     return DutyChange::None;
-  Over = false;
+  Superseded = false;
   Fence = Generation;
   ActFrom = Now + Times.TakeOverPause;
   return DutyChange::Gained;
 }
 
-void DutyTerm::fenced() noexcept {
-  Over = true;
-  HeldUntil = TimePoint{};
+void DutyTerm::recordFenced() noexcept {
+  Superseded = true;
+  LeaseEnd = TimePoint{};
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/fleethost/dutyterm.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/dutyterm.hpp
@@ -41,7 +41,7 @@
 class DutyTerm {
 public:
   /// @brief Starts without the duty.
-  explicit DutyTerm(LeaseTimes Given) : Times(Given) {}
+  explicit DutyTerm(LeaseTimes Times) : Times(Times) {}
 
   /// @brief The lease to ask for now.
   [[nodiscard]] milliseconds lease() const noexcept;
@@ -51,17 +51,18 @@
   /// @param AskedAt When the question left: the store counts the lease from
   /// later on.
   /// @param Now The time.
-  DutyChange take(const DutyGrant &Grant, TimePoint AskedAt, TimePoint Now);
+  DutyChange applyGrant(const DutyGrant &Grant, TimePoint RequestedAt,
+                        TimePoint Now);
 
   /// @brief An engine refused this term's fencing number: another host has the
   /// duty, and this term is over.
-  void fenced() noexcept;
+  void recordFenced() noexcept;
   /// @brief The duty is given up.
-  void giveUp() noexcept { Held = false; }
+  void release() noexcept { LastHolder = false; }
 
   /// @brief Whether this host may act now.
   [[nodiscard]] bool holds(TimePoint Now) const noexcept {
-    return Held && Now < HeldUntil;
+    return LastHolder && Now < LeaseEnd;
   }
   /// @brief Whether it may act on records that were read at a time.
   ///
@@ -76,7 +77,7 @@
            Now - RecordsAsOf < Times.StaleRecords;
   }
   /// @brief Whether it was the last one to have the duty as far as it knows.
-  [[nodiscard]] bool held() const noexcept { return Held; }
+  [[nodiscard]] bool isLastHolder() const noexcept { return LastHolder; }
   /// @brief Fencing number of the term.
   [[nodiscard]] std::uint64_t fence() const noexcept { return Fence; }
   /// @brief The store's generation as last heard; zero for none.
@@ -86,12 +87,12 @@
   LeaseTimes Times;
   std::uint64_t Generation = 0;
   std::uint64_t Fence = 0;
-  bool Held = false;
-  bool Over = false;
-  TimePoint HeldUntil{};
+  bool LastHolder = false;
+  bool Superseded = false;
+  TimePoint LeaseEnd{};
   TimePoint ActFrom{};
   /// How long the last answer took.
-  Duration AnswerTook{};
+  Duration LastResponseTime{};
 };
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/fleethost/eventstreambuffer.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/eventstreambuffer.cpp
@@ -9,29 +9,30 @@
 constexpr std::string_view IdField = "id:";
 
 /// Length up to and with the last empty line; zero when there is none.
-std::size_t wholeLength(std::string_view Text) {
-  const std::size_t Plain = Text.rfind("\n\n");
-  const std::size_t Long = Text.rfind("\n\r\n");
-  const std::size_t PlainEnd = Plain == std::string_view::npos ? 0 : Plain + 2;
-  const std::size_t LongEnd = Long == std::string_view::npos ? 0 : Long + 3;
-  return std::max(PlainEnd, LongEnd);
+std::size_t completeLength(std::string_view Text) {
+  const std::size_t LfPos = Text.rfind("\n\n");
+  const std::size_t CrLfPos = Text.rfind("\n\r\n");
+  const std::size_t LfEnd = LfPos == std::string_view::npos ? 0 : LfPos + 2;
+  const std::size_t CrLfEnd =
+      CrLfPos == std::string_view::npos ? 0 : CrLfPos + 3;
+  return std::max(LfEnd, CrLfEnd);
 }
 
 } // namespace
 
-std::string_view EventStreamBuffer::take(std::string_view Part) {
-  Pending += Part;
-  const std::size_t Length = wholeLength(Pending);
+std::string_view EventStreamBuffer::append(std::string_view Chunk) {
+  Pending += Chunk;
+  const std::size_t Length = completeLength(Pending);
   if (Length == 0)
     return {};
-  Ready.assign(Pending, 0, Length);
+  CompleteEvents.assign(Pending, 0, Length);
   Pending.erase(0, Length);
-  note(Ready);
-  return Ready;
+  recordLastId(CompleteEvents);
+  return CompleteEvents;
 }
 
-void EventStreamBuffer::note(std::string_view Events) {
-  Any = true;
+void EventStreamBuffer::recordLastId(std::string_view Events) {
+  HasReleased = true;
   while (!Events.empty()) {
     const std::size_t End = std::min(Events.find('\n'), Events.size());
     std::string_view Line = Events.substr(0, End);
--- a/packages/process/src/coltsfoottrail/fleethost/eventstreambuffer.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/eventstreambuffer.hpp
@@ -15,25 +15,25 @@
   /// @brief Takes bytes as they came.
   /// @param Part Any part of the stream.
   /// @return Whole events to pass on; valid until the next call.
-  [[nodiscard]] std::string_view take(std::string_view Part);
+  [[nodiscard]] std::string_view append(std::string_view Chunk);
 
   /// @brief Drops a part of an event that a broken stream left.
   void dropPartial() noexcept { Pending.clear(); }
 
   /// @brief Whether the last byte taken ended an event.
-  [[nodiscard]] bool whole() const noexcept { return Pending.empty(); }
+  [[nodiscard]] bool endsOnBoundary() const noexcept { return Pending.empty(); }
   /// @brief Id of the last event passed on; empty when it bore none.
   [[nodiscard]] const std::string &lastId() const noexcept { return LastId; }
   /// @brief Whether an event has been passed on.
-  [[nodiscard]] bool any() const noexcept { return Any; }
+  [[nodiscard]] bool hasReleased() const noexcept { return HasReleased; }
 
 private:
-  void note(std::string_view Events);
+  void recordLastId(std::string_view Events);
 
   std::string Pending;
-  std::string Ready;
+  std::string CompleteEvents;
   std::string LastId;
-  bool Any = false;
+  bool HasReleased = false;
 };
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/fleethost/feeds.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/feeds.cpp
@@ -15,12 +15,12 @@
 /// What an upstream relayed stands in for own reads while it is no older than
 /// this part of the time in which a configuration must be in force: an own read
 /// and one more still fit in.
-constexpr double OperatorsCoverPart = 0.55;
-constexpr milliseconds LongestOperatorsCover{2'400};
+constexpr double OperatorsCoverFraction = 0.55;
+constexpr milliseconds MaxOperatorsCover{2'400};
 /// An upstream that has relayed no endpoints for so long, while this host's own
 /// reads are answered, is abandoned; less often while that changes nothing.
 constexpr milliseconds UselessUpstreamAfter{1'000};
-constexpr milliseconds LongestAbandonPause{8'000};
+constexpr milliseconds MaxAbandonPause{8'000};
 /// How long a host that does not coordinate waits for an upstream to relay the
 /// feeds before it reads them itself, and the spread over hosts that start
 /// together. There is no coordinator at first when all hosts are new.
@@ -31,58 +31,58 @@
 /// time, apart from the hosts that read for others; a host waits no longer than
 /// the second.
 constexpr milliseconds FailedReadEvery{20};
-constexpr milliseconds LongestFailurePause{8'000};
+constexpr milliseconds MaxFailurePause{8'000};
 
 milliseconds operatorsCover(const FleetBounds &Bounds) {
-  const auto Part = std::chrono::duration_cast<milliseconds>(
-      Bounds.Configuration * OperatorsCoverPart);
-  return std::min(LongestOperatorsCover, Part);
+  const auto Cover = std::chrono::duration_cast<milliseconds>(
+      Bounds.Configuration * OperatorsCoverFraction);
+  return std::min(MaxOperatorsCover, Cover);
 }
 
 } // namespace
 
-void FleetHost::ingestPage(Feed Which, FeedPage Page, bool Whole,
-                           TimePoint AskedAt) {
+void FleetHost::ingestPage(Feed FeedId, FeedPage Page, bool IsSnapshot,
+                           TimePoint RequestedAt) {
   if (!std::exchange(StoreAnswers, true)) {
     logEvent(Event::StoreRegained);
-    Desk.recordStore(true, BootClock::now());
-    follower(Which == Feed::Operators ? Feed::Endpoints : Feed::Operators)
-        .hurry();
-    Desk.hurry();
+    Coordinator.recordStore(true, BootClock::now());
+    follower(FeedId == Feed::Operators ? Feed::Endpoints : Feed::Operators)
+        .readNow();
+    Coordinator.renewNow();
   }
   const TimePoint Now = BootClock::now();
-  logFeedChanges(Page, View, AskedAt, Now);
+  logFeedChanges(Page, View, RequestedAt, Now);
   const std::vector<RoutingEffect> Effects =
-      View.take(Which, Page, Whole, AskedAt, Now);
-  share(Which, Page, Effects, Whole, AskedAt);
+      View.ingest(FeedId, Page, IsSnapshot, RequestedAt, Now);
+  shareFeed(FeedId, Page, Effects, IsSnapshot, RequestedAt);
   refreshRoutes();
   reportClosedLeaders();
-  Desk.lookNow();
+  Coordinator.planNow();
 }
 
 // A coordinator forms groups of endpoints that routing does not need to know.
 void FleetHost::readAllEndpoints() {
   if (View.knowsAllEndpoints())
-    Endpoints.hurry();
+    Endpoints.readNow();
   else if (Endpoints.next())
     Endpoints.restart();
 }
 
 // Without a configuration engines cannot be told from plain services, and all
 // of them would be relayed: the endpoints are shared from the next whole read.
-void FleetHost::share(Feed Which, const FeedPage &Page,
-                      std::span<const RoutingEffect> Effects, bool Whole,
-                      TimePoint AsOf) {
-  if (Which == Feed::Endpoints && !View.config()) {
-    EndpointsUnsorted = true;
+void FleetHost::shareFeed(Feed FeedId, const FeedPage &Page,
+                          std::span<const RoutingEffect> Effects,
+                          bool IsSnapshot, TimePoint AsOf) {
+  if (FeedId == Feed::Endpoints && !View.config()) {
+    EndpointsReadBeforeConfig = true;
     return;
   }
-  if (Which == Feed::Endpoints && Whole)
-    EndpointsUnsorted = false;
-  if (Which == Feed::Operators && View.config() && EndpointsUnsorted)
+  if (FeedId == Feed::Endpoints && IsSnapshot)
+    EndpointsReadBeforeConfig = false;
+  if (FeedId == Feed::Operators && View.config() && EndpointsReadBeforeConfig)
     Endpoints.restart();
-  if (Which == Feed::Operators || !EndpointsUnsorted)
-    Link.ingest(Which, Page, Effects, Whole, AsOf);
+  if (FeedId == Feed::Operators || !EndpointsReadBeforeConfig)
+    Link.ingest(FeedId, Page, Effects, IsSnapshot, AsOf);
 }
 
 // Hosts that start together would each read the whole fleet from the store. The
@@ -91,138 +91,143 @@
 void FleetHost::deferOwnReads() {
   if (dutyRole() == DutyRole::Candidate)
     return;
-  const milliseconds Usual =
+  const milliseconds Delay =
       Settings.FirstStart ? RelayedFirstStart : RelayedStart;
   const auto Spread = std::chrono::duration_cast<milliseconds>(
       RelayedStartSpread * Draw.fraction());
-  const TimePoint Until = BootClock::now() + Usual + Spread;
+  const TimePoint Until = BootClock::now() + Delay + Spread;
   Operators.defer(Until);
   Endpoints.defer(Until);
 }
 
 TreeLinkHooks FleetHost::linkHooks() {
-  TreeLinkHooks Out;
-  Out.Coordinates = [this] { return Desk.held(); };
-  Out.HoldsLease = [this] { return Desk.holds(BootClock::now()); };
-  Out.MakeReport = [this] { return ownReport(); };
-  Out.Apply = [this](const Report &Sent, Response Answer, TimePoint SentAt) {
-    applyResponse(Sent, std::move(Answer), SentAt);
+  TreeLinkHooks Result;
+  Result.Coordinates = [this] { return Coordinator.isLastHolder(); };
+  Result.HoldsLease = [this] { return Coordinator.holds(BootClock::now()); };
+  Result.MakeReport = [this] { return ownReport(); };
+  Result.Apply = [this](const Report &SentReport, Response Answer,
+                        TimePoint SentAt) {
+    applyResponse(SentReport, std::move(Answer), SentAt);
   };
-  Out.Stalled = [this](const std::string &Endpoint) {
-    Desk.askAbout(Endpoint, Threads.context(0).get_executor());
+  Result.Stalled = [this](const std::string &Endpoint) {
+    Coordinator.probeMembers(Endpoint, Threads.context(0).get_executor());
   };
-  return Out;
+  return Result;
 }
 
 Report FleetHost::ownReport() const {
-  Report Out;
-  Out.DataCentre = Settings.DataCentre;
-  Out.CanRelay = dutyRole() == DutyRole::Candidate;
-  Out.WantsAll = Out.CanRelay;
-  Out.Loads = Routing.ownLoads();
-  const auto Describe = [&Out](Feed Which, const FeedFollower &Its) {
-    if (!Its.next() && !Out.WantsAll)
-      Out.Missing.insert(Which);
-    else if (!Its.next())
+  Report Result;
+  Result.DataCentre = Settings.DataCentre;
+  Result.CanRelay = dutyRole() == DutyRole::Candidate;
+  Result.WantsAll = Result.CanRelay;
+  Result.Loads = Routing.ownLoads();
+  const auto Describe = [&Result](Feed FeedId, const FeedFollower &Follower) {
+    if (!Follower.next() && !Result.WantsAll)
+      Result.Missing.insert(FeedId);
+    else if (!Follower.next())
       return;
-    else if (!Its.isBehind())
-      Out.Next[Which] = *Its.next();
+    else if (!Follower.isBehind())
+      Result.Next[FeedId] = *Follower.next();
   };
   Describe(Feed::Operators, Operators);
   Describe(Feed::Endpoints, Endpoints);
-  return Out;
+  return Result;
 }
 
-void FleetHost::applyResponse(const Report &Sent, Response Answer,
+void FleetHost::applyResponse(const Report &SentReport, Response Answer,
                               TimePoint SentAt) {
   if (Answer.CoordinatorHeard || Answer.LeaseHeard)
-    Desk.recordCoordinator(Answer.LeaseHeard, BootClock::now());
+    Coordinator.recordCoordinator(Answer.LeaseHeard, BootClock::now());
   Routing.shareLoads(Answer.Loads);
-  for (const auto &[Which, Update] : Answer.Feeds) {
-    const auto Next = Sent.Next.find(Which);
-    applyUpdate(Which,
-                Next == Sent.Next.end() ? std::nullopt
-                                        : std::optional<Offset>(Next->second),
+  for (const auto &[FeedId, Update] : Answer.Feeds) {
+    const auto Next = SentReport.Next.find(FeedId);
+    applyUpdate(FeedId,
+                Next == SentReport.Next.end()
+                    ? std::nullopt
+                    : std::optional<Offset>(Next->second),
                 Update, SentAt);
   }
-  for (const Feed Which : Answer.Truncated)
-    readTruncated(Which, Sent);
+  for (const Feed FeedId : Answer.Truncated)
+    readTruncated(FeedId, SentReport);
   watchUpstream(BootClock::now());
 }
 
 /// The upstream no longer has what this host lacks.
-void FleetHost::readTruncated(Feed Which, const Report &Sent) {
-  FeedFollower &Its = follower(Which);
-  const auto Next = Sent.Next.find(Which);
-  if (Next == Sent.Next.end()) {
-    if (!Its.next())
-      Its.endDeferral();
-  } else if (Its.next() == Next->second)
-    Its.fallBehind();
+void FleetHost::readTruncated(Feed FeedId, const Report &SentReport) {
+  FeedFollower &Follower = follower(FeedId);
+  const auto Next = SentReport.Next.find(FeedId);
+  if (Next == SentReport.Next.end()) {
+    if (!Follower.next())
+      Follower.endDeferral();
+  } else if (Follower.next() == Next->second)
+    Follower.markBehind();
 }
 
 // A coordinator that is cut off from the store answers on but relays nothing to
 // hosts that know more than it does.
 void FleetHost::watchUpstream(TimePoint Now) {
-  const bool Useless = StoreAnswers && Now - RelayedAt > UselessUpstreamAfter;
+  const bool Useless =
+      StoreAnswers && Now - EndpointsRelayedAt > UselessUpstreamAfter;
   if (!Useless) {
     AbandonPause = UselessUpstreamAfter;
     return;
   }
-  if (Now < AbandonAgainAt)
+  if (Now < NextAbandonAt)
     return;
   Link.abandonUpstream();
-  AbandonAgainAt = Now + AbandonPause;
-  AbandonPause = std::min(2 * AbandonPause, LongestAbandonPause);
+  NextAbandonAt = Now + AbandonPause;
+  AbandonPause = std::min(2 * AbandonPause, MaxAbandonPause);
 }
 
-FeedPage FleetHost::decodeUpdate(Feed Which, std::optional<Offset> From,
+FeedPage FleetHost::decodeUpdate(Feed FeedId, std::optional<Offset> From,
                                  const FeedUpdate &Update) const {
-  FeedPage Out;
-  Out.From = From.value_or(Update.Next);
-  Out.Next = Update.Next;
-  Out.End = Update.Next;
-  Out.Projected = Update.Projected;
-  for (const RelayedRecord &Each : Update.Records)
-    if (auto Decoded = Platform.Store.decode(Which, Each.Bytes)) {
-      Out.Changes.push_back(std::move(Decoded->Change));
-      Out.Raw.push_back({Each.At, std::move(Decoded->Key), Each.Bytes});
+  FeedPage Result;
+  Result.From = From.value_or(Update.Next);
+  Result.Next = Update.Next;
+  Result.End = Update.Next;
+  Result.Projected = Update.Projected;
+  for (const RelayedRecord &Relayed : Update.Records)
+    if (auto Decoded = Platform.Store.decode(FeedId, Relayed.Bytes)) {
+      Result.Changes.push_back(std::move(Decoded->Change));
+      Result.Raw.push_back(
+          {Relayed.At, std::move(Decoded->Key), Relayed.Bytes});
     }
-  return Out;
+  return Result;
 }
 
 // The store was read at least Staleness before the response left, and the
 // response left after this host's report: what it relays is at least as new as
 // SentAt - Staleness, by this host's clock alone.
-void FleetHost::applyUpdate(Feed Which, std::optional<Offset> From,
+void FleetHost::applyUpdate(Feed FeedId, std::optional<Offset> From,
                             const FeedUpdate &Update, TimePoint SentAt) {
   // A response of the former coordinator may arrive after this host has read
   // all records; projected ones must not take their place.
-  if (Desk.held())
+  if (Coordinator.isLastHolder())
     return;
-  FeedFollower &Its = follower(Which);
+  FeedFollower &Follower = follower(FeedId);
   if (Update.Snapshot == From.has_value())
     return;
-  if (From ? !Its.accepts(*From, Update.Next) : Its.next().has_value())
+  if (From ? !Follower.canAcceptChanges(*From, Update.Next)
+           : Follower.next().has_value())
     return;
   const TimePoint AsOf = SentAt - Update.Staleness;
   const TimePoint CoveredUntil =
-      AsOf + (Which == Feed::Operators ? operatorsCover(Settings.Bounds)
-                                       : followerSpacing());
+      AsOf + (FeedId == Feed::Operators ? operatorsCover(Settings.Bounds)
+                                        : followerSpacing());
   const TimePoint Now = BootClock::now();
   if (CoveredUntil <= Now)
     return;
-  if (Which == Feed::Endpoints)
-    RelayedAt = Now;
-  const FeedPage Page = decodeUpdate(Which, From, Update);
+  if (FeedId == Feed::Endpoints)
+    EndpointsRelayedAt = Now;
+  const FeedPage Page = decodeUpdate(FeedId, From, Update);
   if (Update.Snapshot)
-    Its.adopt(Update.Next, CoveredUntil);
+    Follower.acceptSnapshot(Update.Next, CoveredUntil);
   else
-    Its.cover(Update.Next, CoveredUntil);
+    Follower.acceptChanges(Update.Next, CoveredUntil);
   logFeedChanges(Page, View, AsOf, Now);
   const std::vector<RoutingEffect> Effects =
-      View.take(Which, Page, Update.Snapshot, AsOf, Now);
-  share(Which, Page, Effects, Update.Snapshot, AsOf);
+      View.ingest(FeedId, Page, Update.Snapshot, AsOf, Now);
+  shareFeed(FeedId, Page, Effects, Update.Snapshot, AsOf);
   refreshRoutes();
   reportClosedLeaders();
 }
@@ -232,44 +237,44 @@
     Routing.observeClosed(Leader.Pool, Leader.Key);
 }
 
-void FleetHost::readFailed(Feed Which) {
-  Desk.recordStore(false, BootClock::now());
+void FleetHost::readFailed(Feed FeedId) {
+  Coordinator.recordStore(false, BootClock::now());
   if (std::exchange(StoreAnswers, false))
     logEvent(Event::StoreLost,
-             {{"feed", Which == Feed::Operators ? "operators" : "endpoints"}});
+             {{"feed", FeedId == Feed::Operators ? "operators" : "endpoints"}});
 }
 
 // Bounds the reads of the whole fleet while the store is away: an upstream that
 // answers reads for this host and relays as soon as the store is back.
-void FleetHost::shareReads(std::size_t Hosts, TimePoint Now) {
-  const bool ReadFor = Link.hearsUpstream(Now);
+void FleetHost::limitFailedReads(std::size_t Hosts, TimePoint Now) {
+  const bool HasUpstream = Link.hearsUpstream(Now);
   const double Spread = 0.5 + Draw.fraction();
   const auto Pause = std::chrono::duration_cast<milliseconds>(
       FailedReadEvery * double(Hosts) * Spread);
-  const milliseconds Shortest =
-      ReadFor ? std::min(Pause, LongestFailurePause) : milliseconds(0);
-  Operators.pauseAfterFailure(Shortest);
-  Endpoints.pauseAfterFailure(Shortest);
-  OwnPause = Shortest;
+  const milliseconds MinPause =
+      HasUpstream ? std::min(Pause, MaxFailurePause) : milliseconds(0);
+  Operators.setMinFailurePause(MinPause);
+  Endpoints.setMinFailurePause(MinPause);
+  FailedReadPause = MinPause;
 }
 
-void FleetHost::logConfigProof(TimePoint Now) {
-  const bool Proved = View.routesFresh(Now);
-  if (!View.config() || Proved == std::exchange(ConfigProved, Proved))
+void FleetHost::logConfigFreshness(TimePoint Now) {
+  const bool IsFresh = View.routesFresh(Now);
+  if (!View.config() || IsFresh == std::exchange(ConfigWasFresh, IsFresh))
     return;
-  const auto Since = [Now](TimePoint At) {
-    return std::chrono::duration_cast<milliseconds>(Now - At).count();
+  const auto MillisecondsSince = [Now](TimePoint Time) {
+    return std::chrono::duration_cast<milliseconds>(Now - Time).count();
   };
   const auto Age =
       std::chrono::duration_cast<milliseconds>(View.configAge(Now)).count();
-  logEvent(Proved ? Event::ConfigFresh : Event::ConfigStale,
+  logEvent(IsFresh ? Event::ConfigFresh : Event::ConfigStale,
            {{"version", View.config()->version()},
             {"age_ms", Age},
             {"store_answers", StoreAnswers},
-            {"own_pause_ms", OwnPause.count()},
+            {"own_pause_ms", FailedReadPause.count()},
             {"upstream_heard", Link.hearsUpstream(Now)},
-            {"relayed_ms", Since(RelayedAt)},
-            {"coordinates", Desk.held()}});
+            {"relayed_ms", MillisecondsSince(EndpointsRelayedAt)},
+            {"coordinates", Coordinator.isLastHolder()}});
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/fleethost/groupcoordinator.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/groupcoordinator.cpp
@@ -73,178 +73,182 @@
 
 } // namespace
 
-GroupCoordinator::GroupCoordinator(FleetStore &Where, FleetEngines &Given,
-                                   const FleetView &Believed,
-                                   const SilenceWatch &Heard,
-                                   std::string Member, AssemblyTimes Wanted,
-                                   Candidacy Rule)
-    : Store(Where), Engines(Given), View(Believed), Silence(Heard),
-      Self(std::move(Member)), Times(Wanted), Election(Rule) {}
+GroupCoordinator::GroupCoordinator(FleetStore &Store, FleetEngines &Engines,
+                                   const FleetView &View,
+                                   const SilenceWatch &Silence,
+                                   std::string Member, AssemblyTimes Times,
+                                   Candidacy Election)
+    : Store(Store), Engines(Engines), View(View), Silence(Silence),
+      Self(std::move(Member)), Times(Times), Election(Election) {}
 
 Awaitable<void> GroupCoordinator::holdDuty() {
-  Renewal.emplace(co_await asio::this_coro::executor);
-  const TimePoint Began = BootClock::now();
-  milliseconds Next = Pace.RenewEvery;
+  RenewalTimer.emplace(co_await asio::this_coro::executor);
+  const TimePoint StartedAt = BootClock::now();
+  milliseconds Next = Timing.RenewEvery;
   while (!Leaving) {
-    const TimePoint AskedAt = BootClock::now();
-    if (Election.standsAside(Term.held(), AskedAt)) {
-      co_await pauseRenewal(Pace.StandAsideLook);
+    const TimePoint RequestedAt = BootClock::now();
+    if (Election.standsAside(Term.isLastHolder(), RequestedAt)) {
+      co_await pauseRenewal(Timing.StandAsidePoll);
       continue;
     }
-    if (Term.held() && !Term.holds(AskedAt) && co_await isSucceeded()) {
+    if (Term.isLastHolder() && !Term.holds(RequestedAt) &&
+        co_await hasSuccessor()) {
       endTerm();
       continue;
     }
-    DutyAsk Ask;
-    Ask.Member = Self;
+    DutyAsk Request;
+    Request.Member = Self;
     const milliseconds Lease = Term.lease();
-    Ask.Lease = Lease;
-    Ask.Generation = Term.generation();
-    const auto Answer = co_await Store.joinDuty(std::move(Ask));
+    Request.Lease = Lease;
+    Request.Generation = Term.generation();
+    const auto Answer = co_await Store.joinDuty(std::move(Request));
     if (const auto *const Grant = std::get_if<DutyGrant>(&Answer)) {
-      Election.recordMembership(AskedAt + Lease);
-      take(*Grant, AskedAt);
+      Election.recordMembership(RequestedAt + Lease);
+      applyGrant(*Grant, RequestedAt);
     }
     const bool Answered = std::holds_alternative<DutyGrant>(Answer);
-    Next =
-        Answered ? Pace.RenewEvery : std::min(2 * Next, Pace.LongestRenewPause);
-    const bool Settling = BootClock::now() - Began < Pace.SettleTime;
-    co_await pauseRenewal(Settling ? Pace.SettleEvery : Next);
+    Next = Answered ? Timing.RenewEvery
+                    : std::min(2 * Next, Timing.LongestRenewPause);
+    const bool Settling = BootClock::now() - StartedAt < Timing.StartupTime;
+    co_await pauseRenewal(Settling ? Timing.StartupRenewEvery : Next);
   }
 }
 
 // A host that was cut off from the store alone reports to nobody and does not
 // hear of its successor. Were it to ask for the lease, the store would deal it
 // out anew.
-Awaitable<bool> GroupCoordinator::isSucceeded() {
+Awaitable<bool> GroupCoordinator::hasSuccessor() {
   const auto Answer = co_await Store.dutyHolder();
   const auto *const Holder = std::get_if<std::string>(&Answer);
   co_return Holder != nullptr && !Holder->empty() && *Holder != Self;
 }
 
 void GroupCoordinator::endTerm() {
-  Term.giveUp();
+  Term.release();
   Election.recordCoordinator(true, BootClock::now());
   logEvent(Event::DutyLost, {{"generation", Term.generation()}});
-  if (Changed)
-    Changed(false);
+  if (OnDutyChange)
+    OnDutyChange(false);
 }
 
-Awaitable<void> GroupCoordinator::pauseRenewal(milliseconds Span) {
-  Renewal->expires_after(Span);
-  boost::system::error_code Hurried;
-  co_await Renewal->async_wait(
-      asio::redirect_error(asio::use_awaitable, Hurried));
+Awaitable<void> GroupCoordinator::pauseRenewal(milliseconds Pause) {
+  RenewalTimer->expires_after(Pause);
+  boost::system::error_code Cancelled;
+  co_await RenewalTimer->async_wait(
+      asio::redirect_error(asio::use_awaitable, Cancelled));
 }
 
-void GroupCoordinator::take(const DutyGrant &Grant, TimePoint AskedAt) {
+void GroupCoordinator::applyGrant(const DutyGrant &Grant,
+                                  TimePoint RequestedAt) {
   const TimePoint Now = BootClock::now();
-  const DutyChange What = Term.take(Grant, AskedAt, Now);
-  if (What == DutyChange::None)
+  const DutyChange Change = Term.applyGrant(Grant, RequestedAt, Now);
+  if (Change == DutyChange::None)
     return;
-  const bool Gained = What == DutyChange::Gained;
+  const bool Gained = Change == DutyChange::Gained;
   if (Gained) {
     logEvent(Event::DutyGained, {{"fence", Term.fence()}});
-    for (auto &[Name, Each] : Assemblers)
-      Each.begin(Now);
+    for (auto &[Name, ServiceAssembler] : Assemblers)
+      ServiceAssembler.begin(Now);
   } else
     logEvent(Event::DutyLost, {{"generation", Term.generation()}});
-  if (Changed)
-    Changed(Gained);
+  if (OnDutyChange)
+    OnDutyChange(Gained);
 }
 
-Awaitable<void> GroupCoordinator::drive() {
+Awaitable<void> GroupCoordinator::driveGroups() {
   Executor = co_await asio::this_coro::executor;
   asio::steady_timer Pause(*Executor);
   while (true) {
-    lookNow();
-    Pause.expires_after(Pace.LookEvery);
+    planNow();
+    Pause.expires_after(Timing.PlanEvery);
     co_await Pause.async_wait(asio::use_awaitable);
   }
 }
 
-void GroupCoordinator::lookNow() {
+void GroupCoordinator::planNow() {
   if (Executor)
-    look(BootClock::now(), *Executor);
+    planGroups(BootClock::now(), *Executor);
 }
 
-void GroupCoordinator::look(TimePoint Now, const asio::any_io_executor &On) {
+void GroupCoordinator::planGroups(TimePoint Now,
+                                  const asio::any_io_executor &Executor) {
   if (!Term.mayAct(Now, View.allEndpointsAsOf()) || !View.config())
     return;
   for (const ServiceProfile &Service : View.config()->config().Services) {
     if (!Service.Engine || Service.Engine->Models.empty())
       continue;
-    auto Found = Assemblers.find(Service.Name);
-    if (Found == Assemblers.end()) {
-      Found = Assemblers.emplace(Service.Name, Assembler(Times)).first;
-      Found->second.begin(Now);
+    auto It = Assemblers.find(Service.Name);
+    if (It == Assemblers.end()) {
+      It = Assemblers.emplace(Service.Name, Assembler(Times)).first;
+      It->second.begin(Now);
     }
-    const AssemblyView Seen{View.endpoints(), Service, View.drained(),
-                            Term.fence(),     Begun,   ordersLeft()};
-    for (SeatCommand &Command : Found->second.plan(Seen, Now)) {
-      if (Moving && !std::holds_alternative<StageModel>(Command.Order))
-        Moving();
-      ++OrdersUnderWay;
-      asio::co_spawn(On, carryOut(std::move(Command), Term.fence()),
+    const AssemblyView Snapshot{View.endpoints(), Service,    View.drained(),
+                                Term.fence(),     HasCallers, freeOrders()};
+    for (SeatCommand &Command : It->second.plan(Snapshot, Now)) {
+      if (OnSeatOrders && !std::holds_alternative<StageModel>(Command.Order))
+        OnSeatOrders();
+      ++OrdersInFlight;
+      asio::co_spawn(Executor, execute(std::move(Command), Term.fence()),
                      asio::detached);
     }
-    for (MemberQuestion &Each : Found->second.takeQuestions())
-      asio::co_spawn(On, askMissing(Service.Name, std::move(Each)),
+    for (MemberQuestion &Question : It->second.takeQuestions())
+      asio::co_spawn(Executor, probeMissing(Service.Name, std::move(Question)),
                      asio::detached);
-    logSummary(Found->second, Seen, Now);
+    logSummary(It->second, Snapshot, Now);
   }
   if (Now >= SummaryDue)
-    SummaryDue = Now + Pace.SummaryEvery;
-  logNotes();
+    SummaryDue = Now + Timing.SummaryEvery;
+  logGroupNotes();
 }
 
-std::size_t GroupCoordinator::ordersLeft() const noexcept {
-  return Pace.MostOrders - std::min(Pace.MostOrders, OrdersUnderWay);
+std::size_t GroupCoordinator::freeOrders() const noexcept {
+  return Timing.MaxOrdersInFlight -
+         std::min(Timing.MaxOrdersInFlight, OrdersInFlight);
 }
 
-void GroupCoordinator::logSummary(const Assembler &Of, const AssemblyView &Seen,
-                                  TimePoint Now) {
+void GroupCoordinator::logSummary(const Assembler &ServiceAssembler,
+                                  const AssemblyView &Snapshot, TimePoint Now) {
   if (Now < SummaryDue)
     return;
-  for (const DomainSummary &Each : Of.summary(Seen, Now)) {
-    std::string With;
-    for (const auto &[Model, Count] : Each.FreeWith)
-      With +=
-          (With.empty() ? "" : ",") + Model.Text + ":" + std::to_string(Count);
-    logEvent(Event::DomainState, {{"data_centre", Each.DataCentre},
-                                  {"domain", Each.Domain},
-                                  {"open", Each.Open},
-                                  {"other_seats", Each.OtherSeats},
-                                  {"free", Each.Free},
-                                  {"free_with", With},
-                                  {"loading", Each.Loading},
-                                  {"locked", Each.Locked}});
+  for (const DomainSummary &Summary : ServiceAssembler.summary(Snapshot, Now)) {
+    std::string FreeByModel;
+    for (const auto &[Model, Count] : Summary.FreeWith)
+      FreeByModel += (FreeByModel.empty() ? "" : ",") + Model.Text + ":" +
+                     std::to_string(Count);
+    logEvent(Event::DomainState, {{"data_centre", Summary.DataCentre},
+                                  {"domain", Summary.Domain},
+                                  {"open", Summary.Open},
+                                  {"other_seats", Summary.OtherSeats},
+                                  {"free", Summary.Free},
+                                  {"free_with", FreeByModel},
+                                  {"loading", Summary.Loading},
+                                  {"locked", Summary.Locked}});
   }
 }
 
-Awaitable<void> GroupCoordinator::carryOut(SeatCommand Command,
-                                           std::uint64_t Fence) {
-  const EndpointName To = Command.To;
+Awaitable<void> GroupCoordinator::execute(SeatCommand Command,
+                                          std::uint64_t Fence) {
+  const EndpointName Target = Command.To;
   const SeatOrder Order = Command.Order;
   const OrderOutcome Outcome =
-      co_await Engines.order(Command.Address, To, Order, Fence);
-  --OrdersUnderWay;
+      co_await Engines.order(Command.Address, Target, Order, Fence);
+  --OrdersInFlight;
   logEvent(Event::SeatOrdered, {{"order", orderName(Order)},
-                                {"endpoint", To},
+                                {"endpoint", Target},
                                 {"epoch", epochOf(Order)},
                                 {"fence", Fence},
                                 {"outcome", outcomeName(Outcome)}});
-  for (auto &[Name, Each] : Assemblers)
+  for (auto &[Name, ServiceAssembler] : Assemblers)
     if (Fence == Term.fence())
-      Each.ordered(To, Order, Outcome, BootClock::now());
+      ServiceAssembler.ordered(Target, Order, Outcome, BootClock::now());
   // Another host has the duty: nothing more is ordered under this number.
   if (Outcome == OrderOutcome::Fenced && Fence == Term.fence())
-    Term.fenced();
+    Term.recordFenced();
 }
 
-void GroupCoordinator::logNotes() {
-  for (auto &[Name, Each] : Assemblers)
-    for (const GroupNote &Note : Each.takeNotes())
+void GroupCoordinator::logGroupNotes() {
+  for (auto &[Name, ServiceAssembler] : Assemblers)
+    for (const GroupNote &Note : ServiceAssembler.takeNotes())
       logEvent(Event::GroupChanged, {{"fate", fateName(Note.Fate)},
                                      {"group", Note.Group},
                                      {"model", Note.Model},
@@ -254,46 +258,47 @@
 
 Awaitable<void> GroupCoordinator::leave() {
   Leaving = true;
-  Term.giveUp();
+  Term.release();
   co_await Store.leaveDuty(Self);
 }
 
 /// Members of one leader, and which of them answered.
-struct GroupCoordinator::Inquiry {
+struct GroupCoordinator::ProbeRound {
   std::string Leader;
   std::vector<EndpointName> Members;
   std::vector<bool> Answered;
-  std::size_t Left = 0;
+  std::size_t Pending = 0;
 };
 
-void GroupCoordinator::askAbout(const std::string &Leader,
-                                const asio::any_io_executor &On) {
+void GroupCoordinator::probeMembers(const std::string &Leader,
+                                    const asio::any_io_executor &Executor) {
   const TimePoint Now = BootClock::now();
-  std::erase_if(NotAskedBefore,
-                [&](const auto &Entry) { return Entry.second <= Now; });
-  if (!holds(Now) || NotAskedBefore.contains(Leader))
+  std::erase_if(NextProbeAt,
+                [&](const auto &Probe) { return Probe.second <= Now; });
+  if (!holds(Now) || NextProbeAt.contains(Leader))
     return;
-  auto Round = std::make_shared<Inquiry>();
+  auto Round = std::make_shared<ProbeRound>();
   Round->Leader = Leader;
-  for (auto &[Name, Each] : Assemblers)
-    for (const EndpointName &Member : Each.membersWith(EndpointName(Leader)))
+  for (auto &[Name, ServiceAssembler] : Assemblers)
+    for (const EndpointName &Member :
+         ServiceAssembler.membersWith(EndpointName(Leader)))
       Round->Members.push_back(Member);
   if (Round->Members.empty())
     return;
-  NotAskedBefore[Leader] = Now + Pace.AskAgainAfter;
+  NextProbeAt[Leader] = Now + Timing.ProbeAgainAfter;
   Round->Answered.resize(Round->Members.size());
-  Round->Left = Round->Members.size();
+  Round->Pending = Round->Members.size();
   for (std::size_t Index = 0; Index < Round->Members.size(); ++Index)
-    asio::co_spawn(On, ask(Round, Index), asio::detached);
+    asio::co_spawn(Executor, probeMember(Round, Index), asio::detached);
 }
 
 /// Throws when there is no answer.
-Awaitable<void> GroupCoordinator::answersLater(EngineAddress Address,
-                                               EndpointName Name,
-                                               milliseconds After) {
+Awaitable<void> GroupCoordinator::probeAfter(EngineAddress Address,
+                                             EndpointName Name,
+                                             milliseconds After) {
   asio::steady_timer Pause(co_await asio::this_coro::executor, After);
   co_await Pause.async_wait(asio::use_awaitable);
-  if (!co_await Engines.answers(Address, Name, Pace.AnswerWithin - After))
+  if (!co_await Engines.answers(Address, Name, Timing.ProbeTimeout - After))
     throw Error("no answer");
 }
 
@@ -301,50 +306,51 @@
 // dead, and its group is closed. With one packet in forty lost, a tenth of the
 // questions stays without an answer in time; of three in parallel, one in a
 // thousand. Asked one after the other they would take three times as long.
-Awaitable<bool> GroupCoordinator::answers(EngineAddress Address,
+Awaitable<bool> GroupCoordinator::isAlive(EngineAddress Address,
                                           EndpointName Name) {
   using namespace asio::experimental::awaitable_operators;
   try {
-    co_await (answersLater(Address, Name, milliseconds(0)) ||
-              answersLater(Address, Name, Pace.AskAgainEvery) ||
-              answersLater(Address, Name, 2 * Pace.AskAgainEvery));
+    co_await (probeAfter(Address, Name, milliseconds(0)) ||
+              probeAfter(Address, Name, Timing.ProbeRetryEvery) ||
+              probeAfter(Address, Name, 2 * Timing.ProbeRetryEvery));
   } catch (const std::exception &) {
     co_return false;
   }
   co_return true;
 }
 
-Awaitable<void> GroupCoordinator::askMissing(ServiceName Service,
-                                             MemberQuestion Whom) {
-  const bool Alive = co_await answers(Whom.Address, Whom.Name);
-  logEvent(Event::MissingAsked, {{"endpoint", Whom.Name}, {"alive", Alive}});
-  if (const auto Found = Assemblers.find(Service); Found != Assemblers.end())
-    Found->second.asked(Whom.Name, Alive, BootClock::now());
+Awaitable<void> GroupCoordinator::probeMissing(ServiceName Service,
+                                               MemberQuestion Question) {
+  const bool Alive = co_await isAlive(Question.Address, Question.Name);
+  logEvent(Event::MissingAsked,
+           {{"endpoint", Question.Name}, {"alive", Alive}});
+  if (const auto It = Assemblers.find(Service); It != Assemblers.end())
+    It->second.asked(Question.Name, Alive, BootClock::now());
   if (!Alive)
-    lookNow();
+    planNow();
 }
 
-Awaitable<void> GroupCoordinator::ask(std::shared_ptr<Inquiry> Round,
-                                      std::size_t Index) {
-  const KnownEndpoint *const Known =
+Awaitable<void> GroupCoordinator::probeMember(std::shared_ptr<ProbeRound> Round,
+                                              std::size_t Index) {
+  const KnownEndpoint *const Entry =
       View.endpoints().find(Round->Members[Index]);
-  if (Known != nullptr) {
+  if (Entry != nullptr) {
     const bool Answered =
-        co_await answers(Known->Record.Address, Known->Record.Name);
+        co_await isAlive(Entry->Record.Address, Entry->Record.Name);
     Round->Answered[Index] = Answered;
   }
-  if (--Round->Left == 0)
-    conclude(*Round);
+  if (--Round->Pending == 0)
+    finishRound(*Round);
 }
 
-bool GroupCoordinator::hearsNeighbours(const Inquiry &Round,
-                                       TimePoint Now) const {
+bool GroupCoordinator::hasLiveNeighbour(const ProbeRound &Round,
+                                        TimePoint Now) const {
   const KnownEndpoint *const Leader =
       View.endpoints().find(EndpointName(Round.Leader));
   if (Leader == nullptr)
     return false;
-  for (const auto &[Name, Known] : View.endpoints().all())
-    if (Known.Record.DataCentre == Leader->Record.DataCentre &&
+  for (const auto &[Name, Entry] : View.endpoints().all())
+    if (Entry.Record.DataCentre == Leader->Record.DataCentre &&
         Name.Text != Round.Leader && Silence.moves(Name.Text, Now))
       return true;
   return false;
@@ -354,26 +360,27 @@
 // link loses packets, and it takes sound groups for broken. A member counts as
 // dead only if another member of the same group answered in the same round, or
 // streams from the same data centre move.
-void GroupCoordinator::conclude(const Inquiry &Round) {
-  const auto Heard =
+void GroupCoordinator::finishRound(const ProbeRound &Round) {
+  const auto AnsweredCount =
       std::count(Round.Answered.begin(), Round.Answered.end(), true);
-  const bool Credible = Heard > 0 || hearsNeighbours(Round, BootClock::now());
+  const bool Credible =
+      AnsweredCount > 0 || hasLiveNeighbour(Round, BootClock::now());
   std::string Dead;
   for (std::size_t Index = 0; Index < Round.Members.size(); ++Index) {
-    const KnownEndpoint *const Known =
+    const KnownEndpoint *const Entry =
         View.endpoints().find(Round.Members[Index]);
-    if (Round.Answered[Index] || Known == nullptr || !Credible)
+    if (Round.Answered[Index] || Entry == nullptr || !Credible)
       continue;
     Dead += (Dead.empty() ? "" : ",") + Round.Members[Index].Text;
-    for (auto &[Name, Each] : Assemblers)
-      Each.declareDead(*Known, BootClock::now());
+    for (auto &[Name, ServiceAssembler] : Assemblers)
+      ServiceAssembler.declareDead(*Entry, BootClock::now());
   }
   logEvent(Event::MembersAsked,
            {{"leader", Round.Leader},
             {"members", Round.Members.size()},
-            {"answered", static_cast<std::uint64_t>(Heard)},
+            {"answered", static_cast<std::uint64_t>(AnsweredCount)},
             {"dead", Dead}});
-  lookNow();
+  planNow();
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/fleethost/host.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/host.cpp
@@ -28,36 +28,36 @@
 constexpr milliseconds IdleTick{50};
 /// Reads of the endpoints' feed cost a call each. The driver of the groups
 /// reads more often: a lost member is replaced this much sooner.
-constexpr milliseconds DriverSpacing{150};
+constexpr milliseconds CoordinatorSpacing{150};
 /// Others read, or go by what was relayed, within this part of the time in
 /// which they must know that an endpoint leaves: a read that is lost and one
 /// more still fit in.
-constexpr double FollowerPart = 0.35;
+constexpr double FollowerFraction = 0.35;
 /// While seats move, from an order until its effect must show: each of the
 /// three steps of a repair is seen this much sooner, some 20 calls a repair.
-constexpr milliseconds MovingSpacing{50};
-constexpr milliseconds MoveTime{600};
+constexpr milliseconds SeatChangeSpacing{50};
+constexpr milliseconds SeatChangeTime{600};
 /// The balancer asks once a second and needs two misses; a little more.
-constexpr milliseconds BalancerNotices{2'600};
+constexpr milliseconds BalancerNoticeTime{2'600};
 /// Kept free of the time to stop, for answers on their way.
 constexpr milliseconds StopMargin{500};
 constexpr milliseconds StopPoll{50};
 /// How long the store may hold back a read of the operators' feed. A connection
 /// that goes silent is noticed this much and a second later, which leaves time
 /// for one more try before credentials count as stale.
-constexpr milliseconds LongestOperatorsWait{1'000};
+constexpr milliseconds MaxOperatorsWait{1'000};
 /// The same as a part of the time in which a configuration must be in force.
-constexpr double OperatorsWaitPart = 0.15;
+constexpr double OperatorsWaitFraction = 0.15;
 /// The driver is told of the same endpoint again after this.
-constexpr milliseconds SuspectAgainAfter{1'000};
+constexpr milliseconds StallReportInterval{1'000};
 /// Endpoints publish many times a second: a read hardly ever waits, and one
 /// that is lost is noticed this much sooner.
 constexpr milliseconds EndpointsWait{100};
 /// Part of a core below which a host stands aside from driving the groups.
-constexpr double LeastDriverShare = 0.2;
+constexpr double MinCoordinatorShare = 0.2;
 /// Beyond these a request waits in the caller instead.
-constexpr std::size_t MostWaiting = 256;
-constexpr std::size_t MostWaitingBytes = std::size_t{4} << 20U;
+constexpr std::size_t MaxWaitingRequests = 256;
+constexpr std::size_t MaxWaitingBodyBytes = std::size_t{4} << 20U;
 /// Sets of prefix hints for each pool; each takes about 128 bytes.
 constexpr std::uint32_t HintSets = 16;
 /// Connections kept for reuse to one endpoint: an engine's slots.
@@ -68,89 +68,95 @@
 /// being opened serves after 0.3 s.
 constexpr milliseconds NoEndpointHold{250};
 
-DispatcherOptions dispatcherOptions(const FleetSettings &Given) {
-  DispatcherOptions Out;
-  Out.Self = Given.DataCentre;
-  Out.MaxWaiting = MostWaiting;
-  Out.MaxWaitingBytes = MostWaitingBytes;
-  Out.NoEndpointHold = NoEndpointHold;
-  Out.NoShareHold = NoEndpointHold;
+DispatcherOptions dispatcherOptions(const FleetSettings &Settings) {
+  DispatcherOptions Result;
+  Result.Self = Settings.DataCentre;
+  Result.MaxWaiting = MaxWaitingRequests;
+  Result.MaxWaitingBytes = MaxWaitingBodyBytes;
+  Result.NoEndpointHold = NoEndpointHold;
+  Result.NoShareHold = NoEndpointHold;
   EstimatedWaitPolicy Policy;
   Policy.HintSets = HintSets;
   Policy.UseRing = false;
   Policy.FullByLoad = true;
-  Out.Policy = Policy;
-  Out.Retries.Budget.Ratio = Given.Bounds.RetryRatio * RetryRatioEarned;
-  Out.Retries.Budget.DataCentreRatio = Given.Bounds.RetryRatio;
-  return Out;
+  Result.Policy = Policy;
+  Result.Retries.Budget.Ratio = Settings.Bounds.RetryRatio * RetryRatioEarned;
+  Result.Retries.Budget.DataCentreRatio = Settings.Bounds.RetryRatio;
+  return Result;
 }
 
 ClientOptions clientOptions() {
-  ClientOptions Out;
-  Out.MaxIdlePerEndpoint = IdlePerEndpoint;
-  return Out;
+  ClientOptions Result;
+  Result.MaxIdlePerEndpoint = IdlePerEndpoint;
+  return Result;
 }
 
-std::string ownName(const FleetSettings &Given) {
-  const auto Since = std::chrono::system_clock::now().time_since_epoch();
-  return memberName(Given.Peers,
-                    Given.Host.Text + "." + std::to_string(Since.count()));
+std::string makeMemberName(const FleetSettings &Settings) {
+  const auto SinceEpoch = std::chrono::system_clock::now().time_since_epoch();
+  return memberName(Settings.Peers, Settings.Host.Text + "." +
+                                        std::to_string(SinceEpoch.count()));
 }
 
-ServerLimits callerLimits(const CallerLimits &Given) {
-  ServerLimits Out;
-  Out.MaxHeaderBytes = Given.MaxHeaderBytes;
-  Out.MaxBodyBytes = Given.MaxBodyBytes;
-  Out.HeaderTimeout = Given.HeaderTimeout;
-  Out.IdleTimeout = Given.IdleTimeout;
-  return Out;
+ServerLimits callerLimits(const CallerLimits &Limits) {
+  ServerLimits Result;
+  Result.MaxHeaderBytes = Limits.MaxHeaderBytes;
+  Result.MaxBodyBytes = Limits.MaxBodyBytes;
+  Result.HeaderTimeout = Limits.HeaderTimeout;
+  Result.IdleTimeout = Limits.IdleTimeout;
+  return Result;
 }
 
-FollowTimes operatorTimes(const FleetBounds &Bounds) {
-  const auto Part = std::chrono::duration_cast<milliseconds>(
-      Bounds.Configuration * OperatorsWaitPart);
-  FollowTimes Out;
-  Out.Wait = std::min(LongestOperatorsWait, Part);
-  return Out;
+FollowTimes operatorFollowTimes(const FleetBounds &Bounds) {
+  const auto MaxWait = std::chrono::duration_cast<milliseconds>(
+      Bounds.Configuration * OperatorsWaitFraction);
+  FollowTimes Result;
+  Result.Wait = std::min(MaxOperatorsWait, MaxWait);
+  return Result;
 }
 
-FollowTimes endpointTimes(milliseconds Spacing) {
-  FollowTimes Out;
-  Out.Wait = EndpointsWait;
-  Out.Spacing = Spacing;
-  return Out;
+FollowTimes endpointFollowTimes(milliseconds Spacing) {
+  FollowTimes Result;
+  Result.Wait = EndpointsWait;
+  Result.Spacing = Spacing;
+  return Result;
 }
 
 } // namespace
 
 DutyRole FleetHost::dutyRole() const noexcept {
-  return Settings.ProcessorShare < LeastDriverShare ? DutyRole::Reserve
-                                                    : DutyRole::Candidate;
+  return Settings.ProcessorShare < MinCoordinatorShare ? DutyRole::Reserve
+                                                       : DutyRole::Candidate;
 }
 
 milliseconds FleetHost::followerSpacing() const noexcept {
   return std::chrono::duration_cast<milliseconds>(Settings.Bounds.Leaving *
-                                                  FollowerPart);
+                                                  FollowerFraction);
 }
 
-FleetHost::FleetHost(FleetSettings Wanted, IoPool &Pool, FleetLinks Links)
-    : Settings(std::move(Wanted)), Threads(Pool), Platform(Links),
+FleetHost::FleetHost(FleetSettings InitialSettings, IoPool &Pool,
+                     FleetLinks Links)
+    : Settings(std::move(InitialSettings)), Threads(Pool), Platform(Links),
       View(Settings.Bounds), Draw(hashText(Settings.Host.Text)),
       Routing(RouterOptions{Settings.Host, dispatcherOptions(Settings), {}}),
       Client(Pool.context(0), clientOptions()),
-      Relay(View, Routing, Client, Links.Wire, Silence,
+      Proxy(View, Routing, Client, Links.Wire, Silence,
             hashText(Settings.Host.Text)),
-      Member(ownName(Settings)),
-      Desk(Links.Store, Links.Engines, View, Silence, Member, AssemblyTimes{},
-           {dutyRole(), CandidacyTimes{}, BootClock::now()}),
-      Operators(Links.Store, Feed::Operators, operatorTimes(Settings.Bounds),
-                {[this](FeedPage Page, bool Whole, TimePoint AskedAt) {
-                   ingestPage(Feed::Operators, std::move(Page), Whole, AskedAt);
+      Member(makeMemberName(Settings)),
+      Coordinator(Links.Store, Links.Engines, View, Silence, Member,
+                  AssemblyTimes{},
+                  {dutyRole(), CandidacyTimes{}, BootClock::now()}),
+      Operators(Links.Store, Feed::Operators,
+                operatorFollowTimes(Settings.Bounds),
+                {[this](FeedPage Page, bool IsSnapshot, TimePoint RequestedAt) {
+                   ingestPage(Feed::Operators, std::move(Page), IsSnapshot,
+                              RequestedAt);
                  },
                  [this](StoreFailure) { readFailed(Feed::Operators); }}),
-      Endpoints(Links.Store, Feed::Endpoints, endpointTimes(followerSpacing()),
-                {[this](FeedPage Page, bool Whole, TimePoint AskedAt) {
-                   ingestPage(Feed::Endpoints, std::move(Page), Whole, AskedAt);
+      Endpoints(Links.Store, Feed::Endpoints,
+                endpointFollowTimes(followerSpacing()),
+                {[this](FeedPage Page, bool IsSnapshot, TimePoint RequestedAt) {
+                   ingestPage(Feed::Endpoints, std::move(Page), IsSnapshot,
+                              RequestedAt);
                  },
                  [this](StoreFailure) { readFailed(Feed::Endpoints); }}),
       Link(Pool, Settings.Peers, Member, Links.Store, linkHooks()) {
@@ -184,36 +190,36 @@
 
 ServerHooks FleetHost::frontHooks() {
   return {[this](Exchange &Call) {
-            Desk.callersBegun();
-            return Relay.serve(Call);
+            Coordinator.recordCaller();
+            return Proxy.serve(Call);
           },
           {},
           {}};
 }
 
 void FleetHost::startFollowing() {
-  Relay.onUnusable(
-      [this](const EndpointName &Which, const std::string &AtFault) {
-        reportUnusable(Which, AtFault);
+  Proxy.onUnusable(
+      [this](const EndpointName &Endpoint, const std::string &AtFault) {
+        reportUnusable(Endpoint, AtFault);
       });
-  Desk.onDuty([this](bool Holds) {
+  Coordinator.onDuty([this](bool Holds) {
     if (Holds)
       readAllEndpoints();
-    Operators.beEager(Holds);
-    Endpoints.beEager(Holds);
-    Endpoints.space(Holds ? DriverSpacing : followerSpacing());
+    Operators.setEagerRetry(Holds);
+    Endpoints.setEagerRetry(Holds);
+    Endpoints.setSpacing(Holds ? CoordinatorSpacing : followerSpacing());
   });
-  Desk.onOrders([this] {
-    MovingUntil = BootClock::now() + MoveTime;
-    Endpoints.space(MovingSpacing);
+  Coordinator.onOrders([this] {
+    SeatChangesUntil = BootClock::now() + SeatChangeTime;
+    Endpoints.setSpacing(SeatChangeSpacing);
   });
   deferOwnReads();
   asio::io_context &Context = Threads.context(0);
   asio::co_spawn(Context, Operators.run(), asio::detached);
   asio::co_spawn(Context, Endpoints.run(), asio::detached);
-  asio::co_spawn(Context, Desk.holdDuty(), asio::detached);
+  asio::co_spawn(Context, Coordinator.holdDuty(), asio::detached);
   asio::co_spawn(Context, Link.run(), asio::detached);
-  asio::co_spawn(Context, Desk.drive(), asio::detached);
+  asio::co_spawn(Context, Coordinator.driveGroups(), asio::detached);
   asio::co_spawn(Context, tick(), asio::detached);
 }
 
@@ -221,8 +227,8 @@
   if (View.version() == RoutedVersion)
     return;
   RoutedVersion = View.version();
-  const FleetRoutes Made = View.routes();
-  Routing.setRoutes(Made.Table, Made.Shares, 1);
+  const FleetRoutes NewRoutes = View.routes();
+  Routing.setRoutes(NewRoutes.Table, NewRoutes.Shares, 1);
   if (!View.config() || View.config()->version() == LimitedVersion)
     return;
   LimitedVersion = View.config()->version();
@@ -236,40 +242,40 @@
 // Failure guarded against: the platform bounds retries over all entry hosts,
 // and each of seventy hosts saves up ten for each pool: 1,718 retries of 6,670
 // requests in ten seconds, where 1,585 are allowed.
-void FleetHost::shareRetries(std::size_t Hosts, TimePoint Now) {
+void FleetHost::limitRetries(std::size_t Hosts, TimePoint Now) {
   const RetryBound Bound{Settings.Bounds.RetryRatio,
                          Settings.Bounds.RetrySlack};
   for (const auto &[Service, Names] : View.pools()) {
     double Recent = 0.0;
     for (const std::string &Name : Names)
-      Recent += Relay.recentRequests(Name, Now);
+      Recent += Proxy.recentRequests(Name, Now);
     for (const std::string &Name : Names)
       Routing.setRetryBurst(Name, retriesSaved(Bound, double(Hosts), Recent));
   }
 }
 
 /// What holds over all entry hosts is shared among those that there are.
-void FleetHost::shareBounds(TimePoint Now) {
-  if (Now < ShareDue)
+void FleetHost::shareLimits(TimePoint Now) {
+  if (Now < NextShareAt)
     return;
-  ShareDue = Now + ShareEvery;
+  NextShareAt = Now + ShareEvery;
   const std::size_t Hosts = Link.hosts(Now);
-  Relay.shareAmong(Hosts);
-  shareReads(Hosts, Now);
+  Proxy.setEntryHosts(Hosts);
+  limitFailedReads(Hosts, Now);
   // A host that has just started keeps the few retries that it begins with
   // until it knows who else there is.
   if (Hosts > 0)
-    SharedAmong = Hosts;
-  if (SharedAmong > 0)
-    shareRetries(SharedAmong, Now);
+    LastEntryHosts = Hosts;
+  if (LastEntryHosts > 0)
+    limitRetries(LastEntryHosts, Now);
 }
 
 /// Opens cold endpoints whose turn has come to the choice.
-void FleetHost::shareCold(TimePoint Now) {
+void FleetHost::openColdEndpoints(TimePoint Now) {
   std::map<std::string, std::uint32_t> Open;
-  for (const auto &[Name, Known] : View.endpoints().all())
-    if (View.mayBeCold(Known) && Relay.mayWarm(Known, Now))
-      Open[FleetView::endpointKey(Known.Record)] = FleetView::ColdShare;
+  for (const auto &[Name, Entry] : View.endpoints().all())
+    if (View.mayBeCold(Entry) && Proxy.mayUseCold(Entry, Now))
+      Open[FleetView::endpointKey(Entry.Record)] = FleetView::ColdShare;
   if (!Open.empty())
     Routing.setShares(Open);
 }
@@ -277,70 +283,71 @@
 // Failure guarded against: a group stands still, and its callers wait until
 // each stream's own limit, those whose stream has not begun even longer. All
 // requests there are taken up elsewhere at once.
-void FleetHost::leaveSilent(TimePoint Now) {
+void FleetHost::suspendSilent(TimePoint Now) {
   for (const std::string &Name :
        Silence.quietFor(SilenceWatch::SuspectAfter, Now)) {
     asio::io_context &Context = Threads.context(0);
-    if (View.shuns(EndpointName(Name)))
+    if (View.isSuspended(EndpointName(Name)))
       continue;
-    if (Desk.holds(Now))
-      Desk.askAbout(Name, Context.get_executor());
-    else if (Suspected.insert_or_assign(Name, Now).second)
+    if (Coordinator.holds(Now))
+      Coordinator.probeMembers(Name, Context.get_executor());
+    else if (StallsReportedAt.insert_or_assign(Name, Now).second)
       asio::co_spawn(Context, Link.reportStall(Name), asio::detached);
   }
-  std::erase_if(Suspected, [&](const auto &Entry) {
-    return Now - Entry.second > SuspectAgainAfter;
+  std::erase_if(StallsReportedAt, [&](const auto &Entry) {
+    return Now - Entry.second > StallReportInterval;
   });
   for (const std::string &Name : Silence.allSilent(Now)) {
-    const EndpointName Which(Name);
-    const KnownEndpoint *const Known = View.endpoints().find(Which);
-    if (Known == nullptr || View.shuns(Which))
+    const EndpointName Endpoint(Name);
+    const KnownEndpoint *const Entry = View.endpoints().find(Endpoint);
+    if (Entry == nullptr || View.isSuspended(Endpoint))
       continue;
-    View.shun(Which, FleetView::SilenceSpan, Now);
+    View.suspend(Endpoint, FleetView::SilentSuspension, Now);
     refreshRoutes();
-    const std::size_t Moved = Client.abort(Known->Record.Address);
+    const std::size_t Moved = Client.abort(Entry->Record.Address);
     logEvent(Event::EndpointSilent, {{"endpoint", Name}, {"moved", Moved}});
   }
 }
 
 /// The endpoint's group needs repair: the coordinator is told.
-void FleetHost::reportUnusable(const EndpointName &Which,
+void FleetHost::reportUnusable(const EndpointName &Endpoint,
                                const std::string &AtFault) {
   const TimePoint Now = BootClock::now();
-  if (View.shuns(Which) || View.endpoints().find(Which) == nullptr)
+  if (View.isSuspended(Endpoint) || View.endpoints().find(Endpoint) == nullptr)
     return;
-  View.shun(Which, FleetView::UnusableSpan, Now);
+  View.suspend(Endpoint, FleetView::UnusableSuspension, Now);
   refreshRoutes();
   logEvent(Event::EndpointUnusable,
-           {{"endpoint", Which}, {"at_fault", AtFault}});
+           {{"endpoint", Endpoint}, {"at_fault", AtFault}});
   asio::io_context &Context = Threads.context(0);
-  if (Desk.holds(Now))
-    Desk.askAbout(Which.Text, Context.get_executor());
-  else if (Suspected.insert_or_assign(Which.Text, Now).second)
-    asio::co_spawn(Context, Link.reportStall(Which.Text), asio::detached);
+  if (Coordinator.holds(Now))
+    Coordinator.probeMembers(Endpoint.Text, Context.get_executor());
+  else if (StallsReportedAt.insert_or_assign(Endpoint.Text, Now).second)
+    asio::co_spawn(Context, Link.reportStall(Endpoint.Text), asio::detached);
 }
 
-void FleetHost::settleMoves(TimePoint Now) {
-  if (!MovingUntil || Now < *MovingUntil)
+void FleetHost::endFastReads(TimePoint Now) {
+  if (!SeatChangesUntil || Now < *SeatChangesUntil)
     return;
-  MovingUntil.reset();
-  Endpoints.space(Desk.holds(Now) ? DriverSpacing : followerSpacing());
+  SeatChangesUntil.reset();
+  Endpoints.setSpacing(Coordinator.holds(Now) ? CoordinatorSpacing
+                                              : followerSpacing());
 }
 
 Awaitable<void> FleetHost::tick() {
   asio::steady_timer Pause(co_await asio::this_coro::executor);
   while (true) {
-    leaveSilent(BootClock::now());
-    settleMoves(BootClock::now());
+    suspendSilent(BootClock::now());
+    endFastReads(BootClock::now());
     View.advance(BootClock::now());
     refreshRoutes();
-    logConfigProof(BootClock::now());
-    if (Desk.held() && !View.knowsAllEndpoints())
+    logConfigFreshness(BootClock::now());
+    if (Coordinator.isLastHolder() && !View.knowsAllEndpoints())
       readAllEndpoints();
-    shareBounds(BootClock::now());
-    shareCold(BootClock::now());
+    shareLimits(BootClock::now());
+    openColdEndpoints(BootClock::now());
     Routing.advance();
-    if (const std::uint64_t Dropped = Relay.takeDroppedTrails(); Dropped > 0)
+    if (const std::uint64_t Dropped = Proxy.takeDroppedTrails(); Dropped > 0)
       logEvent(Event::TrailsDropped, {{"requests", Dropped}});
     Pause.expires_after(Routing.waiting() > 0 ? BusyTick : IdleTick);
     co_await Pause.async_wait(asio::use_awaitable);
@@ -349,54 +356,54 @@
 
 Awaitable<void> FleetHost::answerReadiness(Exchange &Call) {
   const bool Ready = !Stopping && View.ready(BootClock::now());
-  HttpResponse Out =
+  HttpResponse Reply =
       jsonResponse(Ready ? StatusOk : StatusUnavailable,
                    Ready ? R"({"ready":true})" : R"({"ready":false})");
-  co_await Call.respond(std::move(Out));
+  co_await Call.respond(std::move(Reply));
 }
 
 Awaitable<void> FleetHost::answerMetrics(Exchange &Call) {
-  HttpResponse Out;
-  Out.Fields.push_back({"Content-Type", "text/plain; version=0.0.4"});
-  Out.Body = metricsText();
-  co_await Call.respond(std::move(Out));
+  HttpResponse Reply;
+  Reply.Fields.push_back({"Content-Type", "text/plain; version=0.0.4"});
+  Reply.Body = metricsText();
+  co_await Call.respond(std::move(Reply));
 }
 
 std::string FleetHost::metricsText() const {
-  const CallerProxyCounts &Done = Relay.counts();
-  std::string Out;
-  const auto Line = [&Out](std::string_view Name, std::uint64_t Value) {
-    Out += "coltsfoottrail_";
-    Out += Name;
-    Out += ' ';
-    Out += std::to_string(Value);
-    Out += '\n';
+  const CallerProxyCounts &Counts = Proxy.counts();
+  std::string Text;
+  const auto AppendLine = [&Text](std::string_view Name, std::uint64_t Value) {
+    Text += "coltsfoottrail_";
+    Text += Name;
+    Text += ' ';
+    Text += std::to_string(Value);
+    Text += '\n';
   };
-  Line("requests_total", Done.Requests);
-  Line("answered_total", Done.Answered);
-  Line("refused_not_run_total", Done.RefusedNotRun);
-  Line("failed_may_have_run_total", Done.FailedMayHaveRun);
-  Line("sends_total", Done.Sends);
-  Line("streams_resumed_total", Done.Resumed);
-  Line("streams_cut_total", Done.CutStreams);
-  Line("waiting", Routing.waiting());
-  Line("endpoints", View.endpoints().all().size());
-  Line("config_version", View.config() ? View.config()->version() : 0);
+  AppendLine("requests_total", Counts.Requests);
+  AppendLine("answered_total", Counts.Answered);
+  AppendLine("refused_not_run_total", Counts.RefusedNotRun);
+  AppendLine("failed_may_have_run_total", Counts.FailedMayHaveRun);
+  AppendLine("sends_total", Counts.Sends);
+  AppendLine("streams_resumed_total", Counts.Resumed);
+  AppendLine("streams_cut_total", Counts.CutStreams);
+  AppendLine("waiting", Routing.waiting());
+  AppendLine("endpoints", View.endpoints().all().size());
+  AppendLine("config_version", View.config() ? View.config()->version() : 0);
   const TimePoint Now = BootClock::now();
-  Line("drives_groups", Desk.holds(Now) ? 1 : 0);
-  Line("store_answers", StoreAnswers ? 1 : 0);
-  Line("config_age_milliseconds",
-       static_cast<std::uint64_t>(
-           std::chrono::duration_cast<milliseconds>(View.configAge(Now))
-               .count()));
-  Line("entry_hosts", Link.hosts(Now));
-  const EndpointTally Seen = View.tally();
-  Line("endpoints_serving", Seen.Serving);
-  Line("endpoints_draining", Seen.Draining);
-  Line("endpoints_cold", Seen.Cold);
-  Line("groups_open", Seen.Leaders);
-  Relay.measured().appendTo(Out);
-  return Out;
+  AppendLine("drives_groups", Coordinator.holds(Now) ? 1 : 0);
+  AppendLine("store_answers", StoreAnswers ? 1 : 0);
+  AppendLine("config_age_milliseconds",
+             static_cast<std::uint64_t>(
+                 std::chrono::duration_cast<milliseconds>(View.configAge(Now))
+                     .count()));
+  AppendLine("entry_hosts", Link.hosts(Now));
+  const EndpointTally Tally = View.tally();
+  AppendLine("endpoints_serving", Tally.Serving);
+  AppendLine("endpoints_draining", Tally.Draining);
+  AppendLine("endpoints_cold", Tally.Cold);
+  AppendLine("groups_open", Tally.Leaders);
+  Proxy.metrics().appendTo(Text);
+  return Text;
 }
 
 void FleetHost::stop(std::function<void(std::size_t)> Done) {
@@ -407,22 +414,23 @@
 // and clients go on using open ones. Both are served until the balancer must
 // have noticed; only then do answers close their connections.
 Awaitable<void> FleetHost::runStop(std::function<void(std::size_t)> Done) {
-  const TimePoint Began = BootClock::now();
+  const TimePoint StartedAt = BootClock::now();
   Stopping = true;
   logEvent(Event::Stopping, {{"in_progress", Front->inProgress()}});
-  co_await Desk.leave();
+  co_await Coordinator.leave();
   asio::steady_timer Pause(co_await asio::this_coro::executor);
-  Pause.expires_at(asio::steady_timer::clock_type::now() + BalancerNotices);
+  Pause.expires_at(asio::steady_timer::clock_type::now() + BalancerNoticeTime);
   co_await Pause.async_wait(asio::use_awaitable);
   Front->stopAccepting();
-  const TimePoint End = Began + Settings.Bounds.StopGrace - StopMargin;
-  while (Front->inProgress() > 0 && BootClock::now() < End) {
+  const TimePoint DrainDeadline =
+      StartedAt + Settings.Bounds.StopGrace - StopMargin;
+  while (Front->inProgress() > 0 && BootClock::now() < DrainDeadline) {
     Pause.expires_after(StopPoll);
     co_await Pause.async_wait(asio::use_awaitable);
   }
-  const std::size_t Cut = Front->inProgress();
-  logEvent(Event::Stopped, {{"cut", Cut}});
-  Done(Cut);
+  const std::size_t CutRequests = Front->inProgress();
+  logEvent(Event::Stopped, {{"cut", CutRequests}});
+  Done(CutRequests);
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/fleethost/host.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/host.hpp
@@ -32,11 +32,11 @@
 class FleetHost {
 public:
   /// @brief Listens and starts to follow the store.
-  /// @param Wanted Checked settings.
+  /// @param InitialSettings Checked settings.
   /// @param Pool Threads; must outlive the host.
   /// @param Links The platform.
   /// @throws boost::system::system_error A port cannot be had.
-  FleetHost(FleetSettings Wanted, IoPool &Pool, FleetLinks Links);
+  FleetHost(FleetSettings InitialSettings, IoPool &Pool, FleetLinks Links);
   FleetHost(const FleetHost &) = delete;
   FleetHost &operator=(const FleetHost &) = delete;
   ~FleetHost();
@@ -68,35 +68,37 @@
   /// Time between two reads of the endpoints' feed by a host that does not
   /// coordinate.
   [[nodiscard]] milliseconds followerSpacing() const noexcept;
-  void ingestPage(Feed Which, FeedPage Page, bool Whole, TimePoint AskedAt);
-  void readFailed(Feed Which);
-  void share(Feed Which, const FeedPage &Page,
-             std::span<const RoutingEffect> Effects, bool Whole,
-             TimePoint AsOf);
+  void ingestPage(Feed FeedId, FeedPage Page, bool IsSnapshot,
+                  TimePoint RequestedAt);
+  void readFailed(Feed FeedId);
+  void shareFeed(Feed FeedId, const FeedPage &Page,
+                 std::span<const RoutingEffect> Effects, bool IsSnapshot,
+                 TimePoint AsOf);
   void deferOwnReads();
   void readAllEndpoints();
   [[nodiscard]] TreeLinkHooks linkHooks();
   [[nodiscard]] Report ownReport() const;
-  void applyResponse(const Report &Sent, Response Answer, TimePoint SentAt);
-  void applyUpdate(Feed Which, std::optional<Offset> From,
+  void applyResponse(const Report &SentReport, Response Answer,
+                     TimePoint SentAt);
+  void applyUpdate(Feed FeedId, std::optional<Offset> From,
                    const FeedUpdate &Update, TimePoint SentAt);
-  [[nodiscard]] FeedPage decodeUpdate(Feed Which, std::optional<Offset> From,
+  [[nodiscard]] FeedPage decodeUpdate(Feed FeedId, std::optional<Offset> From,
                                       const FeedUpdate &Update) const;
-  void readTruncated(Feed Which, const Report &Sent);
+  void readTruncated(Feed FeedId, const Report &SentReport);
   void watchUpstream(TimePoint Now);
-  [[nodiscard]] FeedFollower &follower(Feed Which) {
-    return Which == Feed::Operators ? Operators : Endpoints;
+  [[nodiscard]] FeedFollower &follower(Feed FeedId) {
+    return FeedId == Feed::Operators ? Operators : Endpoints;
   }
   void refreshRoutes();
   void reportClosedLeaders();
-  void logConfigProof(TimePoint Now);
-  void shareBounds(TimePoint Now);
-  void shareReads(std::size_t Hosts, TimePoint Now);
-  void shareRetries(std::size_t Hosts, TimePoint Now);
-  void shareCold(TimePoint Now);
-  void leaveSilent(TimePoint Now);
-  void reportUnusable(const EndpointName &Which, const std::string &AtFault);
-  void settleMoves(TimePoint Now);
+  void logConfigFreshness(TimePoint Now);
+  void shareLimits(TimePoint Now);
+  void limitFailedReads(std::size_t Hosts, TimePoint Now);
+  void limitRetries(std::size_t Hosts, TimePoint Now);
+  void openColdEndpoints(TimePoint Now);
+  void suspendSilent(TimePoint Now);
+  void reportUnusable(const EndpointName &Endpoint, const std::string &AtFault);
+  void endFastReads(TimePoint Now);
   [[nodiscard]] Awaitable<void> tick();
   [[nodiscard]] Awaitable<void> runStop(std::function<void(std::size_t)> Done);
   [[nodiscard]] Awaitable<void> answerReadiness(Exchange &Call);
@@ -112,33 +114,33 @@
   Router Routing;
   HttpClient Client;
   SilenceWatch Silence;
-  CallerProxy Relay;
+  CallerProxy Proxy;
   /// Names this run of the host.
   std::string Member;
-  GroupCoordinator Desk;
+  GroupCoordinator Coordinator;
   FeedFollower Operators;
   FeedFollower Endpoints;
   /// Endpoints that the driver was told of, and when.
-  std::map<std::string, TimePoint> Suspected;
+  std::map<std::string, TimePoint> StallsReportedAt;
   /// Until when seats are expected to move.
-  std::optional<TimePoint> MovingUntil;
+  std::optional<TimePoint> SeatChangesUntil;
   std::uint64_t RoutedVersion = 0;
   /// Entry hosts among which bounds are shared; zero before any was heard of.
-  std::size_t SharedAmong = 0;
-  bool ConfigProved = false;
-  milliseconds OwnPause{0};
-  TimePoint ShareDue{};
+  std::size_t LastEntryHosts = 0;
+  bool ConfigWasFresh = false;
+  milliseconds FailedReadPause{0};
+  TimePoint NextShareAt{};
   std::uint64_t LoggedConfig = 0;
   /// Version whose limits on callers are in force.
   std::uint64_t LimitedVersion = 0;
   bool StoreAnswers = true;
   /// When the upstream last relayed endpoints that were new enough to go by.
-  TimePoint RelayedAt = BootClock::now();
-  TimePoint AbandonAgainAt{};
+  TimePoint EndpointsRelayedAt = BootClock::now();
+  TimePoint NextAbandonAt{};
   milliseconds AbandonPause{0};
   /// Endpoints were read before the configuration that tells engines from plain
   /// services.
-  bool EndpointsUnsorted = false;
+  bool EndpointsReadBeforeConfig = false;
   bool Stopping = false;
   TreeLink Link;
   std::optional<HttpServer> Front;
--- a/packages/process/src/coltsfoottrail/fleethost/proxymetrics.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/proxymetrics.hpp
@@ -23,38 +23,44 @@
 class ProxyMetrics {
 public:
   /// @brief A request waited so long for a place before it was sent first.
-  void waited(RunPolicy Kind, Duration Span) { of(Kind).Wait.record(Span); }
+  void recordWait(RunPolicy Kind, Duration Elapsed) {
+    latenciesOf(Kind).Wait.record(Elapsed);
+  }
   /// @brief The first event of a stream, or a whole answer, left for the caller
   /// so long after the request came.
-  void begun(RunPolicy Kind, Duration Span) { of(Kind).First.record(Span); }
+  void recordResponseStart(RunPolicy Kind, Duration Elapsed) {
+    latenciesOf(Kind).First.record(Elapsed);
+  }
   /// @brief So long passed between two events of a stream.
-  void paused(Duration Span) { Gap.record(Span); }
+  void recordEventGap(Duration Elapsed) { EventGap.record(Elapsed); }
   /// @brief A request ended.
   /// @param Service Empty where it was turned away before one was chosen.
   /// @param Outcome One of the program's words.
   /// @param Why One of the program's words.
-  void ended(const ServiceName &Service, RunPolicy Kind,
-             std::string_view Outcome, std::string_view Why, Duration Span);
+  void recordEnd(const ServiceName &Service, RunPolicy Kind,
+                 std::string_view Outcome, std::string_view ReasonText,
+                 Duration Elapsed);
 
   /// @brief Appends all series in the Prometheus text format.
-  void appendTo(std::string &Out) const;
+  void appendTo(std::string &Output) const;
 
 private:
   /// Latencies of one kind of request.
   struct Latencies {
     LatencyHistogram Wait;
     LatencyHistogram First;
-    LatencyHistogram Whole;
+    LatencyHistogram Total;
   };
-  using End = std::tuple<std::string, std::string, std::string, std::string>;
+  using EndLabels =
+      std::tuple<std::string, std::string, std::string, std::string>;
 
-  [[nodiscard]] Latencies &of(RunPolicy Kind) {
-    return Kinds[static_cast<std::size_t>(Kind)];
+  [[nodiscard]] Latencies &latenciesOf(RunPolicy Kind) {
+    return LatenciesByKind[static_cast<std::size_t>(Kind)];
   }
 
-  std::array<Latencies, 4> Kinds;
-  LatencyHistogram Gap;
-  std::map<End, std::uint64_t> Ends;
+  std::array<Latencies, 4> LatenciesByKind;
+  LatencyHistogram EventGap;
+  std::map<EndLabels, std::uint64_t> EndCounts;
 };
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/fleethost/settings.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/settings.cpp
@@ -17,65 +17,70 @@
 constexpr double MostCores = 1024.0;
 constexpr double MostSlack = 1'000'000.0;
 
-SocketAddress socketAddress(ObjectReader &From, std::string_view Key) {
-  const std::string Text = From.text(Key);
+SocketAddress socketAddress(ObjectReader &Reader, std::string_view Key) {
+  const std::string Text = Reader.text(Key);
   const std::size_t Colon = Text.rfind(':');
-  SocketAddress Out;
+  SocketAddress Result;
   if (Colon != std::string::npos) {
     const char *const End = Text.data() + Text.size();
-    const auto Parsed = std::from_chars(Text.data() + Colon + 1, End, Out.Port);
-    if (Parsed.ec == std::errc{} && Parsed.ptr == End && Out.Port != 0) {
-      Out.Address = Text.substr(0, Colon);
-      return Out;
+    const auto Parsed =
+        std::from_chars(Text.data() + Colon + 1, End, Result.Port);
+    if (Parsed.ec == std::errc{} && Parsed.ptr == End && Result.Port != 0) {
+      Result.Address = Text.substr(0, Colon);
+      return Result;
     }
   }
-  From.refuse(Key, "an IP number, a colon and a port from 1 to 65535");
+  Reader.refuse(Key, "an IP number, a colon and a port from 1 to 65535");
 }
 
-milliseconds boundOr(ObjectReader &From, std::string_view Key,
+milliseconds boundOr(ObjectReader &Reader, std::string_view Key,
                      milliseconds Default) {
-  return milliseconds(From.numberOr(
+  return milliseconds(Reader.numberOr(
       Key, static_cast<std::uint64_t>(Default.count()), 1, LongestBoundMs));
 }
 
-FleetBounds readBounds(ObjectReader From) {
-  FleetBounds Out;
-  Out.Heartbeat = boundOr(From, "heartbeat_ms", Out.Heartbeat);
-  Out.Leaving = boundOr(From, "leaving_ms", Out.Leaving);
-  Out.Configuration = boundOr(From, "configuration_ms", Out.Configuration);
-  Out.Revocation = boundOr(From, "revocation_ms", Out.Revocation);
-  const double GraceSeconds = From.realOr("stop_grace_s", 8.0, 1.0, 3600.0);
-  Out.StopGrace = milliseconds(static_cast<std::int64_t>(GraceSeconds * 1000));
-  Out.RetrySlack = From.realOr("retry_slack", Out.RetrySlack, 0, MostSlack);
-  Out.RetryRatio = From.realOr("retry_ratio", Out.RetryRatio, 0, HighestRatio);
-  return Out;
+FleetBounds readBounds(ObjectReader Reader) {
+  FleetBounds Result;
+  Result.Heartbeat = boundOr(Reader, "heartbeat_ms", Result.Heartbeat);
+  Result.Leaving = boundOr(Reader, "leaving_ms", Result.Leaving);
+  Result.Configuration =
+      boundOr(Reader, "configuration_ms", Result.Configuration);
+  Result.Revocation = boundOr(Reader, "revocation_ms", Result.Revocation);
+  const double GraceSeconds = Reader.realOr("stop_grace_s", 8.0, 1.0, 3600.0);
+  Result.StopGrace =
+      milliseconds(static_cast<std::int64_t>(GraceSeconds * 1000));
+  Result.RetrySlack =
+      Reader.realOr("retry_slack", Result.RetrySlack, 0, MostSlack);
+  Result.RetryRatio =
+      Reader.realOr("retry_ratio", Result.RetryRatio, 0, HighestRatio);
+  return Result;
 }
 
 } // namespace
 
 FleetSettings readFleetSettings(const std::filesystem::path &File) {
   const std::string Source = File.string();
-  std::ifstream In(File);
-  if (!In)
+  std::ifstream Stream(File);
+  if (!Stream)
     throw InputError(Source, "", "(unreadable)", "a file that can be read");
-  const std::string Text{std::istreambuf_iterator<char>(In), {}};
+  const std::string Text{std::istreambuf_iterator<char>(Stream), {}};
   const Json Root = parseJson(Text, Source);
   ObjectReader Reader(Root, Source, "", UnknownKeys::Ignore);
-  FleetSettings Out;
-  Out.Host = HostName(Reader.text("host"));
-  Out.DataCentre = DataCentreName(Reader.text("data_centre"));
-  Out.Callers = socketAddress(Reader, "callers");
-  Out.Readiness = socketAddress(Reader, "readiness");
-  Out.Peers = socketAddress(Reader, "peers");
-  Out.Store = socketAddress(Reader, "store");
-  Out.ProcessorShare =
-      Reader.realOr("processor_share", Out.ProcessorShare, 0.0, MostCores);
-  Out.FirstStart = Reader.flagOr("first_start", false);
+  FleetSettings Result;
+  Result.Host = HostName(Reader.text("host"));
+  Result.DataCentre = DataCentreName(Reader.text("data_centre"));
+  Result.Callers = socketAddress(Reader, "callers");
+  Result.Readiness = socketAddress(Reader, "readiness");
+  Result.Peers = socketAddress(Reader, "peers");
+  Result.Store = socketAddress(Reader, "store");
+  Result.ProcessorShare =
+      Reader.realOr("processor_share", Result.ProcessorShare, 0.0, MostCores);
+  Result.FirstStart = Reader.flagOr("first_start", false);
   if (Reader.has("metrics"))
-    Out.Metrics = socketAddress(Reader, "metrics");
+    Result.Metrics = socketAddress(Reader, "metrics");
   if (Reader.has("bounds"))
-    Out.Bounds = readBounds(Reader.object("bounds"));
-  return Out;
+    Result.Bounds = readBounds(Reader.object("bounds"));
+  return Result;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/fleethost/view.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/view.cpp
@@ -16,15 +16,15 @@
 constexpr Duration ConfigurationMargin = milliseconds(200);
 /// How long the endpoints of a returned data centre are taken for cold: two
 /// heartbeats of the platform and a poll.
-constexpr Duration ReturnCaution = milliseconds(3'000);
+constexpr Duration ReturnedColdTime = milliseconds(3'000);
 
 } // namespace
 
-std::string FleetView::endpointKey(const EndpointRecord &Of) {
-  std::string Out = Of.Name.Text + "#" + std::to_string(Of.Born);
-  if (Of.Seat)
-    Out += "@" + std::to_string(Of.Seat->Epoch);
-  return Out;
+std::string FleetView::endpointKey(const EndpointRecord &Record) {
+  std::string Result = Record.Name.Text + "#" + std::to_string(Record.Born);
+  if (Record.Seat)
+    Result += "@" + std::to_string(Record.Seat->Epoch);
+  return Result;
 }
 
 std::string FleetView::poolName(const ServiceName &Service,
@@ -33,76 +33,77 @@
                        : "model/" + Service.Text + "/" + Model.Text;
 }
 
-std::vector<RoutingEffect> FleetView::take(Feed Which, FeedPage Page,
-                                           bool Whole, TimePoint AskedAt,
-                                           TimePoint Now) {
-  StoreAnsweredAsOf = std::max(StoreAnsweredAsOf, AskedAt);
-  if (Which == Feed::Endpoints)
-    noteRead(Now);
-  if (Whole && Which == Feed::Endpoints)
+std::vector<RoutingEffect> FleetView::ingest(Feed FeedId, FeedPage Page,
+                                             bool IsSnapshot,
+                                             TimePoint RequestedAt,
+                                             TimePoint Now) {
+  StoreAnsweredAsOf = std::max(StoreAnsweredAsOf, RequestedAt);
+  if (FeedId == Feed::Endpoints)
+    recordRead(Now);
+  if (IsSnapshot && FeedId == Feed::Endpoints)
     retainEndpoints(Page, Now);
-  if (Whole && Which == Feed::Operators)
+  if (IsSnapshot && FeedId == Feed::Operators)
     retainDrains(Page, Now);
   std::vector<RoutingEffect> Effects;
   Effects.reserve(Page.Changes.size());
   for (FleetChange &Change : Page.Changes)
-    Effects.push_back(effectOf(Change, Whole, Now));
-  if (Which == Feed::Operators) {
+    Effects.push_back(effectOf(Change, IsSnapshot, Now));
+  if (FeedId == Feed::Operators) {
     // Failure guarded against: an overloaded store hands the feed out in parts,
     // this host stays some versions behind while each part is answered, and it
     // refuses proper requests by routes and credentials that are long replaced.
     // Only a read that reached the end proves anything.
     if (Page.Next >= Page.End)
-      ConfigAsOf = std::max(ConfigAsOf, AskedAt);
+      ConfigAsOf = std::max(ConfigAsOf, RequestedAt);
     return Effects;
   }
   EndpointsKnown = true;
-  KnowsAllEndpoints = !Page.Projected && (Whole || KnowsAllEndpoints);
+  KnowsAllEndpoints = !Page.Projected && (IsSnapshot || KnowsAllEndpoints);
   if (Page.Next >= Page.End)
-    EndpointsAsOf = std::max(EndpointsAsOf, AskedAt);
+    EndpointsAsOf = std::max(EndpointsAsOf, RequestedAt);
   return Effects;
 }
 
 /// Whether a host that only routes needs the record of an endpoint.
-bool FleetView::isRoutable(const EndpointName &Which) const {
-  const KnownEndpoint *const Known = Catalogue.find(Which);
-  if (Known == nullptr)
+bool FleetView::isRoutable(const EndpointName &Name) const {
+  const KnownEndpoint *const Entry = Catalogue.find(Name);
+  if (Entry == nullptr)
     return false;
   const ServiceProfile *const Service =
-      Index ? Index->service(Known->Record.Service) : nullptr;
-  return Service == nullptr || !Service->Engine || Known->Record.leads();
+      Index ? Index->service(Entry->Record.Service) : nullptr;
+  return Service == nullptr || !Service->Engine || Entry->Record.leads();
 }
 
-RoutingEffect FleetView::effectOf(FleetChange &Change, bool Whole,
+RoutingEffect FleetView::effectOf(FleetChange &Change, bool IsSnapshot,
                                   TimePoint Now) {
-  const auto OfEndpoint = [&](const EndpointName &Name) {
-    const bool Before = isRoutable(Name);
+  const auto EffectOnEndpoint = [&](const EndpointName &Name) {
+    const bool WasRoutable = isRoutable(Name);
     const bool Changed = applyOne(Change, Now);
-    const bool After = isRoutable(Name);
-    if (After)
-      return Changed || Whole ? RoutingEffect::Set : RoutingEffect::None;
-    if (Before)
+    const bool IsRoutable = isRoutable(Name);
+    if (IsRoutable)
+      return Changed || IsSnapshot ? RoutingEffect::Set : RoutingEffect::None;
+    if (WasRoutable)
       return RoutingEffect::Unset;
     return Changed ? RoutingEffect::Other : RoutingEffect::None;
   };
-  if (const auto *const One = std::get_if<EndpointPublished>(&Change))
-    return OfEndpoint(EndpointName(One->Record.Name));
-  if (const auto *const One = std::get_if<EndpointRemoved>(&Change)) {
-    const bool Before = isRoutable(One->Name);
+  if (const auto *const Item = std::get_if<EndpointPublished>(&Change))
+    return EffectOnEndpoint(EndpointName(Item->Record.Name));
+  if (const auto *const Item = std::get_if<EndpointRemoved>(&Change)) {
+    const bool WasRoutable = isRoutable(Item->Name);
     (void)applyOne(Change, Now);
-    return Before ? RoutingEffect::Unset : RoutingEffect::Other;
+    return WasRoutable ? RoutingEffect::Unset : RoutingEffect::Other;
   }
-  const bool Returned = std::holds_alternative<DataCentreReturned>(Change);
-  if (!applyOne(Change, Now) && !Whole)
+  const bool IsReturn = std::holds_alternative<DataCentreReturned>(Change);
+  if (!applyOne(Change, Now) && !IsSnapshot)
     return RoutingEffect::None;
-  return Returned ? RoutingEffect::Unset : RoutingEffect::Set;
+  return IsReturn ? RoutingEffect::Unset : RoutingEffect::Set;
 }
 
 // Failure guarded against: single reads fail, removals are held back after each
 // of them, and endpoints that have left get work for seconds. Entries lapse
 // after three heartbeats of silence, so that an outage of less than two lets
 // none of a live endpoint lapse: removals read after it are real.
-void FleetView::noteRead(TimePoint Now) {
+void FleetView::recordRead(TimePoint Now) {
   if (EndpointsReadAt && Now - *EndpointsReadAt >= 2 * Bounds.Heartbeat)
     Catalogue.storeReturned(Now);
   EndpointsReadAt = Now;
@@ -111,20 +112,20 @@
 bool FleetView::applyOne(FleetChange &Change, TimePoint Now) {
   return std::visit(
       Overloaded{
-          [&](ConfigPublished &One) { return apply(std::move(One)); },
-          [&](const DataCentreDrained &One) {
-            const bool New = Drained.insert(One.DataCentre).second;
+          [&](ConfigPublished &Item) { return apply(std::move(Item)); },
+          [&](const DataCentreDrained &Item) {
+            const bool New = Drained.insert(Item.DataCentre).second;
             Changes += New ? 1 : 0;
             return New;
           },
-          [&](const DataCentreReturned &One) {
-            return returned(One.DataCentre, Now);
+          [&](const DataCentreReturned &Item) {
+            return returnDataCentre(Item.DataCentre, Now);
           },
-          [&](EndpointPublished &One) {
-            return publish(std::move(One.Record), Now);
+          [&](EndpointPublished &Item) {
+            return publish(std::move(Item.Record), Now);
           },
-          [&](const EndpointRemoved &One) {
-            (void)Catalogue.remove(One.Name, Now);
+          [&](const EndpointRemoved &Item) {
+            (void)Catalogue.remove(Item.Name, Now);
             return true;
           },
           [](const UnreadableEntry &) { return false; },
@@ -134,27 +135,27 @@
 
 // A process that has crashed publishes nothing: a record of the same life that
 // leads no more was written by a leader that closed and lives.
-void FleetView::recordClosing(const EndpointRecord &Before,
-                              const EndpointRecord &Now) {
-  const std::string Key = endpointKey(Before);
-  const bool Leads = Now.leads() && endpointKey(Now) == Key;
-  if (Before.leads() && !Before.Loaded.empty() && !Leads &&
-      Before.Born == Now.Born)
-    Closed.push_back({poolName(Before.Service, Before.Loaded.back()), Key});
+void FleetView::recordClosing(const EndpointRecord &Previous,
+                              const EndpointRecord &Current) {
+  const std::string Key = endpointKey(Previous);
+  const bool Leads = Current.leads() && endpointKey(Current) == Key;
+  if (Previous.leads() && !Previous.Loaded.empty() && !Leads &&
+      Previous.Born == Current.Born)
+    Closed.push_back({poolName(Previous.Service, Previous.Loaded.back()), Key});
 }
 
 bool FleetView::publish(EndpointRecord Record, TimePoint Now) {
   const EndpointName Name = Record.Name;
-  const KnownEndpoint *const Known = Catalogue.find(Name);
-  const std::optional<EndpointRecord> Before =
-      Known == nullptr ? std::nullopt : std::optional(Known->Record);
+  const KnownEndpoint *const Entry = Catalogue.find(Name);
+  const std::optional<EndpointRecord> Previous =
+      Entry == nullptr ? std::nullopt : std::optional(Entry->Record);
   if (!Catalogue.publish(std::move(Record), Now))
     return false;
-  const EndpointRecord &After = Catalogue.find(Name)->Record;
-  if (!Before || endpointKey(*Before) != endpointKey(After))
-    Changes += Shunned.erase(Name);
-  if (Before)
-    recordClosing(*Before, After);
+  const EndpointRecord &Current = Catalogue.find(Name)->Record;
+  if (!Previous || endpointKey(*Previous) != endpointKey(Current))
+    Changes += Suspended.erase(Name);
+  if (Previous)
+    recordClosing(*Previous, Current);
   return true;
 }
 
@@ -172,18 +173,19 @@
 void FleetView::retainEndpoints(const FeedPage &Page, TimePoint Now) {
   std::set<EndpointName> Present;
   for (const FleetChange &Change : Page.Changes)
-    if (const auto *const One = std::get_if<EndpointPublished>(&Change))
-      Present.insert(One->Record.Name);
+    if (const auto *const Item = std::get_if<EndpointPublished>(&Change))
+      Present.insert(Item->Record.Name);
   Catalogue.retain(Present, Now);
 }
 
 // Failure guarded against: endpoints of a drained data centre are often cold
 // when it is returned, but the record that says so comes up to a heartbeat and
 // a poll later. Every host sends them full load at once, and they fall over.
-bool FleetView::returned(const DataCentreName &Which, TimePoint Now) {
-  if (Drained.erase(Which) == 0)
+bool FleetView::returnDataCentre(const DataCentreName &DataCentre,
+                                 TimePoint Now) {
+  if (Drained.erase(DataCentre) == 0)
     return false;
-  Returned.insert_or_assign(Which, Now + ReturnCaution);
+  RecentlyReturned.insert_or_assign(DataCentre, Now + ReturnedColdTime);
   ++Changes;
   return true;
 }
@@ -191,16 +193,17 @@
 void FleetView::retainDrains(const FeedPage &Page, TimePoint Now) {
   std::set<DataCentreName> Present;
   for (const FleetChange &Change : Page.Changes)
-    if (const auto *const One = std::get_if<DataCentreDrained>(&Change))
-      Present.insert(One->DataCentre);
-  const std::set<DataCentreName> Before = Drained;
-  for (const DataCentreName &Each : Before)
-    if (!Present.contains(Each))
-      returned(Each, Now);
+    if (const auto *const Item = std::get_if<DataCentreDrained>(&Change))
+      Present.insert(Item->DataCentre);
+  const std::set<DataCentreName> DrainedBefore = Drained;
+  for (const DataCentreName &DataCentre : DrainedBefore)
+    if (!Present.contains(DataCentre))
+      returnDataCentre(DataCentre, Now);
 }
 
-void FleetView::shun(const EndpointName &Which, Duration Span, TimePoint Now) {
-  TimePoint &Until = Shunned[Which];
+void FleetView::suspend(const EndpointName &Name, Duration Span,
+                        TimePoint Now) {
+  TimePoint &Until = Suspended[Name];
   const bool New = Until == TimePoint{};
   Until = std::max(Until, Now + Span);
   if (New)
@@ -209,9 +212,11 @@
 
 void FleetView::advance(TimePoint Now) {
   Catalogue.advance(Now);
-  const auto Over = [&](const auto &Entry) { return Entry.second <= Now; };
-  Changes += std::erase_if(Shunned, Over);
-  Changes += std::erase_if(Returned, Over);
+  const auto IsExpired = [&](const auto &Expiry) {
+    return Expiry.second <= Now;
+  };
+  Changes += std::erase_if(Suspended, IsExpired);
+  Changes += std::erase_if(RecentlyReturned, IsExpired);
 }
 
 // Failure guarded against: this host is cut off from the store, a credential is
@@ -233,60 +238,60 @@
 }
 
 std::map<ServiceName, std::vector<std::string>> FleetView::pools() const {
-  std::map<ServiceName, std::vector<std::string>> Out;
+  std::map<ServiceName, std::vector<std::string>> Result;
   if (!Index)
-    return Out;
+    return Result;
   for (const ServiceProfile &Service : Index->config().Services) {
-    std::vector<std::string> &Names = Out[Service.Name];
+    std::vector<std::string> &Names = Result[Service.Name];
     if (!Service.Engine)
       Names.push_back(poolName(Service.Name, ModelName()));
     else
-      for (const ServedModel &Each : Service.Engine->Models)
-        Names.push_back(poolName(Service.Name, Each.Name));
+      for (const ServedModel &Model : Service.Engine->Models)
+        Names.push_back(poolName(Service.Name, Model.Name));
   }
-  return Out;
+  return Result;
 }
 
 EndpointTally FleetView::tally() const {
-  EndpointTally Out;
-  for (const auto &[Name, Known] : Catalogue.all()) {
-    const bool Drains = Known.Record.State == EndpointState::Draining;
-    ++(Drains ? Out.Draining : Out.Serving);
-    Out.Cold += mayBeCold(Known) ? 1 : 0;
-    Out.Leaders += Known.Record.leads() ? 1 : 0;
+  EndpointTally Result;
+  for (const auto &[Name, Entry] : Catalogue.all()) {
+    const bool Drains = Entry.Record.State == EndpointState::Draining;
+    ++(Drains ? Result.Draining : Result.Serving);
+    Result.Cold += mayBeCold(Entry) ? 1 : 0;
+    Result.Leaders += Entry.Record.leads() ? 1 : 0;
   }
-  return Out;
+  return Result;
 }
 
 FleetRoutes FleetView::routes() const {
-  FleetRoutes Out;
+  FleetRoutes Result;
   if (!Index)
-    return Out;
-  Out.Table.Version = version();
+    return Result;
+  Result.Table.Version = version();
   for (const auto &[Service, Names] : pools())
     for (const std::string &Name : Names) {
-      Out.Table.Pools[Name].Name = Name;
-      Out.Table.Pools[Name].RetryGroup = Service.Text;
+      Result.Table.Pools[Name].Name = Name;
+      Result.Table.Pools[Name].RetryGroup = Service.Text;
     }
-  addPaces(Out);
-  for (const auto &[Name, Known] : Catalogue.all())
-    addEndpoint(Known, Out);
-  return Out;
+  addPaces(Result);
+  for (const auto &[Name, Entry] : Catalogue.all())
+    addEndpoint(Entry, Result);
+  return Result;
 }
 
-void FleetView::addPaces(FleetRoutes &Out) const {
+void FleetView::addPaces(FleetRoutes &Result) const {
   for (const ServiceProfile &Service : Index->config().Services) {
     if (!Service.Engine)
       continue;
-    for (const ServedModel &Each : Service.Engine->Models)
-      Out.Table.Pools[poolName(Service.Name, Each.Name)].Pace =
-          paceOf(*Service.Engine, Each);
+    for (const ServedModel &Model : Service.Engine->Models)
+      Result.Table.Pools[poolName(Service.Name, Model.Name)].Pace =
+          paceOf(*Service.Engine, Model);
   }
 }
 
-void FleetView::addEndpoint(const KnownEndpoint &Known,
-                            FleetRoutes &Out) const {
-  const EndpointRecord &Record = Known.Record;
+void FleetView::addEndpoint(const KnownEndpoint &Entry,
+                            FleetRoutes &Result) const {
+  const EndpointRecord &Record = Entry.Record;
   const ServiceProfile *const Service = Index->service(Record.Service);
   if (Service == nullptr || Record.State != EndpointState::Serving ||
       Drained.contains(Record.DataCentre))
@@ -297,8 +302,8 @@
       return;
     Model = Record.Loaded.back();
   }
-  const auto Pool = Out.Table.Pools.find(poolName(Service->Name, Model));
-  if (Pool == Out.Table.Pools.end())
+  const auto Pool = Result.Table.Pools.find(poolName(Service->Name, Model));
+  if (Pool == Result.Table.Pools.end())
     return;
   EndpointSpec Spec;
   Spec.Key = endpointKey(Record);
@@ -307,9 +312,9 @@
   Spec.DataCentre = Record.DataCentre;
   Spec.WarmBound = std::max<std::uint32_t>(1, Record.Slots);
   Spec.Members = {Record.Address};
-  Out.Shares[Spec.Key] = mayBeCold(Known) ? 0 : Spec.WarmBound;
-  if (shuns(Record.Name))
-    Out.Shares[Spec.Key] = 0;
+  Result.Shares[Spec.Key] = mayBeCold(Entry) ? 0 : Spec.WarmBound;
+  if (isSuspended(Record.Name))
+    Result.Shares[Spec.Key] = 0;
   Pool->second.Endpoints.push_back(std::move(Spec));
 }
 
--- a/packages/process/src/coltsfoottrail/fleethost/view.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/view.hpp
@@ -42,35 +42,35 @@
 public:
   /// @brief Starts without beliefs.
   /// @param Given The platform's bounds.
-  explicit FleetView(const FleetBounds &Given) : Bounds(Given) {}
+  explicit FleetView(const FleetBounds &Bounds) : Bounds(Bounds) {}
 
   /// @brief Takes a part of a feed.
-  /// @param Which The feed.
+  /// @param FeedId The feed.
   /// @param Page What was read.
   /// @param Whole Whether it holds the newest value of every key.
   /// @param AskedAt When the question left this host: the page is at least as
   /// new.
   /// @return For each change, what it means to routing.
-  std::vector<RoutingEffect> take(Feed Which, FeedPage Page, bool Whole,
-                                  TimePoint AskedAt, TimePoint Now);
+  std::vector<RoutingEffect> ingest(Feed FeedId, FeedPage Page, bool IsSnapshot,
+                                    TimePoint RequestedAt, TimePoint Now);
   /// How long a silent endpoint gets nothing new. By then the coordinator has
   /// asked its members and closed it, or it is sound.
-  static constexpr Duration SilenceSpan = milliseconds(2'000);
+  static constexpr Duration SilentSuspension = milliseconds(2'000);
   /// The same for one that cannot serve until its group is formed anew; while
   /// the store is away it is tried again this seldom.
-  static constexpr Duration UnusableSpan = milliseconds(8'000);
+  static constexpr Duration UnusableSuspension = milliseconds(8'000);
 
   /// @brief An endpoint gets nothing new for a while, or until its record shows
   /// another life or group.
-  void shun(const EndpointName &Which, Duration Span, TimePoint Now);
+  void suspend(const EndpointName &Name, Duration Span, TimePoint Now);
   /// @brief Whether an endpoint gets nothing new for now.
-  [[nodiscard]] bool shuns(const EndpointName &Which) const {
-    return Shunned.contains(Which);
+  [[nodiscard]] bool isSuspended(const EndpointName &Name) const {
+    return Suspended.contains(Name);
   }
   /// @brief Whether an endpoint may be cold: by its record, or because its data
   /// centre has just been returned.
-  [[nodiscard]] bool mayBeCold(const KnownEndpoint &Known) const {
-    return Known.Cold || Returned.contains(Known.Record.DataCentre);
+  [[nodiscard]] bool mayBeCold(const KnownEndpoint &Entry) const {
+    return Entry.Cold || RecentlyReturned.contains(Entry.Record.DataCentre);
   }
   /// @brief A leader that closed its group while its process lives on.
   struct ClosedLeader {
@@ -139,7 +139,7 @@
   static constexpr std::uint32_t ColdShare = 1;
 
   /// @brief Names an endpoint in its life and seat.
-  [[nodiscard]] static std::string endpointKey(const EndpointRecord &Of);
+  [[nodiscard]] static std::string endpointKey(const EndpointRecord &Record);
 
   /// @brief Name of the pool of a service's endpoints, or of a model's groups.
   /// @param Model Empty for plain services.
@@ -149,24 +149,25 @@
 private:
   bool apply(ConfigPublished Change);
   bool publish(EndpointRecord Record, TimePoint Now);
-  void recordClosing(const EndpointRecord &Before, const EndpointRecord &Now);
-  [[nodiscard]] RoutingEffect effectOf(FleetChange &Change, bool Whole,
+  void recordClosing(const EndpointRecord &Previous,
+                     const EndpointRecord &Current);
+  [[nodiscard]] RoutingEffect effectOf(FleetChange &Change, bool IsSnapshot,
                                        TimePoint Now);
-  [[nodiscard]] bool isRoutable(const EndpointName &Which) const;
-  void noteRead(TimePoint Now);
+  [[nodiscard]] bool isRoutable(const EndpointName &Name) const;
+  void recordRead(TimePoint Now);
   [[nodiscard]] bool applyOne(FleetChange &Change, TimePoint Now);
   void retainEndpoints(const FeedPage &Page, TimePoint Now);
   void retainDrains(const FeedPage &Page, TimePoint Now);
-  bool returned(const DataCentreName &Which, TimePoint Now);
-  void addPaces(FleetRoutes &Out) const;
-  void addEndpoint(const KnownEndpoint &Known, FleetRoutes &Out) const;
+  bool returnDataCentre(const DataCentreName &DataCentre, TimePoint Now);
+  void addPaces(FleetRoutes &Result) const;
+  void addEndpoint(const KnownEndpoint &Entry, FleetRoutes &Result) const;
 
   FleetBounds Bounds;
   EndpointCatalogue Catalogue;
   RouteIndexPtr Index;
   std::set<DataCentreName> Drained;
   /// Data centres that were returned, and until when that matters.
-  std::map<DataCentreName, TimePoint> Returned;
+  std::map<DataCentreName, TimePoint> RecentlyReturned;
   TimePoint ConfigAsOf{};
   /// When the store was asked last for what it answered, the end of a feed
   /// reached or not.
@@ -175,7 +176,7 @@
   bool KnowsAllEndpoints = false;
   TimePoint EndpointsAsOf{};
   std::uint64_t Changes = 0;
-  std::map<EndpointName, TimePoint> Shunned;
+  std::map<EndpointName, TimePoint> Suspended;
   std::vector<ClosedLeader> Closed;
   /// When the endpoints' feed was last read.
   std::optional<TimePoint> EndpointsReadAt;
--- a/packages/process/test/coltsfoottrail/fleethost/follower.cpp
+++ b/packages/process/test/coltsfoottrail/fleethost/follower.cpp
@@ -31,26 +31,26 @@
 };
 
 Awaitable<FeedAnswer> page(Offset Next, Offset End) {
-  FeedPage Out;
-  Out.Next = Next;
-  Out.End = End;
-  co_return Out;
+  FeedPage Result;
+  Result.Next = Next;
+  Result.End = End;
+  co_return Result;
 }
 
-Awaitable<FeedAnswer> neverAnswered() {
-  boost::asio::steady_timer Silence(co_await boost::asio::this_coro::executor,
-                                    seconds(60));
-  co_await Silence.async_wait(boost::asio::use_awaitable);
+Awaitable<FeedAnswer> unanswered() {
+  boost::asio::steady_timer Timer(co_await boost::asio::this_coro::executor,
+                                  seconds(60));
+  co_await Timer.async_wait(boost::asio::use_awaitable);
   co_return StoreFailure::Unknown;
 }
 
 /// What a read over a connection answers when it is given up.
-Awaitable<FeedAnswer> failsWhenGivenUp() {
-  boost::asio::steady_timer Silence(co_await boost::asio::this_coro::executor,
-                                    seconds(60));
-  boost::system::error_code GivenUp;
-  co_await Silence.async_wait(
-      boost::asio::redirect_error(boost::asio::use_awaitable, GivenUp));
+Awaitable<FeedAnswer> failsWhenCancelled() {
+  boost::asio::steady_timer Timer(co_await boost::asio::this_coro::executor,
+                                  seconds(60));
+  boost::system::error_code Cancelled;
+  co_await Timer.async_wait(
+      boost::asio::redirect_error(boost::asio::use_awaitable, Cancelled));
   co_return StoreFailure::Unknown;
 }
 
@@ -62,19 +62,19 @@
   }
 
   void follow() {
-    Followed.emplace(Store, Feed::Endpoints, Times,
-                     FollowHooks{[this](FeedPage Page, bool, TimePoint) {
-                                   Taken.push_back(Page.Next);
-                                 },
-                                 [this](StoreFailure) { ++Failures; }});
-    boost::asio::co_spawn(Context, Followed->run(), boost::asio::detached);
+    Reader.emplace(Store, Feed::Endpoints, Times,
+                   FollowHooks{[this](FeedPage Page, bool, TimePoint) {
+                                 ReadOffsets.push_back(Page.Next);
+                               },
+                               [this](StoreFailure) { ++Failures; }});
+    boost::asio::co_spawn(Context, Reader->run(), boost::asio::detached);
   }
 
   ::testing::StrictMock<MockStore> Store;
   FollowTimes Times;
   boost::asio::io_context Context;
-  std::optional<FeedFollower> Followed;
-  std::vector<Offset> Taken;
+  std::optional<FeedFollower> Reader;
+  std::vector<Offset> ReadOffsets;
   int Failures = 0;
 };
 
@@ -88,12 +88,12 @@
       .WillOnce([] { return page(20, 60); })
       .WillOnce([] { return page(40, 60); })
       .WillOnce([] { return page(60, 60); })
-      .WillRepeatedly([] { return neverAnswered(); });
+      .WillRepeatedly([] { return unanswered(); });
   follow();
   const TimePoint Start = BootClock::now();
-  while (Taken.size() < 4 && BootClock::now() < Start + seconds(5))
+  while (ReadOffsets.size() < 4 && BootClock::now() < Start + seconds(5))
     Context.run_one_for(seconds(1));
-  EXPECT_EQ(Taken, (std::vector<Offset>{5, 20, 40, 60}));
+  EXPECT_EQ(ReadOffsets, (std::vector<Offset>{5, 20, 40, 60}));
 }
 
 // Callers are refused on every host after a change of the store's history.
@@ -104,15 +104,15 @@
   Times.Spacing = milliseconds(1);
   EXPECT_CALL(Store, newest).WillOnce([] { return page(5, 5); });
   EXPECT_CALL(Store, read)
-      .WillOnce([] { return failsWhenGivenUp(); })
+      .WillOnce([] { return failsWhenCancelled(); })
       .WillOnce([] { return page(9, 9); })
-      .WillRepeatedly([] { return neverAnswered(); });
+      .WillRepeatedly([] { return unanswered(); });
   follow();
   Context.run_for(milliseconds(50));
-  Followed->hurry();
+  Reader->readNow();
   Context.run_for(milliseconds(50));
   EXPECT_EQ(Failures, 0);
-  EXPECT_EQ(Taken, (std::vector<Offset>{5, 9}));
+  EXPECT_EQ(ReadOffsets, (std::vector<Offset>{5, 9}));
 }
 
 // The same, with another cause: the host was cut off from the store, another
@@ -122,15 +122,15 @@
   Times.Spacing = milliseconds(1);
   EXPECT_CALL(Store, newest).WillOnce([] { return page(5, 5); });
   EXPECT_CALL(Store, read)
-      .WillOnce([] { return neverAnswered(); })
+      .WillOnce([] { return unanswered(); })
       .WillOnce([] { return page(9, 9); })
-      .WillRepeatedly([] { return neverAnswered(); });
+      .WillRepeatedly([] { return unanswered(); });
   follow();
   Context.run_for(milliseconds(50));
-  ASSERT_EQ(Taken, std::vector<Offset>{5});
-  Followed->hurry();
+  ASSERT_EQ(ReadOffsets, std::vector<Offset>{5});
+  Reader->readNow();
   Context.run_for(milliseconds(50));
-  EXPECT_EQ(Taken, (std::vector<Offset>{5, 9}));
+  EXPECT_EQ(ReadOffsets, (std::vector<Offset>{5, 9}));
   EXPECT_EQ(Failures, 0);
 }
 
@@ -144,47 +144,47 @@
   Times.Spacing = milliseconds(0);
   follow();
   Context.poll_one();
-  while (Taken.empty())
+  while (ReadOffsets.empty())
     Context.run_one();
-  Followed->cover(3, BootClock::now() + seconds(60));
+  Reader->acceptChanges(3, BootClock::now() + seconds(60));
   Context.poll();
-  Followed->fallBehind();
-  EXPECT_TRUE(Followed->isBehind());
-  Followed->space(seconds(60));
+  Reader->markBehind();
+  EXPECT_TRUE(Reader->isBehind());
+  Reader->setSpacing(seconds(60));
   Context.run_for(milliseconds(200));
-  EXPECT_EQ(Taken, (std::vector<Offset>{3, 4}));
-  EXPECT_FALSE(Followed->isBehind());
+  EXPECT_EQ(ReadOffsets, (std::vector<Offset>{3, 4}));
+  EXPECT_FALSE(Reader->isBehind());
 }
 
 /// A read that takes longer than the pause between two responses.
-Awaitable<FeedAnswer> answeredLate(Offset Next) {
-  boost::asio::steady_timer Late(co_await boost::asio::this_coro::executor,
-                                 milliseconds(60));
-  co_await Late.async_wait(boost::asio::use_awaitable);
-  FeedPage Out;
-  Out.Next = Next;
-  Out.End = Next;
-  co_return Out;
+Awaitable<FeedAnswer> delayedPage(Offset Next) {
+  boost::asio::steady_timer Timer(co_await boost::asio::this_coro::executor,
+                                  milliseconds(60));
+  co_await Timer.async_wait(boost::asio::use_awaitable);
+  FeedPage Result;
+  Result.Next = Next;
+  Result.End = Next;
+  co_return Result;
 }
 
 // Guards against a first read that is given up and made again for each response
 // of an upstream that cannot relay a large configuration.
 TEST_F(Follower, DeferralThatEndsTwiceIsOneRead) {
-  EXPECT_CALL(Store, newest).WillOnce([] { return answeredLate(4); });
+  EXPECT_CALL(Store, newest).WillOnce([] { return delayedPage(4); });
   Times.Spacing = seconds(60);
-  Followed.emplace(Store, Feed::Endpoints, Times,
-                   FollowHooks{[this](FeedPage Page, bool, TimePoint) {
-                                 Taken.push_back(Page.Next);
-                               },
-                               [this](StoreFailure) { ++Failures; }});
-  Followed->defer(BootClock::now() + seconds(60));
-  boost::asio::co_spawn(Context, Followed->run(), boost::asio::detached);
+  Reader.emplace(Store, Feed::Endpoints, Times,
+                 FollowHooks{[this](FeedPage Page, bool, TimePoint) {
+                               ReadOffsets.push_back(Page.Next);
+                             },
+                             [this](StoreFailure) { ++Failures; }});
+  Reader->defer(BootClock::now() + seconds(60));
+  boost::asio::co_spawn(Context, Reader->run(), boost::asio::detached);
   Context.run_for(milliseconds(10));
   for (int Response = 0; Response < 8; ++Response) {
-    Followed->endDeferral();
+    Reader->endDeferral();
     Context.run_for(milliseconds(20));
   }
-  EXPECT_EQ(Taken, std::vector<Offset>{4});
+  EXPECT_EQ(ReadOffsets, std::vector<Offset>{4});
 }
 
 // Guards against a host that reads on and on by itself: each response of its
@@ -193,11 +193,11 @@
   EXPECT_CALL(Store, newest).WillOnce([] { return page(7, 7); });
   follow();
   Context.poll();
-  ASSERT_EQ(Taken, std::vector<Offset>{7});
-  EXPECT_TRUE(Followed->accepts(5, 9));
-  EXPECT_TRUE(Followed->accepts(7, 7));
-  EXPECT_FALSE(Followed->accepts(5, 6));
-  EXPECT_FALSE(Followed->accepts(8, 9));
+  ASSERT_EQ(ReadOffsets, std::vector<Offset>{7});
+  EXPECT_TRUE(Reader->canAcceptChanges(5, 9));
+  EXPECT_TRUE(Reader->canAcceptChanges(7, 7));
+  EXPECT_FALSE(Reader->canAcceptChanges(5, 6));
+  EXPECT_FALSE(Reader->canAcceptChanges(8, 9));
 }
 
 Awaitable<FeedAnswer> refused() { co_return StoreFailure::NotDone; }
@@ -207,11 +207,11 @@
 TEST_F(Follower, FailedReadsPauseAsLongAsTheFleetNeeds) {
   Times.RetryPause = milliseconds(1);
   EXPECT_CALL(Store, newest).Times(1).WillRepeatedly([] { return refused(); });
-  Followed.emplace(Store, Feed::Endpoints, Times,
-                   FollowHooks{[](FeedPage, bool, TimePoint) {},
-                               [this](StoreFailure) { ++Failures; }});
-  Followed->pauseAfterFailure(seconds(60));
-  boost::asio::co_spawn(Context, Followed->run(), boost::asio::detached);
+  Reader.emplace(Store, Feed::Endpoints, Times,
+                 FollowHooks{[](FeedPage, bool, TimePoint) {},
+                             [this](StoreFailure) { ++Failures; }});
+  Reader->setMinFailurePause(seconds(60));
+  boost::asio::co_spawn(Context, Reader->run(), boost::asio::detached);
   Context.run_for(milliseconds(60));
   EXPECT_EQ(Failures, 1);
 }
@@ -220,12 +220,12 @@
 TEST_F(Follower, EagerReaderDoesNotWaitForTheOthers) {
   Times.RetryPause = milliseconds(1);
   EXPECT_CALL(Store, newest).WillRepeatedly([] { return refused(); });
-  Followed.emplace(Store, Feed::Endpoints, Times,
-                   FollowHooks{[](FeedPage, bool, TimePoint) {},
-                               [this](StoreFailure) { ++Failures; }});
-  Followed->pauseAfterFailure(seconds(60));
-  Followed->beEager(true);
-  boost::asio::co_spawn(Context, Followed->run(), boost::asio::detached);
+  Reader.emplace(Store, Feed::Endpoints, Times,
+                 FollowHooks{[](FeedPage, bool, TimePoint) {},
+                             [this](StoreFailure) { ++Failures; }});
+  Reader->setMinFailurePause(seconds(60));
+  Reader->setEagerRetry(true);
+  boost::asio::co_spawn(Context, Reader->run(), boost::asio::detached);
   Context.run_for(milliseconds(60));
   EXPECT_GT(Failures, 2);
 }
@@ -234,19 +234,19 @@
   EXPECT_CALL(Store, newest).Times(0);
   EXPECT_CALL(Store, read(Feed::Endpoints, Offset{9}, ::testing::_))
       .WillOnce([] { return page(9, 9); });
-  Followed.emplace(Store, Feed::Endpoints, Times,
-                   FollowHooks{[this](FeedPage Page, bool, TimePoint) {
-                                 Taken.push_back(Page.Next);
-                               },
-                               [this](StoreFailure) { ++Failures; }});
-  Followed->defer(BootClock::now() + seconds(60));
-  boost::asio::co_spawn(Context, Followed->run(), boost::asio::detached);
+  Reader.emplace(Store, Feed::Endpoints, Times,
+                 FollowHooks{[this](FeedPage Page, bool, TimePoint) {
+                               ReadOffsets.push_back(Page.Next);
+                             },
+                             [this](StoreFailure) { ++Failures; }});
+  Reader->defer(BootClock::now() + seconds(60));
+  boost::asio::co_spawn(Context, Reader->run(), boost::asio::detached);
   Context.run_for(milliseconds(10));
-  Followed->adopt(9, BootClock::now() + milliseconds(50));
+  Reader->acceptSnapshot(9, BootClock::now() + milliseconds(50));
   Context.run_for(milliseconds(20));
-  EXPECT_TRUE(Taken.empty());
+  EXPECT_TRUE(ReadOffsets.empty());
   Context.run_for(milliseconds(80));
-  EXPECT_EQ(Taken, std::vector<Offset>{9});
+  EXPECT_EQ(ReadOffsets, std::vector<Offset>{9});
 }
 
 } // namespace
--- a/packages/process/test/coltsfoottrail/fleethost/view.cpp
+++ b/packages/process/test/coltsfoottrail/fleethost/view.cpp
@@ -11,41 +11,41 @@
 constexpr TimePoint Start{seconds(100)};
 
 PublishedConfig config(std::uint64_t Version) {
-  PublishedConfig Out;
-  Out.Version = Version;
+  PublishedConfig Result;
+  Result.Version = Version;
   ServiceProfile Drafts;
   Drafts.Name = ServiceName("draft");
   Drafts.Engine.emplace();
   ServedModel Model;
   Model.Name = ModelName("m");
   Drafts.Engine->Models.push_back(Model);
-  Out.Services.push_back(Drafts);
-  return Out;
+  Result.Services.push_back(Drafts);
+  return Result;
 }
 
 FeedPage page(FleetChange Change) {
-  FeedPage Out;
-  Out.Changes.push_back(std::move(Change));
-  return Out;
+  FeedPage Result;
+  Result.Changes.push_back(std::move(Change));
+  return Result;
 }
 
 EndpointRecord leader() {
-  EndpointRecord Out;
-  Out.Name = EndpointName("head");
-  Out.Service = ServiceName("draft");
-  Out.DataCentre = DataCentreName("north");
-  Out.Slots = 26;
-  Out.Loaded = {ModelName("m")};
-  Out.Seat = GroupSeat{"g", 7, 0, SeatPhase::Open};
-  return Out;
+  EndpointRecord Result;
+  Result.Name = EndpointName("head");
+  Result.Service = ServiceName("draft");
+  Result.DataCentre = DataCentreName("north");
+  Result.Slots = 26;
+  Result.Loaded = {ModelName("m")};
+  Result.Seat = GroupSeat{"g", 7, 0, SeatPhase::Open};
+  return Result;
 }
 
-FleetView sound() {
+FleetView readyView() {
   FleetView View{FleetBounds{}};
-  View.take(Feed::Operators, page(ConfigPublished{config(5)}), true, Start,
-            Start);
-  View.take(Feed::Endpoints, page(EndpointPublished{leader()}), true, Start,
-            Start);
+  View.ingest(Feed::Operators, page(ConfigPublished{config(5)}), true, Start,
+              Start);
+  View.ingest(Feed::Endpoints, page(EndpointPublished{leader()}), true, Start,
+              Start);
   return View;
 }
 
@@ -57,16 +57,16 @@
 // The store is overloaded and gives the operators' feed in parts; each read is
 // answered, and this host stays behind the newest version all the while.
 TEST(FleetView, ReadsThatDoNotReachTheEndProveNoConfiguration) {
-  FleetView View = sound();
+  FleetView View = readyView();
   FeedPage Part = page(ConfigPublished{config(6)});
   Part.Next = 7;
   Part.End = 9;
   const TimePoint Later = Start + seconds(10);
-  View.take(Feed::Operators, Part, false, Later, Later);
+  View.ingest(Feed::Operators, Part, false, Later, Later);
   EXPECT_EQ(View.config()->version(), 6U);
   EXPECT_FALSE(View.credentialsFresh(Later));
   Part.Next = 9;
-  View.take(Feed::Operators, Part, false, Later, Later);
+  View.ingest(Feed::Operators, Part, false, Later, Later);
   EXPECT_TRUE(View.credentialsFresh(Later));
 }
 
@@ -76,52 +76,52 @@
   FleetBounds Bounds;
   Bounds.Configuration = milliseconds(2'000);
   FleetView View(Bounds);
-  View.take(Feed::Operators, page(ConfigPublished{config(5)}), true, Start,
-            Start);
+  View.ingest(Feed::Operators, page(ConfigPublished{config(5)}), true, Start,
+              Start);
   const TimePoint Later = Start + milliseconds(1'900);
   FeedPage Part = page(EndpointPublished{leader()});
   Part.Next = 5;
   Part.End = 90;
   EXPECT_TRUE(View.credentialsFresh(Later));
-  View.take(Feed::Endpoints, Part, false, Later, Later);
+  View.ingest(Feed::Endpoints, Part, false, Later, Later);
   EXPECT_FALSE(View.credentialsFresh(Later));
-  View.take(Feed::Operators, FeedPage{}, false, Later, Later);
+  View.ingest(Feed::Operators, FeedPage{}, false, Later, Later);
   EXPECT_TRUE(View.credentialsFresh(Later));
 }
 
 FeedPage projected(FleetChange Change) {
-  FeedPage Out = page(std::move(Change));
-  Out.Projected = true;
-  return Out;
+  FeedPage Result = page(std::move(Change));
+  Result.Projected = true;
+  return Result;
 }
 
 // Guards against a coordinator that takes the endpoints which were relayed to
 // it for all there are, and gives away members of groups that it cannot see.
 TEST(FleetView, RelayedRecordsAreNotAllEndpoints) {
-  FleetView View = sound();
+  FleetView View = readyView();
   EXPECT_TRUE(View.knowsAllEndpoints());
   EXPECT_EQ(View.allEndpointsAsOf(), Start);
   const TimePoint Later = Start + seconds(1);
-  View.take(Feed::Endpoints, projected(EndpointRemoved{EndpointName("x")}),
-            false, Later, Later);
+  View.ingest(Feed::Endpoints, projected(EndpointRemoved{EndpointName("x")}),
+              false, Later, Later);
   EXPECT_EQ(View.allEndpointsAsOf(), TimePoint{});
-  View.take(Feed::Endpoints, FeedPage{}, false, Later, Later);
+  View.ingest(Feed::Endpoints, FeedPage{}, false, Later, Later);
   EXPECT_EQ(View.allEndpointsAsOf(), TimePoint{});
-  View.take(Feed::Endpoints, page(EndpointPublished{leader()}), true, Later,
-            Later);
+  View.ingest(Feed::Endpoints, page(EndpointPublished{leader()}), true, Later,
+              Later);
   EXPECT_EQ(View.allEndpointsAsOf(), Later);
 }
 
 // Guards against members and heartbeats being relayed to every host.
 TEST(FleetView, OnlyLeadersMatterToRouting) {
-  FleetView View = sound();
+  FleetView View = readyView();
   EndpointRecord Member = leader();
   Member.Name = EndpointName("member");
   Member.Seat->Rank = 1;
   using Effects = std::vector<RoutingEffect>;
   const auto Publish = [&](const EndpointRecord &Record) {
-    return View.take(Feed::Endpoints, page(EndpointPublished{Record}), false,
-                     Start, Start);
+    return View.ingest(Feed::Endpoints, page(EndpointPublished{Record}), false,
+                       Start, Start);
   };
   EXPECT_EQ(Publish(Member), Effects{RoutingEffect::Other});
   EXPECT_EQ(Publish(Member), Effects{RoutingEffect::None});
@@ -130,23 +130,23 @@
   Closed.Seat->Phase = SeatPhase::Closing;
   EXPECT_EQ(Publish(Closed), Effects{RoutingEffect::Unset});
   EXPECT_EQ(Publish(leader()), Effects{RoutingEffect::Set});
-  EXPECT_EQ(View.take(Feed::Endpoints,
-                      page(EndpointRemoved{EndpointName("head")}), false, Start,
-                      Start),
+  EXPECT_EQ(View.ingest(Feed::Endpoints,
+                        page(EndpointRemoved{EndpointName("head")}), false,
+                        Start, Start),
             Effects{RoutingEffect::Unset});
 }
 
 // Guards against hosts that refuse their callers although the store is away,
 // when nobody can have a newer configuration from it.
 TEST(FleetView, ConfigurationIsTrustedWhileTheStoreIsAway) {
-  FleetView View = sound();
+  FleetView View = readyView();
   EXPECT_TRUE(View.credentialsFresh(Start + milliseconds(4'200)));
 }
 
 // Guards against a host that is slow to follow after the store's return and
 // goes on serving routes that were withdrawn meanwhile.
 TEST(FleetView, RoutesAreTrustedForTheBoundOfConfigurations) {
-  const FleetView View = sound();
+  const FleetView View = readyView();
   EXPECT_TRUE(View.routesFresh(Start + milliseconds(1'500)));
   EXPECT_FALSE(View.routesFresh(Start + FleetBounds{}.Configuration));
   EXPECT_FALSE(FleetView{FleetBounds{}}.routesFresh(Start));
@@ -155,9 +155,9 @@
 // Callers are served by routes that were withdrawn.
 // The store is read again from an earlier point, or an answer is overtaken.
 TEST(FleetView, ConfigurationNeverGoesBack) {
-  FleetView View = sound();
-  View.take(Feed::Operators, page(ConfigPublished{config(4)}), false, Start,
-            Start);
+  FleetView View = readyView();
+  View.ingest(Feed::Operators, page(ConfigPublished{config(4)}), false, Start,
+              Start);
   EXPECT_EQ(View.config()->version(), 5U);
 }
 
@@ -165,37 +165,38 @@
 // Nothing proves the configuration any more; before the bound ends credentials
 // count as stale. A late answer to an old question proves only that time.
 TEST(FleetView, CredentialsAreStaleBeforeTheBoundEnds) {
-  FleetView View = sound();
+  FleetView View = readyView();
   EXPECT_TRUE(View.ready(Start + seconds(4)));
   EXPECT_FALSE(View.ready(Start + seconds(5)));
-  View.take(Feed::Operators, FeedPage{}, false, Start, Start + seconds(6));
+  View.ingest(Feed::Operators, FeedPage{}, false, Start, Start + seconds(6));
   EXPECT_FALSE(View.ready(Start + seconds(6)));
-  View.take(Feed::Operators, FeedPage{}, false, Start + seconds(6),
-            Start + seconds(7));
+  View.ingest(Feed::Operators, FeedPage{}, false, Start + seconds(6),
+              Start + seconds(7));
   EXPECT_TRUE(View.ready(Start + seconds(7)));
 }
 
 TEST(FleetView, OnlyOpenLeadersOutsideDrainsGetWork) {
-  FleetView View = sound();
+  FleetView View = readyView();
   EXPECT_EQ(endpointsOf(View), 1U);
-  View.take(Feed::Operators, page(DataCentreDrained{DataCentreName("north")}),
-            false, Start, Start);
+  View.ingest(Feed::Operators, page(DataCentreDrained{DataCentreName("north")}),
+              false, Start, Start);
   EXPECT_EQ(endpointsOf(View), 0U);
-  View.take(Feed::Operators, page(DataCentreReturned{DataCentreName("north")}),
-            false, Start, Start);
+  View.ingest(Feed::Operators,
+              page(DataCentreReturned{DataCentreName("north")}), false, Start,
+              Start);
   EndpointRecord Closed = leader();
   Closed.Seat->Phase = SeatPhase::Ready;
-  View.take(Feed::Endpoints, page(EndpointPublished{Closed}), false, Start,
-            Start);
+  View.ingest(Feed::Endpoints, page(EndpointPublished{Closed}), false, Start,
+              Start);
   EXPECT_EQ(endpointsOf(View), 0U);
 }
 
 // Guards against blaming requests for streams that a closing leader broke.
 TEST(FleetView, LeaderThatClosesAndLivesIsTold) {
-  FleetView View = sound();
+  FleetView View = readyView();
   const auto Publish = [&](EndpointRecord Record) {
-    View.take(Feed::Endpoints, page(EndpointPublished{std::move(Record)}),
-              false, Start, Start);
+    View.ingest(Feed::Endpoints, page(EndpointPublished{std::move(Record)}),
+                false, Start, Start);
     return View.takeClosed();
   };
   EndpointRecord Record = leader();
@@ -214,8 +215,8 @@
 }
 
 TEST(FleetView, ShunnedEndpointGetsNoShareForAWhile) {
-  FleetView View = sound();
-  View.shun(EndpointName("head"), FleetView::SilenceSpan, Start);
+  FleetView View = readyView();
+  View.suspend(EndpointName("head"), FleetView::SilentSuspension, Start);
   EXPECT_EQ(View.routes().Shares.begin()->second, 0U);
   View.advance(Start + seconds(3));
   EXPECT_EQ(View.routes().Shares.begin()->second, 26U);
@@ -224,45 +225,45 @@
 // Guards against a leader that refuses all requests at once, looks idle by
 // that, and draws the requests of all hosts.
 TEST(FleetView, UnusableEndpointGetsNothingUntilItsGroupIsFormedAnew) {
-  FleetView View = sound();
-  View.shun(EndpointName("head"), FleetView::UnusableSpan, Start);
+  FleetView View = readyView();
+  View.suspend(EndpointName("head"), FleetView::UnusableSuspension, Start);
   View.advance(Start + seconds(3));
   EXPECT_EQ(View.routes().Shares.begin()->second, 0U);
-  EndpointRecord Again = leader();
-  Again.Seat->Epoch = 8;
-  Again.Sequence = 9;
-  View.take(Feed::Endpoints, page(EndpointPublished{Again}), false, Start,
-            Start);
+  EndpointRecord Reformed = leader();
+  Reformed.Seat->Epoch = 8;
+  Reformed.Sequence = 9;
+  View.ingest(Feed::Endpoints, page(EndpointPublished{Reformed}), false, Start,
+              Start);
   EXPECT_EQ(View.routes().Shares.begin()->second, 26U);
 }
 
 TEST(AnswerMarks, OnlyARefusalThatBlamesAnotherProvesAnEndpointUnusable) {
-  const EngineAddress Asked{"10.0.0.1", 80};
+  const EngineAddress Target{"10.0.0.1", 80};
   AnswerMarks Full;
   Full.NotRun = true;
-  EXPECT_FALSE(Full.provesUnusable(Asked));
+  EXPECT_FALSE(Full.provesUnusable(Target));
   Full.AtFault = "10.0.0.1:80";
-  EXPECT_FALSE(Full.provesUnusable(Asked));
+  EXPECT_FALSE(Full.provesUnusable(Target));
   AnswerMarks Broken = Full;
   Broken.AtFault = "10.0.0.2:80";
-  EXPECT_TRUE(Broken.provesUnusable(Asked));
+  EXPECT_TRUE(Broken.provesUnusable(Target));
   AnswerMarks Served;
   Served.AtFault = "10.0.0.2:80";
-  EXPECT_FALSE(Served.provesUnusable(Asked));
+  EXPECT_FALSE(Served.provesUnusable(Target));
   AnswerMarks Reused;
   Reused.WrongEndpoint = true;
-  EXPECT_TRUE(Reused.provesUnusable(Asked));
+  EXPECT_TRUE(Reused.provesUnusable(Target));
 }
 
 // A data centre is returned, and its endpoints fall over at once.
 // They are cold, but the records that say so are still on their way.
 TEST(FleetView, EndpointsOfAReturnedDataCentreCountAsColdAtFirst) {
-  FleetView View = sound();
+  FleetView View = readyView();
   const DataCentreName North("north");
-  View.take(Feed::Operators, page(DataCentreDrained{North}), false, Start,
-            Start);
-  View.take(Feed::Operators, page(DataCentreReturned{North}), false, Start,
-            Start);
+  View.ingest(Feed::Operators, page(DataCentreDrained{North}), false, Start,
+              Start);
+  View.ingest(Feed::Operators, page(DataCentreReturned{North}), false, Start,
+              Start);
   EXPECT_EQ(View.routes().Shares.begin()->second, 0U);
   View.advance(Start + seconds(3));
   EXPECT_EQ(View.routes().Shares.begin()->second, 26U);
@@ -272,29 +273,29 @@
 // One read of the store failed before; the removal is held back as if entries
 // had lapsed in an outage, but no live endpoint's entry lapses that soon.
 TEST(FleetView, RemovalAfterAShortFailureIsReal) {
-  FleetView View = sound();
+  FleetView View = readyView();
   const TimePoint Later = Start + seconds(2);
-  View.take(Feed::Endpoints, page(EndpointRemoved{EndpointName("head")}), false,
-            Later, Later);
+  View.ingest(Feed::Endpoints, page(EndpointRemoved{EndpointName("head")}),
+              false, Later, Later);
   EXPECT_EQ(endpointsOf(View), 0U);
 }
 
 TEST(FleetView, RemovalAfterAnOutageIsHeldBack) {
-  FleetView View = sound();
+  FleetView View = readyView();
   const TimePoint Later = Start + seconds(3);
-  View.take(Feed::Endpoints, page(EndpointRemoved{EndpointName("head")}), false,
-            Later, Later);
+  View.ingest(Feed::Endpoints, page(EndpointRemoved{EndpointName("head")}),
+              false, Later, Later);
   EXPECT_EQ(endpointsOf(View), 1U);
   View.advance(Later + EndpointCatalogue::SettleTime);
   EXPECT_EQ(endpointsOf(View), 0U);
 }
 
 TEST(FleetView, ColdEndpointWaitsForItsTurn) {
-  FleetView View = sound();
+  FleetView View = readyView();
   EndpointRecord Cold = leader();
   Cold.ColdFor = seconds(3);
-  View.take(Feed::Endpoints, page(EndpointPublished{Cold}), false, Start,
-            Start);
+  View.ingest(Feed::Endpoints, page(EndpointPublished{Cold}), false, Start,
+              Start);
   EXPECT_EQ(View.routes().Shares.begin()->second, 0U);
 }
 
