--- a/packages/process/src/coltsfoottrail/fleethost/attempt.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/attempt.cpp
@@ -1,5 +1,5 @@
-// The part of the relay that sends a request to an endpoint and carries the
-// answer back.
+// The part of CallerProxy that sends a request to an endpoint and forwards the
+// response.
 #include "coltsfoottrail/fleethost/callerproxy.hpp"
 
 #include "coltsfoottrail/admission/idleshare.hpp"
@@ -16,16 +16,18 @@
 constexpr unsigned StatusFirstNonSuccess = 300;
 constexpr unsigned StatusFirstServerError = 500;
 
-/// Less time than this is no use to an endpoint: a connection and a step of an
-/// engine take about as long.
+/// With less time left than this an endpoint is not tried: a connection and one
+/// step of an engine take about as long.
 constexpr Duration MinUsefulTime = milliseconds(10);
-/// Silence after which a stream is taken up elsewhere: several times the pause
-/// that is on time, and well before the platform's callers give up, which is
-/// after two seconds at the earliest.
+/// A stream that is silent for the target gap times this factor, within the
+/// limits below, is resumed at another endpoint. The limit is several times the
+/// gap that counts as on time and well below two seconds, after which the
+/// platform's callers give up at the earliest.
 constexpr int SilenceFactor = 2;
 constexpr Duration MinSilence = milliseconds(500);
 constexpr Duration MaxSilence = milliseconds(1500);
-/// Places in an engine's queue: a stream that broke off is waited for most.
+/// Ranks in an engine's queue, lowest first: the caller of a resumed stream is
+/// waiting in the middle of a response.
 constexpr std::uint32_t ResumedRank = 1;
 constexpr std::uint32_t FreshRank = 4;
 constexpr std::uint32_t LateRank = 8;
@@ -39,7 +41,7 @@
                               MaxSilence);
 }
 
-/// Tells the watch of one stream, however it ends.
+/// Reports the progress and the end of one stream to the silence watch.
 class StreamGuard {
 public:
   StreamGuard(SilenceWatch &Silence, const std::string &Endpoint)
@@ -78,14 +80,16 @@
   Context.LastEventAt = Now;
 }
 
-// A request that must not run twice gets a connection of its own: written to
-// one that the endpoint is just closing, nobody could tell whether it ran.
+// A request that must not run twice gets a new connection: if it were written
+// to a kept one that the endpoint is just closing, nobody could tell whether it
+// ran.
 ConnectionUse CallerProxy::connectionUse(const RequestContext &Context) const {
   return {Context.Route->repeatable() ? Reuse::Allowed : Reuse::Never,
           idleShare(Context.Service->MaxConnections, EntryHosts)};
 }
 
-/// Counts a request of a pool from its send until it begins to be answered.
+/// Counts a request in its pool's backlog from its send until its response
+/// begins.
 class CallerProxy::BacklogGuard {
 public:
   BacklogGuard(std::shared_ptr<PoolBacklog> PoolCounts, bool Late)
@@ -122,7 +126,7 @@
   if (Context.Route->streams())
     Marks.Rank = Context.isLate() ? LateRank : FreshRank;
   // Failure guarded against: an endpoint breaks off inside its first event, and
-  // the part of it is put before the first event of the next endpoint.
+  // the incomplete event is put before the first event of the next endpoint.
   Context.Events.dropPartial();
   if (Context.Events.hasReleased()) {
     Marks.Rank = ResumedRank;
@@ -179,8 +183,8 @@
 
 namespace {
 
-/// Requests a second that an endpoint bears while it is cold; nothing where it
-/// is not limited.
+/// Requests per second that an endpoint can take from all entry hosts while it
+/// is cold; empty if there is no limit.
 std::optional<double> coldRate(const RouteIndexPtr &Config,
                                const KnownEndpoint &Entry) {
   const ServiceProfile *const Service =
@@ -207,7 +211,8 @@
   if (!Rate)
     return true;
   const bool Admitted = Gate.admit(Target.Host.Text, *Rate, Now);
-  // The next one waits for its turn elsewhere and not in vain here.
+  // Closes the endpoint until its next turn, so that the next request waits at
+  // another endpoint.
   Routing.setShares({{Target.Key, 0}});
   return Admitted;
 }
@@ -253,7 +258,8 @@
   co_return answered(Start, FirstByte);
 }
 
-/// Tells of a broken stream whether it can go on at another endpoint.
+/// Sets in the result of a broken stream whether it can be resumed at another
+/// endpoint.
 void CallerProxy::markDelivered(const RequestContext &Context, bool MayMove,
                                 AttemptResult &Result) {
   const bool CanContinue = MayMove && !Context.Events.lastId().empty();
@@ -262,10 +268,11 @@
 }
 
 // Failure guarded against: an endpoint dies or falls silent in the middle of a
-// stream, and the caller takes the part for the whole, or waits until it gives
-// up. Only whole events are passed on; a stream that breaks, or is silent for
-// several times the pause that is on time, goes on behind the last event from
-// another endpoint; and one that cannot is cut so that the caller sees it.
+// stream, and the caller takes the partial response for a complete one or waits
+// until it gives up. Only complete events are forwarded. A stream that breaks,
+// or is silent for several times the gap that counts as on time, is resumed at
+// another endpoint after the last complete event. A stream that cannot be
+// resumed is cut in a way that the caller can detect.
 Awaitable<AttemptResult>
 CallerProxy::relayStream(Exchange &Call, RequestContext &Context,
                          HttpCall UpstreamCall, const EndpointSpec &Target,
--- a/packages/process/src/coltsfoottrail/fleethost/callerproxy.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/callerproxy.cpp
@@ -19,15 +19,16 @@
 constexpr unsigned StatusUnavailable = 503;
 constexpr unsigned StatusGatewayTimeout = 504;
 
-/// Where the host itself cannot serve for now: another host probably can.
+/// Retry-After where this host cannot serve at present but another one probably
+/// can.
 constexpr milliseconds ElsewhereRetryAfter{100};
 
-/// A request with less of its route's time than this has been refused before.
-/// Callers' first attempts come with 85 to 100 in 100 of it; those that come
-/// back have waited three quarters of a second or more.
+/// A request that has less than this fraction of its route's timeout left has
+/// been refused before: callers' first attempts arrive with 0.85 to 1.00 of it,
+/// and callers that retry have waited at least 0.75 s.
 constexpr double RetriedTimeFraction = 0.845;
-/// When to come back, as a part of the time left: later than a third of it
-/// callers do not wait, and a group is repaired in two to four seconds.
+/// Longest Retry-After as a fraction of the time left. Callers do not wait
+/// longer than a third of it, and a group is repaired in two to four seconds.
 constexpr double RetryAfterFraction = 0.3;
 constexpr milliseconds MaxRetryAfter{1'500};
 
@@ -44,7 +45,7 @@
 
 } // namespace
 
-/// Writes a request's lines when its coroutine ends, however it does.
+/// Writes a request's log lines when its coroutine ends, in whatever way.
 class CallerProxy::TrailGuard {
 public:
   TrailGuard(RequestContext &Context, std::shared_ptr<TrailBudget> Budget)
@@ -154,14 +155,15 @@
     return refusal(Context, StaleVerdict);
   Context.Route =
       Context.Config->route(Context.Caller.HostHeader, Context.Caller.Path);
-  // A host that cannot prove its configuration does not know that there is no
-  // such route.
+  // Without proof that its configuration is current, this host cannot know that
+  // the route does not exist.
   if (Context.Route == nullptr && !View.credentialsFresh(Context.ArrivedAt))
     return refusal(Context, StaleVerdict);
   if (Context.Route == nullptr)
     return jsonResponse(StatusNotFound, R"({"error":"no-route"})");
-  // Where callers have credentials a host serves none of them once it cannot
-  // prove these. A public route needs no credential, but may be withdrawn.
+  // If callers have credentials, none is accepted without proof that they are
+  // current. A public route needs no credential, but it may have been
+  // withdrawn.
   if (Context.Route->Public && Context.Config->hasTeams() &&
       !View.routesFresh(Context.ArrivedAt))
     return refusal(Context, StaleVerdict);
@@ -225,7 +227,7 @@
 }
 
 double CallerProxy::PoolBacklog::freshFraction() const noexcept {
-  // One of each is added: a host with few requests knows little.
+  // Adds one of each, because a host with few requests has little evidence.
   return (Fresh + 1.0) / (Fresh + Late + 2.0);
 }
 
@@ -242,9 +244,9 @@
   Case.TargetLatency = Context.Route->TargetLatency;
   setTerms(Case, BootClock::now(), Result);
   // Failure guarded against: late requests that wait in a leader's queue make
-  // it look full, fresh ones are refused and come back late, and soon nothing
-  // is on time. Fresh ones go before late ones there; other hosts' mix is taken
-  // to be like this host's.
+  // it look full, fresh ones are refused and return late, and soon no request
+  // is on time. Fresh requests go before late ones in that queue. Other hosts
+  // are assumed to have the same proportion of fresh requests as this host.
   if (!Context.isLate())
     Result.WaitingPart = Backlog.freshFraction();
   Result.PromptTokens = Context.Caller.PromptTokens;
@@ -287,7 +289,7 @@
     AttemptResult Result = co_await attempt(Call, Context, *Target);
     if (Result.State != RunState::NotRun)
       ++Context.Runs;
-    // The operators bound how many endpoints may run one request.
+    // The operators limit how many endpoints may run one request.
     if (!Result.Answered && Context.Runs >= Context.Route->MaxAttempts)
       Result.CallerSawBytes = true;
     RouterPlace->report(Result);
@@ -319,10 +321,10 @@
       Now);
 }
 
-// Failure guarded against: on a day with too few groups callers are refused,
-// come back late, and are refused again. A stream that finds no place in time
-// to be on time is late, whatever is done; behind the others it still gets the
-// first place that none of them needs.
+// Failure guarded against: while there are too few groups, callers are refused,
+// retry late, and are refused again. A stream that finds no place early enough
+// to be on time will be late in any case; queued behind the others it still
+// gets the first place that none of them needs.
 bool CallerProxy::mayDemote(const RequestContext &Context,
                             const Verdict &Final) {
   return Context.Route->streams() && !Context.isLate() && Context.Runs == 0 &&
@@ -346,8 +348,8 @@
   co_await Call.respond(std::move(Reply));
 }
 
-// Callers that were refused together would come back together: the time is
-// drawn from its upper half.
+// Callers that were refused together would retry together, so the delay is
+// drawn from the upper half of its range.
 milliseconds CallerProxy::retryAfter(const RequestContext &Context) {
   if (!View.credentialsFresh(BootClock::now()) || Stopping)
     return ElsewhereRetryAfter;
--- a/packages/process/src/coltsfoottrail/fleethost/callerproxy.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/callerproxy.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Carries callers' requests to endpoints and the answers back.
+/// Forwards callers' requests to endpoints and their responses back.
 #ifndef COLTSFOOTTRAIL_FLEETHOST_CALLERPROXY_HPP
 #define COLTSFOOTTRAIL_FLEETHOST_CALLERPROXY_HPP
 
@@ -25,7 +25,7 @@
 
 namespace coltsfoottrail {
 
-/// @brief What a relay has done since its start.
+/// @brief Counters of a proxy since its start.
 struct CallerProxyCounts {
   std::uint64_t Requests = 0;
   std::uint64_t Answered = 0;
@@ -36,63 +36,68 @@
   std::uint64_t CutStreams = 0;
 };
 
-/// @brief Serves callers. Belongs to one thread.
+/// @brief Serves callers: admits a request, chooses a pool and an endpoint, and
+/// forwards the response, retrying or resuming at another endpoint where the
+/// route allows it. Belongs to one thread.
 class CallerProxy {
 public:
-  /// @brief Makes a relay; what it is given must outlive it.
-  /// @param Believed What this host believes.
-  /// @param Decides Where requests are queued and placed.
-  /// @param Out Connections to endpoints.
-  /// @param Fields Reads and writes header fields.
-  /// @param Heard Is told which endpoints' streams move.
-  /// @param Seed Starts the choice among a route's services.
+  /// @brief Creates a proxy; all references must outlive it.
+  /// @param View What this host knows of the fleet.
+  /// @param Routing Queues requests and places them on endpoints.
+  /// @param Client Connections to endpoints.
+  /// @param Wire Reads and writes header fields.
+  /// @param Silence Is notified of the progress of endpoints' streams.
+  /// @param Seed Seed of the random choices of this proxy.
   CallerProxy(const FleetView &View, Router &Routing, HttpClient &Client,
               const CallerWire &Wire, SilenceWatch &Silence, std::uint64_t Seed)
       : View(View), Routing(Routing), Client(Client), Wire(Wire),
         Silence(Silence), Draw(Seed), Gate(Draw()) {}
 
-  /// @brief Calls a function when an endpoint's answer proves that it can serve
-  /// nobody: with the endpoint, and the address of the member that it lacks
-  /// if it names one.
+  /// @brief Sets a function to call when an endpoint's response proves that it
+  /// can serve no request at present. It receives the endpoint and the address
+  /// of the engine that the endpoint reports at fault, empty if it names none.
   void onUnusable(
       std::function<void(const EndpointName &, const std::string &)> Callback) {
     ReportUnusable = std::move(Callback);
   }
 
   /// @brief Serves one request.
-  /// @throws boost::system::system_error The caller is gone.
+  /// @throws boost::system::system_error The caller has disconnected.
   [[nodiscard]] Awaitable<void> serve(Exchange &Call);
 
-  /// @brief Sets how many entry hosts share what cold endpoints bear and the
-  /// connections that endpoints take; zero for not known.
+  /// @brief Sets the number of entry hosts among which the request rates of
+  /// cold endpoints and the connections to endpoints are divided; zero if
+  /// unknown.
   void setEntryHosts(std::size_t Hosts) noexcept {
     Gate.share(Hosts);
     EntryHosts = Hosts > 0 ? Hosts : std::size_t(ColdGate::UnknownHosts);
   }
-  /// @brief Whether a cold endpoint may get a request of this host now.
+  /// @brief Whether this host may send a request to a cold endpoint now.
   [[nodiscard]] bool mayUseCold(const KnownEndpoint &Entry, TimePoint Now);
 
-  /// @brief Own requests of a pool in the last window of the bound on retries.
+  /// @brief This host's requests for a pool within the last window of the retry
+  /// limit.
   [[nodiscard]] double recentRequests(const std::string &Pool,
                                       TimePoint Now) const;
 
-  /// @brief New requests are refused from now on.
+  /// @brief Makes the proxy refuse new requests.
   void stop() noexcept { Stopping = true; }
 
-  /// @brief Requests whose lines the log did not take since the last call.
+  /// @brief Returns for how many requests the log lines were dropped since the
+  /// last call.
   [[nodiscard]] std::uint64_t takeDroppedTrails() {
     return Budget->takeDropped();
   }
 
-  /// @brief How requests ended and how long they took.
+  /// @brief Latencies and outcomes of requests.
   [[nodiscard]] const ProxyMetrics &metrics() const noexcept { return Metrics; }
-  /// @brief What it has done.
+  /// @brief Counters since the start.
   [[nodiscard]] const CallerProxyCounts &counts() const noexcept {
     return Counts;
   }
 
 private:
-  /// A request and what is known of it.
+  /// State of one request.
   struct RequestContext {
     CallerWork Caller;
     /// Keeps the route alive.
@@ -108,19 +113,22 @@
     }
     std::string Pool;
     const ServiceProfile *Service = nullptr;
-    /// Endpoints that may have run it.
+    /// Number of endpoints that may have run the request.
     std::uint32_t Runs = 0;
     EventStreamBuffer Events;
-    /// When the last event left for the caller.
+    /// When the last event was sent to the caller.
     std::optional<TimePoint> LastEventAt;
-    /// From its arrival to the first event, and the longest pause after it.
+    /// Time from arrival to the first event, and the longest time between two
+    /// events.
     Duration TimeToFirstEvent{};
     Duration LongestEventGap{};
-    /// An endpoint's failure, to be passed on if nothing better comes.
+    /// Error response of an endpoint, forwarded to the caller if no other
+    /// attempt succeeds.
     std::optional<HttpResponse> FallbackResponse;
     RequestTrail Trail;
     std::uint32_t Sends = 0;
-    /// Its place among those that wait or run; set while it has one.
+    /// The request's place in the router, queued or running; null while it has
+    /// none.
     Place *RouterPlace = nullptr;
     bool Ended = false;
   };
@@ -128,14 +136,14 @@
   [[nodiscard]] std::optional<HttpResponse> admit(const HttpRequest &Request,
                                                   RequestContext &Context);
   [[nodiscard]] std::optional<HttpResponse> choosePool(RequestContext &Context);
-  /// Own requests that wait at the endpoints of a pool, and those that came
-  /// lately.
+  /// This host's requests that wait at the endpoints of a pool, and its recent
+  /// request count.
   struct PoolBacklog {
     std::uint32_t Fresh = 0;
     std::uint32_t Late = 0;
     RecentCount Recent;
 
-    /// @brief Estimates which part of all that waits there is fresh.
+    /// @brief Estimates which fraction of all requests waiting there is fresh.
     [[nodiscard]] double freshFraction() const noexcept;
   };
   class BacklogGuard;
--- a/packages/process/src/coltsfoottrail/fleethost/changelog.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/changelog.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// What is new in an endpoint's record; empty for a mere heartbeat. Seats are
-/// left out: the driver logs its orders and the fate of groups.
+/// Kind of change in an endpoint's record; empty for a plain heartbeat. Seats
+/// are left out: the coordinator logs its orders and the fate of groups.
 std::string_view changeKind(const KnownEndpoint *Entry,
                             const EndpointRecord &Record) {
   if (Entry == nullptr)
--- a/packages/process/src/coltsfoottrail/fleethost/changelog.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/changelog.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tells the log what a page of a feed changes in this host's beliefs.
+/// Logs what a page of a feed changes in this host's view of the fleet.
 #ifndef COLTSFOOTTRAIL_FLEETHOST_CHANGELOG_HPP
 #define COLTSFOOTTRAIL_FLEETHOST_CHANGELOG_HPP
 
@@ -8,13 +8,13 @@
 
 namespace coltsfoottrail {
 
-/// @brief Writes a line for each change that a page brings. Heartbeats that
-/// change nothing write none, so that the volume follows the changes and not
+/// @brief Logs one line for each change in a page. Heartbeats that change
+/// nothing are not logged, so that the volume depends on the changes and not on
 /// the number of endpoints. Belongs to the view's thread.
-/// @param Page What was read, not yet taken by the view.
-/// @param Before What this host believed until now.
-/// @param AskedAt When the question left this host.
-/// @param Now The time.
+/// @param Page The page, before the view ingests it.
+/// @param OldView The view before the page.
+/// @param RequestedAt When the request for the page left this host.
+/// @param Now The current time.
 void logFeedChanges(const FeedPage &Page, const FleetView &OldView,
                     TimePoint RequestedAt, TimePoint Now);
 
--- a/packages/process/src/coltsfoottrail/fleethost/dutyterm.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/dutyterm.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Answers that a lease must outlast: the next one, and one more that is lost.
+/// A lease must outlast the next response and one more that is lost.
 constexpr int ResponsesPerLease = 3;
 
 } // namespace
--- a/packages/process/src/coltsfoottrail/fleethost/dutyterm.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/dutyterm.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Decides from the store's answers whether this host has the duty, and under
-/// which fencing number.
+/// Tracks whether this host holds the coordinator lease, and under which
+/// fencing token.
 #ifndef COLTSFOOTTRAIL_FLEETHOST_DUTYTERM_HPP
 #define COLTSFOOTTRAIL_FLEETHOST_DUTYTERM_HPP
 
@@ -9,78 +9,84 @@
 
 namespace coltsfoottrail {
 
-/// @brief Lease times of a duty.
+/// @brief Timing of the coordinator lease.
 struct LeaseTimes {
-  /// Another host takes over when this one was silent for so long.
+  /// Requested duration. Another host takes over when the holder has not
+  /// renewed for this long.
   milliseconds Lease{1'500};
-  /// A store that answers slowly is asked for a longer lease, for one that
-  /// ends before the next answer is of no use; but not for more than this.
+  /// Upper bound of the requested duration. A store that answers slowly is
+  /// asked for a longer lease, because one that expires before the next answer
+  /// is useless.
   milliseconds LongestLease{6'000};
-  /// Kept free of the lease, so that an order arrives inside it.
+  /// Safety margin before the lease expires, so that an order arrives while it
+  /// is still valid.
   milliseconds Margin{300};
-  /// After the duty was gained, records written under the predecessor are still
-  /// on their way.
+  /// After the lease was gained, records written under the previous holder may
+  /// still be on their way.
   milliseconds TakeOverPause{500};
-  /// Records that are older are not acted on: several reads of a slow store.
+  /// Records older than this are not acted on; it allows for several reads of a
+  /// slow store.
   milliseconds StaleRecords{3'000};
 };
 
-/// What an answer changed.
+/// How a response from the store changed this host's role.
 enum class DutyChange : std::uint8_t { None, Gained, Lost };
 
-/// @brief One host's part in a duty. Pure: takes answers and times. Not
-/// thread-safe.
+/// @brief State of this host's coordinator lease. Pure: takes responses and
+/// times. Not thread-safe.
 ///
-/// A term begins when the duty is gained and has one fencing number. It goes on
-/// over a gap in the lease if the store's generation has not moved: then nobody
-/// else has had the duty. Failure guarded against: the store answers a second
-/// late for a while, the lease runs out before each renewal is answered, and
-/// the driver began anew with each answer, under the same fencing number: it
-/// forgot what it had ordered, used epochs a second time, and gave an engine of
-/// a group that served to another group.
+/// A term begins when the lease is gained and has one fencing token. It
+/// continues across a gap in the lease if the store's generation is unchanged,
+/// because then no other host has held the lease. Failure guarded against: the
+/// store answers a second late for a while, the lease expires before each
+/// renewal is answered, and the coordinator starts afresh with each answer
+/// under the same fencing token. It forgets what it ordered, reuses epochs, and
+/// gives an engine of a serving group to another group.
 class DutyTerm {
 public:
-  /// @brief Starts without the duty.
+  /// @brief Starts without a lease.
   explicit DutyTerm(LeaseTimes Times) : Times(Times) {}
 
-  /// @brief The lease to ask for now.
+  /// @brief The lease duration to request now.
   [[nodiscard]] milliseconds lease() const noexcept;
 
-  /// @brief Takes an answer.
-  /// @param Grant What the store said.
-  /// @param AskedAt When the question left: the store counts the lease from
-  /// later on.
-  /// @param Now The time.
+  /// @brief Applies a response of the store.
+  /// @param Grant The response.
+  /// @param RequestedAt When the request left this host. The store counts the
+  /// lease from a later time.
+  /// @param Now The current time.
   DutyChange applyGrant(const DutyGrant &Grant, TimePoint RequestedAt,
                         TimePoint Now);
 
-  /// @brief An engine refused this term's fencing number: another host has the
-  /// duty, and this term is over.
+  /// @brief Ends the term because an engine rejected its fencing token: another
+  /// host holds the lease.
   void recordFenced() noexcept;
-  /// @brief The duty is given up.
+  /// @brief Releases the lease.
   void release() noexcept { LastHolder = false; }
 
-  /// @brief Whether this host may act now.
+  /// @brief Whether the lease is valid now.
   [[nodiscard]] bool holds(TimePoint Now) const noexcept {
     return LastHolder && Now < LeaseEnd;
   }
-  /// @brief Whether it may act on records that were read at a time.
+  /// @brief Whether this host may act on records that were read at a given
+  /// time.
   ///
   /// Failure guarded against: a host is cut off from the store for seconds,
-  /// gains the duty with the first call that gets through, and acts before its
-  /// feed is read again: engines that the last driver has put into a group look
-  /// free, and a leader that serves is given to another group.
-  /// @param RecordsAsOf When the store was asked for them.
+  /// gains the lease with its first successful call, and acts before it has
+  /// read its feed again. Engines that the previous coordinator has put into a
+  /// group look free, and a serving leader is given to another group.
+  /// @param RecordsAsOf When the records were requested from the store.
   [[nodiscard]] bool mayAct(TimePoint Now,
                             TimePoint RecordsAsOf) const noexcept {
     return holds(Now) && RecordsAsOf >= ActFrom &&
            Now - RecordsAsOf < Times.StaleRecords;
   }
-  /// @brief Whether it was the last one to have the duty as far as it knows.
+  /// @brief Whether this host was the last to hold the lease, as far as it
+  /// knows.
   [[nodiscard]] bool isLastHolder() const noexcept { return LastHolder; }
-  /// @brief Fencing number of the term.
+  /// @brief Fencing token of the term.
   [[nodiscard]] std::uint64_t fence() const noexcept { return Fence; }
-  /// @brief The store's generation as last heard; zero for none.
+  /// @brief The store's generation in the last response; zero before the first.
   [[nodiscard]] std::uint64_t generation() const noexcept { return Generation; }
 
 private:
@@ -91,7 +97,7 @@
   bool Superseded = false;
   TimePoint LeaseEnd{};
   TimePoint ActFrom{};
-  /// How long the last answer took.
+  /// Response time of the last request.
   Duration LastResponseTime{};
 };
 
--- a/packages/process/src/coltsfoottrail/fleethost/eventstreambuffer.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/eventstreambuffer.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::string_view IdField = "id:";
 
-/// Length up to and with the last empty line; zero when there is none.
+/// Length up to and including the last empty line; zero if there is none.
 std::size_t completeLength(std::string_view Text) {
   const std::size_t LfPos = Text.rfind("\n\n");
   const std::size_t CrLfPos = Text.rfind("\n\r\n");
--- a/packages/process/src/coltsfoottrail/fleethost/eventstreambuffer.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/eventstreambuffer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Splits an event stream at the ends of events and knows the last one's id.
+/// Buffers a server-sent event stream up to the ends of events.
 #ifndef COLTSFOOTTRAIL_FLEETHOST_EVENTSTREAMBUFFER_HPP
 #define COLTSFOOTTRAIL_FLEETHOST_EVENTSTREAMBUFFER_HPP
 
@@ -8,23 +8,23 @@
 
 namespace coltsfoottrail {
 
-/// @brief Passes on whole events only, so that a stream that broke in the
-/// middle of one goes on behind the last whole event. Not thread-safe.
+/// @brief Releases complete events only, so that a stream that breaks inside an
+/// event can be resumed after the last complete one. Not thread-safe.
 class EventStreamBuffer {
 public:
-  /// @brief Takes bytes as they came.
-  /// @param Part Any part of the stream.
-  /// @return Whole events to pass on; valid until the next call.
+  /// @brief Appends received bytes.
+  /// @param Chunk The next bytes of the stream, split anywhere.
+  /// @return The events completed so far; valid until the next call.
   [[nodiscard]] std::string_view append(std::string_view Chunk);
 
-  /// @brief Drops a part of an event that a broken stream left.
+  /// @brief Drops an incomplete event that a broken stream left.
   void dropPartial() noexcept { Pending.clear(); }
 
-  /// @brief Whether the last byte taken ended an event.
+  /// @brief Whether the last byte appended ended an event.
   [[nodiscard]] bool endsOnBoundary() const noexcept { return Pending.empty(); }
-  /// @brief Id of the last event passed on; empty when it bore none.
+  /// @brief Id of the last released event that had one; empty if none had.
   [[nodiscard]] const std::string &lastId() const noexcept { return LastId; }
-  /// @brief Whether an event has been passed on.
+  /// @brief Whether an event has been released.
   [[nodiscard]] bool hasReleased() const noexcept { return HasReleased; }
 
 private:
--- a/packages/process/src/coltsfoottrail/fleethost/feeds.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/feeds.cpp
@@ -1,5 +1,5 @@
-// The part of the host that follows the feeds, shares them with other hosts and
-// takes what they relay.
+// The part of FleetHost that follows the feeds, shares them with other hosts
+// and applies what they relay.
 #include "coltsfoottrail/fleethost/host.hpp"
 
 #include "coltsfoottrail/fleethost/changelog.hpp"
@@ -12,24 +12,26 @@
 
 namespace {
 
-/// What an upstream relayed stands in for own reads while it is no older than
-/// this part of the time in which a configuration must be in force: an own read
-/// and one more still fit in.
+/// Relayed records of the operators' feed replace own reads while they are no
+/// older than this fraction of the time in which a configuration must be in
+/// force: an own read and one more still fit in.
 constexpr double OperatorsCoverFraction = 0.55;
 constexpr milliseconds MaxOperatorsCover{2'400};
-/// An upstream that has relayed no endpoints for so long, while this host's own
-/// reads are answered, is abandoned; less often while that changes nothing.
+/// An upstream that has relayed no endpoints for this long, although the store
+/// answers this host's own reads, is abandoned. The pause doubles up to
+/// MaxAbandonPause while that changes nothing.
 constexpr milliseconds UselessUpstreamAfter{1'000};
 constexpr milliseconds MaxAbandonPause{8'000};
-/// How long a host that does not coordinate waits for an upstream to relay the
-/// feeds before it reads them itself, and the spread over hosts that start
-/// together. There is no coordinator at first when all hosts are new.
+/// How long a host that is no candidate for the coordinator lease waits for an
+/// upstream to relay the feeds before it reads them itself, and a random
+/// addition that spreads hosts that start together. The first start takes
+/// longer because there is no coordinator yet.
 constexpr milliseconds RelayedStart{500};
 constexpr milliseconds RelayedFirstStart{3'000};
 constexpr milliseconds RelayedStartSpread{500};
 /// While the store fails, all hosts together attempt one read of a feed in this
-/// time, apart from the hosts that read for others; a host waits no longer than
-/// the second.
+/// interval, not counting the hosts that read for others. A single host waits
+/// no longer than MaxFailurePause.
 constexpr milliseconds FailedReadEvery{20};
 constexpr milliseconds MaxFailurePause{8'000};
 
@@ -60,7 +62,8 @@
   Coordinator.planNow();
 }
 
-// A coordinator forms groups of endpoints that routing does not need to know.
+// A coordinator also needs the endpoints that routing does not need, in order
+// to form groups.
 void FleetHost::readAllEndpoints() {
   if (View.knowsAllEndpoints())
     Endpoints.readNow();
@@ -68,8 +71,9 @@
     Endpoints.restart();
 }
 
-// Without a configuration engines cannot be told from plain services, and all
-// of them would be relayed: the endpoints are shared from the next whole read.
+// Without a configuration engines cannot be distinguished from plain services,
+// and all endpoints would be relayed. Sharing of endpoints therefore starts
+// with the next snapshot.
 void FleetHost::shareFeed(Feed FeedId, const FeedPage &Page,
                           std::span<const RoutingEffect> Effects,
                           bool IsSnapshot, TimePoint AsOf) {
@@ -85,9 +89,9 @@
     Link.ingest(FeedId, Page, Effects, IsSnapshot, AsOf);
 }
 
-// Hosts that start together would each read the whole fleet from the store. The
-// hosts that may coordinate read at once, the others give an upstream time to
-// relay the newest values.
+// Hosts that start together would each read the whole fleet from the store.
+// Candidates for the coordinator lease read at once; the others give an
+// upstream time to relay the newest values.
 void FleetHost::deferOwnReads() {
   if (dutyRole() == DutyRole::Candidate)
     return;
@@ -152,7 +156,8 @@
   watchUpstream(BootClock::now());
 }
 
-/// The upstream no longer has what this host lacks.
+/// Handles an update that the upstream cannot relay because it no longer has
+/// the records that this host lacks.
 void FleetHost::readTruncated(Feed FeedId, const Report &SentReport) {
   FeedFollower &Follower = follower(FeedId);
   const auto Next = SentReport.Next.find(FeedId);
@@ -163,8 +168,8 @@
     Follower.markBehind();
 }
 
-// A coordinator that is cut off from the store answers on but relays nothing to
-// hosts that know more than it does.
+// A coordinator that is cut off from the store still answers reports but relays
+// nothing to hosts that have more recent records than it has.
 void FleetHost::watchUpstream(TimePoint Now) {
   const bool Useless =
       StoreAnswers && Now - EndpointsRelayedAt > UselessUpstreamAfter;
@@ -195,13 +200,13 @@
   return Result;
 }
 
-// The store was read at least Staleness before the response left, and the
-// response left after this host's report: what it relays is at least as new as
-// SentAt - Staleness, by this host's clock alone.
+// The store was read at most Staleness before the response left, and the
+// response left after this host's report: what it relays is at least as recent
+// as SentAt - Staleness, measured by this host's clock alone.
 void FleetHost::applyUpdate(Feed FeedId, std::optional<Offset> From,
                             const FeedUpdate &Update, TimePoint SentAt) {
   // A response of the former coordinator may arrive after this host has read
-  // all records; projected ones must not take their place.
+  // all records; projected records must not replace them.
   if (Coordinator.isLastHolder())
     return;
   FeedFollower &Follower = follower(FeedId);
@@ -244,8 +249,9 @@
              {{"feed", FeedId == Feed::Operators ? "operators" : "endpoints"}});
 }
 
-// Bounds the reads of the whole fleet while the store is away: an upstream that
-// answers reads for this host and relays as soon as the store is back.
+// Limits the reads of all hosts together while the store is unavailable: a host
+// whose upstream answers retries rarely, because the upstream reads for it and
+// relays as soon as the store is back.
 void FleetHost::limitFailedReads(std::size_t Hosts, TimePoint Now) {
   const bool HasUpstream = Link.hearsUpstream(Now);
   const double Spread = 0.5 + Draw.fraction();
--- a/packages/process/src/coltsfoottrail/fleethost/follower.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/follower.cpp
@@ -31,8 +31,8 @@
 }
 
 // Failure guarded against: the store is down, and seventy hosts ask it for two
-// feeds five times a second each: 5,600 paid calls in eight seconds. One of
-// them asks often; the others hear from it when the store is back.
+// feeds five times a second each: 5,600 billed calls in eight seconds. Only one
+// host retries often; the others learn from it when the store is back.
 Duration FeedFollower::pauseAfter(ReadEnd Result) {
   if (Result == ReadEnd::UpToDate) {
     NextRetryPause = Times.RetryPause;
@@ -45,9 +45,10 @@
   return Eager ? Pause : std::max(Pause, MinFailurePause);
 }
 
-// Failure guarded against: a host is cut off from the store and reached again,
-// one feed is read, and the other still waits for an answer that was lost in
-// the cut. Hosts would hold removals back for longer than they may.
+// Failure guarded against: a host loses and regains its connection to the
+// store, one feed is read again, but the other still waits for a response that
+// was lost meanwhile. The host would then hold removals back for longer than it
+// may.
 Awaitable<void> FeedFollower::untilWoken() {
   boost::system::error_code Cancelled;
   co_await WakeTimer->async_wait(
@@ -71,7 +72,7 @@
   readNow();
 }
 
-// Must not cancel a read under way: an upstream that cannot relay the newest
+// Must not cancel a read in progress: an upstream that cannot relay the newest
 // values says so with each response.
 void FeedFollower::endDeferral() {
   if (DeferredUntil <= BootClock::now())
@@ -103,8 +104,8 @@
 }
 
 // Failure guarded against: after an outage there is more to read than one
-// answer holds. Read at the usual spacing, the host lags behind by seconds, and
-// sends work to endpoints that have long said that they leave.
+// response holds. Reading at the usual interval, the host would lag by seconds
+// and send requests to endpoints that have long announced their departure.
 Awaitable<FeedFollower::ReadEnd> FeedFollower::readOnce() {
   const TimePoint RequestedAt = BootClock::now();
   const std::uint64_t WakeCountBefore = WakeCount;
@@ -116,8 +117,9 @@
   else
     Answer = co_await Store.read(FollowedFeed, *From,
                                  SkipLongPoll ? milliseconds(0) : Times.Wait);
-  // Failure guarded against: a read that was given up counts as failed, the
-  // next answer of the other feed hurries this one again, and it is never read.
+  // Failure guarded against: a cancelled read counts as failed, the next
+  // response of the other feed cancels the read of this feed again, and this
+  // feed is never read.
   if (WakeCountBefore != WakeCount)
     co_return ReadEnd::More;
   SkipLongPoll = std::holds_alternative<StoreFailure>(Answer);
@@ -130,8 +132,9 @@
   }
   Behind = false;
   FeedPage &Page = std::get<FeedPage>(Answer);
-  // Failure guarded against: this host was told of later records while it read,
-  // and an endpoint that left and came back would be removed by the older ones.
+  // Failure guarded against: later records were relayed to this host while it
+  // read; applying the older page now would remove an endpoint that left and
+  // came back.
   if (Next != From)
     co_return ReadEnd::UpToDate;
   Next = Page.Next;
--- a/packages/process/src/coltsfoottrail/fleethost/follower.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/follower.hpp
@@ -12,45 +12,48 @@
 
 namespace coltsfoottrail {
 
-/// @brief How a feed is followed.
+/// @brief Timing of a feed follower.
 struct FollowTimes {
-  /// How long the store may hold a read back for a change.
+  /// Long-poll time: how long the store may hold a read back until there is a
+  /// change.
   milliseconds Wait{800};
-  /// Shortest time between two reads: each call is paid for.
+  /// Minimum interval between the starts of two reads; each call to the store
+  /// is billed.
   milliseconds Spacing{0};
-  /// Pause after a failed read; twice as long after each further one, up to
-  /// the longest.
+  /// Pause after a failed read. It doubles with each further failure, up to
+  /// LongestRetryPause.
   milliseconds RetryPause{200};
   milliseconds LongestRetryPause{1'600};
 };
 
-/// @brief What a follower tells.
+/// @brief Callbacks of a feed follower.
 struct FollowHooks {
-  /// Takes a page: the page, whether it is whole, when it was asked for.
+  /// Receives a page, whether it is a snapshot of the newest values, and when
+  /// it was requested.
   std::function<void(FeedPage, bool, TimePoint)> OnPage;
-  /// A read failed.
+  /// Called when a read failed.
   std::function<void(StoreFailure)> OnFailure;
 };
 
-/// @brief Reads a feed for ever: first the newest values, then the changes, and
-/// again the newest values when the changes have expired. Belongs to one
+/// @brief Reads a feed continuously: first the newest values, then the changes,
+/// and the newest values again once the changes have expired. Belongs to one
 /// thread.
 class FeedFollower {
 public:
-  /// @brief Makes a follower.
-  /// @param Where The store; must outlive the follower.
-  /// @param Followed The feed.
-  /// @param Given Its times.
-  /// @param Told What to call.
+  /// @brief Creates a follower.
+  /// @param Store Must outlive the follower.
+  /// @param FollowedFeed The feed to read.
+  /// @param Times Timing of the reads.
+  /// @param Hooks Callbacks.
   FeedFollower(FleetStore &Store, Feed FollowedFeed, FollowTimes Times,
                FollowHooks Hooks)
       : Store(Store), FollowedFeed(FollowedFeed), Times(Times),
         Hooks(std::move(Hooks)) {}
 
-  /// @brief Follows until it is cancelled.
+  /// @brief Reads the feed until cancelled.
   [[nodiscard]] Awaitable<void> run();
 
-  /// @brief Gives up a read under way, or the pause before the next one, and
+  /// @brief Cancels a read in progress, or the pause before the next one, and
   /// reads at once.
   void readNow() {
     ++WakeCount;
@@ -58,63 +61,66 @@
       WakeTimer->cancel();
   }
 
-  /// @brief Another host read the feed for this one: nothing is read here
-  /// before a time.
-  /// @param To Where to read on.
+  /// @brief Accepts changes that another host read and relayed: this host does
+  /// not read before the given time.
+  /// @param NextOffset Where to continue reading.
   void acceptChanges(Offset NextOffset, TimePoint Until);
 
-  /// @brief Whether relayed records leave no gap and lead further: own reads
-  /// may have gone on since they were asked for. Records that are repeated are
-  /// followed by all that came after them.
-  /// @param From Offset of the first one.
-  /// @param To Where to read on behind them.
+  /// @brief Whether relayed changes leave no gap and are not behind what is
+  /// known here: this host may have read on since it asked for them. Records
+  /// that are repeated are followed by all records that came after them.
+  /// @param From Offset of the first relayed record.
+  /// @param NextOffset Offset behind the relayed records.
   [[nodiscard]] bool canAcceptChanges(Offset From,
                                       Offset NextOffset) const noexcept {
     return Next && From <= *Next && NextOffset >= *Next;
   }
 
-  /// @brief Another host relayed the newest values: reading goes on behind
-  /// them, and not before a time. Ignored once the feed was read here.
+  /// @brief Accepts the newest values that another host relayed: reading
+  /// continues behind them, and not before the given time. Ignored if this host
+  /// has read the feed already.
   void acceptSnapshot(Offset NextOffset, TimePoint Until);
 
-  /// @brief Nothing is read before a time unless hurry() is called: another
+  /// @brief Postpones reads until a time, unless readNow() is called: another
   /// host may relay the feed first.
   void defer(TimePoint Until) noexcept { DeferredUntil = Until; }
-  /// @brief Ends a deferral. A read under way goes on.
+  /// @brief Ends a postponement. A read in progress continues.
   void endDeferral();
-  /// @brief Reads the newest values again, now.
+  /// @brief Reads the newest values again, immediately.
   void restart();
 
-  /// @brief Another host knows more than it can tell: what it told does not
-  /// cover this host any longer, and the feed is read at once.
+  /// @brief Records that another host has newer records that it cannot relay:
+  /// what it relayed before no longer postpones reads, and the feed is read at
+  /// once.
   void markBehind();
-  /// @brief Whether that was told, and the feed has not been read since.
+  /// @brief Whether markBehind() was called and the feed has not been read
+  /// since.
   [[nodiscard]] bool isBehind() const noexcept { return Behind; }
 
-  /// @brief Where to read on; nothing before the newest values are known.
+  /// @brief Offset of the next read; empty before the newest values are known.
   [[nodiscard]] const std::optional<Offset> &next() const noexcept {
     return Next;
   }
 
-  /// @brief Whether pauses after failed reads stay short: the one host that all
-  /// others wait for asks often.
+  /// @brief Sets whether pauses after failed reads stay short: the one host
+  /// that all others wait for retries often.
   void setEagerRetry(bool Enabled) noexcept { Eager = Enabled; }
 
-  /// @brief Sets the shortest pause after a failed read of a host that others
-  /// read for: the attempts of all hosts together stay few while the store is
-  /// away.
+  /// @brief Sets the minimum pause after a failed read for a host that gets the
+  /// feed relayed, so that the attempts of all hosts together stay few while
+  /// the store is unavailable.
   void setMinFailurePause(milliseconds MinPause) noexcept {
     MinFailurePause = MinPause;
   }
 
-  /// @brief Changes the spacing of later reads.
+  /// @brief Sets the minimum interval between later reads.
   void setSpacing(milliseconds Spacing) noexcept { Times.Spacing = Spacing; }
 
 private:
-  /// How one read ended.
+  /// Result of one read.
   enum class ReadEnd : std::uint8_t {
     Failed,
-    /// The store holds more than it answered.
+    /// The store has more records than it returned.
     More,
     UpToDate
   };
@@ -128,17 +134,18 @@
   Feed FollowedFeed;
   FollowTimes Times;
   FollowHooks Hooks;
-  /// Never expires: cancelled to end a wait.
+  /// Never expires; cancelled to end a wait.
   std::optional<boost::asio::steady_timer> WakeTimer;
   std::uint64_t WakeCount = 0;
-  /// Where to read on; nothing before the newest values are known.
+  /// Offset of the next read; empty before the newest values are known.
   std::optional<Offset> Next;
   TimePoint DeferredUntil{};
   bool Behind = false;
   bool Eager = false;
   milliseconds NextRetryPause{0};
   milliseconds MinFailurePause{0};
-  /// The next read is not to be held back: what is known is old already.
+  /// The next read must not be held back by the store, because the known
+  /// records are old already.
   bool SkipLongPoll = false;
 };
 
--- a/packages/process/src/coltsfoottrail/fleethost/fwd.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/fwd.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// Forward declarations of the fleethost module: an entry host on a platform
-/// whose endpoints publish themselves.
+/// where endpoints register themselves in a store.
 #ifndef COLTSFOOTTRAIL_FLEETHOST_FWD_HPP
 #define COLTSFOOTTRAIL_FLEETHOST_FWD_HPP
 
--- a/packages/process/src/coltsfoottrail/fleethost/groupcoordinator.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/groupcoordinator.cpp
@@ -114,9 +114,9 @@
   }
 }
 
-// A host that was cut off from the store alone reports to nobody and does not
-// hear of its successor. Were it to ask for the lease, the store would deal it
-// out anew.
+// Failure guarded against: a host that was cut off from the store only, and not
+// from its peers, does not learn that it has a successor. If it requested the
+// lease again, the store would reassign the lease among all members.
 Awaitable<bool> GroupCoordinator::hasSuccessor() {
   const auto Answer = co_await Store.dutyHolder();
   const auto *const Holder = std::get_if<std::string>(&Answer);
@@ -241,7 +241,8 @@
   for (auto &[Name, ServiceAssembler] : Assemblers)
     if (Fence == Term.fence())
       ServiceAssembler.ordered(Target, Order, Outcome, BootClock::now());
-  // Another host has the duty: nothing more is ordered under this number.
+  // Another host holds the lease, so nothing more is ordered with this fencing
+  // token.
   if (Outcome == OrderOutcome::Fenced && Fence == Term.fence())
     Term.recordFenced();
 }
@@ -262,7 +263,7 @@
   co_await Store.leaveDuty(Self);
 }
 
-/// Members of one leader, and which of them answered.
+/// The members of one leader's groups and which of them have answered.
 struct GroupCoordinator::ProbeRound {
   std::string Leader;
   std::vector<EndpointName> Members;
@@ -292,7 +293,7 @@
     asio::co_spawn(Executor, probeMember(Round, Index), asio::detached);
 }
 
-/// Throws when there is no answer.
+/// Throws if the probe is not answered.
 Awaitable<void> GroupCoordinator::probeAfter(EngineAddress Address,
                                              EndpointName Name,
                                              milliseconds After) {
@@ -302,10 +303,11 @@
     throw Error("no answer");
 }
 
-// Failure guarded against: a link that loses packets makes a sound member look
-// dead, and its group is closed. With one packet in forty lost, a tenth of the
-// questions stays without an answer in time; of three in parallel, one in a
-// thousand. Asked one after the other they would take three times as long.
+// Failure guarded against: packet loss makes a healthy member look dead, and
+// its group is closed. With a packet loss of one in forty, a tenth of the
+// probes is not answered in time; of three probes in parallel, all fail for one
+// member in a thousand. Sending them one after the other would take three times
+// as long.
 Awaitable<bool> GroupCoordinator::isAlive(EngineAddress Address,
                                           EndpointName Name) {
   using namespace asio::experimental::awaitable_operators;
@@ -357,9 +359,9 @@
 }
 
 // Failure guarded against: this host is cut off from the engines, or its own
-// link loses packets, and it takes sound groups for broken. A member counts as
-// dead only if another member of the same group answered in the same round, or
-// streams from the same data centre move.
+// link loses packets, and it takes healthy groups for broken. A member counts
+// as dead only if another member of the same leader answered in the same round,
+// or if streams of another endpoint in the leader's data centre make progress.
 void GroupCoordinator::finishRound(const ProbeRound &Round) {
   const auto AnsweredCount =
       std::count(Round.Answered.begin(), Round.Answered.end(), true);
--- a/packages/process/src/coltsfoottrail/fleethost/groupcoordinator.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/groupcoordinator.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Holds the duty to drive the groups and carries the assembly's orders out.
+/// Competes for the coordinator lease and, while holding it, forms and repairs
+/// the engine groups.
 #ifndef COLTSFOOTTRAIL_FLEETHOST_GROUPCOORDINATOR_HPP
 #define COLTSFOOTTRAIL_FLEETHOST_GROUPCOORDINATOR_HPP
 
@@ -22,96 +23,104 @@
 
 namespace coltsfoottrail {
 
-/// @brief Times of the duty.
+/// @brief Intervals and limits of the group coordinator.
 struct DutyTimes {
   LeaseTimes Lease;
-  /// A renewal this often leaves room for two that are lost.
+  /// Short enough that two renewals in a row may be lost before the lease
+  /// expires.
   milliseconds RenewEvery{400};
-  /// After a renewal that failed, twice as long after each further one.
+  /// Upper bound of the pause after failed renewals, which doubles with each
+  /// failure.
   milliseconds LongestRenewPause{1'600};
-  /// While hosts start, the duty moves with each that joins, and whoever gets
-  /// it learns so at its next call: calls are more frequent for a while.
+  /// While hosts start, the lease moves with each host that joins, and the new
+  /// holder learns of it only from its next call. Calls are therefore more
+  /// frequent during StartupTime.
   milliseconds StartupRenewEvery{150};
   milliseconds StartupTime{1'500};
-  /// Between two looks at the groups, when nothing has changed.
+  /// Interval between planning passes when nothing has changed.
   milliseconds PlanEvery{100};
-  /// Time for a member to answer a question, which takes it a few milliseconds.
+  /// Total time for a member to answer a probe; a live one answers within a few
+  /// milliseconds.
   milliseconds ProbeTimeout{320};
-  /// A member is asked anew on another connection this often within that time:
-  /// one that loses a packet answers a fifth of a second late.
+  /// Within ProbeTimeout the probe is repeated on another connection at this
+  /// interval: a connection that loses a packet answers about 200 ms late.
   milliseconds ProbeRetryEvery{80};
-  /// A leader whose members all answered is not asked about again for so long.
+  /// Minimum interval between two probe rounds for the same leader.
   milliseconds ProbeAgainAfter{1'500};
-  /// Between two lines in the log on where the engines stand.
+  /// Interval between log lines that summarise the state of the engines.
   milliseconds SummaryEvery{5'000};
-  /// Orders under way beyond which no group or load is begun. Together with
-  /// LookEvery they bound what a fleet that starts costs the coordinator, which
-  /// has to renew its lease and relay the records that the orders change.
+  /// No group or model load is started while this many orders are in flight.
+  /// Together with PlanEvery it bounds the work that a starting fleet causes on
+  /// the coordinator, which also has to renew its lease and relay the records
+  /// that the orders change.
   std::size_t MaxOrdersInFlight = 96;
-  /// A host that stands aside looks this often whether it is needed.
+  /// How often a host that leaves the lease to others checks whether it is
+  /// needed.
   milliseconds StandAsidePoll{100};
 };
 
-/// @brief Takes part in the duty and acts while it is held. Belongs to one
-/// thread.
+/// @brief Competes for the coordinator lease and drives the engine groups while
+/// holding it. Belongs to one thread.
 class GroupCoordinator {
 public:
-  /// @brief Makes a desk; what it is given must outlive it.
-  /// @param Where The store.
-  /// @param Given The engines.
-  /// @param Believed What this host believes.
-  /// @param Heard Which endpoints' streams move.
-  /// @param Member Unique for this run of the process.
-  /// @param Times Times of the assembly.
-  /// @param Election Whether it stands aside for others.
+  /// @brief Creates a coordinator; all references must outlive it.
+  /// @param Store Grants the lease.
+  /// @param Engines Receives orders and probes.
+  /// @param View What this host knows of the fleet.
+  /// @param Silence Which endpoints' streams make progress.
+  /// @param Member Name of this run of the process; unique per run.
+  /// @param Times Timing of group formation.
+  /// @param Election Whether this host competes for the lease or leaves it to
+  /// others.
   GroupCoordinator(FleetStore &Store, FleetEngines &Engines,
                    const FleetView &View, const SilenceWatch &Silence,
                    std::string Member, AssemblyTimes Times, Candidacy Election);
 
-  /// @brief Joins the duty and renews it until it is cancelled.
+  /// @brief Requests the lease and renews it until cancelled.
   [[nodiscard]] Awaitable<void> holdDuty();
   /// @copydoc Candidacy::recordCoordinator
   void recordCoordinator(bool LeaseIsValid, TimePoint Now) noexcept {
     Election.recordCoordinator(LeaseIsValid, Now);
   }
-  /// @brief Takes whether the store answers this host's reads.
+  /// @brief Records whether the store answers this host's reads.
   void recordStore(bool Answers, TimePoint Now) noexcept {
     Election.recordStore(Answers, Now);
   }
-  /// @brief Looks at the groups until it is cancelled.
+  /// @brief Plans and orders group changes until cancelled.
   [[nodiscard]] Awaitable<void> driveGroups();
-  /// @brief Gives the duty up.
+  /// @brief Releases the lease.
   [[nodiscard]] Awaitable<void> leave();
 
-  /// @brief Whether this host drives the groups now.
+  /// @brief Whether this host holds a valid lease.
   [[nodiscard]] bool holds(TimePoint Now) const noexcept {
     return Term.holds(Now);
   }
-  /// @brief Whether this host was the last one to hold the duty, as far as it
-  /// knows: its lease may have run out while the store is away.
+  /// @brief Whether this host was the last one to hold the lease, as far as it
+  /// knows. The lease may have expired while the store is unavailable.
   [[nodiscard]] bool isLastHolder() const noexcept {
     return Term.isLastHolder();
   }
-  /// @brief The store answers again: renews the lease now.
+  /// @brief Renews the lease immediately; called when the store answers again.
   void renewNow() {
     if (RenewalTimer)
       RenewalTimer->cancel();
   }
-  /// @brief A caller's request has been seen.
+  /// @brief Records that callers have begun to send requests.
   void recordCaller() noexcept { HasCallers = true; }
-  /// @brief An endpoint's streams fell silent: asks the members of the groups
-  /// that it leads, if this host drives them.
+  /// @brief Probes the members of the groups that a leader leads, after its
+  /// streams have stalled. Does nothing unless this host holds the lease.
   void probeMembers(const std::string &Leader,
                     const boost::asio::any_io_executor &Executor);
-  /// @brief Looks at the groups now, if this host drives them: something has
-  /// changed.
+  /// @brief Plans immediately because something has changed. Does nothing
+  /// unless this host holds the lease.
   void planNow();
-  /// @brief Calls a function when orders that move seats were given: their
-  /// effect shows in the endpoints' records soon.
+  /// @brief Sets a function to call when orders that change seats are sent: the
+  /// endpoints' records will show their effect soon.
   void onOrders(std::function<void()> Callback) {
     OnSeatOrders = std::move(Callback);
   }
-  /// @brief Calls a function when the duty is gained or lost.
+  /// @brief Sets a function to call when the lease is gained (true) or lost
+  /// (false).
   void onDuty(std::function<void(bool)> Callback) {
     OnDutyChange = std::move(Callback);
   }
@@ -119,7 +128,7 @@
 private:
   struct ProbeRound;
 
-  /// @return Whether another host has the lease by now.
+  /// @return Whether another host holds the lease.
   [[nodiscard]] Awaitable<bool> hasSuccessor();
   void endTerm();
   [[nodiscard]] Awaitable<void> pauseRenewal(milliseconds Pause);
@@ -149,7 +158,7 @@
   const SilenceWatch &Silence;
   std::string Self;
   DutyTimes Timing;
-  /// One for each service with engines.
+  /// One per service that has engines.
   std::map<ServiceName, Assembler> Assemblers;
   AssemblyTimes Times;
   Candidacy Election;
@@ -158,12 +167,12 @@
   std::size_t OrdersInFlight = 0;
   TimePoint SummaryDue{};
   bool HasCallers = false;
-  /// Leaders whose members are not asked before a time.
+  /// By leader, the earliest time of its next probe round.
   std::map<std::string, TimePoint> NextProbeAt;
   std::function<void(bool)> OnDutyChange;
   std::function<void()> OnSeatOrders;
   std::optional<boost::asio::any_io_executor> Executor;
-  /// Pause before the next renewal.
+  /// Timer of the pause before the next renewal.
   std::optional<boost::asio::steady_timer> RenewalTimer;
 };
 
--- a/packages/process/src/coltsfoottrail/fleethost/host.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/host.cpp
@@ -21,48 +21,56 @@
 constexpr unsigned StatusOk = 200;
 constexpr unsigned StatusUnavailable = 503;
 
-/// Between two looks at what waits: a request that waits is placed by events,
-/// this only ends waits whose time is up.
+/// Interval between two ticks while requests wait. Waiting requests are placed
+/// by events; the tick only ends waits whose time is up.
 constexpr milliseconds BusyTick{20};
-/// The same while nothing waits; a cold endpoint counts as warm this late.
+/// Interval while no request waits; a cold endpoint counts as warm at most this
+/// late.
 constexpr milliseconds IdleTick{50};
-/// Reads of the endpoints' feed cost a call each. The driver of the groups
-/// reads more often: a lost member is replaced this much sooner.
+/// Minimum interval between reads of the endpoints' feed by the coordinator;
+/// each read is a billed call. It is shorter than for other hosts so that a
+/// lost member is replaced sooner.
 constexpr milliseconds CoordinatorSpacing{150};
-/// Others read, or go by what was relayed, within this part of the time in
-/// which they must know that an endpoint leaves: a read that is lost and one
-/// more still fit in.
+/// Other hosts read, or use what was relayed, within this fraction of the time
+/// in which they must learn that an endpoint leaves: a lost read and one more
+/// still fit in.
 constexpr double FollowerFraction = 0.35;
-/// While seats move, from an order until its effect must show: each of the
-/// three steps of a repair is seen this much sooner, some 20 calls a repair.
+/// Minimum interval between reads from an order that changes seats until its
+/// effect must show. Each of the three steps of a repair is noticed sooner, at
+/// the cost of some 20 calls per repair.
 constexpr milliseconds SeatChangeSpacing{50};
 constexpr milliseconds SeatChangeTime{600};
-/// The balancer asks once a second and needs two misses; a little more.
+/// The load balancer checks readiness once per second and needs two failures;
+/// this is a little more.
 constexpr milliseconds BalancerNoticeTime{2'600};
-/// Kept free of the time to stop, for answers on their way.
+/// Part of the stop time reserved for responses in transit.
 constexpr milliseconds StopMargin{500};
 constexpr milliseconds StopPoll{50};
-/// How long the store may hold back a read of the operators' feed. A connection
-/// that goes silent is noticed this much and a second later, which leaves time
-/// for one more try before credentials count as stale.
+/// Longest long poll of the operators' feed. A connection that goes silent is
+/// noticed one second after this, which leaves time for one more attempt before
+/// credentials count as stale.
 constexpr milliseconds MaxOperatorsWait{1'000};
-/// The same as a part of the time in which a configuration must be in force.
+/// The same as a fraction of the time in which a configuration must be in
+/// force.
 constexpr double OperatorsWaitFraction = 0.15;
-/// The driver is told of the same endpoint again after this.
+/// Minimum interval between two reports of the same stalled endpoint.
 constexpr milliseconds StallReportInterval{1'000};
-/// Endpoints publish many times a second: a read hardly ever waits, and one
-/// that is lost is noticed this much sooner.
+/// Long poll of the endpoints' feed. Endpoints publish many times per second,
+/// so a read hardly ever waits, and a lost one is noticed sooner with a short
+/// limit.
 constexpr milliseconds EndpointsWait{100};
-/// Part of a core below which a host stands aside from driving the groups.
+/// Share of a processor core below which a host does not compete for the
+/// coordinator lease from its start.
 constexpr double MinCoordinatorShare = 0.2;
-/// Beyond these a request waits in the caller instead.
+/// Beyond these limits a request has to wait at the caller instead.
 constexpr std::size_t MaxWaitingRequests = 256;
 constexpr std::size_t MaxWaitingBodyBytes = std::size_t{4} << 20U;
-/// Sets of prefix hints for each pool; each takes about 128 bytes.
+/// Number of sets of prefix hints for each pool; each takes about 128 bytes.
 constexpr std::uint32_t HintSets = 16;
-/// Connections kept for reuse to one endpoint: an engine's slots.
+/// Idle connections kept for each endpoint: as many as an engine has slots.
 constexpr std::size_t IdlePerEndpoint = 16;
-/// How often what is shared by the number of hosts and requests is set anew.
+/// How often the limits that are divided by the number of hosts and requests
+/// are recalculated.
 constexpr milliseconds ShareEvery{500};
 /// How long a request is held while its pool has no endpoint: a group that is
 /// being opened serves after 0.3 s.
@@ -175,8 +183,8 @@
 }
 
 // Failure guarded against: a stop cuts streams whose coroutines still refer to
-// this object; destroyed after it with the contexts, they wrote into memory
-// that was given back, and the process died of it at its end.
+// this object. Destroyed together with the contexts after this object, they
+// wrote into freed memory, and the process crashed at its end.
 void FleetHost::close() {
   MetricsServer.reset();
   Readiness.reset();
@@ -234,13 +242,13 @@
   LimitedVersion = View.config()->version();
   if (Front)
     Front->setLimits(callerLimits(View.config()->config().Limits));
-  // What decoding a large configuration took stays with the allocator
-  // otherwise.
+  // Returns the memory that decoding a large configuration took; the allocator
+  // would keep it otherwise.
   malloc_trim(0);
 }
 
-// Failure guarded against: the platform bounds retries over all entry hosts,
-// and each of seventy hosts saves up ten for each pool: 1,718 retries of 6,670
+// Failure guarded against: the platform limits retries over all entry hosts,
+// and each of seventy hosts saves up ten for each pool: 1,718 retries for 6,670
 // requests in ten seconds, where 1,585 are allowed.
 void FleetHost::limitRetries(std::size_t Hosts, TimePoint Now) {
   const RetryBound Bound{Settings.Bounds.RetryRatio,
@@ -254,7 +262,8 @@
   }
 }
 
-/// What holds over all entry hosts is shared among those that there are.
+/// Divides limits that apply to all entry hosts together among the hosts that
+/// exist.
 void FleetHost::shareLimits(TimePoint Now) {
   if (Now < NextShareAt)
     return;
@@ -262,15 +271,15 @@
   const std::size_t Hosts = Link.hosts(Now);
   Proxy.setEntryHosts(Hosts);
   limitFailedReads(Hosts, Now);
-  // A host that has just started keeps the few retries that it begins with
-  // until it knows who else there is.
+  // A host that has just started keeps its small initial allowance of retries
+  // until it knows how many other hosts there are.
   if (Hosts > 0)
     LastEntryHosts = Hosts;
   if (LastEntryHosts > 0)
     limitRetries(LastEntryHosts, Now);
 }
 
-/// Opens cold endpoints whose turn has come to the choice.
+/// Makes cold endpoints whose turn has come available to the router.
 void FleetHost::openColdEndpoints(TimePoint Now) {
   std::map<std::string, std::uint32_t> Open;
   for (const auto &[Name, Entry] : View.endpoints().all())
@@ -280,9 +289,9 @@
     Routing.setShares(Open);
 }
 
-// Failure guarded against: a group stands still, and its callers wait until
-// each stream's own limit, those whose stream has not begun even longer. All
-// requests there are taken up elsewhere at once.
+// Failure guarded against: a group stalls, and its callers wait until the
+// silence limit of each stream, those whose stream has not begun even longer.
+// All requests at a silent endpoint are moved to other endpoints at once.
 void FleetHost::suspendSilent(TimePoint Now) {
   for (const std::string &Name :
        Silence.quietFor(SilenceWatch::SuspectAfter, Now)) {
@@ -309,7 +318,8 @@
   }
 }
 
-/// The endpoint's group needs repair: the coordinator is told.
+/// Suspends an endpoint whose group needs repair and reports it to the
+/// coordinator.
 void FleetHost::reportUnusable(const EndpointName &Endpoint,
                                const std::string &AtFault) {
   const TimePoint Now = BootClock::now();
@@ -410,9 +420,10 @@
   asio::co_spawn(Threads.context(0), runStop(std::move(Done)), asio::detached);
 }
 
-// Failure guarded against: the balancer still sends connections for a while,
-// and clients go on using open ones. Both are served until the balancer must
-// have noticed; only then do answers close their connections.
+// Failure guarded against: the load balancer still sends connections for a
+// while, and clients keep using open ones. Both are served until the balancer
+// must have noticed the failing readiness check; only then do responses close
+// their connections.
 Awaitable<void> FleetHost::runStop(std::function<void(std::size_t)> Done) {
   const TimePoint StartedAt = BootClock::now();
   Stopping = true;
--- a/packages/process/src/coltsfoottrail/fleethost/host.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/host.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// An entry host on a platform whose endpoints publish themselves.
+/// An entry host on a platform where endpoints register themselves in a store.
 #ifndef COLTSFOOTTRAIL_FLEETHOST_HOST_HPP
 #define COLTSFOOTTRAIL_FLEETHOST_HOST_HPP
 
@@ -20,44 +20,44 @@
 
 namespace coltsfoottrail {
 
-/// @brief What reaches the platform; must outlive the host.
+/// @brief Interfaces to the platform; the referenced objects must outlive the
+/// host.
 struct FleetLinks {
   FleetStore &Store;
   FleetEngines &Engines;
   const CallerWire &Wire;
 };
 
-/// @brief Wires the parts of an entry host together. All of its work runs on
-/// the first thread of the pool.
+/// @brief Connects the components of an entry host. All of its work runs on the
+/// first thread of the pool.
 class FleetHost {
 public:
-  /// @brief Listens and starts to follow the store.
-  /// @param InitialSettings Checked settings.
+  /// @brief Starts to listen for callers and to follow the store.
+  /// @param InitialSettings Validated settings.
   /// @param Pool Threads; must outlive the host.
-  /// @param Links The platform.
-  /// @throws boost::system::system_error A port cannot be had.
+  /// @param Links Interfaces to the platform.
+  /// @throws boost::system::system_error A port cannot be opened.
   FleetHost(FleetSettings InitialSettings, IoPool &Pool, FleetLinks Links);
   FleetHost(const FleetHost &) = delete;
   FleetHost &operator=(const FleetHost &) = delete;
   ~FleetHost();
 
-  /// @brief Begins a planned stop: unready at once, requests go on. Calls back
-  /// on the pool's thread once nothing is in progress or the time is used up.
-  /// Thread-safe.
-  /// @param Done Gets how many requests were cut.
+  /// @brief Begins a planned stop: readiness fails at once while requests go
+  /// on. Calls back on the pool's thread once no request is in progress or the
+  /// time is up. Thread-safe.
+  /// @param Done Receives the number of requests that were cut.
   void stop(std::function<void(std::size_t)> Done);
 
-  /// @brief Lets go of all that belongs to the pool's contexts, and destroys
-  /// these. Preconditions: the pool is stopped, and so is all else that uses
-  /// it.
+  /// @brief Releases everything that belongs to the pool's contexts, and
+  /// destroys the contexts. Preconditions: the pool is stopped, and so is
+  /// everything else that uses it.
   void close();
 
   /// @brief Port for callers. Thread-safe.
   [[nodiscard]] std::uint16_t callerPort() const noexcept {
     return Front->port();
   }
-  /// @brief Port for the question whether this host takes requests.
-  /// Thread-safe.
+  /// @brief Port of the readiness check.
   [[nodiscard]] std::uint16_t readinessPort() const noexcept {
     return Readiness->port();
   }
@@ -65,7 +65,7 @@
 private:
   void startFollowing();
   [[nodiscard]] DutyRole dutyRole() const noexcept;
-  /// Time between two reads of the endpoints' feed by a host that does not
+  /// Interval between reads of the endpoints' feed by a host that does not
   /// coordinate.
   [[nodiscard]] milliseconds followerSpacing() const noexcept;
   void ingestPage(Feed FeedId, FeedPage Page, bool IsSnapshot,
@@ -115,31 +115,33 @@
   HttpClient Client;
   SilenceWatch Silence;
   CallerProxy Proxy;
-  /// Names this run of the host.
+  /// Name of this run of the host.
   std::string Member;
   GroupCoordinator Coordinator;
   FeedFollower Operators;
   FeedFollower Endpoints;
-  /// Endpoints that the driver was told of, and when.
+  /// When stalled endpoints were reported to the coordinator.
   std::map<std::string, TimePoint> StallsReportedAt;
-  /// Until when seats are expected to move.
+  /// Until when records with changed seats are expected.
   std::optional<TimePoint> SeatChangesUntil;
   std::uint64_t RoutedVersion = 0;
-  /// Entry hosts among which bounds are shared; zero before any was heard of.
+  /// Number of entry hosts among which limits are divided; zero before any was
+  /// heard of.
   std::size_t LastEntryHosts = 0;
   bool ConfigWasFresh = false;
   milliseconds FailedReadPause{0};
   TimePoint NextShareAt{};
   std::uint64_t LoggedConfig = 0;
-  /// Version whose limits on callers are in force.
+  /// Configuration version whose limits on callers are applied.
   std::uint64_t LimitedVersion = 0;
   bool StoreAnswers = true;
-  /// When the upstream last relayed endpoints that were new enough to go by.
+  /// When the upstream last relayed endpoint records that were recent enough to
+  /// use.
   TimePoint EndpointsRelayedAt = BootClock::now();
   TimePoint NextAbandonAt{};
   milliseconds AbandonPause{0};
-  /// Endpoints were read before the configuration that tells engines from plain
-  /// services.
+  /// Endpoints were read before the configuration that distinguishes engines
+  /// from plain services.
   bool EndpointsReadBeforeConfig = false;
   bool Stopping = false;
   TreeLink Link;
--- a/packages/process/src/coltsfoottrail/fleethost/proxymetrics.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/proxymetrics.hpp
@@ -15,28 +15,31 @@
 
 namespace coltsfoottrail {
 
-/// @brief Counts how requests end and how long they take, as Prometheus text.
-/// Not thread-safe.
+/// @brief Counts how requests end and how long they take, and writes this as
+/// Prometheus text. Not thread-safe.
 ///
-/// Series are bounded: services come from the operators' configuration and
-/// outcomes and reasons from lists of this program, never from callers.
+/// The number of series is bounded: services come from the operators'
+/// configuration, outcomes and reasons from fixed lists in this program, and
+/// none of them from callers.
 class ProxyMetrics {
 public:
-  /// @brief A request waited so long for a place before it was sent first.
+  /// @brief Records the time from a request's arrival until it was first sent.
   void recordWait(RunPolicy Kind, Duration Elapsed) {
     latenciesOf(Kind).Wait.record(Elapsed);
   }
-  /// @brief The first event of a stream, or a whole answer, left for the caller
-  /// so long after the request came.
+  /// @brief Records the time from a request's arrival until the first event of
+  /// its stream, or its whole response, was sent to the caller.
   void recordResponseStart(RunPolicy Kind, Duration Elapsed) {
     latenciesOf(Kind).First.record(Elapsed);
   }
-  /// @brief So long passed between two events of a stream.
+  /// @brief Records the time between two events of a stream.
   void recordEventGap(Duration Elapsed) { EventGap.record(Elapsed); }
-  /// @brief A request ended.
-  /// @param Service Empty where it was turned away before one was chosen.
-  /// @param Outcome One of the program's words.
-  /// @param Why One of the program's words.
+  /// @brief Records the end of a request.
+  /// @param Service Empty if the request was rejected before a service was
+  /// chosen.
+  /// @param Outcome One of the outcomes defined by this program.
+  /// @param ReasonText One of the reasons defined by this program, or a status
+  /// code.
   void recordEnd(const ServiceName &Service, RunPolicy Kind,
                  std::string_view Outcome, std::string_view ReasonText,
                  Duration Elapsed);
--- a/packages/process/src/coltsfoottrail/fleethost/settings.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/settings.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Settings of an entry host on a platform whose endpoints publish themselves.
-/// docs/operations/fleet.md explains each key.
+/// Settings of an entry host on a platform where endpoints register themselves
+/// in a store. docs/operations/fleet.md explains each key.
 #ifndef COLTSFOOTTRAIL_FLEETHOST_SETTINGS_HPP
 #define COLTSFOOTTRAIL_FLEETHOST_SETTINGS_HPP
 
@@ -13,51 +13,52 @@
 
 namespace coltsfoottrail {
 
-/// @brief What the platform holds every entry host to.
+/// @brief Time limits and retry limits that the platform sets for every entry
+/// host.
 struct FleetBounds {
-  /// Endpoints publish themselves this often; an entry lapses after three
-  /// heartbeats of silence.
+  /// Interval at which endpoints publish their records; a record expires after
+  /// three missed heartbeats.
   milliseconds Heartbeat{1'200};
-  /// A withdrawn credential must not be served for longer after its withdrawal
-  /// was accepted.
+  /// Longest time for which a withdrawn credential may be accepted after its
+  /// withdrawal was confirmed.
   milliseconds Revocation{5'000};
-  /// An accepted configuration must be in force after this.
+  /// Time within which an accepted configuration must be in force.
   milliseconds Configuration{2'000};
-  /// An endpoint that says that it leaves must get no new work after this.
+  /// Time within which an endpoint that announces its departure must stop
+  /// receiving new requests.
   milliseconds Leaving{2'000};
-  /// From the signal to stop until the process is killed.
+  /// Time from the stop signal until the process is killed.
   milliseconds StopGrace{8'000};
-  /// Sends beyond the first of each request, as a part of the requests, over
-  /// all entry hosts.
+  /// Retries as a fraction of the requests, over all entry hosts.
   double RetryRatio = 0.2;
-  /// Sends beyond that ratio in ten seconds, for a service, over all entry
-  /// hosts.
+  /// Retries that a service may make beyond that ratio in ten seconds, over all
+  /// entry hosts.
   double RetrySlack = 130.0;
 };
 
-/// @brief All settings, checked.
+/// @brief All settings of an entry host, validated.
 struct FleetSettings {
   HostName Host;
   DataCentreName DataCentre;
   SocketAddress Callers;
   SocketAddress Readiness;
-  /// Nothing for no metrics.
+  /// Empty if metrics are not served.
   std::optional<SocketAddress> Metrics;
-  /// Where other entry hosts reach this one.
+  /// Address at which other entry hosts reach this one.
   SocketAddress Peers;
   SocketAddress Store;
-  /// Whether all hosts of the system start for the first time.
+  /// Whether all hosts of the system are starting for the first time.
   bool FirstStart = false;
-  /// Part of a processor core that this host may use.
+  /// Share of a processor core that this host may use; 1 is a whole core.
   double ProcessorShare = 1.0;
   FleetBounds Bounds;
 };
 
-/// @brief Reads and checks a settings file. Unknown keys are passed over: the
-/// platform adds fields without notice. Thread-safe.
-/// @param File JSON.
-/// @throws InputError The file cannot be read, or a value cannot be used: the
-/// error names file, JSON pointer, value and what is allowed.
+/// @brief Reads and validates a settings file. Unknown keys are ignored because
+/// the platform adds fields without notice. Thread-safe.
+/// @param File Path of the JSON file.
+/// @throws InputError The file cannot be read, or a value is invalid. The error
+/// names the file, the JSON pointer, the value and what is allowed.
 [[nodiscard]] FleetSettings
 readFleetSettings(const std::filesystem::path &File);
 
--- a/packages/process/src/coltsfoottrail/fleethost/view.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/view.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// Kept free of the revocation bound: a request that is taken just before it
+/// Safety margin before the revocation limit: a request accepted just before it
 /// still has to reach its endpoint.
 constexpr Duration RevocationMargin = milliseconds(700);
-/// The same for the bound on configurations.
+/// The same for the limit on configurations.
 constexpr Duration ConfigurationMargin = milliseconds(200);
-/// How long the endpoints of a returned data centre are taken for cold: two
-/// heartbeats of the platform and a poll.
+/// How long the endpoints of a returned data centre count as cold: two
+/// heartbeats of the platform and one read of the feed.
 constexpr Duration ReturnedColdTime = milliseconds(3'000);
 
 } // namespace
@@ -49,10 +49,11 @@
   for (FleetChange &Change : Page.Changes)
     Effects.push_back(effectOf(Change, IsSnapshot, Now));
   if (FeedId == Feed::Operators) {
-    // Failure guarded against: an overloaded store hands the feed out in parts,
-    // this host stays some versions behind while each part is answered, and it
-    // refuses proper requests by routes and credentials that are long replaced.
-    // Only a read that reached the end proves anything.
+    // Failure guarded against: an overloaded store returns the feed in parts,
+    // this host stays some versions behind although each part is answered, and
+    // it refuses valid requests because of routes and credentials that were
+    // replaced long ago. Only a read that reached the end proves that the
+    // configuration is current.
     if (Page.Next >= Page.End)
       ConfigAsOf = std::max(ConfigAsOf, RequestedAt);
     return Effects;
@@ -64,7 +65,7 @@
   return Effects;
 }
 
-/// Whether a host that only routes needs the record of an endpoint.
+/// Whether a host that only routes requests needs the record of an endpoint.
 bool FleetView::isRoutable(const EndpointName &Name) const {
   const KnownEndpoint *const Entry = Catalogue.find(Name);
   if (Entry == nullptr)
@@ -100,9 +101,10 @@
 }
 
 // Failure guarded against: single reads fail, removals are held back after each
-// of them, and endpoints that have left get work for seconds. Entries lapse
-// after three heartbeats of silence, so that an outage of less than two lets
-// none of a live endpoint lapse: removals read after it are real.
+// of them, and endpoints that have left get requests for seconds. Records
+// expire after three missed heartbeats, so an outage shorter than two
+// heartbeats lets no record of a live endpoint expire: removals read after it
+// are real.
 void FleetView::recordRead(TimePoint Now) {
   if (EndpointsReadAt && Now - *EndpointsReadAt >= 2 * Bounds.Heartbeat)
     Catalogue.storeReturned(Now);
@@ -133,8 +135,9 @@
       Change);
 }
 
-// A process that has crashed publishes nothing: a record of the same life that
-// leads no more was written by a leader that closed and lives.
+// A crashed process publishes nothing. A record from the same run of the
+// process that no longer leads was therefore written by a leader that closed
+// its group and is alive.
 void FleetView::recordClosing(const EndpointRecord &Previous,
                               const EndpointRecord &Current) {
   const std::string Key = endpointKey(Previous);
@@ -160,8 +163,8 @@
 }
 
 // Failure guarded against: the store is read again from an earlier point, or a
-// lagging answer overtakes a newer one, and callers are served by routes and
-// credentials that were withdrawn. Versions only grow within one run.
+// delayed response overtakes a newer one, and callers are served by routes and
+// credentials that were withdrawn. Versions only increase within one run.
 bool FleetView::apply(ConfigPublished Change) {
   if (Index && Change.Config.Version <= Index->version())
     return false;
@@ -179,8 +182,9 @@
 }
 
 // Failure guarded against: endpoints of a drained data centre are often cold
-// when it is returned, but the record that says so comes up to a heartbeat and
-// a poll later. Every host sends them full load at once, and they fall over.
+// when it is returned to service, but the record that says so arrives up to one
+// heartbeat and one read later. Every host would send them full load at once
+// and overload them.
 bool FleetView::returnDataCentre(const DataCentreName &DataCentre,
                                  TimePoint Now) {
   if (Drained.erase(DataCentre) == 0)
@@ -220,12 +224,14 @@
 }
 
 // Failure guarded against: this host is cut off from the store, a credential is
-// withdrawn meanwhile, and its callers are served on. Once the last proof of
-// the configuration is older than the bound, no credential is trusted. The
-// clock counts suspension, so a host that wakes knows that it slept.
+// withdrawn meanwhile, and its callers are still served. Once the last proof
+// that the configuration is current is older than the limit, no credential is
+// trusted. The clock includes suspension of the machine, so a host that wakes
+// up knows how long it slept.
 //
-// Only a store that does not answer at all excuses a configuration that is
-// older than its bound; one that answers without reaching the end does not.
+// A configuration older than its limit is tolerated only while the store does
+// not answer at all, not while it answers with pages that do not reach the end
+// of the feed.
 bool FleetView::credentialsFresh(TimePoint Now) const noexcept {
   const bool Starved = StoreAnsweredAsOf - ConfigAsOf >=
                        Bounds.Configuration - ConfigurationMargin;
--- a/packages/process/src/coltsfoottrail/fleethost/view.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/view.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What an entry host believes of the platform, and since when.
+/// An entry host's view of the fleet, and how recent it is.
 #ifndef COLTSFOOTTRAIL_FLEETHOST_VIEW_HPP
 #define COLTSFOOTTRAIL_FLEETHOST_VIEW_HPP
 
@@ -21,98 +21,98 @@
 
 using RouteIndexPtr = std::shared_ptr<const RouteIndex>;
 
-/// @brief Routes and shares for the router, made from the beliefs.
+/// @brief Routes and endpoint shares for the router, derived from the view.
 struct FleetRoutes {
   RouteTable Table;
   std::map<std::string, std::uint32_t> Shares;
 };
 
-/// @brief Endpoints by what this host believes of them.
+/// @brief Number of endpoints by state, as this host sees them.
 struct EndpointTally {
   std::uint32_t Serving = 0;
   std::uint32_t Draining = 0;
   std::uint32_t Cold = 0;
-  /// Leaders of groups that serve.
+  /// Leaders of groups that serve requests.
   std::uint32_t Leaders = 0;
 };
 
-/// @brief The beliefs of one entry host. Pure; belongs to one thread. Times
-/// must not go back.
+/// @brief One entry host's view of configuration, drained data centres and
+/// endpoints. Pure; belongs to one thread. Times must not go back.
 class FleetView {
 public:
-  /// @brief Starts without beliefs.
-  /// @param Given The platform's bounds.
+  /// @brief Starts empty.
+  /// @param Bounds The platform's time limits.
   explicit FleetView(const FleetBounds &Bounds) : Bounds(Bounds) {}
 
-  /// @brief Takes a part of a feed.
-  /// @param FeedId The feed.
-  /// @param Page What was read.
-  /// @param Whole Whether it holds the newest value of every key.
-  /// @param AskedAt When the question left this host: the page is at least as
-  /// new.
-  /// @return For each change, what it means to routing.
+  /// @brief Applies a page of a feed.
+  /// @param FeedId The feed that was read.
+  /// @param Page The page.
+  /// @param IsSnapshot Whether the page holds the newest value of every key.
+  /// @param RequestedAt When the request left this host: the page is at least
+  /// as recent.
+  /// @return The effect of each change on routing.
   std::vector<RoutingEffect> ingest(Feed FeedId, FeedPage Page, bool IsSnapshot,
                                     TimePoint RequestedAt, TimePoint Now);
-  /// How long a silent endpoint gets nothing new. By then the coordinator has
-  /// asked its members and closed it, or it is sound.
+  /// How long an endpoint with stalled streams gets no new requests. By then
+  /// the coordinator has probed its members and closed it, or it is healthy.
   static constexpr Duration SilentSuspension = milliseconds(2'000);
-  /// The same for one that cannot serve until its group is formed anew; while
-  /// the store is away it is tried again this seldom.
+  /// The same for an endpoint that cannot serve until its group is formed
+  /// again; while the store is unavailable it is retried only this often.
   static constexpr Duration UnusableSuspension = milliseconds(8'000);
 
-  /// @brief An endpoint gets nothing new for a while, or until its record shows
-  /// another life or group.
+  /// @brief Gives an endpoint no new requests for a while, or until its record
+  /// shows that its process restarted or that its group changed.
   void suspend(const EndpointName &Name, Duration Span, TimePoint Now);
-  /// @brief Whether an endpoint gets nothing new for now.
+  /// @brief Whether an endpoint currently gets no new requests.
   [[nodiscard]] bool isSuspended(const EndpointName &Name) const {
     return Suspended.contains(Name);
   }
-  /// @brief Whether an endpoint may be cold: by its record, or because its data
-  /// centre has just been returned.
+  /// @brief Whether an endpoint may be cold: according to its record, or
+  /// because its data centre has just been returned to service.
   [[nodiscard]] bool mayBeCold(const KnownEndpoint &Entry) const {
     return Entry.Cold || RecentlyReturned.contains(Entry.Record.DataCentre);
   }
-  /// @brief A leader that closed its group while its process lives on.
+  /// @brief A leader that closed its group while its process keeps running.
   struct ClosedLeader {
     std::string Pool;
-    /// Its key while it led.
+    /// Its endpoint key while it was leader.
     std::string Key;
   };
-  /// @brief Hands out the leaders that closed since the last call.
+  /// @brief Returns the leaders that closed since the last call.
   [[nodiscard]] std::vector<ClosedLeader> takeClosed() {
     return std::exchange(Closed, {});
   }
 
-  /// @brief Does what time alone brings.
+  /// @brief Applies expiries that depend on time alone.
   void advance(TimePoint Now);
 
-  /// @brief The configuration in force; null before the first.
+  /// @brief The configuration in force; null before the first one.
   [[nodiscard]] const RouteIndexPtr &config() const noexcept { return Index; }
-  /// @brief The endpoints.
+  /// @brief The known endpoints.
   [[nodiscard]] const EndpointCatalogue &endpoints() const noexcept {
     return Catalogue;
   }
-  /// @brief When the store was asked for the records of all endpoints; the
-  /// beginning of time while only those are known that matter to routing.
+  /// @brief When the records of all endpoints were requested from the store;
+  /// the clock's epoch while only those are known that routing needs.
   [[nodiscard]] TimePoint allEndpointsAsOf() const noexcept {
     return KnowsAllEndpoints ? EndpointsAsOf : TimePoint{};
   }
-  /// @brief Whether the records of all endpoints are known, as far as they have
-  /// been read.
+  /// @brief Whether the view includes the endpoints that routing does not need,
+  /// as far as they have been read.
   [[nodiscard]] bool knowsAllEndpoints() const noexcept {
     return KnowsAllEndpoints;
   }
-  /// @brief Data centres that get no new work.
+  /// @brief Drained data centres, which get no new requests.
   [[nodiscard]] const std::set<DataCentreName> &drained() const noexcept {
     return Drained;
   }
-  /// @brief Whether credentials can be trusted: this host would know of a
-  /// withdrawal that is old enough to bind.
+  /// @brief Whether credentials can be trusted: this host would know of any
+  /// withdrawal that must be in force by now.
   [[nodiscard]] bool credentialsFresh(TimePoint Now) const noexcept;
-  /// @brief Whether routes can be trusted: a newer configuration that this host
-  /// does not know is not yet in force everywhere.
+  /// @brief Whether routes can be trusted: if there is a newer configuration
+  /// that this host does not know, it need not be in force yet.
   [[nodiscard]] bool routesFresh(TimePoint Now) const noexcept;
-  /// @brief How old the configuration may be.
+  /// @brief Age of the last proof that the configuration is current.
   [[nodiscard]] Duration configAge(TimePoint Now) const noexcept {
     return Now - ConfigAsOf;
   }
@@ -120,29 +120,30 @@
   [[nodiscard]] bool ready(TimePoint Now) const noexcept {
     return Index && EndpointsKnown && credentialsFresh(Now);
   }
-  /// @brief Grows with each change that routes depend on.
+  /// @brief Increases with each change that routes depend on.
   [[nodiscard]] std::uint64_t version() const noexcept {
     return Changes + Catalogue.version();
   }
 
-  /// @brief Pools of each service.
+  /// @brief Names of the pools of each service.
   [[nodiscard]] std::map<ServiceName, std::vector<std::string>> pools() const;
 
   /// @brief Counts the endpoints by state.
   [[nodiscard]] EndpointTally tally() const;
 
-  /// @brief Makes the routes.
+  /// @brief Builds the routes.
   [[nodiscard]] FleetRoutes routes() const;
 
-  /// Requests that one entry host may have in progress at a cold endpoint whose
-  /// turn has come.
+  /// Concurrent requests that one entry host may have at a cold endpoint when
+  /// it is admitted.
   static constexpr std::uint32_t ColdShare = 1;
 
-  /// @brief Names an endpoint in its life and seat.
+  /// @brief Key of an endpoint that is unique for each run of its process and
+  /// each group that it belongs to.
   [[nodiscard]] static std::string endpointKey(const EndpointRecord &Record);
 
   /// @brief Name of the pool of a service's endpoints, or of a model's groups.
-  /// @param Model Empty for plain services.
+  /// @param Model Empty for services without models.
   [[nodiscard]] static std::string poolName(const ServiceName &Service,
                                             const ModelName &Model);
 
@@ -166,11 +167,12 @@
   EndpointCatalogue Catalogue;
   RouteIndexPtr Index;
   std::set<DataCentreName> Drained;
-  /// Data centres that were returned, and until when that matters.
+  /// Data centres that were recently returned to service, and until when their
+  /// endpoints count as cold.
   std::map<DataCentreName, TimePoint> RecentlyReturned;
   TimePoint ConfigAsOf{};
-  /// When the store was asked last for what it answered, the end of a feed
-  /// reached or not.
+  /// When the last request that the store answered was sent, whether or not the
+  /// response reached the end of a feed.
   TimePoint StoreAnsweredAsOf{};
   bool EndpointsKnown = false;
   bool KnowsAllEndpoints = false;
--- a/packages/process/test/coltsfoottrail/fleethost/candidacy.cpp
+++ b/packages/process/test/coltsfoottrail/fleethost/candidacy.cpp
@@ -19,8 +19,8 @@
   EXPECT_FALSE(Election.standsAside(true, at(1'500)));
 }
 
-// Guards against hosts that restart in turn and leave nobody who takes over at
-// once when the coordinator is stopped as well.
+// Guards against hosts that restart one after the other and leave no candidate
+// that could take over at once when the coordinator is stopped as well.
 TEST(Candidacy, CandidateAsksAtOnceWhenItStarts) {
   Candidacy Election = candidacy(DutyRole::Candidate);
   EXPECT_FALSE(Election.standsAside(false, at(0)));
@@ -29,7 +29,7 @@
 }
 
 // Guards against a lease that moves to a host only because that host has
-// regained the store.
+// regained its connection to the store.
 TEST(Candidacy, CandidateThatLostTheStoreLeavesTheLeaseToItsHolder) {
   Candidacy Election = candidacy(DutyRole::Candidate);
   Election.recordStore(false, at(0));
@@ -40,8 +40,9 @@
   EXPECT_FALSE(Election.standsAside(false, at(2'000)));
 }
 
-// Guards against a coordinator that is cut off from the store alone: nobody
-// repairs groups unless a candidate takes over, and not all reserves are to.
+// Guards against a coordinator that is cut off from the store only: nobody
+// repairs groups unless a candidate takes over, but not all reserves should
+// request the lease.
 TEST(Candidacy, OnlyCandidatesTakeOverFromACoordinatorWithoutALease) {
   Candidacy Strong = candidacy(DutyRole::Candidate);
   Candidacy Weak = candidacy(DutyRole::Reserve);
@@ -54,8 +55,8 @@
   EXPECT_TRUE(Weak.standsAside(false, at(4'999)));
 }
 
-// Guards against a lease that is dealt out anew because candidates stop asking
-// for it once they hear of its holder.
+// Guards against a lease that is reassigned because candidates stop requesting
+// it once they hear of its holder.
 TEST(Candidacy, CandidateThatIsAMemberRemainsOne) {
   Candidacy Election = candidacy(DutyRole::Candidate);
   Election.recordMembership(at(2'000));
@@ -65,7 +66,8 @@
   EXPECT_TRUE(Election.standsAside(false, at(2'000)));
 }
 
-// Guards against a handover at the store's return while the coordinator lives.
+// Guards against a handover when the store returns while the coordinator is
+// alive.
 TEST(Candidacy, LastHolderAsksFirstAfterAnOutage) {
   Candidacy Election = candidacy(DutyRole::Candidate);
   Election.recordStore(false, at(1'000));
@@ -75,8 +77,9 @@
   EXPECT_FALSE(Election.standsAside(false, at(10'000)));
 }
 
-// Guards against a fleet whose hosts all ask for the lease when the store
-// returns: it is dealt out anew with each of them, and a weak host keeps it.
+// Guards against a fleet whose hosts all request the lease when the store
+// returns: it is reassigned with each request, and a host with little processor
+// share may keep it.
 TEST(Candidacy, ReserveLeavesTheLeaseToCandidatesAfterAnOutage) {
   Candidacy Election = candidacy(DutyRole::Reserve);
   Election.recordStore(false, at(1'000));
--- a/packages/process/test/coltsfoottrail/fleethost/dutyterm.cpp
+++ b/packages/process/test/coltsfoottrail/fleethost/dutyterm.cpp
@@ -8,7 +8,7 @@
 
 TimePoint at(int Ms) { return TimePoint{} + seconds(100) + milliseconds(Ms); }
 
-TEST(DutyTerm, ActsUnderOneNumberUntilTheLeaseEnds) {
+TEST(DutyTerm, ActsUnderOneFencingTokenUntilTheLeaseEnds) {
   DutyTerm Term(LeaseTimes{});
   EXPECT_FALSE(Term.holds(at(0)));
   EXPECT_EQ(Term.applyGrant({7, true}, at(0), at(4)), DutyChange::Gained);
@@ -17,11 +17,11 @@
   EXPECT_FALSE(Term.holds(at(1'250)));
 }
 
-// An engine serves two groups at once.
-// The store answers a second late; each renewal is answered after the lease has
-// run out. Nobody else had the duty, as the generation tells, yet the driver
-// began anew at each answer under the number that it had, and used epochs
-// again.
+// Guards against an engine that serves two groups at once: the store answers a
+// second late, so that each renewal is answered after the lease has expired.
+// The unchanged generation shows that no other host held the lease; a
+// coordinator that started afresh under the same fencing token would reuse
+// epochs.
 TEST(DutyTerm, GoesOnOverAGapInTheLeaseIfNobodyElseHadTheDuty) {
   DutyTerm Term(LeaseTimes{});
   EXPECT_EQ(Term.applyGrant({7, true}, at(0), at(4)), DutyChange::Gained);
@@ -30,7 +30,7 @@
   EXPECT_EQ(Term.fence(), 7U);
 }
 
-TEST(DutyTerm, BeginsAnewIfSomebodyElseMayHaveHadTheDuty) {
+TEST(DutyTerm, BeginsANewTermIfAnotherHostMayHaveHeldTheLease) {
   DutyTerm Term(LeaseTimes{});
   (void)Term.applyGrant({7, true}, at(0), at(4));
   EXPECT_EQ(Term.applyGrant({9, true}, at(2'000), at(2'004)),
@@ -38,8 +38,8 @@
   EXPECT_EQ(Term.fence(), 9U);
 }
 
-// No group is repaired while the store is slow: the host that drives them may
-// act for a tenth of the time only.
+// Guards against a slow store that prevents repairs of groups: with a lease of
+// the usual length the coordinator could act for only a tenth of the time.
 TEST(DutyTerm, AsksASlowStoreForALongerLease) {
   DutyTerm Term(LeaseTimes{});
   (void)Term.applyGrant({7, true}, at(0), at(1'000));
@@ -48,10 +48,10 @@
   EXPECT_TRUE(Term.holds(at(3'900)));
 }
 
-// An engine serves two groups at once.
-// A host that was cut off from the store for six seconds gains the duty with
-// its first call; its records are as old as the cut, and it gives a leader that
-// serves to another group before its feed is read again.
+// Guards against an engine that serves two groups at once: a host that was cut
+// off from the store for six seconds gains the lease with its first call. Its
+// records are six seconds old, and it gives a serving leader to another group
+// before it has read its feed again.
 TEST(DutyTerm, ActsOnlyOnRecordsReadSinceItBegan) {
   DutyTerm Term(LeaseTimes{});
   (void)Term.applyGrant({7, true}, at(0), at(4));
@@ -62,7 +62,7 @@
   EXPECT_FALSE(Term.mayAct(at(3'700), at(510)));
 }
 
-TEST(DutyTerm, EndsWhenAnEngineHasSeenAHigherNumber) {
+TEST(DutyTerm, EndsWhenAnEngineHasSeenAHigherFencingToken) {
   DutyTerm Term(LeaseTimes{});
   (void)Term.applyGrant({7, true}, at(0), at(4));
   Term.recordFenced();
--- a/packages/process/test/coltsfoottrail/fleethost/eventstreambuffer.cpp
+++ b/packages/process/test/coltsfoottrail/fleethost/eventstreambuffer.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-TEST(EventStreamBuffer, PassesOnWholeEventsOnly) {
+TEST(EventStreamBuffer, ReleasesCompleteEventsOnly) {
   EventStreamBuffer Buffer;
   EXPECT_EQ(Buffer.append("id: 1\nda"), "");
   EXPECT_FALSE(Buffer.hasReleased());
@@ -18,16 +18,16 @@
   EXPECT_TRUE(Buffer.endsOnBoundary());
 }
 
-// A resumed stream has half an event in its middle.
-// The first endpoint broke off inside an event; what it left is dropped.
-TEST(EventStreamBuffer, PartOfAnEventIsDroppedBeforeAnotherEndpointGoesOn) {
+// Guards against a resumed stream with an incomplete event in its middle: the
+// first endpoint broke off inside an event, and what it left must be dropped.
+TEST(EventStreamBuffer, IncompleteEventIsDroppedBeforeAnotherEndpointResumes) {
   EventStreamBuffer Buffer;
   (void)Buffer.append("id: 1\ndata: x\n\nid: 2\nda");
   Buffer.dropPartial();
   EXPECT_EQ(Buffer.append("id: 2\ndata: y\n\n"), "id: 2\ndata: y\n\n");
 }
 
-TEST(EventStreamBuffer, UnderstandsLongLineEnds) {
+TEST(EventStreamBuffer, UnderstandsCrLfLineEnds) {
   EventStreamBuffer Buffer;
   EXPECT_EQ(Buffer.append("id:7\r\ndata: x\r\n\r\n"),
             "id:7\r\ndata: x\r\n\r\n");
--- a/packages/process/test/coltsfoottrail/fleethost/follower.cpp
+++ b/packages/process/test/coltsfoottrail/fleethost/follower.cpp
@@ -44,7 +44,7 @@
   co_return StoreFailure::Unknown;
 }
 
-/// What a read over a connection answers when it is given up.
+/// Result of a read over a connection that is cancelled.
 Awaitable<FeedAnswer> failsWhenCancelled() {
   boost::asio::steady_timer Timer(co_await boost::asio::this_coro::executor,
                                   seconds(60));
@@ -78,10 +78,10 @@
   int Failures = 0;
 };
 
-// A foreman's request goes to an endpoint that said seconds ago that it leaves.
-// After an outage there is more to read than one answer holds; read at the
-// usual spacing, the host lags behind.
-TEST_F(Follower, ReadsOnAtOnceWhileTheStoreHoldsMore) {
+// Guards against requests to an endpoint that announced its departure seconds
+// ago: after an outage there is more to read than one response holds, and a
+// host that reads at the usual interval lags behind.
+TEST_F(Follower, ReadsWithoutPauseWhileTheStoreHasMore) {
   EXPECT_CALL(Store, newest).WillOnce([] { return page(5, 5); });
   Times.Spacing = milliseconds(1);
   EXPECT_CALL(Store, read)
@@ -96,11 +96,11 @@
   EXPECT_EQ(ReadOffsets, (std::vector<Offset>{5, 20, 40, 60}));
 }
 
-// Callers are refused on every host after a change of the store's history.
-// Each answer of one feed hurries the other, whose read is given up; counted as
-// failed, it made the next answer hurry it again, and the configuration was
-// never read.
-TEST_F(Follower, ReadThatIsGivenUpHasNotFailed) {
+// Guards against callers being refused on every host after the store's history
+// has changed: each response of one feed cancels the read of the other. If the
+// cancelled read counted as failed, the next response would cancel it again,
+// and the configuration would never be read.
+TEST_F(Follower, CancelledReadHasNotFailed) {
   Times.Spacing = milliseconds(1);
   EXPECT_CALL(Store, newest).WillOnce([] { return page(5, 5); });
   EXPECT_CALL(Store, read)
@@ -115,10 +115,10 @@
   EXPECT_EQ(ReadOffsets, (std::vector<Offset>{5, 9}));
 }
 
-// The same, with another cause: the host was cut off from the store, another
-// feed is read again, and this one waits for an answer that was lost in the
-// cut.
-TEST_F(Follower, MakesAReadAgainWhenHurried) {
+// Guards against the same failure with another cause: the host was cut off from
+// the store, the other feed is read again, and this one still waits for a
+// response that was lost.
+TEST_F(Follower, RepeatsAReadWhenWoken) {
   Times.Spacing = milliseconds(1);
   EXPECT_CALL(Store, newest).WillOnce([] { return page(5, 5); });
   EXPECT_CALL(Store, read)
@@ -134,9 +134,10 @@
   EXPECT_EQ(Failures, 0);
 }
 
-// A host serves an old configuration for as long as its hub vouches for it.
-// The hub has read a record that it does not relay; hosts read the store at
-// once, although what they were told before would cover them for longer.
+// Guards against a host that serves an old configuration because its upstream
+// has postponed its reads: the upstream has read a record that it cannot relay,
+// so hosts read the store at once although what was relayed before would
+// postpone their reads for longer.
 TEST_F(Follower, HostThatFellBehindReadsAtOnce) {
   EXPECT_CALL(Store, newest).WillOnce([] { return page(3, 3); });
   EXPECT_CALL(Store, read(Feed::Endpoints, Offset{3}, ::testing::_))
@@ -167,7 +168,7 @@
   co_return Result;
 }
 
-// Guards against a first read that is given up and made again for each response
+// Guards against a first read that is cancelled and repeated for each response
 // of an upstream that cannot relay a large configuration.
 TEST_F(Follower, DeferralThatEndsTwiceIsOneRead) {
   EXPECT_CALL(Store, newest).WillOnce([] { return delayedPage(4); });
@@ -187,8 +188,8 @@
   EXPECT_EQ(ReadOffsets, std::vector<Offset>{4});
 }
 
-// Guards against a host that reads on and on by itself: each response of its
-// upstream came after one more own read, and was dropped.
+// Guards against a host that never stops reading by itself: each response of
+// its upstream arrives after one more own read and is dropped.
 TEST_F(Follower, AcceptsRelayedRecordsThatBeginBeforeItsOwnReads) {
   EXPECT_CALL(Store, newest).WillOnce([] { return page(7, 7); });
   follow();
@@ -202,8 +203,8 @@
 
 Awaitable<FeedAnswer> refused() { co_return StoreFailure::NotDone; }
 
-// Guards against thousands of calls in vain while the store is away and another
-// host reads for this one.
+// Guards against thousands of useless calls while the store is unavailable and
+// another host reads for this one.
 TEST_F(Follower, FailedReadsPauseAsLongAsTheFleetNeeds) {
   Times.RetryPause = milliseconds(1);
   EXPECT_CALL(Store, newest).Times(1).WillRepeatedly([] { return refused(); });
@@ -216,8 +217,8 @@
   EXPECT_EQ(Failures, 1);
 }
 
-// Guards against a coordinator that learns late that the store is back.
-TEST_F(Follower, EagerReaderDoesNotWaitForTheOthers) {
+// Guards against a coordinator that notices late that the store is back.
+TEST_F(Follower, EagerReaderIgnoresTheMinimumFailurePause) {
   Times.RetryPause = milliseconds(1);
   EXPECT_CALL(Store, newest).WillRepeatedly([] { return refused(); });
   Reader.emplace(Store, Feed::Endpoints, Times,
@@ -230,7 +231,7 @@
   EXPECT_GT(Failures, 2);
 }
 
-TEST_F(Follower, RelayedValuesTakeThePlaceOfTheFirstRead) {
+TEST_F(Follower, RelayedSnapshotReplacesTheFirstRead) {
   EXPECT_CALL(Store, newest).Times(0);
   EXPECT_CALL(Store, read(Feed::Endpoints, Offset{9}, ::testing::_))
       .WillOnce([] { return page(9, 9); });
--- a/packages/process/test/coltsfoottrail/fleethost/settings.cpp
+++ b/packages/process/test/coltsfoottrail/fleethost/settings.cpp
@@ -24,7 +24,7 @@
   "store":"127.0.0.1:4","new_key":1,
   "bounds":{"revocation_ms":4000,"stop_grace_s":2.5,"later":true}})";
 
-TEST(FleetSettings, ReadsBoundsAndPassesUnknownKeysOver) {
+TEST(FleetSettings, ReadsBoundsAndIgnoresUnknownKeys) {
   const FleetSettings Settings =
       readFleetSettings(writeSettingsFile(FullSettings));
   EXPECT_EQ(Settings.Host, HostName("h"));
@@ -35,7 +35,7 @@
   EXPECT_FALSE(Settings.Metrics);
 }
 
-TEST(FleetSettings, NamesThePlaceOfAWrongValue) {
+TEST(FleetSettings, ReportsThePointerOfAnInvalidValue) {
   std::string Text = FullSettings;
   Text.replace(Text.find("127.0.0.1:4"), 11, "nowhere");
   try {
--- a/packages/process/test/coltsfoottrail/fleethost/view.cpp
+++ b/packages/process/test/coltsfoottrail/fleethost/view.cpp
@@ -53,9 +53,9 @@
   return View.routes().Table.Pools.at("model/draft/m").Endpoints.size();
 }
 
-// Callers of a new route hear that there is none.
-// The store is overloaded and gives the operators' feed in parts; each read is
-// answered, and this host stays behind the newest version all the while.
+// Guards against rejecting callers of a new route: an overloaded store returns
+// the operators' feed in parts. Each read is answered, but this host stays
+// behind the newest version.
 TEST(FleetView, ReadsThatDoNotReachTheEndProveNoConfiguration) {
   FleetView View = readyView();
   FeedPage Part = page(ConfigPublished{config(6)});
@@ -70,8 +70,8 @@
   EXPECT_TRUE(View.credentialsFresh(Later));
 }
 
-// Guards against an old configuration that serves on while the store answers
-// and its reads do not reach the end.
+// Guards against an old configuration that stays in use while the store answers
+// but the reads do not reach the end of the feed.
 TEST(FleetView, StarvedConfigurationIsNotTrustedBeyondItsBound) {
   FleetBounds Bounds;
   Bounds.Configuration = milliseconds(2'000);
@@ -95,8 +95,8 @@
   return Result;
 }
 
-// Guards against a coordinator that takes the endpoints which were relayed to
-// it for all there are, and gives away members of groups that it cannot see.
+// Guards against a coordinator that takes the relayed endpoints for all that
+// exist, and assigns members of groups that it cannot see to other groups.
 TEST(FleetView, RelayedRecordsAreNotAllEndpoints) {
   FleetView View = readyView();
   EXPECT_TRUE(View.knowsAllEndpoints());
@@ -136,15 +136,15 @@
             Effects{RoutingEffect::Unset});
 }
 
-// Guards against hosts that refuse their callers although the store is away,
-// when nobody can have a newer configuration from it.
+// Guards against hosts that refuse their callers while the store is unavailable
+// and no host can have obtained a newer configuration.
 TEST(FleetView, ConfigurationIsTrustedWhileTheStoreIsAway) {
   FleetView View = readyView();
   EXPECT_TRUE(View.credentialsFresh(Start + milliseconds(4'200)));
 }
 
-// Guards against a host that is slow to follow after the store's return and
-// goes on serving routes that were withdrawn meanwhile.
+// Guards against a host that is slow to read the feed after the store is back
+// and keeps serving routes that were withdrawn meanwhile.
 TEST(FleetView, RoutesAreTrustedForTheBoundOfConfigurations) {
   const FleetView View = readyView();
   EXPECT_TRUE(View.routesFresh(Start + milliseconds(1'500)));
@@ -152,8 +152,8 @@
   EXPECT_FALSE(FleetView{FleetBounds{}}.routesFresh(Start));
 }
 
-// Callers are served by routes that were withdrawn.
-// The store is read again from an earlier point, or an answer is overtaken.
+// Guards against serving callers by withdrawn routes after the store was read
+// again from an earlier point, or a response was overtaken by a newer one.
 TEST(FleetView, ConfigurationNeverGoesBack) {
   FleetView View = readyView();
   View.ingest(Feed::Operators, page(ConfigPublished{config(4)}), false, Start,
@@ -161,9 +161,10 @@
   EXPECT_EQ(View.config()->version(), 5U);
 }
 
-// A withdrawn credential is served on a host that the store is closed to.
-// Nothing proves the configuration any more; before the bound ends credentials
-// count as stale. A late answer to an old question proves only that time.
+// Guards against accepting a withdrawn credential on a host that cannot reach
+// the store. Nothing proves that its configuration is current, so credentials
+// count as stale before the limit is reached. A late response to an old request
+// proves the configuration only as of that request.
 TEST(FleetView, CredentialsAreStaleBeforeTheBoundEnds) {
   FleetView View = readyView();
   EXPECT_TRUE(View.ready(Start + seconds(4)));
@@ -191,7 +192,8 @@
   EXPECT_EQ(endpointsOf(View), 0U);
 }
 
-// Guards against blaming requests for streams that a closing leader broke.
+// Guards against counting streams that a closing leader broke as failures
+// caused by their requests.
 TEST(FleetView, LeaderThatClosesAndLivesIsTold) {
   FleetView View = readyView();
   const auto Publish = [&](EndpointRecord Record) {
@@ -214,7 +216,7 @@
   EXPECT_TRUE(Publish(Record).empty());
 }
 
-TEST(FleetView, ShunnedEndpointGetsNoShareForAWhile) {
+TEST(FleetView, SuspendedEndpointGetsNoShareForAWhile) {
   FleetView View = readyView();
   View.suspend(EndpointName("head"), FleetView::SilentSuspension, Start);
   EXPECT_EQ(View.routes().Shares.begin()->second, 0U);
@@ -222,9 +224,9 @@
   EXPECT_EQ(View.routes().Shares.begin()->second, 26U);
 }
 
-// Guards against a leader that refuses all requests at once, looks idle by
-// that, and draws the requests of all hosts.
-TEST(FleetView, UnusableEndpointGetsNothingUntilItsGroupIsFormedAnew) {
+// Guards against a leader that refuses all requests immediately, looks idle
+// because of that, and attracts the requests of all hosts.
+TEST(FleetView, UnusableEndpointGetsNoShareUntilItsGroupIsFormedAgain) {
   FleetView View = readyView();
   View.suspend(EndpointName("head"), FleetView::UnusableSuspension, Start);
   View.advance(Start + seconds(3));
@@ -237,7 +239,7 @@
   EXPECT_EQ(View.routes().Shares.begin()->second, 26U);
 }
 
-TEST(AnswerMarks, OnlyARefusalThatBlamesAnotherProvesAnEndpointUnusable) {
+TEST(AnswerMarks, OnlyARefusalThatBlamesAnotherEngineProvesAnEndpointUnusable) {
   const EngineAddress Target{"10.0.0.1", 80};
   AnswerMarks Full;
   Full.NotRun = true;
@@ -255,8 +257,8 @@
   EXPECT_TRUE(Reused.provesUnusable(Target));
 }
 
-// A data centre is returned, and its endpoints fall over at once.
-// They are cold, but the records that say so are still on their way.
+// Guards against overloading the endpoints of a data centre that is returned to
+// service: they are cold, but the records that say so are still on their way.
 TEST(FleetView, EndpointsOfAReturnedDataCentreCountAsColdAtFirst) {
   FleetView View = readyView();
   const DataCentreName North("north");
@@ -269,9 +271,9 @@
   EXPECT_EQ(View.routes().Shares.begin()->second, 26U);
 }
 
-// A request goes to an endpoint that left two seconds ago.
-// One read of the store failed before; the removal is held back as if entries
-// had lapsed in an outage, but no live endpoint's entry lapses that soon.
+// Guards against requests to an endpoint that left two seconds ago: one read of
+// the store has failed, and the removal is held back as if records had expired
+// in an outage, but no live endpoint's record expires that soon.
 TEST(FleetView, RemovalAfterAShortFailureIsReal) {
   FleetView View = readyView();
   const TimePoint Later = Start + seconds(2);
