--- a/packages/process/src/coltsfoottrail/dissemination/assignment.cpp
+++ b/packages/process/src/coltsfoottrail/dissemination/assignment.cpp
@@ -11,109 +11,114 @@
 
 } // namespace
 
-void RelayAssignment::record(const Report &From, TimePoint Now) {
+void RelayAssignment::record(const Report &Received, TimePoint Now) {
   std::erase_if(Reporters, [&](const auto &Entry) {
-    return Now - Entry.second.HeardAt >= Life;
+    return Now - Entry.second.HeardAt >= ReporterTimeout;
   });
-  Reporter &Its = Reporters[From.Host];
-  Its.DataCentre = From.DataCentre;
-  Its.CanRelay = From.CanRelay;
-  Its.HeardAt = Now;
-  const std::size_t Below = From.Hosts > 0 ? From.Hosts - 1 : 0;
-  if (Below != Its.Below)
-    Its.Assigned = 0;
-  Its.Below = Below;
-  Its.Relays = Its.Relays || Below > 0;
+  Reporter &Sender = Reporters[Received.Host];
+  Sender.DataCentre = Received.DataCentre;
+  Sender.CanRelay = Received.CanRelay;
+  Sender.HeardAt = Now;
+  const std::size_t Below = Received.Hosts > 0 ? Received.Hosts - 1 : 0;
+  if (Below != Sender.Below)
+    Sender.Assigned = 0;
+  Sender.Below = Below;
+  Sender.Relays = Sender.Relays || Below > 0;
 }
 
-// Hysteresis: a fleet that shrinks a little does not go back and forth between
-// the two layouts.
+// Hysteresis: a fleet that shrinks a little does not alternate between the two
+// layouts.
 bool RelayAssignment::needsRelays(std::size_t FleetSize) {
   if (FleetSize > MostReporters)
-    Layered = true;
+    UsesRelays = true;
   else if (FleetSize <= MostReporters / 2)
-    Layered = false;
-  return Layered;
+    UsesRelays = false;
+  return UsesRelays;
 }
 
-bool RelayAssignment::isUsable(const HostName &Name, const Reporter &Of,
-                               const Report &From, Role As) {
-  const std::size_t Most = Of.CanRelay ? MostReporters : MostReportersOfWeak;
-  if (Of.DataCentre != From.DataCentre || Of.Below + Of.Assigned >= Most)
+bool RelayAssignment::isUsable(const HostName &Name, const Reporter &Host,
+                               const Report &Received, Role RequiredRole) {
+  const std::size_t Most =
+      Host.CanRelay ? MostReporters : MostReportersOfWeakHost;
+  if (Host.DataCentre != Received.DataCentre ||
+      Host.Below + Host.Assigned >= Most)
     return false;
-  if (From.FailedRelay && *From.FailedRelay == addressOf(Name))
+  if (Received.FailedRelay && *Received.FailedRelay == addressOf(Name))
     return false;
-  switch (As) {
+  switch (RequiredRole) {
   case Role::Relay:
-    return Of.Relays;
+    return Host.Relays;
   case Role::Candidate:
-    return !Of.Relays && Of.CanRelay;
+    return !Host.Relays && Host.CanRelay;
   case Role::LastResort:
     break;
   }
-  return !Of.Relays;
+  return !Host.Relays;
 }
 
 std::map<HostName, RelayAssignment::Reporter>::iterator
-RelayAssignment::leastLoaded(const Report &From, Role As) {
-  const auto LoadOf = [](const Reporter &Of) { return Of.Below + Of.Assigned; };
-  auto Found = Reporters.end();
-  for (auto Each = Reporters.begin(); Each != Reporters.end(); ++Each) {
-    if (!isUsable(Each->first, Each->second, From, As))
+RelayAssignment::leastLoaded(const Report &Received, Role RequiredRole) {
+  const auto LoadOf = [](const Reporter &Host) {
+    return Host.Below + Host.Assigned;
+  };
+  auto Best = Reporters.end();
+  for (auto It = Reporters.begin(); It != Reporters.end(); ++It) {
+    if (!isUsable(It->first, It->second, Received, RequiredRole))
       continue;
-    if (Found == Reporters.end() ||
-        LoadOf(Each->second) < LoadOf(Found->second))
-      Found = Each;
+    if (Best == Reporters.end() || LoadOf(It->second) < LoadOf(Best->second))
+      Best = It;
   }
-  return Found;
+  return Best;
 }
 
-bool RelayAssignment::needsLastResort(const DataCentreName &Where) const {
-  std::size_t Weak = 0;
-  for (const auto &[Name, Its] : Reporters) {
-    if (Its.DataCentre != Where)
+bool RelayAssignment::needsLastResort(const DataCentreName &DataCentre) const {
+  std::size_t WeakHosts = 0;
+  for (const auto &[Name, Entry] : Reporters) {
+    if (Entry.DataCentre != DataCentre)
       continue;
-    if (Its.CanRelay)
+    if (Entry.CanRelay)
       return false;
-    ++Weak;
+    ++WeakHosts;
   }
-  return Weak >= MostReportersOfWeak;
+  return WeakHosts >= MostReportersOfWeakHost;
 }
 
 std::map<HostName, RelayAssignment::Reporter>::iterator
-RelayAssignment::findRelay(const Report &From) {
-  auto Found = leastLoaded(From, Role::Relay);
-  if (Found == Reporters.end())
-    Found = leastLoaded(From, Role::Candidate);
-  if (Found == Reporters.end() && needsLastResort(From.DataCentre))
-    Found = leastLoaded(From, Role::LastResort);
-  return Found;
+RelayAssignment::findRelay(const Report &Received) {
+  auto Relay = leastLoaded(Received, Role::Relay);
+  if (Relay == Reporters.end())
+    Relay = leastLoaded(Received, Role::Candidate);
+  if (Relay == Reporters.end() && needsLastResort(Received.DataCentre))
+    Relay = leastLoaded(Received, Role::LastResort);
+  return Relay;
 }
 
-bool RelayAssignment::isKept(const Report &From) const {
-  if (!From.CanRelay)
+bool RelayAssignment::staysDirect(const Report &Received) const {
+  if (!Received.CanRelay)
     return false;
   std::size_t Candidates = 0;
-  for (const auto &[Name, Its] : Reporters)
-    if (Its.DataCentre == From.DataCentre && Its.CanRelay && !Its.Relays)
+  for (const auto &[Name, Entry] : Reporters)
+    if (Entry.DataCentre == Received.DataCentre && Entry.CanRelay &&
+        !Entry.Relays)
       ++Candidates;
-  return Candidates <= KeptCandidates;
+  return Candidates <= DirectCandidates;
 }
 
-std::optional<HostName> RelayAssignment::assign(const Report &From,
+std::optional<HostName> RelayAssignment::assign(const Report &Received,
                                                 std::size_t FleetSize,
                                                 TimePoint Now) {
-  record(From, Now);
-  if (!needsRelays(FleetSize) || Reporters.at(From.Host).Relays || isKept(From))
+  record(Received, Now);
+  if (!needsRelays(FleetSize) || Reporters.at(Received.Host).Relays ||
+      staysDirect(Received))
     return std::nullopt;
-  const auto Relay = findRelay(From);
+  const auto Relay = findRelay(Received);
   if (Relay == Reporters.end())
     return std::nullopt;
   Relay->second.Relays = true;
-  if (Relay->first == From.Host)
+  if (Relay->first == Received.Host)
     return std::nullopt;
   ++Relay->second.Assigned;
-  Reporters.erase(From.Host);
+  Reporters.erase(Received.Host);
   return Relay->first;
 }
 
--- a/packages/process/src/coltsfoottrail/dissemination/feedlog.cpp
+++ b/packages/process/src/coltsfoottrail/dissemination/feedlog.cpp
@@ -4,15 +4,15 @@
 
 namespace coltsfoottrail {
 
-void FeedLog::restart(Offset At, Offset Consistent) {
-  Base = Consistent;
-  Next = At;
+void FeedLog::restart(Offset NextOffset, Offset FirstServable) {
+  FirstOffset = FirstServable;
+  Next = NextOffset;
   Bytes = 0;
   Changes.clear();
 }
 
-void FeedLog::clear(Offset At, Offset Consistent) {
-  restart(At, Consistent);
+void FeedLog::clear(Offset NextOffset, Offset FirstServable) {
+  restart(NextOffset, FirstServable);
   Newest.clear();
   TooLarge.clear();
   Complete = true;
@@ -30,7 +30,7 @@
                             RelayedRecord{Record.At, std::move(Record.Bytes)});
 }
 
-void FeedLog::keepNewest(FeedRecord Record) {
+void FeedLog::setNewest(FeedRecord Record) {
   updateNewest(std::move(Record), RoutingEffect::Set);
 }
 
@@ -42,29 +42,29 @@
 
 void FeedLog::addChange(RelayedRecord Change) {
   if (Change.Bytes.size() > LargestRecord)
-    return restart(Change.At + 1);
+    return restart(Change.Position + 1);
   Bytes += Change.Bytes.size();
   Changes.push_back(std::move(Change));
   while (Changes.size() > MostRecords || Bytes > MostBytes) {
-    Base = Changes.front().At + 1;
+    FirstOffset = Changes.front().Position + 1;
     Bytes -= Changes.front().Bytes.size();
     Changes.pop_front();
   }
 }
 
 std::vector<RelayedRecord> FeedLog::since(Offset From) const {
-  std::vector<RelayedRecord> Out;
-  for (const RelayedRecord &Each : Changes)
-    if (Each.At >= From)
-      Out.push_back(Each);
-  return Out;
+  std::vector<RelayedRecord> Result;
+  for (const RelayedRecord &Change : Changes)
+    if (Change.Position >= From)
+      Result.push_back(Change);
+  return Result;
 }
 
 std::vector<RelayedRecord> FeedLog::snapshot() const {
-  std::vector<RelayedRecord> Out;
+  std::vector<RelayedRecord> Result;
   for (const auto &[Key, Value] : Newest)
-    Out.push_back(Value);
-  return Out;
+    Result.push_back(Value);
+  return Result;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/dissemination/fwd.hpp
+++ b/packages/process/src/coltsfoottrail/dissemination/fwd.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Forward declarations of the dissemination module: how entry hosts share
-/// feeds and loads over a tree of relays.
+/// Forward declarations of the dissemination module: entry hosts share feeds
+/// and loads over a tree of relays.
 #ifndef COLTSFOOTTRAIL_DISSEMINATION_FWD_HPP
 #define COLTSFOOTTRAIL_DISSEMINATION_FWD_HPP
 
--- a/packages/process/src/coltsfoottrail/dissemination/link.cpp
+++ b/packages/process/src/coltsfoottrail/dissemination/link.cpp
@@ -21,19 +21,22 @@
 constexpr unsigned StatusOk = 200;
 constexpr unsigned StatusBadRequest = 400;
 constexpr unsigned StatusNotFound = 404;
-/// Time for an exchange beyond the hold: hosts are a few milliseconds apart.
+/// Time allowed for an exchange beyond the hold time; hosts are a few
+/// milliseconds apart.
 constexpr milliseconds ExchangeSlack{230};
-/// Pause after a lost exchange.
+/// Pause after a failed exchange.
 constexpr milliseconds RetryPause{100};
-/// Pause after a host answered that does not coordinate: two hosts that take
-/// each other for the coordinator would exchange reports without end.
-constexpr milliseconds MistakenPause{30};
-/// The largest count of hosts of so long a time is the one to go by: hosts that
-/// are cut off for a while still send.
-constexpr Duration HostsLife = seconds(30);
-/// The coordinator counts as alive for so long after it was heard.
+/// Pause after a response from a host that is not the coordinator: two hosts
+/// that take each other for the coordinator would otherwise exchange reports
+/// without end.
+constexpr milliseconds NotCoordinatorPause{30};
+/// The largest number of hosts reported within this time is used, because hosts
+/// that are cut off for a while still send requests.
+constexpr Duration HostCountLife = seconds(30);
+/// The coordinator counts as alive for this long after it was last heard from.
 constexpr Duration CoordinatorLife = seconds(1);
-/// A relay passes the sign of a valid lease on for so long: some exchanges.
+/// For how long a relay passes on that the coordinator's lease is valid: a few
+/// exchanges.
 constexpr Duration LeaseSignLife = milliseconds(300);
 
 } // namespace
@@ -44,11 +47,11 @@
 }
 
 TreeLink::TreeLink(IoPool &Pool, const SocketAddress &Listen,
-                   std::string Member, FleetStore &Where, TreeLinkHooks Calls)
-    : Store(Where), Hooks(std::move(Calls)), Self(std::move(Member)),
+                   std::string Member, FleetStore &Store, TreeLinkHooks Hooks)
+    : Store(Store), Hooks(std::move(Hooks)), Self(std::move(Member)),
       Node(HostName(Self)), Client(Pool.context(0), ClientOptions{}),
-      Updated(Pool.context(0), asio::steady_timer::time_point::max()),
-      Up(Self, BootClock::now()), Hold(LongestReportPace) {
+      UpdateSignal(Pool.context(0), asio::steady_timer::time_point::max()),
+      CurrentUpstream(Self, BootClock::now()), Hold(LongestReportPace) {
   Server.emplace(
       Pool, Listen.Address, Listen.Port, ServerLimits{},
       ServerHooks{[this](Exchange &Call) { return serve(Call); }, {}, {}});
@@ -59,231 +62,235 @@
   Client.closeIdle();
 }
 
-void TreeLink::ingest(Feed Which, const FeedPage &Page,
-                      std::span<const RoutingEffect> Effects, bool Whole,
+void TreeLink::ingest(Feed FeedId, const FeedPage &Page,
+                      std::span<const RoutingEffect> Effects, bool IsSnapshot,
                       TimePoint AsOf) {
-  Node.ingest(Which, Page, Effects, Whole, AsOf);
-  const bool Any =
-      std::any_of(Effects.begin(), Effects.end(), [](RoutingEffect Each) {
-        return Each != RoutingEffect::None;
+  Node.ingest(FeedId, Page, Effects, IsSnapshot, AsOf);
+  const bool HasChanges =
+      std::any_of(Effects.begin(), Effects.end(), [](RoutingEffect Effect) {
+        return Effect != RoutingEffect::None;
       });
-  if (Any)
-    Updated.cancel();
+  if (HasChanges)
+    UpdateSignal.cancel();
 }
 
-// Updates are collected for a while before the response leaves: each of them
-// would otherwise wake all reporters.
-Awaitable<void> TreeLink::waitForUpdate(const Report &From) {
+// Updates are collected for a while before the response is sent, because each
+// of them would otherwise wake all reporters.
+Awaitable<void> TreeLink::waitForUpdate(const Report &Received) {
   const TimePoint Arrived = BootClock::now();
   const std::size_t Reporters = Node.reporters(Arrived);
-  const TimePoint Until = Arrived + reportPace(Reporters);
-  const TimePoint Earliest = Arrived + batchTime(Reporters);
-  asio::steady_timer Over(co_await asio::this_coro::executor);
-  Over.expires_after(Until - Arrived);
-  while (!Node.hasUpdate(From) && BootClock::now() < Until) {
+  const TimePoint HoldUntil = Arrived + reportPace(Reporters);
+  const TimePoint BatchUntil = Arrived + batchTime(Reporters);
+  asio::steady_timer Timeout(co_await asio::this_coro::executor);
+  Timeout.expires_after(HoldUntil - Arrived);
+  while (!Node.hasUpdate(Received) && BootClock::now() < HoldUntil) {
     boost::system::error_code Woken;
-    co_await (
-        Updated.async_wait(asio::redirect_error(asio::use_awaitable, Woken)) ||
-        Over.async_wait(asio::use_awaitable));
+    co_await (UpdateSignal.async_wait(
+                  asio::redirect_error(asio::use_awaitable, Woken)) ||
+              Timeout.async_wait(asio::use_awaitable));
   }
-  const Duration Left = Earliest - BootClock::now();
-  if (Left <= Duration::zero() || !From.Missing.empty())
+  const Duration Remaining = BatchUntil - BootClock::now();
+  if (Remaining <= Duration::zero() || !Received.Missing.empty())
     co_return;
-  Over.expires_after(Left);
-  co_await Over.async_wait(asio::use_awaitable);
+  Timeout.expires_after(Remaining);
+  co_await Timeout.async_wait(asio::use_awaitable);
 }
 
-Awaitable<Response> TreeLink::respond(const Report &From) {
-  noticeSuccession();
+Awaitable<Response> TreeLink::makeResponse(const Report &Received) {
+  checkSuccession();
   // A sender that takes this host for the coordinator reports to the real one
-  // next; counted here too, its loads would be in both sums.
-  const bool Mistaken =
-      !Hooks.Coordinates() && !From.ToRelay && Up.coordinator();
-  if (!Mistaken)
-    Node.recordReport(From, BootClock::now());
-  Response Out;
-  std::optional<HostName> Assigned;
+  // next. If its loads were counted here as well, they would be in both sums.
+  const bool IsMisdirected = !Hooks.Coordinates() && !Received.ToRelay &&
+                             CurrentUpstream.coordinator();
+  if (!IsMisdirected)
+    Node.recordReport(Received, BootClock::now());
+  Response Result;
+  std::optional<HostName> AssignedRelay;
   if (Hooks.Coordinates())
-    Assigned = Node.assignRelay(From, BootClock::now());
-  if (Assigned) {
-    Out.Relay = textOf(*addressOfMember(Assigned->Text));
+    AssignedRelay = Node.assignRelay(Received, BootClock::now());
+  if (AssignedRelay) {
+    Result.Relay = textOf(*addressOfMember(AssignedRelay->Text));
   } else {
-    if (From.Stalled.empty() && !Mistaken)
-      co_await waitForUpdate(From);
-    Out = Node.respond(From, BootClock::now());
+    if (Received.Stalled.empty() && !IsMisdirected)
+      co_await waitForUpdate(Received);
+    Result = Node.makeResponse(Received, BootClock::now());
   }
   const TimePoint Now = BootClock::now();
-  Out.Coordinates = Hooks.Coordinates();
-  Out.CoordinatorHeard =
-      Out.Coordinates || Now - CoordinatorHeardAt < CoordinatorLife;
-  Out.LeaseHeard = Hooks.HoldsLease() || Now - LeaseHeardAt < LeaseSignLife;
-  // The largest count of a while must not be passed on: hosts would renew it
-  // among themselves, and a restarted host would count twice for good.
-  if (!Out.Coordinates && hearsUpstream(Now))
-    Out.Hosts = std::max<std::uint64_t>(Out.Hosts, UpstreamHosts);
-  Out.Hold = reportPace(Node.reporters(Now));
-  if (!Out.Coordinates && Up.coordinator())
-    Out.Coordinator = textOf(*Up.coordinator());
-  co_return Out;
+  Result.Coordinates = Hooks.Coordinates();
+  Result.CoordinatorHeard =
+      Result.Coordinates || Now - CoordinatorHeardAt < CoordinatorLife;
+  Result.LeaseHeard = Hooks.HoldsLease() || Now - LeaseHeardAt < LeaseSignLife;
+  // The largest number of recent times must not be passed on: hosts would renew
+  // it among themselves, and a restarted host would count twice for ever.
+  if (!Result.Coordinates && hearsUpstream(Now))
+    Result.Hosts = std::max<std::uint64_t>(Result.Hosts, UpstreamHosts);
+  Result.Hold = reportPace(Node.reporters(Now));
+  if (!Result.Coordinates && CurrentUpstream.coordinator())
+    Result.Coordinator = textOf(*CurrentUpstream.coordinator());
+  co_return Result;
 }
 
 Awaitable<void> TreeLink::forwardStalls(std::vector<std::string> Stalled) {
-  for (std::string &Each : Stalled)
+  for (std::string &Endpoint : Stalled)
     if (Hooks.Coordinates())
-      Hooks.Stalled(Each);
+      Hooks.OnStalled(Endpoint);
     else
-      co_await reportStall(std::move(Each));
+      co_await reportStall(std::move(Endpoint));
 }
 
 Awaitable<void> TreeLink::serve(Exchange &Call) {
-  HttpResponse Out;
+  HttpResponse Reply;
   if (Call.request().Target != ReportPath) {
-    Out.Status = StatusNotFound;
-    co_await Call.respond(std::move(Out));
+    Reply.Status = StatusNotFound;
+    co_await Call.respond(std::move(Reply));
     co_return;
   }
-  Report From;
+  Report Received;
   try {
-    From = decodeReport(Call.request().Body);
+    Received = decodeReport(Call.request().Body);
   } catch (const Error &Problem) {
     logEvent(Event::PeerRefused, {{"problem", Problem.what()}});
-    Out.Status = StatusBadRequest;
+    Reply.Status = StatusBadRequest;
   }
-  if (Out.Status != StatusOk) {
-    co_await Call.respond(std::move(Out));
+  if (Reply.Status != StatusOk) {
+    co_await Call.respond(std::move(Reply));
     co_return;
   }
-  (void)Up.reportedHere(From.Host, BootClock::now());
-  const Response Made = co_await respond(From);
-  Out.Fields.push_back({"Content-Type", "application/cbor"});
-  Out.Body = encode(Made);
-  co_await Call.respond(std::move(Out));
-  co_await forwardStalls(std::move(From.Stalled));
+  (void)CurrentUpstream.recordReporter(Received.Host, BootClock::now());
+  const Response Answer = co_await makeResponse(Received);
+  Reply.Fields.push_back({"Content-Type", "application/cbor"});
+  Reply.Body = encode(Answer);
+  co_await Call.respond(std::move(Reply));
+  co_await forwardStalls(std::move(Received.Stalled));
 }
 
-// While the store does not answer nobody learns of a new coordinator. The old
-// one still sums up loads; its feeds grow old and are not used.
-Awaitable<void> TreeLink::askForCoordinator() {
+// While the store does not answer, no host learns of a new coordinator. The old
+// one still sums loads; its feeds become stale and are not used.
+Awaitable<void> TreeLink::queryCoordinator() {
   const auto Answer = co_await Store.dutyHolder();
   if (const auto *const Member = std::get_if<std::string>(&Answer))
-    Up.setCoordinator(*Member);
+    CurrentUpstream.setCoordinator(*Member);
 }
 
-// The reporters of a former coordinator report to its successor; reported here
-// as well, their loads would count twice.
-void TreeLink::noticeSuccession() {
+// The reporters of a former coordinator report to its successor. If they stayed
+// recorded here, their loads would count twice.
+void TreeLink::checkSuccession() {
   const bool Coordinates = Hooks.Coordinates();
-  if (std::exchange(Coordinated, Coordinates) && !Coordinates)
+  if (std::exchange(WasCoordinator, Coordinates) && !Coordinates)
     Node.forgetReporters();
 }
 
 Report TreeLink::ownReport(TimePoint Now) {
-  noticeSuccession();
-  Report Out = Hooks.MakeReport();
-  Out.Host = HostName(Self);
-  Node.recordOwn(std::move(Out.Loads), Now);
-  Out.Loads = Node.loadsBelow(Now);
-  Out.Hosts = Node.hostsBelow(Now);
-  Out.ToRelay = Up.hasRelay();
-  Out.FailedRelay = Up.failedRelay(Now);
-  return Out;
+  checkSuccession();
+  Report Result = Hooks.MakeReport();
+  Result.Host = HostName(Self);
+  Node.recordOwn(std::move(Result.Loads), Now);
+  Result.Loads = Node.subtreeLoads(Now);
+  Result.Hosts = Node.subtreeHosts(Now);
+  Result.ToRelay = CurrentUpstream.hasRelay();
+  Result.FailedRelay = CurrentUpstream.failedRelay(Now);
+  return Result;
 }
 
-Awaitable<TreeLink::Exchanged> TreeLink::exchange(EngineAddress To,
-                                                  Report Message) {
-  const bool ByRelay = Up.hasRelay();
+Awaitable<TreeLink::ExchangeResult> TreeLink::exchange(EngineAddress Target,
+                                                       Report Message) {
+  const bool ByRelay = CurrentUpstream.hasRelay();
   HttpRequest Request;
   Request.Method = "POST";
   Request.Target = ReportPath;
   Request.Fields = {{"Content-Type", "application/cbor"}};
   Request.Body = encode(Message);
   const TimePoint SentAt = BootClock::now();
-  const auto Outcome = co_await Client.fetch(std::move(To), std::move(Request),
-                                             SentAt + Hold + ExchangeSlack);
-  const auto *const Answer = std::get_if<HttpResponse>(&Outcome);
-  if (Answer == nullptr || Answer->Status != StatusOk)
-    co_return Exchanged::Failed;
-  Response Made;
+  const auto Outcome = co_await Client.fetch(
+      std::move(Target), std::move(Request), SentAt + Hold + ExchangeSlack);
+  const auto *const Reply = std::get_if<HttpResponse>(&Outcome);
+  if (Reply == nullptr || Reply->Status != StatusOk)
+    co_return ExchangeResult::Failed;
+  Response Received;
   try {
-    Made = decodeResponse(Answer->Body);
+    Received = decodeResponse(Reply->Body);
   } catch (const Error &Problem) {
     logEvent(Event::PeerRefused, {{"problem", Problem.what()}});
-    co_return Exchanged::Failed;
+    co_return ExchangeResult::Failed;
   }
   const TimePoint Now = BootClock::now();
   UpstreamHeardAt = Now;
-  UpstreamHosts = Made.Hosts;
-  if (Made.CoordinatorHeard)
+  UpstreamHosts = Received.Hosts;
+  if (Received.CoordinatorHeard)
     CoordinatorHeardAt = Now;
-  if (Made.LeaseHeard)
+  if (Received.LeaseHeard)
     LeaseHeardAt = Now;
-  recordHosts(Made.Hosts, Now);
-  if (Up.respond(Made, ByRelay)) {
+  recordHosts(Received.Hosts, Now);
+  if (CurrentUpstream.applyResponse(Received, ByRelay)) {
     Hold = LongestReportPace;
-    logEvent(Event::RelayAssigned, {{"relay", *Made.Relay}});
-    co_return Exchanged::Done;
+    logEvent(Event::RelayAssigned, {{"relay", *Received.Relay}});
+    co_return ExchangeResult::Done;
   }
-  Hold = std::clamp(Made.Hold, ShortestReportPace, LongestReportPace);
-  Node.recordOutside(std::move(Made.Loads), Now);
-  Made.Loads = Node.otherLoads(Now);
-  const bool Mistaken = !ByRelay && !Made.Coordinates;
-  Hooks.Apply(Message, std::move(Made), SentAt);
-  co_return Mistaken ? Exchanged::Mistaken : Exchanged::Done;
+  Hold = std::clamp(Received.Hold, ShortestReportPace, LongestReportPace);
+  Node.recordOutside(std::move(Received.Loads), Now);
+  Received.Loads = Node.otherLoads(Now);
+  const bool IsNotCoordinator = !ByRelay && !Received.Coordinates;
+  Hooks.OnResponse(Message, std::move(Received), SentAt);
+  co_return IsNotCoordinator ? ExchangeResult::NotCoordinator
+                             : ExchangeResult::Done;
 }
 
 void TreeLink::recordHosts(std::uint64_t Count, TimePoint Now) {
-  if (Count < Hosts && Now - HostsAt < HostsLife)
+  if (Count < Hosts && Now - HostsAt < HostCountLife)
     return;
   Hosts = Count;
   HostsAt = Now;
 }
 
 std::size_t TreeLink::hosts(TimePoint Now) const noexcept {
-  return Now - HostsAt < HostsLife ? Hosts : 0;
+  return Now - HostsAt < HostCountLife ? Hosts : 0;
 }
 
 bool TreeLink::hearsUpstream(TimePoint Now) const noexcept {
   return Now - UpstreamHeardAt < CoordinatorLife;
 }
 
-/// The root is a host like the others: it takes part in the sums itself.
+/// Records the root's own loads: it is an entry host like the others and takes
+/// part in the sums.
 void TreeLink::recordOwnAsRoot() {
   const TimePoint Now = BootClock::now();
-  Up.coordinate();
-  Report Own = ownReport(Now);
-  recordHosts(Own.Hosts, Now);
+  CurrentUpstream.becomeCoordinator();
+  Report RootReport = ownReport(Now);
+  recordHosts(RootReport.Hosts, Now);
   CoordinatorHeardAt = Now;
-  Response Made;
-  Made.Coordinates = true;
-  Made.Loads = Node.otherLoads(Now);
-  Own.Next.clear();
-  Own.Missing.clear();
-  Hooks.Apply(Own, std::move(Made), Now);
+  Response Answer;
+  Answer.Coordinates = true;
+  Answer.Loads = Node.otherLoads(Now);
+  RootReport.Next.clear();
+  RootReport.Missing.clear();
+  Hooks.OnResponse(RootReport, std::move(Answer), Now);
 }
 
 void TreeLink::abandonUpstream() {
-  if (Up.hasRelay())
-    logEvent(Event::RelayLeft, {{"relay", textOf(*Up.target())}});
-  Up.abandon(BootClock::now());
+  if (CurrentUpstream.hasRelay())
+    logEvent(Event::RelayLeft, {{"relay", textOf(*CurrentUpstream.target())}});
+  CurrentUpstream.abandon(BootClock::now());
 }
 
 /// @return Whether to report again without a pause.
 Awaitable<bool> TreeLink::step() {
-  if (Up.takeQuestion(BootClock::now()))
-    co_await askForCoordinator();
-  const std::optional<EngineAddress> To = Up.target();
-  if (!To)
+  if (CurrentUpstream.takeCoordinatorQuery(BootClock::now()))
+    co_await queryCoordinator();
+  const std::optional<EngineAddress> Target = CurrentUpstream.target();
+  if (!Target)
     co_return false;
-  const Exchanged Ended = co_await exchange(*To, ownReport(BootClock::now()));
-  if (Ended == Exchanged::Mistaken) {
-    asio::steady_timer Pause(co_await asio::this_coro::executor, MistakenPause);
+  const ExchangeResult Result =
+      co_await exchange(*Target, ownReport(BootClock::now()));
+  if (Result == ExchangeResult::NotCoordinator) {
+    asio::steady_timer Pause(co_await asio::this_coro::executor,
+                             NotCoordinatorPause);
     co_await Pause.async_wait(asio::use_awaitable);
   }
-  if (Ended != Exchanged::Failed)
+  if (Result != ExchangeResult::Failed)
     co_return true;
-  const bool HadRelay = Up.hasRelay();
-  if (Up.lose(BootClock::now()) && HadRelay)
-    logEvent(Event::RelayLeft, {{"relay", textOf(*To)}});
+  const bool HadRelay = CurrentUpstream.hasRelay();
+  if (CurrentUpstream.recordLoss(BootClock::now()) && HadRelay)
+    logEvent(Event::RelayLeft, {{"relay", textOf(*Target)}});
   co_return false;
 }
 
@@ -309,9 +316,9 @@
   Message.Next.clear();
   Message.Missing.clear();
   Message.Stalled.push_back(std::move(Endpoint));
-  const std::optional<EngineAddress> To = Up.target();
-  if (To)
-    (void)co_await exchange(*To, std::move(Message));
+  const std::optional<EngineAddress> Target = CurrentUpstream.target();
+  if (Target)
+    (void)co_await exchange(*Target, std::move(Message));
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/dissemination/link.hpp
+++ b/packages/process/src/coltsfoottrail/dissemination/link.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The connections of the dissemination tree.
+/// Network connections of the dissemination tree.
 #ifndef COLTSFOOTTRAIL_DISSEMINATION_LINK_HPP
 #define COLTSFOOTTRAIL_DISSEMINATION_LINK_HPP
 
@@ -18,95 +18,101 @@
 
 namespace coltsfoottrail {
 
-/// @brief Name of a run of a host; holds the address at which peers reach it.
-/// @param Peers Its address for peers.
+/// @brief Name of a run of a host; contains the address at which peers reach
+/// it.
+/// @param Peers The host's address for peers.
 /// @param Run Unique for each run of a process.
 [[nodiscard]] std::string memberName(const SocketAddress &Peers,
                                      std::string_view Run);
 
-/// @brief What a link calls; all on its thread.
+/// @brief Callbacks of a link; all are called on its thread.
 struct TreeLinkHooks {
-  /// Whether this host coordinates the groups, or did last before the store
-  /// went away, and so is the root.
+  /// Whether this host is the coordinator, or was the last one before the store
+  /// became unavailable, and therefore is the root.
   std::function<bool()> Coordinates;
-  /// Whether its lease is valid now.
+  /// Whether this host's coordinator lease is valid now.
   std::function<bool()> HoldsLease;
-  /// Makes this host's own report; Stalled is left empty.
+  /// Builds this host's own report; Stalled is left empty.
   std::function<Report()> MakeReport;
-  /// Takes a response to a report that left at a time. Its loads are those of
-  /// all other hosts.
-  std::function<void(const Report &, Response, TimePoint)> Apply;
-  /// Called at the coordinator: an endpoint's streams have stalled.
-  std::function<void(const std::string &)> Stalled;
+  /// Receives a report, the response to it and the time when the report was
+  /// sent. The response's loads are those of all other hosts.
+  std::function<void(const Report &, Response, TimePoint)> OnResponse;
+  /// Called on the coordinator with an endpoint whose streams have stalled.
+  std::function<void(const std::string &)> OnStalled;
 };
 
-/// @brief Keeps an entry host in touch with its upstream and answers those that
-/// report to it: reports and responses over HTTP on kept connections. Belongs
+/// @brief Exchanges reports and responses with the upstream and answers the
+/// hosts that report to this one, using HTTP on persistent connections. Belongs
 /// to one thread.
 ///
-/// A lost exchange costs a pace: loads go by the
-/// endpoints' reports and feeds by the store until the next one.
+/// If an exchange is lost, loads come from the endpoints' reports and feeds
+/// from the store until the next one.
 class TreeLink {
 public:
-  /// @brief Listens.
-  /// @param Pool Threads; must outlive this.
-  /// @param Listen Where other entry hosts reach this one.
+  /// @brief Starts listening for reports.
+  /// @param Pool Threads; must outlive this object.
+  /// @param Listen Address at which other entry hosts reach this one.
   /// @param Member Name of this run.
-  /// @param Where The store; must outlive this.
-  /// @param Calls What to call.
+  /// @param Store Must outlive this object.
+  /// @param Hooks Callbacks.
   TreeLink(IoPool &Pool, const SocketAddress &Listen, std::string Member,
-           FleetStore &Where, TreeLinkHooks Calls);
+           FleetStore &Store, TreeLinkHooks Hooks);
 
   /// @brief Stops listening and closes connections. Precondition: the pool is
   /// stopped.
   void close();
 
-  /// @brief Reports upstream until it is cancelled.
+  /// @brief Reports to the upstream until cancelled.
   [[nodiscard]] Awaitable<void> run();
 
   /// @brief Reports immediately that an endpoint's streams have stalled.
   [[nodiscard]] Awaitable<void> reportStall(std::string Endpoint);
 
-  /// @brief The upstream relays nothing new: leaves a relay for the
-  /// coordinator, or asks the store for another coordinator.
+  /// @brief Abandons an upstream that relays nothing new: a relay is left for
+  /// the coordinator, and for the coordinator the store is queried again.
   void abandonUpstream();
 
-  /// @brief Takes a page of a feed; reporters that wait for it get it.
+  /// @brief Adds a page of a feed and wakes the responses that wait for it.
   /// @copydetails TreeNode::ingest
-  void ingest(Feed Which, const FeedPage &Page,
-              std::span<const RoutingEffect> Effects, bool Whole,
+  void ingest(Feed FeedId, const FeedPage &Page,
+              std::span<const RoutingEffect> Effects, bool IsSnapshot,
               TimePoint AsOf);
 
-  /// @brief Entry hosts in the tree as last heard; zero when unknown.
+  /// @brief Number of entry hosts in the tree as last reported; zero if
+  /// unknown.
   [[nodiscard]] std::size_t hosts(TimePoint Now) const noexcept;
-  /// @brief Whether an upstream has answered within the last second.
+  /// @brief Whether an upstream has responded within the last second.
   [[nodiscard]] bool hearsUpstream(TimePoint Now) const noexcept;
-  /// @brief Hosts that report to this one.
+  /// @brief Number of hosts that report to this one.
   [[nodiscard]] std::size_t reporters() const {
     return Node.reporters(BootClock::now());
   }
   /// @brief Whether this host reports to a relay.
-  [[nodiscard]] bool hasRelay() const noexcept { return Up.hasRelay(); }
+  [[nodiscard]] bool hasRelay() const noexcept {
+    return CurrentUpstream.hasRelay();
+  }
 
 private:
-  /// How an exchange with an upstream ended.
-  enum class Exchanged : std::uint8_t {
+  /// Result of an exchange with an upstream.
+  enum class ExchangeResult : std::uint8_t {
     Failed,
     Done,
-    /// The answer came from neither the coordinator nor a relay.
-    Mistaken
+    /// The response came from a host that is neither the coordinator nor this
+    /// host's relay.
+    NotCoordinator
   };
 
   [[nodiscard]] Awaitable<void> serve(Exchange &Call);
-  [[nodiscard]] Awaitable<Response> respond(const Report &From);
+  [[nodiscard]] Awaitable<Response> makeResponse(const Report &Received);
   [[nodiscard]] Awaitable<void> forwardStalls(std::vector<std::string> Stalled);
-  [[nodiscard]] Awaitable<void> waitForUpdate(const Report &From);
-  [[nodiscard]] Awaitable<void> askForCoordinator();
-  [[nodiscard]] Awaitable<Exchanged> exchange(EngineAddress To, Report Message);
+  [[nodiscard]] Awaitable<void> waitForUpdate(const Report &Received);
+  [[nodiscard]] Awaitable<void> queryCoordinator();
+  [[nodiscard]] Awaitable<ExchangeResult> exchange(EngineAddress Target,
+                                                   Report Message);
   [[nodiscard]] Awaitable<bool> step();
   [[nodiscard]] Report ownReport(TimePoint Now);
   void recordOwnAsRoot();
-  void noticeSuccession();
+  void checkSuccession();
   void recordHosts(std::uint64_t Count, TimePoint Now);
 
   FleetStore &Store;
@@ -114,15 +120,15 @@
   std::string Self;
   TreeNode Node;
   HttpClient Client;
-  /// Never expires: cancelled to wake responses that wait for an update.
-  boost::asio::steady_timer Updated;
-  Upstream Up;
+  /// Never expires; cancelled to wake responses that wait for an update.
+  boost::asio::steady_timer UpdateSignal;
+  Upstream CurrentUpstream;
   TimePoint CoordinatorHeardAt{};
   TimePoint LeaseHeardAt{};
   TimePoint UpstreamHeardAt{};
-  /// Hosts in the tree by the last response.
+  /// Number of hosts in the tree according to the last response.
   std::uint64_t UpstreamHosts = 0;
-  bool Coordinated = false;
+  bool WasCoordinator = false;
   /// Longest time for which the upstream holds a response back.
   milliseconds Hold;
   std::size_t Hosts = 0;
--- a/packages/process/src/coltsfoottrail/dissemination/messages.hpp
+++ b/packages/process/src/coltsfoottrail/dissemination/messages.hpp
@@ -15,87 +15,89 @@
 
 namespace coltsfoottrail {
 
-/// @brief Sent by an entry host to its upstream, for itself and for the hosts
+/// @brief Report of an entry host to its upstream, for itself and for the hosts
 /// that report to it.
 struct Report {
-  /// Name of the sender's run; holds its address for peers.
+  /// Name of the sender's run; contains its address for peers.
   HostName Host;
   DataCentreName DataCentre;
-  /// Hosts that the loads stand for, the sender included.
+  /// Number of hosts whose loads are included, the sender among them.
   std::uint64_t Hosts = 1;
-  /// Whether the receiver was named as the sender's relay; otherwise the sender
-  /// takes it for the coordinator.
+  /// Whether the receiver was assigned as the sender's relay; otherwise the
+  /// sender takes it for the coordinator.
   bool ToRelay = false;
-  /// Whether the sender has the processor to relay for others.
+  /// Whether the sender has the processor capacity to relay for others.
   bool CanRelay = false;
-  /// Whether the sender may become the coordinator and wants all records that
-  /// change.
+  /// Whether the sender may become the coordinator and needs all changed
+  /// records.
   bool WantsAll = false;
-  /// A relay that failed this host lately, as address and port.
+  /// Address and port of a relay that recently failed for this host.
   std::optional<std::string> FailedRelay;
-  /// Requests at endpoints.
+  /// Requests at each endpoint.
   std::vector<EndpointLoad> Loads;
-  /// Offset at which the sender would read each feed on.
+  /// Offset at which the sender would continue reading each feed.
   std::map<Feed, Offset> Next;
-  /// Feeds of which the sender knows nothing yet.
+  /// Feeds of which the sender has no values yet.
   std::set<Feed> Missing;
   /// Endpoints whose streams have all stalled.
   std::vector<std::string> Stalled;
 };
 
-/// @brief A record as the store gave it, and its offset.
+/// @brief A record as read from the store, and its offset.
 struct RelayedRecord {
-  Offset At = 0;
+  Offset Position = 0;
   std::string Bytes;
 
   [[nodiscard]] friend bool operator==(const RelayedRecord &,
                                        const RelayedRecord &) = default;
 };
 
-/// @brief A part of a feed.
+/// @brief Relayed records of a feed.
 struct FeedUpdate {
   /// Whether the records are the newest values rather than changes.
   bool Snapshot = false;
-  /// Whether records that do not matter to routing were left out.
+  /// Whether records that routing does not need were left out.
   bool Projected = true;
-  /// Where to read on.
+  /// Offset at which reading continues.
   Offset Next = 0;
-  /// Time between the read of the store that this proves and this response:
-  /// grows with each hop.
+  /// Age, when the response was sent, of the read of the store that the update
+  /// is based on; it increases with each hop.
   milliseconds Staleness{0};
   std::vector<RelayedRecord> Records;
 };
 
-/// @brief Answers a report.
+/// @brief Response to a report.
 struct Response {
-  /// Entry hosts in the whole tree, as far as the sender knows.
+  /// Number of entry hosts in the whole tree, as far as the sender knows.
   std::uint64_t Hosts = 0;
   /// Longest time for which the sender holds a response back.
   milliseconds Hold{0};
   /// Whether the sender is the coordinator.
   bool Coordinates = false;
-  /// Whether the sender is the coordinator or has heard it lately.
+  /// Whether the sender is the coordinator or has recently heard from it.
   bool CoordinatorHeard = false;
-  /// Whether the sender holds a valid lease to coordinate or has heard lately
-  /// of a host that does. A coordinator has none while the store is away.
+  /// Whether the sender holds a valid coordinator lease or has recently heard
+  /// of a host that does. A coordinator has none while the store is
+  /// unavailable.
   bool LeaseHeard = false;
   /// Address and port of the coordinator, if known.
   std::optional<std::string> Coordinator;
   /// Address and port of the relay to report to from now on.
   std::optional<std::string> Relay;
-  /// Requests of all hosts that the report did not stand for.
+  /// Requests of all hosts whose loads the report did not include.
   std::vector<EndpointLoad> Loads;
   std::map<Feed, FeedUpdate> Feeds;
-  /// Feeds of which the sender no longer has what the reporter lacks.
+  /// Feeds for which the sender no longer has the records that the reporter
+  /// lacks.
   std::set<Feed> Truncated;
 };
 
-/// @brief Encodes as CBOR. Thread-safe.
+/// @brief Encodes a message as CBOR. Thread-safe.
 [[nodiscard]] std::string encode(const Report &Message);
 /// @copydoc encode
 [[nodiscard]] std::string encode(const Response &Message);
-/// @brief Decodes. Thread-safe.
-/// @throws InputError The bytes are no such message.
+/// @brief Decodes a message. Thread-safe.
+/// @throws InputError The bytes are not a valid message of this type.
 [[nodiscard]] Report decodeReport(std::string_view Bytes);
 /// @copydoc decodeReport
 [[nodiscard]] Response decodeResponse(std::string_view Bytes);
--- a/packages/process/src/coltsfoottrail/dissemination/node.cpp
+++ b/packages/process/src/coltsfoottrail/dissemination/node.cpp
@@ -7,157 +7,159 @@
 
 namespace {
 
-/// What was never read counts as this old.
+/// Staleness reported for a feed that was never read.
 constexpr milliseconds LongestStaleness = std::chrono::hours(1);
 
-/// @return Behind the last record of a page.
+/// @return Offset behind the last record of a page.
 Offset endOfRecords(const FeedPage &Page) {
-  Offset Out = 0;
-  for (const FeedRecord &Each : Page.Raw)
-    Out = std::max(Out, Each.At + 1);
-  return Out;
+  Offset Result = 0;
+  for (const FeedRecord &Record : Page.Raw)
+    Result = std::max(Result, Record.At + 1);
+  return Result;
 }
 
 } // namespace
 
-void TreeNode::ingest(Feed Which, const FeedPage &Page,
-                      std::span<const RoutingEffect> Effects, bool Whole,
+void TreeNode::ingest(Feed FeedId, const FeedPage &Page,
+                      std::span<const RoutingEffect> Effects, bool IsSnapshot,
                       TimePoint AsOf) {
-  SharedFeed &Its = feed(Which);
-  // Records before this offset are in the log already. They are skipped when
-  // they are repeated: they no longer change the view, and a log that began
-  // anew with the repeated page would leave them out.
-  const Offset Known = Whole ? Page.Next : Its.Log.next();
-  if (Whole) {
-    const Offset Consistent = std::max(Page.Next, endOfRecords(Page));
-    Its.Log.clear(Page.Next, Consistent);
-    Its.All.restart(Page.Next, Consistent);
-  } else if (Page.From > Known) {
-    Its.Log.restart(Page.From);
+  SharedFeed &Shared = feed(FeedId);
+  // Records before this offset are in the log already. Repeated ones are
+  // skipped: they no longer change the view, so a log that restarted with the
+  // repeated page would lack them.
+  const Offset KnownUpTo = IsSnapshot ? Page.Next : Shared.RoutingLog.next();
+  if (IsSnapshot) {
+    const Offset FirstServable = std::max(Page.Next, endOfRecords(Page));
+    Shared.RoutingLog.clear(Page.Next, FirstServable);
+    Shared.FullLog.restart(Page.Next, FirstServable);
+  } else if (Page.From > KnownUpTo) {
+    Shared.RoutingLog.restart(Page.From);
   }
-  if (!Whole && !Page.Projected &&
-      (Page.From > Known || Its.All.next() != Known))
-    Its.All.restart(std::max(Page.From, Known));
+  if (!IsSnapshot && !Page.Projected &&
+      (Page.From > KnownUpTo || Shared.FullLog.next() != KnownUpTo))
+    Shared.FullLog.restart(std::max(Page.From, KnownUpTo));
   for (std::size_t Index = 0; Index < Page.Raw.size(); ++Index) {
     const FeedRecord &Record = Page.Raw[Index];
     const RoutingEffect Effect = Effects[Index];
-    if (Effect == RoutingEffect::None || (!Whole && Record.At < Known))
+    if (Effect == RoutingEffect::None || (!IsSnapshot && Record.At < KnownUpTo))
       continue;
-    if (!Whole && !Page.Projected)
-      Its.All.addChange({Record.At, Record.Bytes});
+    if (!IsSnapshot && !Page.Projected)
+      Shared.FullLog.addChange({Record.At, Record.Bytes});
     if (Effect == RoutingEffect::Other)
       continue;
-    if (Whole)
-      Its.Log.keepNewest(Record);
+    if (IsSnapshot)
+      Shared.RoutingLog.setNewest(Record);
     else
-      Its.Log.add(Record, Effect);
+      Shared.RoutingLog.add(Record, Effect);
   }
-  if (Page.Next < Known)
+  if (Page.Next < KnownUpTo)
     return;
-  Its.Log.readTo(Page.Next);
+  Shared.RoutingLog.advanceTo(Page.Next);
   if (!Page.Projected)
-    Its.All.readTo(Page.Next);
-  // A page that does not reach the end proves nothing of what is behind it.
+    Shared.FullLog.advanceTo(Page.Next);
+  // A page that does not reach the end of the feed does not show that the log
+  // is current.
   if (Page.Next >= Page.End)
-    Its.AsOf = std::max(Its.AsOf, AsOf);
+    Shared.AsOf = std::max(Shared.AsOf, AsOf);
 }
 
 void TreeNode::recordOwn(std::vector<EndpointLoad> Loads, TimePoint Now) {
-  Below.advance(Now);
-  Below.report(Self, std::move(Loads), Now);
+  SubtreeLoads.advance(Now);
+  SubtreeLoads.report(Self, std::move(Loads), Now);
 }
 
 void TreeNode::recordOutside(std::vector<EndpointLoad> Loads, TimePoint Now) {
-  Outside = std::move(Loads);
+  OutsideLoads = std::move(Loads);
   OutsideAt = Now;
 }
 
-void TreeNode::recordReport(const Report &From, TimePoint Now) {
-  Below.advance(Now);
-  Below.report(From.Host, From.Loads, Now, From.Hosts);
+void TreeNode::recordReport(const Report &Received, TimePoint Now) {
+  SubtreeLoads.advance(Now);
+  SubtreeLoads.report(Received.Host, Received.Loads, Now, Received.Hosts);
 }
 
 void TreeNode::forgetReporters() {
-  LoadBoard Own;
-  std::swap(Below, Own);
+  LoadBoard OwnLoads;
+  std::swap(SubtreeLoads, OwnLoads);
 }
 
-std::optional<HostName> TreeNode::assignRelay(const Report &From,
+std::optional<HostName> TreeNode::assignRelay(const Report &Received,
                                               TimePoint Now) {
-  const auto Relay = Relays.assign(From, Below.hosts(Now), Now);
+  const auto Relay = Assignments.assign(Received, SubtreeLoads.hosts(Now), Now);
   if (Relay)
-    Below.forget(From.Host);
+    SubtreeLoads.forget(Received.Host);
   return Relay;
 }
 
 std::size_t TreeNode::reporters(TimePoint Now) const {
-  const std::size_t All = Below.reporters(Now);
+  const std::size_t All = SubtreeLoads.reporters(Now);
   return All > 0 ? All - 1 : 0;
 }
 
-bool TreeNode::hasUpdate(const Report &From) const {
+bool TreeNode::hasUpdate(const Report &Received) const {
   const auto HasChanges = [&](const auto &Entry) {
-    const FeedLog &Its = feed(Entry.first).logFor(From);
-    return Its.isTruncated(Entry.second) || Its.hasSince(Entry.second);
+    const FeedLog &Log = feed(Entry.first).logFor(Received);
+    return Log.isTruncated(Entry.second) || Log.hasSince(Entry.second);
   };
-  const auto HasValues = [&](Feed Which) {
-    const FeedLog &Its = feed(Which).Log;
-    return Its.hasSnapshot() || Its.isTooLarge();
+  const auto HasValues = [&](Feed FeedId) {
+    const FeedLog &Log = feed(FeedId).RoutingLog;
+    return Log.hasSnapshot() || Log.isTooLarge();
   };
-  return std::any_of(From.Next.begin(), From.Next.end(), HasChanges) ||
-         std::any_of(From.Missing.begin(), From.Missing.end(), HasValues);
+  return std::any_of(Received.Next.begin(), Received.Next.end(), HasChanges) ||
+         std::any_of(Received.Missing.begin(), Received.Missing.end(),
+                     HasValues);
 }
 
-std::vector<EndpointLoad> TreeNode::loadsBeside(const HostName &Host,
+std::vector<EndpointLoad> TreeNode::loadsExcept(const HostName &Host,
                                                 TimePoint Now) const {
-  std::vector<EndpointLoad> Out = Below.others(Host, Now);
-  if (Now - OutsideAt >= LoadBoard::ReportLife || Outside.empty())
-    return Out;
+  std::vector<EndpointLoad> Result = SubtreeLoads.others(Host, Now);
+  if (Now - OutsideAt >= LoadBoard::ReportLife || OutsideLoads.empty())
+    return Result;
   std::map<std::uint64_t, RequestLoad> Sums;
   for (const std::vector<EndpointLoad> *const Loads :
-       {&std::as_const(Out), &Outside})
-    for (const EndpointLoad &Each : *Loads)
-      Sums[Each.Endpoint] += Each.Load;
-  Out.clear();
+       {&std::as_const(Result), &OutsideLoads})
+    for (const EndpointLoad &Item : *Loads)
+      Sums[Item.Endpoint] += Item.Load;
+  Result.clear();
   for (const auto &[Endpoint, Load] : Sums)
-    Out.push_back({Endpoint, Load});
-  return Out;
+    Result.push_back({Endpoint, Load});
+  return Result;
 }
 
-Response TreeNode::respond(const Report &From, TimePoint Now) const {
-  Response Out;
-  Out.Hosts = Below.hosts(Now);
-  Out.Loads = loadsBeside(From.Host, Now);
-  const auto Update = [&](Feed Which, bool Snapshot) {
-    const SharedFeed &Its = feed(Which);
-    FeedUpdate Made;
-    Made.Snapshot = Snapshot;
-    Made.Next = Its.Log.next();
-    Made.Staleness = std::min(LongestStaleness,
-                              std::chrono::ceil<milliseconds>(Now - Its.AsOf));
-    return Made;
+Response TreeNode::makeResponse(const Report &Received, TimePoint Now) const {
+  Response Result;
+  Result.Hosts = SubtreeLoads.hosts(Now);
+  Result.Loads = loadsExcept(Received.Host, Now);
+  const auto MakeUpdate = [&](Feed FeedId, bool Snapshot) {
+    const SharedFeed &Shared = feed(FeedId);
+    FeedUpdate Update;
+    Update.Snapshot = Snapshot;
+    Update.Next = Shared.RoutingLog.next();
+    Update.Staleness = std::min(
+        LongestStaleness, std::chrono::ceil<milliseconds>(Now - Shared.AsOf));
+    return Update;
   };
-  for (const auto &[Which, Next] : From.Next) {
-    const FeedLog &Log = feed(Which).logFor(From);
+  for (const auto &[FeedId, Next] : Received.Next) {
+    const FeedLog &Log = feed(FeedId).logFor(Received);
     if (Log.isTruncated(Next))
-      Out.Truncated.insert(Which);
+      Result.Truncated.insert(FeedId);
     if (!Log.covers(Next))
       continue;
-    FeedUpdate Made = Update(Which, false);
-    Made.Projected = &Log == &feed(Which).Log;
-    Made.Records = Log.since(Next);
-    Out.Feeds.emplace(Which, std::move(Made));
+    FeedUpdate Update = MakeUpdate(FeedId, false);
+    Update.Projected = &Log == &feed(FeedId).RoutingLog;
+    Update.Records = Log.since(Next);
+    Result.Feeds.emplace(FeedId, std::move(Update));
   }
-  for (const Feed Which : From.Missing) {
-    if (feed(Which).Log.isTooLarge())
-      Out.Truncated.insert(Which);
-    if (!feed(Which).Log.hasSnapshot())
+  for (const Feed FeedId : Received.Missing) {
+    if (feed(FeedId).RoutingLog.isTooLarge())
+      Result.Truncated.insert(FeedId);
+    if (!feed(FeedId).RoutingLog.hasSnapshot())
       continue;
-    FeedUpdate Made = Update(Which, true);
-    Made.Records = feed(Which).Log.snapshot();
-    Out.Feeds.emplace(Which, std::move(Made));
+    FeedUpdate Update = MakeUpdate(FeedId, true);
+    Update.Records = feed(FeedId).RoutingLog.snapshot();
+    Result.Feeds.emplace(FeedId, std::move(Update));
   }
-  return Out;
+  return Result;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/dissemination/node.hpp
+++ b/packages/process/src/coltsfoottrail/dissemination/node.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What an entry host shares with the hosts that report to it.
+/// State that an entry host shares with the hosts that report to it.
 #ifndef COLTSFOOTTRAIL_DISSEMINATION_NODE_HPP
 #define COLTSFOOTTRAIL_DISSEMINATION_NODE_HPP
 
@@ -13,91 +13,95 @@
 
 namespace coltsfoottrail {
 
-/// @brief The decisions of one host of the dissemination tree: what to answer
-/// whom, and what cannot wait. Pure; not thread-safe; times must not go back.
+/// @brief Decision logic of one host in the dissemination tree: what to answer
+/// each reporter, and which updates end a wait. Pure; not thread-safe; times
+/// must not go back.
 ///
-/// The coordinator is the root. It and every relay answer reports with what the
-/// reporter lacks of the feeds and with the loads of all other hosts. Nothing
-/// depends on the tree for correctness: a host that hears nothing reads the
-/// store itself and goes by the endpoints' own reports.
+/// The coordinator is the root. It and every relay answer reports with the feed
+/// records that the reporter lacks and with the loads of all other hosts.
+/// Correctness does not depend on the tree: a host that receives nothing reads
+/// the store itself and uses the endpoints' own load reports.
 class TreeNode {
 public:
-  /// @brief Makes a node without knowledge.
-  /// @param Own Name of this host's run.
-  explicit TreeNode(HostName Own) : Self(std::move(Own)) {}
+  /// @brief Creates an empty node.
+  /// @param HostRun Name of this host's run.
+  explicit TreeNode(HostName HostRun) : Self(std::move(HostRun)) {}
 
-  /// @brief Takes a part of a feed, read from the store or relayed.
-  /// @param Which The feed.
+  /// @brief Adds a page of a feed that was read from the store or relayed.
+  /// @param FeedId The feed.
   /// @param Page Its records.
-  /// @param Effects For each record, what it means to routing.
-  /// @param Whole Whether the page holds the newest values.
-  /// @param AsOf When the store was asked for it, at the latest.
-  void ingest(Feed Which, const FeedPage &Page,
-              std::span<const RoutingEffect> Effects, bool Whole,
+  /// @param Effects Effect of each record on routing.
+  /// @param IsSnapshot Whether the page holds the newest values.
+  /// @param AsOf The page is at least as recent as this time.
+  void ingest(Feed FeedId, const FeedPage &Page,
+              std::span<const RoutingEffect> Effects, bool IsSnapshot,
               TimePoint AsOf);
 
   /// @brief Sets this host's own loads.
   void recordOwn(std::vector<EndpointLoad> Loads, TimePoint Now);
-  /// @brief Sets the loads of the hosts that are not below this one.
+  /// @brief Sets the loads of the hosts outside this host's subtree.
   void recordOutside(std::vector<EndpointLoad> Loads, TimePoint Now);
-  /// @brief Takes a report.
-  void recordReport(const Report &From, TimePoint Now);
-  /// @brief Removes all reporters: this host coordinates no more, and they will
-  /// report to its successor.
+  /// @brief Records a report.
+  void recordReport(const Report &Received, TimePoint Now);
+  /// @brief Removes all reporters, because this host is no longer the
+  /// coordinator and they will report to its successor.
   void forgetReporters();
-  /// @brief Decides, as the coordinator, where a reporter reports from now on.
-  /// @return Name of a relay; nothing when it stays here.
-  [[nodiscard]] std::optional<HostName> assignRelay(const Report &From,
+  /// @brief Decides, on the coordinator, where a reporter reports from now on.
+  /// @return Name of a relay; empty if it keeps reporting to this host.
+  [[nodiscard]] std::optional<HostName> assignRelay(const Report &Received,
                                                     TimePoint Now);
 
-  /// @brief Whether a reporter lacks records that are here.
-  [[nodiscard]] bool hasUpdate(const Report &From) const;
-  /// @brief Answers a report with feeds and loads.
-  [[nodiscard]] Response respond(const Report &From, TimePoint Now) const;
+  /// @brief Whether this host has records that a reporter lacks.
+  [[nodiscard]] bool hasUpdate(const Report &Received) const;
+  /// @brief Builds the response to a report, with feeds and loads.
+  [[nodiscard]] Response makeResponse(const Report &Received,
+                                      TimePoint Now) const;
 
-  /// @brief Loads of this host and of those below it.
-  [[nodiscard]] std::vector<EndpointLoad> loadsBelow(TimePoint Now) const {
-    return Below.total(Now);
+  /// @brief Loads of this host and of the hosts below it.
+  [[nodiscard]] std::vector<EndpointLoad> subtreeLoads(TimePoint Now) const {
+    return SubtreeLoads.total(Now);
   }
-  /// @brief Hosts that loadsBelow() stands for, this one included.
-  [[nodiscard]] std::size_t hostsBelow(TimePoint Now) const {
-    return Below.hosts(Now);
+  /// @brief Number of hosts included in subtreeLoads(), this one among them.
+  [[nodiscard]] std::size_t subtreeHosts(TimePoint Now) const {
+    return SubtreeLoads.hosts(Now);
   }
-  /// @brief Loads of all hosts but this one.
+  /// @brief Loads of all hosts except this one.
   [[nodiscard]] std::vector<EndpointLoad> otherLoads(TimePoint Now) const {
-    return loadsBeside(Self, Now);
+    return loadsExcept(Self, Now);
   }
-  /// @brief Hosts that report here.
+  /// @brief Number of hosts that report to this one.
   [[nodiscard]] std::size_t reporters(TimePoint Now) const;
 
 private:
   struct SharedFeed {
-    /// What routing needs.
-    FeedLog Log;
-    /// All changes; ends with the last page that had all of them.
-    FeedLog All;
+    /// Records that routing needs.
+    FeedLog RoutingLog;
+    /// All changes; ends with the last page that was not projected.
+    FeedLog FullLog;
     TimePoint AsOf{};
 
-    [[nodiscard]] const FeedLog &logFor(const Report &From) const noexcept {
-      return From.WantsAll && All.next() == Log.next() ? All : Log;
+    [[nodiscard]] const FeedLog &logFor(const Report &Received) const noexcept {
+      return Received.WantsAll && FullLog.next() == RoutingLog.next()
+                 ? FullLog
+                 : RoutingLog;
     }
   };
 
-  [[nodiscard]] SharedFeed &feed(Feed Which) {
-    return Feeds[static_cast<std::size_t>(Which)];
+  [[nodiscard]] SharedFeed &feed(Feed FeedId) {
+    return Feeds[static_cast<std::size_t>(FeedId)];
   }
-  [[nodiscard]] const SharedFeed &feed(Feed Which) const {
-    return Feeds[static_cast<std::size_t>(Which)];
+  [[nodiscard]] const SharedFeed &feed(Feed FeedId) const {
+    return Feeds[static_cast<std::size_t>(FeedId)];
   }
-  [[nodiscard]] std::vector<EndpointLoad> loadsBeside(const HostName &Host,
+  [[nodiscard]] std::vector<EndpointLoad> loadsExcept(const HostName &Host,
                                                       TimePoint Now) const;
 
   HostName Self;
   std::array<SharedFeed, 2> Feeds;
-  LoadBoard Below;
-  std::vector<EndpointLoad> Outside;
+  LoadBoard SubtreeLoads;
+  std::vector<EndpointLoad> OutsideLoads;
   TimePoint OutsideAt{};
-  RelayAssignment Relays;
+  RelayAssignment Assignments;
 };
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/dissemination/pace.hpp
+++ b/packages/process/src/coltsfoottrail/dissemination/pace.hpp
@@ -10,28 +10,30 @@
 
 namespace coltsfoottrail {
 
-/// An upstream answers no more than one host in this time, on average.
+/// Average time between two responses of an upstream: bounds its responses per
+/// second.
 inline constexpr std::chrono::microseconds UpstreamTimePerHost{1'700};
-/// Loads change by a prompt every few hundredths of a second; more often, the
-/// exchanges cost more than they tell.
+/// Loads change with each prompt, every few hundredths of a second; more
+/// frequent exchanges would cost more than they are worth.
 inline constexpr milliseconds ShortestReportPace{30};
-/// Well below the time for which reported loads count.
+/// Well below the time after which reported loads expire.
 inline constexpr milliseconds LongestReportPace{240};
-/// Part of the pace for which updates are collected into one response.
+/// Updates are collected for the report pace divided by this before a response
+/// is sent.
 inline constexpr int BatchesPerPace = 4;
 
 /// @brief How long an upstream holds a response back unless there is an update.
-/// Keeps the responses per second bounded. Pure; thread-safe.
-/// @param Reporters Hosts that report to it; zero for not known.
+/// Bounds the responses per second. Pure; thread-safe.
+/// @param Reporters Hosts that report to it; zero if unknown.
 [[nodiscard]] constexpr milliseconds reportPace(std::size_t Reporters) {
   if (Reporters == 0)
     return LongestReportPace;
-  const auto Wanted = std::chrono::duration_cast<milliseconds>(
+  const auto Interval = std::chrono::duration_cast<milliseconds>(
       UpstreamTimePerHost * static_cast<std::int64_t>(Reporters));
-  return std::clamp(Wanted, ShortestReportPace, LongestReportPace);
+  return std::clamp(Interval, ShortestReportPace, LongestReportPace);
 }
 
-/// @brief How long updates are collected before a response leaves: with many
+/// @brief How long updates are collected before a response is sent: with many
 /// reporters each update would otherwise wake all of them. Pure; thread-safe.
 [[nodiscard]] constexpr milliseconds batchTime(std::size_t Reporters) {
   return reportPace(Reporters) / BatchesPerPace;
--- a/packages/process/src/coltsfoottrail/dissemination/upstream.cpp
+++ b/packages/process/src/coltsfoottrail/dissemination/upstream.cpp
@@ -7,17 +7,20 @@
 
 namespace {
 
-/// Exchanges lost in a row before the target counts as gone: one may be lost on
-/// the way.
-constexpr int LostToLeave = 2;
-/// The store is asked for the coordinator this often, and less and less often
-/// while that changes nothing: each question is a call on every host.
-constexpr milliseconds AskEvery{700};
-constexpr milliseconds LongestAskPause{2'800};
-/// Hosts start together: there is no coordinator at first.
-constexpr milliseconds FirstAskAfter{400};
-/// A relay that failed is not assigned to this host again for so long.
-constexpr Duration FailedRelayLife = seconds(5);
+/// Consecutive failed exchanges after which the target counts as failed; a
+/// single one may be lost in transit.
+constexpr int MaxLostExchanges = 2;
+/// Interval between queries of the store for the coordinator. It doubles up to
+/// MaxQueryPause while that changes nothing, because each query is a call from
+/// every host.
+constexpr milliseconds QueryInterval{700};
+constexpr milliseconds MaxQueryPause{2'800};
+/// Delay of the first query: hosts start together, and there is no coordinator
+/// at first.
+constexpr milliseconds FirstQueryDelay{400};
+/// How long a failed relay is reported to the coordinator, so that it is not
+/// assigned to this host again.
+constexpr Duration FailedRelayTimeout = seconds(5);
 
 } // namespace
 
@@ -26,84 +29,88 @@
   const std::size_t Colon = Text.rfind(':');
   if (Colon == std::string_view::npos)
     return std::nullopt;
-  EngineAddress Out;
-  Out.Address = Text.substr(0, Colon);
+  EngineAddress Result;
+  Result.Address = Text.substr(0, Colon);
   const char *const End = Text.data() + Text.size();
-  const auto Parsed = std::from_chars(Text.data() + Colon + 1, End, Out.Port);
+  const auto Parsed =
+      std::from_chars(Text.data() + Colon + 1, End, Result.Port);
   if (Parsed.ec != std::errc{} || Parsed.ptr != End)
     return std::nullopt;
-  return Out;
+  return Result;
 }
 
-Upstream::Upstream(std::string_view Own, TimePoint Now)
-    : Self(addressOfMember(Own)), AskPause(AskEvery),
-      AskAgainAt(Now + FirstAskAfter) {}
+Upstream::Upstream(std::string_view Member, TimePoint Now)
+    : OwnAddress(addressOfMember(Member)), QueryPause(QueryInterval),
+      NextQueryAt(Now + FirstQueryDelay) {}
 
-bool Upstream::takeQuestion(TimePoint Now) {
-  if (Relay || KnownAnswers || Now < AskAgainAt)
+bool Upstream::takeCoordinatorQuery(TimePoint Now) {
+  if (Relay || CoordinatorConfirmed || Now < NextQueryAt)
     return false;
-  AskAgainAt = Now + AskPause;
-  AskPause = std::min(2 * AskPause, LongestAskPause);
+  NextQueryAt = Now + QueryPause;
+  QueryPause = std::min(2 * QueryPause, MaxQueryPause);
   return true;
 }
 
 void Upstream::setCoordinator(std::string_view Member) {
-  const auto Named = addressOfMember(Member);
-  if (Named && Named != Self)
-    Known = Named;
+  const auto Address = addressOfMember(Member);
+  if (Address && Address != OwnAddress)
+    Coordinator = Address;
 }
 
 std::optional<std::string> Upstream::failedRelay(TimePoint Now) const {
   return Now < FailedRelayUntil ? FailedRelay : std::nullopt;
 }
 
-// Only a host that was the coordinator asks the store for its successor; the
-// others hear it from there, or from their relay.
-void Upstream::learnCoordinator(const Response &From, bool ByRelay) {
-  if (!ByRelay && From.Coordinates) {
-    KnownAnswers = true;
-    AskPause = AskEvery;
+// While the former coordinator responds, only it queries the store for its
+// successor; the other hosts learn of the successor from its responses or from
+// their relay.
+void Upstream::learnCoordinator(const Response &Received, bool ByRelay) {
+  if (!ByRelay && Received.Coordinates) {
+    CoordinatorConfirmed = true;
+    QueryPause = QueryInterval;
     return;
   }
-  const auto Named =
-      From.Coordinator ? addressOfMember(*From.Coordinator) : std::nullopt;
-  if (Named && Named != Self) {
-    Known = Named;
-    KnownAnswers = true;
+  const auto Address = Received.Coordinator
+                           ? addressOfMember(*Received.Coordinator)
+                           : std::nullopt;
+  if (Address && Address != OwnAddress) {
+    Coordinator = Address;
+    CoordinatorConfirmed = true;
   } else if (!ByRelay)
-    KnownAnswers = false;
+    CoordinatorConfirmed = false;
 }
 
-bool Upstream::respond(const Response &From, bool ByRelay) {
-  Lost = 0;
-  learnCoordinator(From, ByRelay);
-  const auto Named = From.Relay ? addressOfMember(*From.Relay) : std::nullopt;
-  if (!Named || ByRelay || Named == Self)
+bool Upstream::applyResponse(const Response &Received, bool ByRelay) {
+  LostExchanges = 0;
+  learnCoordinator(Received, ByRelay);
+  const auto Address =
+      Received.Relay ? addressOfMember(*Received.Relay) : std::nullopt;
+  if (!Address || ByRelay || Address == OwnAddress)
     return false;
-  Relay = Named;
+  Relay = Address;
   return true;
 }
 
-bool Upstream::lose(TimePoint Now) {
-  if (++Lost < LostToLeave)
+bool Upstream::recordLoss(TimePoint Now) {
+  if (++LostExchanges < MaxLostExchanges)
     return false;
   abandon(Now);
   return true;
 }
 
 void Upstream::abandon(TimePoint Now) {
-  Lost = 0;
+  LostExchanges = 0;
   if (!Relay) {
-    KnownAnswers = false;
+    CoordinatorConfirmed = false;
     return;
   }
   FailedRelay = textOf(*Relay);
-  FailedRelayUntil = Now + FailedRelayLife;
+  FailedRelayUntil = Now + FailedRelayTimeout;
   Relay.reset();
 }
 
-bool Upstream::reportedHere(const HostName &From, TimePoint Now) {
-  if (!Relay || addressOfMember(From.Text) != Relay)
+bool Upstream::recordReporter(const HostName &Reporter, TimePoint Now) {
+  if (!Relay || addressOfMember(Reporter.Text) != Relay)
     return false;
   abandon(Now);
   return true;
--- a/packages/process/src/coltsfoottrail/dissemination/upstream.hpp
+++ b/packages/process/src/coltsfoottrail/dissemination/upstream.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// To which host an entry host reports.
+/// Chooses the host to which an entry host reports.
 #ifndef COLTSFOOTTRAIL_DISSEMINATION_UPSTREAM_HPP
 #define COLTSFOOTTRAIL_DISSEMINATION_UPSTREAM_HPP
 
@@ -13,74 +13,75 @@
 
 namespace coltsfoottrail {
 
-/// @brief Reads the address out of a member's name, or out of an address and
-/// port; nothing when there is none. Thread-safe.
+/// @brief Parses the address in a member's name, or an address and port; empty
+/// if there is none. Thread-safe.
 [[nodiscard]] std::optional<EngineAddress>
 addressOfMember(std::string_view Member);
 
 /// @brief Chooses the upstream of one host: the coordinator, or the relay that
-/// the coordinator named. A relay that fails is left for the coordinator; a
-/// coordinator that fails is asked for at the store, less and less often while
-/// that changes nothing. Pure; not thread-safe; times must not go back.
+/// the coordinator assigned. After a relay has failed, the host reports to the
+/// coordinator again; after the coordinator has failed, the store is queried
+/// for it, less and less often while that changes nothing. Pure; not
+/// thread-safe; times must not go back.
 class Upstream {
 public:
   /// @brief Starts without an upstream.
-  /// @param Own Name of this host's run; holds its address.
-  Upstream(std::string_view Own, TimePoint Now);
+  /// @param Member Name of this host's run; contains its address.
+  Upstream(std::string_view Member, TimePoint Now);
 
-  /// @brief Whether to ask the store for the coordinator before the next
-  /// report. Counts as asked.
-  [[nodiscard]] bool takeQuestion(TimePoint Now);
-  /// @brief Takes the store's answer.
-  /// @param Member Name of the coordinator; empty when there is none.
+  /// @brief Whether to query the store for the coordinator before the next
+  /// report. Returning true counts as a query.
+  [[nodiscard]] bool takeCoordinatorQuery(TimePoint Now);
+  /// @brief Applies the store's answer.
+  /// @param Member Name of the coordinator; empty if there is none.
   void setCoordinator(std::string_view Member);
 
-  /// @brief Where to report to; nothing while that is unknown.
+  /// @brief Address to report to; empty while unknown.
   [[nodiscard]] const std::optional<EngineAddress> &target() const noexcept {
-    return Relay ? Relay : Known;
+    return Relay ? Relay : Coordinator;
   }
   /// @brief Whether the target is a relay.
   [[nodiscard]] bool hasRelay() const noexcept { return Relay.has_value(); }
-  /// @brief The coordinator, if it has answered as such or was named by a host
-  /// that hears it.
+  /// @brief The coordinator, if it has responded as such or was named by a host
+  /// that is in contact with it.
   [[nodiscard]] const std::optional<EngineAddress> &
   coordinator() const noexcept {
-    return KnownAnswers ? Known : Unknown;
+    return CoordinatorConfirmed ? Coordinator : NoAddress;
   }
-  /// @brief Address of the relay that failed lately.
+  /// @brief Address of the relay that recently failed.
   [[nodiscard]] std::optional<std::string> failedRelay(TimePoint Now) const;
 
-  /// @brief Takes a response of the target.
-  /// @param ByRelay Whether the target was a relay when the report left.
-  /// @return Whether the report has to be repeated to another host.
-  bool respond(const Response &From, bool ByRelay);
-  /// @brief An exchange with the target was lost.
-  /// @return Whether the target was left.
-  bool lose(TimePoint Now);
-  /// @brief Leaves the target, which relays nothing new.
+  /// @brief Applies a response of the target.
+  /// @param ByRelay Whether the target was a relay when the report was sent.
+  /// @return Whether the report must be repeated to another host.
+  bool applyResponse(const Response &Received, bool ByRelay);
+  /// @brief Records that an exchange with the target failed.
+  /// @return Whether the target was abandoned.
+  bool recordLoss(TimePoint Now);
+  /// @brief Abandons the target.
   void abandon(TimePoint Now);
-  /// @brief A host reported here. Leaves it if it is the relay of this host:
-  /// two hosts that report to each other would count each other's loads over
-  /// and over.
-  /// @return Whether it was left.
-  bool reportedHere(const HostName &From, TimePoint Now);
-  /// @brief This host coordinates and has no upstream.
-  void coordinate() noexcept { Relay.reset(); }
+  /// @brief Records that a host reported to this one. Abandons that host if it
+  /// is the relay of this host: two hosts that report to each other would count
+  /// each other's loads again and again.
+  /// @return Whether it was abandoned.
+  bool recordReporter(const HostName &Reporter, TimePoint Now);
+  /// @brief Records that this host is the coordinator and has no upstream.
+  void becomeCoordinator() noexcept { Relay.reset(); }
 
 private:
-  void learnCoordinator(const Response &From, bool ByRelay);
+  void learnCoordinator(const Response &Received, bool ByRelay);
 
-  std::optional<EngineAddress> Self;
-  std::optional<EngineAddress> Unknown;
-  /// The coordinator when it was last asked for or named.
-  std::optional<EngineAddress> Known;
-  bool KnownAnswers = false;
+  std::optional<EngineAddress> OwnAddress;
+  std::optional<EngineAddress> NoAddress;
+  /// The coordinator according to the last query or response.
+  std::optional<EngineAddress> Coordinator;
+  bool CoordinatorConfirmed = false;
   std::optional<EngineAddress> Relay;
   std::optional<std::string> FailedRelay;
   TimePoint FailedRelayUntil{};
-  milliseconds AskPause;
-  TimePoint AskAgainAt;
-  int Lost = 0;
+  milliseconds QueryPause;
+  TimePoint NextQueryAt;
+  int LostExchanges = 0;
 };
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/fleethost/feeds.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/feeds.cpp
@@ -109,11 +109,11 @@
   Result.Coordinates = [this] { return Coordinator.isLastHolder(); };
   Result.HoldsLease = [this] { return Coordinator.holds(BootClock::now()); };
   Result.MakeReport = [this] { return ownReport(); };
-  Result.Apply = [this](const Report &SentReport, Response Answer,
-                        TimePoint SentAt) {
+  Result.OnResponse = [this](const Report &SentReport, Response Answer,
+                             TimePoint SentAt) {
     applyResponse(SentReport, std::move(Answer), SentAt);
   };
-  Result.Stalled = [this](const std::string &Endpoint) {
+  Result.OnStalled = [this](const std::string &Endpoint) {
     Coordinator.probeMembers(Endpoint, Threads.context(0).get_executor());
   };
   return Result;
@@ -195,7 +195,7 @@
     if (auto Decoded = Platform.Store.decode(FeedId, Relayed.Bytes)) {
       Result.Changes.push_back(std::move(Decoded->Change));
       Result.Raw.push_back(
-          {Relayed.At, std::move(Decoded->Key), Relayed.Bytes});
+          {Relayed.Position, std::move(Decoded->Key), Relayed.Bytes});
     }
   return Result;
 }
--- a/packages/process/test/coltsfoottrail/dissemination/assignment.cpp
+++ b/packages/process/test/coltsfoottrail/dissemination/assignment.cpp
@@ -12,11 +12,11 @@
 constexpr std::size_t LargeFleet = 300;
 
 Report report(const std::string &Host, const char *DataCentre, bool CanRelay) {
-  Report Out;
-  Out.Host = HostName(Host + ":7/run");
-  Out.DataCentre = DataCentreName(DataCentre);
-  Out.CanRelay = CanRelay;
-  return Out;
+  Report Result;
+  Result.Host = HostName(Host + ":7/run");
+  Result.DataCentre = DataCentreName(DataCentre);
+  Result.CanRelay = CanRelay;
+  return Result;
 }
 
 TEST(RelayAssignment, SmallFleetsReportDirectly) {
@@ -35,7 +35,7 @@
             HostName("a:7/run"));
 }
 
-// Guards against a fleet whose hosts all report to one of them.
+// Guards against a fleet whose hosts all report to a single host.
 TEST(RelayAssignment, ColdStartBoundsReportersOfEachHost) {
   constexpr int Hosts = 1'000;
   RelayAssignment Relays;
@@ -43,16 +43,16 @@
   std::set<int> Direct;
   for (int Index = 0; Index < Hosts; ++Index)
     Direct.insert(Index);
-  std::size_t Known = 0;
+  std::size_t FleetSize = 0;
   for (int Round = 0; Round < 2; ++Round)
     for (const int Index : std::set<int>(Direct)) {
-      Known = std::min<std::size_t>(Known + 1, Hosts);
-      const auto To =
+      FleetSize = std::min<std::size_t>(FleetSize + 1, Hosts);
+      const auto Relay =
           Relays.assign(report(std::to_string(Index), "north", Index % 20 == 0),
-                        Known, Start);
-      if (!To)
+                        FleetSize, Start);
+      if (!Relay)
         continue;
-      ++Below[*To];
+      ++Below[*Relay];
       Direct.erase(Index);
     }
   EXPECT_LE(Direct.size(), RelayAssignment::MostReporters);
@@ -60,8 +60,7 @@
     EXPECT_LE(Count, RelayAssignment::MostReporters) << Relay.Text;
 }
 
-// Guards against a coordinator that moves the hosts of a sound relay when it
-// takes over.
+// Guards against a new coordinator that moves the hosts of a healthy relay.
 TEST(RelayAssignment, NewCoordinatorAdoptsRelays) {
   RelayAssignment Relays;
   (void)Relays.assign(report("a", "north", true), LargeFleet, Start);
@@ -72,40 +71,41 @@
             HostName("b:7/run"));
 }
 
-// Guards against a host that is sent back to the relay that it cannot reach.
+// Guards against a host that is assigned again to the relay that it cannot
+// reach.
 TEST(RelayAssignment, FailedRelayIsNotAssignedAgain) {
   RelayAssignment Relays;
   (void)Relays.assign(report("a", "north", true), LargeFleet, Start);
   (void)Relays.assign(report("b", "north", true), LargeFleet, Start);
   const Report First = report("c", "north", false);
-  const auto To = Relays.assign(First, LargeFleet, Start);
-  ASSERT_TRUE(To.has_value());
-  Report Again = First;
-  Again.FailedRelay = To->Text.substr(0, To->Text.find('/'));
-  const auto Other = Relays.assign(Again, LargeFleet, Start);
-  EXPECT_NE(Other, To);
+  const auto Relay = Relays.assign(First, LargeFleet, Start);
+  ASSERT_TRUE(Relay.has_value());
+  Report Repeated = First;
+  Repeated.FailedRelay = Relay->Text.substr(0, Relay->Text.find('/'));
+  const auto Other = Relays.assign(Repeated, LargeFleet, Start);
+  EXPECT_NE(Other, Relay);
 }
 
 TEST(RelayAssignment, SilentRelayIsReplaced) {
   RelayAssignment Relays;
   (void)Relays.assign(report("a", "north", true), LargeFleet, Start);
-  const TimePoint Later = Start + RelayAssignment::Life;
+  const TimePoint Later = Start + RelayAssignment::ReporterTimeout;
   (void)Relays.assign(report("b", "north", true), LargeFleet, Later);
   EXPECT_EQ(Relays.assign(report("c", "north", false), LargeFleet, Later),
             HostName("b:7/run"));
 }
 
-// Guards against a coordinator with hundreds of reporters where no host has the
-// processor to relay.
+// Guards against a coordinator with hundreds of reporters in a data centre
+// where no host has the processor capacity to relay.
 TEST(RelayAssignment, WeakHostsRelayForFewWhereNoneIsStrong) {
   RelayAssignment Relays;
   std::set<HostName> Chosen;
   std::size_t Direct = 0;
   for (int Index = 0; Index < 200; ++Index) {
-    const auto To = Relays.assign(report(std::to_string(Index), "north", false),
-                                  LargeFleet, Start);
-    if (To)
-      Chosen.insert(*To);
+    const auto Relay = Relays.assign(
+        report(std::to_string(Index), "north", false), LargeFleet, Start);
+    if (Relay)
+      Chosen.insert(*Relay);
     else
       ++Direct;
   }
--- a/packages/process/test/coltsfoottrail/dissemination/pace.cpp
+++ b/packages/process/test/coltsfoottrail/dissemination/pace.cpp
@@ -11,7 +11,8 @@
   EXPECT_EQ(reportPace(1'000), LongestReportPace);
 }
 
-// Guards against responses per second that grow with the number of hosts.
+// Guards against a number of responses per second that grows with the number of
+// hosts.
 TEST(ReportPace, ResponsesPerSecondAreBounded) {
   constexpr double MostPerSecond = 600.0;
   for (const std::size_t Hosts : {8U, 36U, 71U, 90U, 140U}) {
--- a/packages/process/test/coltsfoottrail/dissemination/simulation.cpp
+++ b/packages/process/test/coltsfoottrail/dissemination/simulation.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// A configuration has to be in force within four seconds; hosts go by what was
-/// relayed for less than that.
+/// A configuration must be in force within four seconds; hosts use relayed
+/// records for less time than that.
 constexpr Duration StalenessBound = milliseconds(2'400);
-/// Part of a call for a host and second that the store's price allows.
+/// Calls per host and second that the price of the store allows.
 constexpr double CallsPerHost = 0.1;
 
 class Dissemination : public ::testing::TestWithParam<std::size_t> {
@@ -23,7 +23,7 @@
   void settle() {
     Fleet->run(seconds(6));
     (void)Fleet->takeStoreCalls();
-    (void)Fleet->takeMostBytes();
+    (void)Fleet->takeMaxBytes();
   }
   void expectAllFresh() {
     EXPECT_EQ(Fleet->fresh(StalenessBound), Fleet->running());
@@ -34,7 +34,7 @@
   std::optional<FleetSimulation> Fleet;
 };
 
-/// Fleets that are played through several losses of the coordinator.
+/// Fleets that lose their coordinator several times.
 class CoordinationMoves : public Dissemination {};
 
 /// Fleets that are large enough for relays.
@@ -53,11 +53,12 @@
   const double Reads =
       2 * Span / 0.15 + CallsPerHost * double(Shape.Hosts) * Span;
   EXPECT_LE(double(Fleet->takeStoreCalls()), Reads);
-  EXPECT_LE(Fleet->mostReporters(), RelayAssignment::MostReporters + 8);
+  EXPECT_LE(Fleet->maxReporters(), RelayAssignment::MostReporters + 8);
   expectAllFresh();
 }
 
-// Guards against a configuration that waits behind a storm of endpoint records.
+// Guards against a configuration that is delayed by a burst of endpoint
+// records.
 TEST_P(Dissemination, ConfigurationOvertakesAStormOfRecords) {
   settle();
   for (int Round = 0; Round < 20; ++Round) {
@@ -73,15 +74,15 @@
 
 TEST_P(Dissemination, LossOfAllRelaysIsRepaired) {
   settle();
-  for (const std::size_t Each : Fleet->relays())
-    Fleet->kill(Each);
+  for (const std::size_t Relay : Fleet->relays())
+    Fleet->kill(Relay);
   Fleet->publishVersion();
   Fleet->run(seconds(4));
   EXPECT_EQ(Fleet->withVersion(2), Fleet->running());
   expectAllFresh();
 }
 
-// Guards against hosts that go by what a frozen relay knew before it slept.
+// Guards against hosts that use the outdated state of a relay that was frozen.
 TEST_P(RelayedDissemination, FrozenRelayWakesWithOldState) {
   settle();
   const std::vector<std::size_t> Relays = Fleet->relays();
@@ -106,15 +107,15 @@
   expectAllFresh();
 }
 
-// Guards against a host whose reports reach its relay while no response comes
-// back.
+// Guards against a host whose reports reach its relay while the responses are
+// lost.
 TEST_P(RelayedDissemination, CutOneWayMovesTheHost) {
   settle();
   const std::vector<std::size_t> Relays = Fleet->relays();
   ASSERT_FALSE(Relays.empty());
   for (std::size_t Index = 0; Index < Shape.Hosts; ++Index)
     if (Index != *Fleet->coordinator())
-      Fleet->cut(Relays.front(), Index);
+      Fleet->cutLink(Relays.front(), Index);
   Fleet->run(seconds(2));
   Fleet->publishVersion();
   Fleet->run(seconds(3));
@@ -124,9 +125,9 @@
 
 TEST_P(Dissemination, ReturnOfTheStoreIsNoStorm) {
   settle();
-  Fleet->setStoreAway(true);
+  Fleet->setStoreDown(true);
   Fleet->run(seconds(8));
-  Fleet->setStoreAway(false);
+  Fleet->setStoreDown(false);
   (void)Fleet->takeStoreCalls();
   Fleet->publishVersion();
   Fleet->run(milliseconds(1'500));
@@ -135,15 +136,15 @@
   expectAllFresh();
 }
 
-// Guards against a new coordinator that is relayed what it has just read
-// itself, and then proves to its reporters a configuration that they do not
-// have.
+// Guards against a new coordinator that is relayed records that it has just
+// read itself, and then confirms to its reporters a configuration that they do
+// not have.
 TEST_P(CoordinationMoves, ConfigurationReachesAllHosts) {
   settle();
   for (int Round = 0; Round < 6; ++Round) {
-    Fleet->setStoreAway(true);
+    Fleet->setStoreDown(true);
     Fleet->run(seconds(4));
-    Fleet->setStoreAway(false);
+    Fleet->setStoreDown(false);
     Fleet->publishVersion();
     Fleet->run(milliseconds(100));
     Fleet->kill(*Fleet->coordinator());
@@ -161,14 +162,14 @@
   expectAllFresh();
 }
 
-// A host that relays to others has a link of 20 to 200 Mbit/s.
+// A relaying host has a link of 20 to 200 Mbit/s.
 TEST_P(Dissemination, BusiestHostSendsLittle) {
   settle();
   constexpr std::size_t Span = 5;
   constexpr std::size_t MostBytesPerSecond = 3'000'000;
   Fleet->publishEndpoints(500, 10);
   Fleet->run(seconds(Span));
-  EXPECT_LE(Fleet->takeMostBytes(), Span * MostBytesPerSecond);
+  EXPECT_LE(Fleet->takeMaxBytes(), Span * MostBytesPerSecond);
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleets, Dissemination,
--- a/packages/process/test/coltsfoottrail/dissemination/simulation.hpp
+++ b/packages/process/test/coltsfoottrail/dissemination/simulation.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Plays the dissemination tree of a whole fleet in simulated time.
+/// Simulates the dissemination tree of a whole fleet in simulated time.
 #ifndef COLTSFOOTTRAIL_TEST_DISSEMINATION_SIMULATION_HPP
 #define COLTSFOOTTRAIL_TEST_DISSEMINATION_SIMULATION_HPP
 
@@ -19,59 +19,63 @@
 
 namespace coltsfoottrail::test {
 
-/// @brief What a fleet is made of.
+/// @brief Size and properties of the simulated fleet.
 struct FleetShape {
   std::size_t Hosts = 30;
   std::size_t DataCentres = 5;
-  /// Hosts of a data centre that have the processor to relay and to coordinate.
-  std::size_t StrongEach = 3;
+  /// Hosts per data centre with the processor capacity to relay and to
+  /// coordinate.
+  std::size_t StrongPerDataCentre = 3;
   std::uint64_t Seed = 1;
-  /// One exchange in so many is lost.
+  /// One report in this many is lost.
   std::uint64_t LostOneIn = 200;
 };
 
-/// @brief The fleet, its store and the network between them. The tree's
-/// decisions are the product's own code; sockets and timers are simulated.
+/// @brief Simulates the fleet, its store and the network between the hosts. The
+/// decisions of the tree are made by the production code; sockets and timers
+/// are simulated.
 ///
-/// The operators' feed holds one configuration with growing versions; the
-/// endpoints' feed holds records, most of which do not matter to routing.
+/// The operators' feed holds one configuration with increasing versions; the
+/// endpoints' feed holds records most of which routing does not need.
 class FleetSimulation {
 public:
   static constexpr Duration Tick = milliseconds(5);
   static constexpr Duration ReadEvery = milliseconds(150);
-  /// As a routing host: an own read once what was relayed is older.
-  static constexpr Duration Cover = milliseconds(1'400);
+  /// A host reads the store itself once the relayed records are older than
+  /// this.
+  static constexpr Duration MaxRelayedAge = milliseconds(1'400);
   static constexpr Duration LeaseLife = milliseconds(1'500);
   static constexpr Duration ExchangeSlack = milliseconds(230);
 
-  explicit FleetSimulation(FleetShape Given) : Shape(Given), Draw(Given.Seed) {
+  explicit FleetSimulation(FleetShape InitialShape)
+      : Shape(InitialShape), Draw(InitialShape.Seed) {
     for (std::size_t Index = 0; Index < Shape.Hosts; ++Index)
       Fleet.push_back(std::make_unique<Host>());
     for (std::size_t Index = 0; Index < Shape.Hosts; ++Index)
       restart(Index);
   }
 
-  /// Starts a host anew, without memory.
+  /// Restarts a host without its previous state.
   void restart(std::size_t Index) {
-    Host &Its = *Fleet[Index];
+    Host &Member = *Fleet[Index];
     const std::string Name = "10.0." + std::to_string(Index / 250) + "." +
                              std::to_string(Index % 250) + ":7/" +
                              std::to_string(++Runs);
-    Its.Node.emplace(HostName(Name));
-    Its.Up.emplace(Name, Now);
-    Its.Name = HostName(Name);
-    Its.DataCentre =
+    Member.Node.emplace(HostName(Name));
+    Member.CurrentUpstream.emplace(Name, Now);
+    Member.Name = HostName(Name);
+    Member.DataCentre =
         DataCentreName("dc" + std::to_string(Index % Shape.DataCentres));
-    Its.IsStrong = Index / Shape.DataCentres < Shape.StrongEach;
-    Its.Alive = true;
-    Its.Frozen = false;
-    Its.Waiting.clear();
-    Its.Sent.reset();
-    Its.Next = {};
-    Its.Version = 0;
-    Its.AsOf = {};
-    Its.ReadAt = Now + (Its.IsStrong ? Duration{} : Cover / 2);
-    Its.ReportAt = Now + milliseconds(Draw.below(20));
+    Member.IsStrong = Index / Shape.DataCentres < Shape.StrongPerDataCentre;
+    Member.Alive = true;
+    Member.Frozen = false;
+    Member.Waiting.clear();
+    Member.Sent.reset();
+    Member.Next = {};
+    Member.Version = 0;
+    Member.AsOf = {};
+    Member.ReadAt = Now + (Member.IsStrong ? Duration{} : MaxRelayedAge / 2);
+    Member.ReportAt = Now + milliseconds(Draw.below(20));
     ByAddress[textOf(*addressOfMember(Name))] = Index;
   }
 
@@ -81,82 +85,90 @@
   }
 
   void kill(std::size_t Index) { Fleet[Index]->Alive = false; }
-  void freeze(std::size_t Index, bool Wanted) { Fleet[Index]->Frozen = Wanted; }
-  /// Nothing from the first reaches the second.
-  void cut(std::size_t From, std::size_t To) { Cut.insert({From, To}); }
+  void freeze(std::size_t Index, bool Enabled) {
+    Fleet[Index]->Frozen = Enabled;
+  }
+  /// Drops all messages from the first host to the second.
+  void cutLink(std::size_t From, std::size_t To) {
+    CutLinks.insert({From, To});
+  }
   void publishVersion() {
     ++Published;
     Versions.push_back({Now, Published});
     ++OperatorsEnd;
   }
-  /// Adds records of endpoints, of which one in OneIn matters.
+  /// Publishes records of endpoints; routing needs one in OneIn of them.
   void publishEndpoints(std::size_t Count, std::size_t OneIn) {
     for (std::size_t Index = 0; Index < Count; ++Index)
       Endpoints.push_back(Index % OneIn == 0);
   }
-  void setStoreAway(bool Wanted) { StoreAway = Wanted; }
+  void setStoreDown(bool Enabled) { StoreDown = Enabled; }
 
   [[nodiscard]] std::optional<std::size_t> coordinator() const {
     return Coordinator;
   }
   [[nodiscard]] std::vector<std::size_t> relays() const {
-    std::set<std::size_t> Out;
-    for (const auto &Its : Fleet)
-      if (Its->Alive && Its->Up->hasRelay())
-        if (const auto To = ByAddress.find(textOf(*Its->Up->target()));
-            To != ByAddress.end())
-          Out.insert(To->second);
-    return {Out.begin(), Out.end()};
+    std::set<std::size_t> Result;
+    for (const auto &Member : Fleet)
+      if (Member->Alive && Member->CurrentUpstream->hasRelay())
+        if (const auto Relay =
+                ByAddress.find(textOf(*Member->CurrentUpstream->target()));
+            Relay != ByAddress.end())
+          Result.insert(Relay->second);
+    return {Result.begin(), Result.end()};
   }
-  [[nodiscard]] std::size_t mostReporters() const {
-    std::size_t Most = 0;
-    for (const auto &Its : Fleet)
-      if (Its->Alive)
-        Most = std::max(Most, Its->Node->reporters(Now));
-    return Most;
+  [[nodiscard]] std::size_t maxReporters() const {
+    std::size_t Max = 0;
+    for (const auto &Member : Fleet)
+      if (Member->Alive)
+        Max = std::max(Max, Member->Node->reporters(Now));
+    return Max;
   }
-  /// Hosts that run and know a configuration that is no older than a bound.
+  /// Number of running hosts whose configuration is known and not older than a
+  /// limit.
   [[nodiscard]] std::size_t fresh(Duration Bound) const {
     return static_cast<std::size_t>(
-        std::count_if(Fleet.begin(), Fleet.end(), [&](const auto &Its) {
-          return Its->Alive && !Its->Frozen && Its->Version > 0 &&
-                 Now - Its->AsOf <= Bound;
+        std::count_if(Fleet.begin(), Fleet.end(), [&](const auto &Member) {
+          return Member->Alive && !Member->Frozen && Member->Version > 0 &&
+                 Now - Member->AsOf <= Bound;
         }));
   }
   [[nodiscard]] std::size_t running() const {
     return static_cast<std::size_t>(
-        std::count_if(Fleet.begin(), Fleet.end(), [](const auto &Its) {
-          return Its->Alive && !Its->Frozen;
+        std::count_if(Fleet.begin(), Fleet.end(), [](const auto &Member) {
+          return Member->Alive && !Member->Frozen;
         }));
   }
-  [[nodiscard]] std::size_t withVersion(std::uint64_t Wanted) const {
+  [[nodiscard]] std::size_t withVersion(std::uint64_t MinVersion) const {
     return static_cast<std::size_t>(
-        std::count_if(Fleet.begin(), Fleet.end(), [&](const auto &Its) {
-          return Its->Alive && !Its->Frozen && Its->Version >= Wanted;
+        std::count_if(Fleet.begin(), Fleet.end(), [&](const auto &Member) {
+          return Member->Alive && !Member->Frozen &&
+                 Member->Version >= MinVersion;
         }));
   }
 
-  /// Reads of the store and questions for the coordinator since the last call.
+  /// Number of reads of the store and of queries for the coordinator since the
+  /// last call.
   std::size_t takeStoreCalls() { return std::exchange(StoreCalls, 0); }
-  /// Bytes that the busiest host sent to others since the last call.
-  std::size_t takeMostBytes() {
-    std::size_t Most = 0;
-    for (const auto &Its : Fleet)
-      Most = std::max(Most, std::exchange(Its->BytesSent, 0));
-    return Most;
+  /// Bytes that the host that sent most has sent since the last call.
+  std::size_t takeMaxBytes() {
+    std::size_t Max = 0;
+    for (const auto &Member : Fleet)
+      Max = std::max(Max, std::exchange(Member->BytesSent, 0));
+    return Max;
   }
-  /// Versions that went back, and proofs that claimed a version that was
-  /// already replaced when they were made.
+  /// Number of versions that went backwards, and of proofs for a version that
+  /// was already replaced when they were made.
   [[nodiscard]] std::size_t violations() const noexcept { return Violations; }
 
 private:
-  struct Held {
-    std::size_t From = 0;
-    Report What;
+  struct PendingReport {
+    std::size_t Sender = 0;
+    Report Message;
     TimePoint Arrived;
   };
   struct Outstanding {
-    Report What;
+    Report Message;
     TimePoint SentAt;
     bool ByRelay;
   };
@@ -164,11 +176,11 @@
     HostName Name;
     DataCentreName DataCentre;
     std::optional<TreeNode> Node;
-    std::optional<Upstream> Up;
+    std::optional<Upstream> CurrentUpstream;
     bool Alive = true;
     bool Frozen = false;
     bool IsStrong = false;
-    std::vector<Held> Waiting;
+    std::vector<PendingReport> Waiting;
     std::optional<Outstanding> Sent;
     std::map<Feed, Offset> Next;
     std::uint64_t Version = 0;
@@ -176,34 +188,35 @@
     TimePoint ReadAt{};
     TimePoint ReportAt{};
     std::size_t BytesSent = 0;
-    /// Whether the last own read was answered.
+    /// Whether the store answered this host's last read.
     bool StoreAnswers = true;
   };
 
-  /// Leaders that requests go to.
+  /// Number of leaders that receive requests.
   static constexpr std::size_t Leaders = 64;
-  /// Messages are encoded this seldom, and stand for those between.
+  /// One message in this many is encoded and its size counted for all of them.
   static constexpr std::size_t EncodedOneIn = 16;
 
   [[nodiscard]] static std::vector<EndpointLoad> ownLoads(std::size_t Index) {
     return {{Index % Leaders, {1, 0, 0, 0}}};
   }
-  template <typename Message> void countBytes(Host &Of, const Message &Sent) {
+  template <typename Payload>
+  void countBytes(Host &Sender, const Payload &Sent) {
     if (++Messages % EncodedOneIn == 0)
-      Of.BytesSent += EncodedOneIn * encode(Sent).size();
+      Sender.BytesSent += EncodedOneIn * encode(Sent).size();
   }
 
-  [[nodiscard]] bool works(std::size_t Index) const {
+  [[nodiscard]] bool isRunning(std::size_t Index) const {
     return Fleet[Index]->Alive && !Fleet[Index]->Frozen;
   }
   [[nodiscard]] bool reaches(std::size_t From, std::size_t To) const {
-    return works(From) && works(To) && !Cut.contains({From, To});
+    return isRunning(From) && isRunning(To) && !CutLinks.contains({From, To});
   }
 
   void step() {
     elect();
     for (std::size_t Index = 0; Index < Fleet.size(); ++Index) {
-      if (!works(Index))
+      if (!isRunning(Index))
         continue;
       if (Coordinator == Index)
         coordinate(Index);
@@ -215,9 +228,9 @@
   }
 
   void elect() {
-    if (StoreAway)
+    if (StoreDown)
       return;
-    if (Coordinator && works(*Coordinator)) {
+    if (Coordinator && isRunning(*Coordinator)) {
       LeaseUntil = Now + LeaseLife;
       return;
     }
@@ -225,188 +238,192 @@
       return;
     Coordinator.reset();
     for (std::size_t Index = 0; Index < Fleet.size() && !Coordinator; ++Index)
-      if (works(Index) && Fleet[Index]->IsStrong)
+      if (isRunning(Index) && Fleet[Index]->IsStrong)
         Coordinator = Index;
   }
 
   void coordinate(std::size_t Index) {
-    Host &Its = *Fleet[Index];
-    Its.Up->coordinate();
-    Its.Sent.reset();
-    Its.Node->recordOwn(ownLoads(Index), Now);
+    Host &Member = *Fleet[Index];
+    Member.CurrentUpstream->becomeCoordinator();
+    Member.Sent.reset();
+    Member.Node->recordOwn(ownLoads(Index), Now);
   }
 
   void report(std::size_t Index) {
-    Host &Its = *Fleet[Index];
-    if (Its.Sent) {
-      if (Now - Its.Sent->SentAt < LongestReportPace + ExchangeSlack)
+    Host &Member = *Fleet[Index];
+    if (Member.Sent) {
+      if (Now - Member.Sent->SentAt < LongestReportPace + ExchangeSlack)
         return;
-      Its.Sent.reset();
-      (void)Its.Up->lose(Now);
-      Its.ReportAt = Now + milliseconds(100);
+      Member.Sent.reset();
+      (void)Member.CurrentUpstream->recordLoss(Now);
+      Member.ReportAt = Now + milliseconds(100);
     }
-    if (Now < Its.ReportAt)
+    if (Now < Member.ReportAt)
       return;
-    if (Its.Up->takeQuestion(Now)) {
+    if (Member.CurrentUpstream->takeCoordinatorQuery(Now)) {
       ++StoreCalls;
-      if (!StoreAway && Coordinator)
-        Its.Up->setCoordinator(Fleet[*Coordinator]->Name.Text);
+      if (!StoreDown && Coordinator)
+        Member.CurrentUpstream->setCoordinator(Fleet[*Coordinator]->Name.Text);
     }
-    const auto To = Its.Up->target();
-    if (!To) {
-      Its.ReportAt = Now + milliseconds(100);
+    const auto Target = Member.CurrentUpstream->target();
+    if (!Target) {
+      Member.ReportAt = Now + milliseconds(100);
       return;
     }
-    send(Index, ByAddress.at(textOf(*To)));
+    send(Index, ByAddress.at(textOf(*Target)));
   }
 
-  void send(std::size_t Index, std::size_t To) {
-    Host &Its = *Fleet[Index];
-    Its.Node->recordOwn(ownLoads(Index), Now);
-    Report What;
-    What.Host = Its.Name;
-    What.DataCentre = Its.DataCentre;
-    What.CanRelay = Its.IsStrong;
-    What.FailedRelay = Its.Up->failedRelay(Now);
-    What.Loads = Its.Node->loadsBelow(Now);
-    What.Hosts = Its.Node->hostsBelow(Now);
-    for (const Feed Which : {Feed::Operators, Feed::Endpoints})
-      if (Its.Next.contains(Which))
-        What.Next[Which] = Its.Next[Which];
+  void send(std::size_t Index, std::size_t Target) {
+    Host &Member = *Fleet[Index];
+    Member.Node->recordOwn(ownLoads(Index), Now);
+    Report Message;
+    Message.Host = Member.Name;
+    Message.DataCentre = Member.DataCentre;
+    Message.CanRelay = Member.IsStrong;
+    Message.FailedRelay = Member.CurrentUpstream->failedRelay(Now);
+    Message.Loads = Member.Node->subtreeLoads(Now);
+    Message.Hosts = Member.Node->subtreeHosts(Now);
+    for (const Feed FeedId : {Feed::Operators, Feed::Endpoints})
+      if (Member.Next.contains(FeedId))
+        Message.Next[FeedId] = Member.Next[FeedId];
       else
-        What.Missing.insert(Which);
-    Its.Sent = Outstanding{What, Now, Its.Up->hasRelay()};
-    countBytes(Its, What);
-    if (reaches(Index, To) && Draw.below(Shape.LostOneIn) != 0)
-      Fleet[To]->Waiting.push_back({Index, std::move(What), Now});
+        Message.Missing.insert(FeedId);
+    Member.Sent = Outstanding{Message, Now, Member.CurrentUpstream->hasRelay()};
+    countBytes(Member, Message);
+    if (reaches(Index, Target) && Draw.below(Shape.LostOneIn) != 0)
+      Fleet[Target]->Waiting.push_back({Index, std::move(Message), Now});
   }
 
   void respond(std::size_t Index) {
-    Host &Its = *Fleet[Index];
-    std::vector<Held> Left;
-    for (Held &Each : std::exchange(Its.Waiting, {})) {
-      if (Each.Arrived == Now || !answer(Index, Each))
-        Left.push_back(std::move(Each));
+    Host &Member = *Fleet[Index];
+    std::vector<PendingReport> Unanswered;
+    for (PendingReport &Pending : std::exchange(Member.Waiting, {})) {
+      if (Pending.Arrived == Now || !answer(Index, Pending))
+        Unanswered.push_back(std::move(Pending));
     }
-    for (Held &Each : Left)
-      Its.Waiting.push_back(std::move(Each));
+    for (PendingReport &Pending : Unanswered)
+      Member.Waiting.push_back(std::move(Pending));
   }
 
-  bool answer(std::size_t Index, Held &Each) {
-    Host &Its = *Fleet[Index];
-    (void)Its.Up->reportedHere(Each.What.Host, Now);
-    Its.Node->recordReport(Each.What, Now);
-    Response Made;
+  bool answer(std::size_t Index, PendingReport &Pending) {
+    Host &Member = *Fleet[Index];
+    (void)Member.CurrentUpstream->recordReporter(Pending.Message.Host, Now);
+    Member.Node->recordReport(Pending.Message, Now);
+    Response Answer;
     std::optional<HostName> Assigned;
     if (Coordinator == Index)
-      Assigned = Its.Node->assignRelay(Each.What, Now);
+      Assigned = Member.Node->assignRelay(Pending.Message, Now);
     if (Assigned) {
-      Made.Relay = textOf(*addressOfMember(Assigned->Text));
+      Answer.Relay = textOf(*addressOfMember(Assigned->Text));
     } else {
-      const std::size_t Reporters = Its.Node->reporters(Now);
-      const bool Update = Its.Node->hasUpdate(Each.What);
+      const std::size_t Reporters = Member.Node->reporters(Now);
+      const bool Update = Member.Node->hasUpdate(Pending.Message);
       const Duration Hold =
           Update ? batchTime(Reporters) : reportPace(Reporters);
-      if (Now - Each.Arrived < Hold && Each.What.Missing.empty())
+      if (Now - Pending.Arrived < Hold && Pending.Message.Missing.empty())
         return false;
-      if (Now - Each.Arrived < Hold && !Update)
+      if (Now - Pending.Arrived < Hold && !Update)
         return false;
-      Made = Its.Node->respond(Each.What, Now);
+      Answer = Member.Node->makeResponse(Pending.Message, Now);
     }
-    Made.Coordinates = Coordinator == Index;
-    if (!Made.Coordinates && Its.Up->coordinator())
-      Made.Coordinator = textOf(*Its.Up->coordinator());
-    countBytes(Its, Made);
-    if (reaches(Index, Each.From))
-      receive(Each.From, Made);
+    Answer.Coordinates = Coordinator == Index;
+    if (!Answer.Coordinates && Member.CurrentUpstream->coordinator())
+      Answer.Coordinator = textOf(*Member.CurrentUpstream->coordinator());
+    countBytes(Member, Answer);
+    if (reaches(Index, Pending.Sender))
+      receive(Pending.Sender, Answer);
     return true;
   }
 
-  void receive(std::size_t Index, const Response &Made) {
-    Host &Its = *Fleet[Index];
-    if (!Its.Sent)
+  void receive(std::size_t Index, const Response &Answer) {
+    Host &Member = *Fleet[Index];
+    if (!Member.Sent)
       return;
-    const Outstanding Sent = std::move(*Its.Sent);
-    Its.Sent.reset();
-    Its.ReportAt = Now + Tick;
-    if (Its.Up->respond(Made, Sent.ByRelay))
+    const Outstanding Sent = std::move(*Member.Sent);
+    Member.Sent.reset();
+    Member.ReportAt = Now + Tick;
+    if (Member.CurrentUpstream->applyResponse(Answer, Sent.ByRelay))
       return;
-    Its.Node->recordOutside(Made.Loads, Now);
-    bool Useful = false;
-    for (const auto &[Which, Update] : Made.Feeds) {
+    Member.Node->recordOutside(Answer.Loads, Now);
+    bool HasUsefulUpdate = false;
+    for (const auto &[FeedId, Update] : Answer.Feeds) {
       const TimePoint AsOf = Sent.SentAt - Update.Staleness;
-      const auto Asked = Sent.What.Next.find(Which);
-      const bool Matches = Asked == Sent.What.Next.end()
-                               ? !Its.Next.contains(Which)
-                               : Its.Next[Which] >= Asked->second &&
-                                     Update.Next >= Its.Next[Which];
-      if (!Matches || AsOf + Cover <= Now)
+      const auto RequestedOffset = Sent.Message.Next.find(FeedId);
+      const bool Matches =
+          RequestedOffset == Sent.Message.Next.end()
+              ? !Member.Next.contains(FeedId)
+              : Member.Next[FeedId] >= RequestedOffset->second &&
+                    Update.Next >= Member.Next[FeedId];
+      if (!Matches || AsOf + MaxRelayedAge <= Now)
         continue;
-      Useful = true;
+      HasUsefulUpdate = true;
       FeedPage Page;
-      Page.From = Update.Snapshot ? Update.Next : Asked->second;
+      Page.From = Update.Snapshot ? Update.Next : RequestedOffset->second;
       Page.Next = Page.End = Update.Next;
       for (const RelayedRecord &Record : Update.Records)
-        Page.Raw.push_back({Record.At, keyOf(Which, Record), Record.Bytes});
-      apply(Index, Which, Page, Update.Snapshot, AsOf);
+        Page.Raw.push_back(
+            {Record.Position, keyOf(FeedId, Record), Record.Bytes});
+      apply(Index, FeedId, Page, Update.Snapshot, AsOf);
     }
-    if (!Useful && Its.StoreAnswers && Its.Version > 0 &&
-        Now - Its.AsOf > milliseconds(1'000))
-      Its.Up->abandon(Now);
+    if (!HasUsefulUpdate && Member.StoreAnswers && Member.Version > 0 &&
+        Now - Member.AsOf > milliseconds(1'000))
+      Member.CurrentUpstream->abandon(Now);
   }
 
-  static std::string keyOf(Feed Which, const RelayedRecord &Record) {
-    return Which == Feed::Operators ? "config" : Record.Bytes;
+  static std::string keyOf(Feed FeedId, const RelayedRecord &Record) {
+    return FeedId == Feed::Operators ? "config" : Record.Bytes;
   }
 
-  void apply(std::size_t Index, Feed Which, const FeedPage &Page, bool Whole,
-             TimePoint AsOf) {
-    Host &Its = *Fleet[Index];
+  void apply(std::size_t Index, Feed FeedId, const FeedPage &Page,
+             bool IsSnapshot, TimePoint AsOf) {
+    Host &Member = *Fleet[Index];
     std::vector<RoutingEffect> Effects;
     for (const FeedRecord &Record : Page.Raw) {
-      const bool Matters = Which == Feed::Operators
-                               ? std::stoull(Record.Bytes) > Its.Version
+      const bool Matters = FeedId == Feed::Operators
+                               ? std::stoull(Record.Bytes) > Member.Version
                                : Record.Bytes.front() == 'r';
-      Effects.push_back(Matters || Whole ? RoutingEffect::Set
-                                         : RoutingEffect::None);
+      Effects.push_back(Matters || IsSnapshot ? RoutingEffect::Set
+                                              : RoutingEffect::None);
     }
-    Its.Next[Which] = Page.Next;
-    Its.Node->ingest(Which, Page, Effects, Whole, AsOf);
-    if (Which != Feed::Operators)
+    Member.Next[FeedId] = Page.Next;
+    Member.Node->ingest(FeedId, Page, Effects, IsSnapshot, AsOf);
+    if (FeedId != Feed::Operators)
       return;
-    std::uint64_t Newest = Its.Version;
+    std::uint64_t Newest = Member.Version;
     for (const FeedRecord &Record : Page.Raw)
       Newest = std::max<std::uint64_t>(Newest, std::stoull(Record.Bytes));
-    Violations += Newest < Its.Version ? 1 : 0;
-    Its.Version = Newest;
-    Its.AsOf = std::max(Its.AsOf, AsOf);
-    for (const auto &[At, Version] : Versions)
-      if (At < AsOf && Its.Version < Version)
+    Violations += Newest < Member.Version ? 1 : 0;
+    Member.Version = Newest;
+    Member.AsOf = std::max(Member.AsOf, AsOf);
+    for (const auto &[PublishedAt, Version] : Versions)
+      if (PublishedAt < AsOf && Member.Version < Version)
         ++Violations;
   }
 
   void readOwn(std::size_t Index) {
-    Host &Its = *Fleet[Index];
-    const bool Reads = Coordinator == Index || Now - Its.AsOf > Cover;
-    if (!Reads || Now < Its.ReadAt)
+    Host &Member = *Fleet[Index];
+    const bool Reads =
+        Coordinator == Index || Now - Member.AsOf > MaxRelayedAge;
+    if (!Reads || Now < Member.ReadAt)
       return;
-    Its.ReadAt = Now + (Coordinator == Index ? ReadEvery : Cover);
+    Member.ReadAt = Now + (Coordinator == Index ? ReadEvery : MaxRelayedAge);
     StoreCalls += 2;
-    Its.StoreAnswers = !StoreAway;
-    if (StoreAway)
+    Member.StoreAnswers = !StoreDown;
+    if (StoreDown)
       return;
     FeedPage Config;
-    Config.From =
-        Its.Next.contains(Feed::Operators) ? Its.Next[Feed::Operators] : 0;
+    Config.From = Member.Next.contains(Feed::Operators)
+                      ? Member.Next[Feed::Operators]
+                      : 0;
     Config.Next = Config.End = OperatorsEnd;
     if (!Versions.empty() && Config.From < OperatorsEnd)
       Config.Raw.push_back(
           {OperatorsEnd - 1, "config", std::to_string(Published)});
-    apply(Index, Feed::Operators, Config, !Its.Next.contains(Feed::Operators),
-          Now);
+    apply(Index, Feed::Operators, Config,
+          !Member.Next.contains(Feed::Operators), Now);
     FeedPage Page;
-    const bool Whole = !Its.Next.contains(Feed::Endpoints);
-    Page.From = Whole ? 0 : Its.Next[Feed::Endpoints];
+    const bool IsSnapshot = !Member.Next.contains(Feed::Endpoints);
+    Page.From = IsSnapshot ? 0 : Member.Next[Feed::Endpoints];
     Page.Next = Page.End = Endpoints.size();
     for (Offset At = Page.From; At < Page.End; ++At) {
       const std::string Name = std::to_string(At % 1'000);
@@ -414,7 +431,7 @@
           {At, Name,
            (Endpoints[At] ? "r" : "m") + Name + std::string(300, '.')});
     }
-    apply(Index, Feed::Endpoints, Page, Whole, Now);
+    apply(Index, Feed::Endpoints, Page, IsSnapshot, Now);
   }
 
   FleetShape Shape;
@@ -422,14 +439,14 @@
   TimePoint Now{seconds(100)};
   std::vector<std::unique_ptr<Host>> Fleet;
   std::map<std::string, std::size_t> ByAddress;
-  std::set<std::pair<std::size_t, std::size_t>> Cut;
+  std::set<std::pair<std::size_t, std::size_t>> CutLinks;
   std::vector<std::pair<TimePoint, std::uint64_t>> Versions;
   std::vector<bool> Endpoints;
   std::uint64_t Published = 0;
   Offset OperatorsEnd = 0;
   std::optional<std::size_t> Coordinator;
   TimePoint LeaseUntil{};
-  bool StoreAway = false;
+  bool StoreDown = false;
   std::size_t StoreCalls = 0;
   std::size_t Violations = 0;
   std::uint64_t Runs = 0;
