--- a/packages/process/src/coltsfoottrail/fleethost/dutyterm.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/dutyterm.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// Tracks whether this host holds the coordinator lease, and under which
-/// fencing token.
+/// fencing token. The store's interface calls the coordinator role the duty.
 #ifndef COLTSFOOTTRAIL_FLEETHOST_DUTYTERM_HPP
 #define COLTSFOOTTRAIL_FLEETHOST_DUTYTERM_HPP
 
