--- a/bench/mesh.cpp
+++ b/bench/mesh.cpp
@@ -31,7 +31,7 @@
   Config.Run = hashText(Name);
   Config.Address = "127.0.0.1";
   Config.Key = "a-key-of-the-mesh-with-32-letters-or-more";
-  Config.Limits.MaxUnproved = 1024;
+  Config.Limits.MaxUnauthenticated = 1024;
   return Config;
 }
 
--- a/packages/connection/src/coltsfoottrail/boundary/fwd.hpp
+++ b/packages/connection/src/coltsfoottrail/boundary/fwd.hpp
@@ -8,10 +8,10 @@
 
 class FleetStore;
 class FleetEngines;
-class CallerWire;
-struct CallerWork;
-struct AnswerMarks;
-struct ForwardMarks;
+class HeaderCodec;
+struct RequestMetadata;
+struct ResponseMetadata;
+struct ForwardMetadata;
 
 } // namespace coltsfoottrail
 
--- a/packages/connection/src/coltsfoottrail/boundary/store.hpp
+++ b/packages/connection/src/coltsfoottrail/boundary/store.hpp
@@ -59,7 +59,7 @@
 
 /// @brief A record of a feed as the store gave it.
 struct FeedRecord {
-  Offset At = 0;
+  Offset Position = 0;
   /// What the record is about; a later record of the same key replaces it.
   std::string Key;
   std::string Bytes;
@@ -88,7 +88,7 @@
 struct FeedPage {
   std::vector<FleetChange> Changes;
   /// The record of each change.
-  std::vector<FeedRecord> Raw;
+  std::vector<FeedRecord> Records;
   /// Whether records that do not matter to routing were left out.
   bool Projected = false;
   /// Where the page begins; for newest values as Next.
@@ -110,7 +110,7 @@
 };
 
 /// @brief What a member of a duty asks for.
-struct DutyAsk {
+struct DutyRequest {
   /// Unique for each run of a process.
   std::string Member;
   milliseconds Lease{0};
@@ -155,7 +155,7 @@
 
   /// @brief Asks for the duty to drive the groups, or renews it.
   [[nodiscard]] virtual Awaitable<std::variant<DutyGrant, StoreFailure>>
-  joinDuty(DutyAsk Ask) = 0;
+  joinDuty(DutyRequest Ask) = 0;
 
   /// @brief Asks who has the duty.
   /// @return The member's name; empty when nobody has it.
--- a/packages/connection/src/coltsfoottrail/http/blocking.cpp
+++ b/packages/connection/src/coltsfoottrail/http/blocking.cpp
@@ -15,7 +15,7 @@
           TimePoint Deadline,
           const std::function<void(std::string_view)> &OnPart) {
   auto Started = co_await Client.start(std::move(To), std::move(Request),
-                                       Deadline, OwnConnection);
+                                       Deadline, SingleUseConnection);
   if (const auto *const Failed = std::get_if<CallFailure>(&Started))
     co_return *Failed;
   HttpCall &Call = std::get<HttpCall>(Started);
--- a/packages/connection/src/coltsfoottrail/http/client.cpp
+++ b/packages/connection/src/coltsfoottrail/http/client.cpp
@@ -100,9 +100,10 @@
   }
 
   void giveBack(const EngineAddress &To, ConnectionPtr Used,
-                std::size_t MostIdle) {
+                std::size_t MaxIdleConnections) {
     Used->leave();
-    const std::size_t Most = std::min(Options.MaxIdlePerEndpoint, MostIdle);
+    const std::size_t Most =
+        std::min(Options.MaxIdlePerEndpoint, MaxIdleConnections);
     std::deque<ConnectionPtr> &Kept = Idle[To];
     while (!Kept.empty() && Kept.size() >= Most) {
       Kept.pop_front();
@@ -127,7 +128,7 @@
 struct HttpCall::State {
   std::weak_ptr<HttpClient::Core> Owner;
   EngineAddress To;
-  std::size_t MostIdle = 0;
+  std::size_t MaxIdleConnections = 0;
   std::unique_ptr<Connection> Link;
   http::response_parser<http::buffer_body> Parser;
   HttpResponse Head;
@@ -172,7 +173,7 @@
   }
   const auto Owner = Call.Owner.lock();
   if (Owner && Call.Link && Call.Parser.get().keep_alive())
-    Owner->giveBack(Call.To, std::move(Call.Link), Call.MostIdle);
+    Owner->giveBack(Call.To, std::move(Call.Link), Call.MaxIdleConnections);
   co_return std::optional<std::string>{};
 }
 
@@ -254,7 +255,7 @@
   HttpCall::State &Opened = *Call.Current;
   Opened.Owner = Own;
   Opened.To = std::move(To);
-  Opened.MostIdle = Use.MostIdle;
+  Opened.MaxIdleConnections = Use.MaxIdleConnections;
   Opened.Link = std::move(Link);
   Opened.Parser.header_limit(Own->Options.MaxHeaderBytes);
   Opened.Parser.body_limit(Own->Options.MaxBodyBytes);
--- a/packages/connection/src/coltsfoottrail/http/client.hpp
+++ b/packages/connection/src/coltsfoottrail/http/client.hpp
@@ -54,10 +54,10 @@
 struct ConnectionUse {
   Reuse Mode = Reuse::Allowed;
   /// Connections to the endpoint that may stay open for reuse after the call.
-  std::size_t MostIdle = std::numeric_limits<std::size_t>::max();
+  std::size_t MaxIdleConnections = std::numeric_limits<std::size_t>::max();
 };
 /// For a call that leaves nothing behind.
-inline constexpr ConnectionUse OwnConnection{Reuse::Never, 0};
+inline constexpr ConnectionUse SingleUseConnection{Reuse::Never, 0};
 
 /// @brief One call in progress. Belongs to one thread. Destroying it before the
 /// answer is whole closes the connection, which cancels the work behind it.
--- a/packages/connection/src/coltsfoottrail/http/server.cpp
+++ b/packages/connection/src/coltsfoottrail/http/server.cpp
@@ -148,7 +148,7 @@
   [[nodiscard]] std::size_t thread() const noexcept override {
     return ThreadIndex;
   }
-  [[nodiscard]] bool begun() const noexcept override { return Begun; }
+  [[nodiscard]] bool hasBegun() const noexcept override { return Begun; }
 
   Awaitable<void> respond(HttpResponse Whole) override {
     Begun = true;
--- a/packages/connection/src/coltsfoottrail/http/server.hpp
+++ b/packages/connection/src/coltsfoottrail/http/server.hpp
@@ -45,7 +45,7 @@
   /// @brief Index of the thread in the pool that carries this exchange.
   [[nodiscard]] virtual std::size_t thread() const noexcept = 0;
   /// @brief Whether the head of an answer has been sent.
-  [[nodiscard]] virtual bool begun() const noexcept = 0;
+  [[nodiscard]] virtual bool hasBegun() const noexcept = 0;
 
   /// @brief Sends a whole answer.
   /// @param Whole The answer.
--- a/packages/connection/src/coltsfoottrail/mesh/mesh.cpp
+++ b/packages/connection/src/coltsfoottrail/mesh/mesh.cpp
@@ -107,7 +107,7 @@
   std::array<AtomicCounters, ChannelCount> Counters;
   std::atomic<std::uint64_t> UnknownChannel = 0;
   std::atomic<std::uint64_t> Malformed = 0;
-  std::atomic<std::uint64_t> FromOldRun = 0;
+  std::atomic<std::uint64_t> FromRetiredRun = 0;
   std::atomic<std::uint64_t> HandlerFailures = 0;
   std::atomic<std::uint64_t> RefusedConnections = 0;
 
@@ -233,7 +233,7 @@
     const std::lock_guard Lock(Mutex);
     if (Stopping)
       return;
-    if (Unproved >= Config.Limits.MaxUnproved) {
+    if (Unproved >= Config.Limits.MaxUnauthenticated) {
       ++RefusedConnections;
       return;
     }
@@ -307,9 +307,10 @@
                   BootClock::now());
   if (Admitted.Refused)
     return Admitted.Refused;
-  if (Admitted.Cuts)
-    cutLink(*Admitted.Cuts, "another run of the host took its place", Out);
-  if (Admitted.Spare) {
+  if (Admitted.SupersededLink)
+    cutLink(*Admitted.SupersededLink, "another run of the host took its place",
+            Out);
+  if (Admitted.Redundant) {
     Which.closeLater();
     return std::nullopt;
   }
@@ -390,7 +391,7 @@
   {
     const std::lock_guard Lock(Mutex);
     const TimePoint Now = BootClock::now();
-    const bool WasCurrent = Table.lost(Which.id(), Now);
+    const bool WasCurrent = Table.linkClosed(Which.id(), Now);
     if (WasCurrent) {
       What.emplace_back(PeerDown{Which.other().Host, Which.other().Run, Why});
       const std::unique_lock ActiveLock(ActiveMutex);
@@ -430,7 +431,7 @@
 
 void Mesh::State::received(Link &Which, std::string_view Message) {
   if (!Which.delivers()) {
-    ++FromOldRun;
+    ++FromRetiredRun;
     return;
   }
   try {
@@ -559,7 +560,7 @@
   }
   Out.UnknownChannel = UnknownChannel;
   Out.Malformed = Malformed;
-  Out.FromOldRun = FromOldRun;
+  Out.FromRetiredRun = FromRetiredRun;
   Out.HandlerFailures = HandlerFailures;
   Out.RefusedConnections = RefusedConnections;
   Out.QueuedBytes = QueuedBytes;
--- a/packages/connection/src/coltsfoottrail/mesh/mesh.hpp
+++ b/packages/connection/src/coltsfoottrail/mesh/mesh.hpp
@@ -28,7 +28,7 @@
   /// What may wait for all peers together.
   std::size_t MaxTotalQueuedBytes = std::size_t{32} << 20U;
   /// Connections accepted that have not yet proved the key.
-  std::size_t MaxUnproved = 64;
+  std::size_t MaxUnauthenticated = 64;
   /// Time for connecting and proving the key.
   milliseconds HandshakeTimeout{3000};
   /// A ping is sent after this time without a byte from the peer.
@@ -87,7 +87,7 @@
   /// Messages that could not be decoded.
   std::uint64_t Malformed = 0;
   /// Messages of a run that was cut.
-  std::uint64_t FromOldRun = 0;
+  std::uint64_t FromRetiredRun = 0;
   /// Exceptions that left message handlers.
   std::uint64_t HandlerFailures = 0;
   std::uint64_t RefusedConnections = 0;
--- a/packages/connection/src/coltsfoottrail/mesh/neighbours.cpp
+++ b/packages/connection/src/coltsfoottrail/mesh/neighbours.cpp
@@ -75,15 +75,15 @@
     if (Each.Host == Self)
       Own = &Each.DataCentre;
   }
-  if (Members.size() <= Policy.FullUpTo) {
+  if (Members.size() <= Policy.FullMeshMaxHosts) {
     for (const MeshMember &Each : Members)
       Out.insert(Each.Host);
   } else if (Own != nullptr) {
     const Names &Local = Centres.at(*Own);
     addRing(Self, Local, Out);
-    const Names Near = highest(Self.Text, Local, Policy.PerHost + 1);
+    const Names Near = highest(Self.Text, Local, Policy.ConnectionsPerHost + 1);
     for (const HostName &Each : Near)
-      if (Out.size() < Policy.PerHost && Each != Self)
+      if (Out.size() < Policy.ConnectionsPerHost && Each != Self)
         Out.insert(Each);
     addGateways(Self, *Own, Centres, Policy.Gateways, Out);
   }
--- a/packages/connection/src/coltsfoottrail/mesh/neighbours.hpp
+++ b/packages/connection/src/coltsfoottrail/mesh/neighbours.hpp
@@ -19,9 +19,9 @@
 /// @brief How many connections there shall be.
 struct NeighbourPolicy {
   /// Up to so many hosts in all, everyone is connected with everyone.
-  std::size_t FullUpTo = 32;
+  std::size_t FullMeshMaxHosts = 32;
   /// Connections that each host begins within its data centre.
-  std::size_t PerHost = 4;
+  std::size_t ConnectionsPerHost = 4;
   /// Hosts of a data centre that are connected with other data centres.
   std::size_t Gateways = 2;
 };
--- a/packages/connection/src/coltsfoottrail/mesh/table.cpp
+++ b/packages/connection/src/coltsfoottrail/mesh/table.cpp
@@ -165,15 +165,15 @@
       return Out;
     }
     retire(Its, Its.Link->Run);
-    Out.Cuts = Its.Link->Link;
+    Out.SupersededLink = Its.Link->Link;
     Its.Link.reset();
   }
   const bool DialledByUs = Proved.Dialled.has_value();
   if (Its.Link) {
     const bool LowerDials = Self < Proved.Host;
-    Out.Spare =
+    Out.Redundant =
         DialledByUs != Its.Link->DialledByUs && DialledByUs != LowerDials;
-    if (Out.Spare)
+    if (Out.Redundant)
       return Out;
     Out.Replaces = Its.Link->Link;
   }
@@ -181,7 +181,7 @@
   return Out;
 }
 
-bool PeerTable::lost(LinkId Link, TimePoint Now) {
+bool PeerTable::linkClosed(LinkId Link, TimePoint Now) {
   const auto Found =
       std::find_if(Hosts.begin(), Hosts.end(), [Link](const auto &Entry) {
         return Entry.second.Link && Entry.second.Link->Link == Link;
--- a/packages/connection/src/coltsfoottrail/mesh/table.hpp
+++ b/packages/connection/src/coltsfoottrail/mesh/table.hpp
@@ -52,10 +52,10 @@
   /// still arrives.
   std::optional<LinkId> Replaces;
   /// The connection of another run of the host: it is cut at once.
-  std::optional<LinkId> Cuts;
+  std::optional<LinkId> SupersededLink;
   /// It is itself the one that is not kept: it sends nothing and is closed a
   /// little later.
-  bool Spare = false;
+  bool Redundant = false;
 };
 
 /// @brief A connection that has proved the key.
@@ -106,7 +106,7 @@
   [[nodiscard]] Admission admit(const ProvedLink &Proved, TimePoint Now);
   /// @brief Learns that an admitted connection is over.
   /// @return Whether it was the host's current one.
-  bool lost(LinkId Link, TimePoint Now);
+  bool linkClosed(LinkId Link, TimePoint Now);
   /// @brief Learns that this end closes an admitted connection that is unused.
   void release(LinkId Link);
   /// @brief Learns that a dialled connection ended before it was admitted.
--- a/packages/connection/test/coltsfoottrail/http/client.cpp
+++ b/packages/connection/test/coltsfoottrail/http/client.cpp
@@ -56,7 +56,7 @@
 // Each call that must not run twice opened a connection of its own and left it
 // behind for others, forty a second.
 TEST_F(HttpClientTest, LeavesNoMoreBehindThanTold) {
-  EXPECT_EQ(idleAfter(OwnConnection), 0U);
+  EXPECT_EQ(idleAfter(SingleUseConnection), 0U);
   EXPECT_EQ(idleAfter({Reuse::Never, 1}), 1U);
   EXPECT_EQ(idleAfter({Reuse::Never, 1}), 1U);
   EXPECT_EQ(idleAfter({Reuse::Allowed, 0}), 0U);
--- a/packages/connection/test/coltsfoottrail/mesh/mesh.cpp
+++ b/packages/connection/test/coltsfoottrail/mesh/mesh.cpp
@@ -395,7 +395,7 @@
 
 TEST(Mesh, UnprovedConnectionsAreBoundedAndTimeOut) {
   MeshConfig Config = configOf("one", 1);
-  Config.Limits.MaxUnproved = 1;
+  Config.Limits.MaxUnauthenticated = 1;
   Config.Limits.HandshakeTimeout = milliseconds(50);
   Node One(Config);
   RawPeer Silent(One.Own.Port, introduction("two", 2), Key);
--- a/packages/connection/test/coltsfoottrail/mesh/table.cpp
+++ b/packages/connection/test/coltsfoottrail/mesh/table.cpp
@@ -72,12 +72,12 @@
   PeerTable Other(HostName("z"), {}, 2);
   const DialTarget Back{"10.0.0.1", 80};
   // Connection 1 is dialled by m, connection 2 by z.
-  EXPECT_FALSE(dialled(1, "z", 5).Spare);
-  EXPECT_TRUE(accepted(2, "z", 5).Spare);
-  EXPECT_FALSE(Other.admit({link(2), HostName("m"), 4, Back}, Now).Spare);
+  EXPECT_FALSE(dialled(1, "z", 5).Redundant);
+  EXPECT_TRUE(accepted(2, "z", 5).Redundant);
+  EXPECT_FALSE(Other.admit({link(2), HostName("m"), 4, Back}, Now).Redundant);
   const Admission First =
       Other.admit({link(1), HostName("m"), 4, std::nullopt}, Now);
-  EXPECT_FALSE(First.Spare);
+  EXPECT_FALSE(First.Redundant);
   EXPECT_EQ(First.Replaces, link(2));
 }
 
@@ -85,8 +85,8 @@
   (void)accepted(1, "a", 5);
   const Admission Again = accepted(2, "a", 5);
   EXPECT_EQ(Again.Replaces, link(1));
-  EXPECT_FALSE(Table.lost(link(1), Now));
-  EXPECT_TRUE(Table.lost(link(2), Now));
+  EXPECT_FALSE(Table.linkClosed(link(1), Now));
+  EXPECT_TRUE(Table.linkClosed(link(2), Now));
 }
 
 TEST_F(PeerTableTest, ListedRunIsNotDisplacedByAStranger) {
@@ -103,7 +103,7 @@
 // later one wins once, and they do not push each other out in turns.
 TEST_F(PeerTableTest, TwoUnlistedRunsDoNotTakeTurns) {
   (void)accepted(1, "z", 5);
-  EXPECT_EQ(accepted(2, "z", 6).Cuts, link(1));
+  EXPECT_EQ(accepted(2, "z", 6).SupersededLink, link(1));
   EXPECT_EQ(accepted(3, "z", 5).Refused, PeerRefusal::RetiredRun);
   list("z", 5);
   EXPECT_THAT(Cut, ElementsAre(link(2)));
@@ -121,7 +121,7 @@
   list("z", 1);
   (void)accepted(2, "z", 1);
   EXPECT_THAT(Table.setPeers({}, Now), IsEmpty());
-  EXPECT_TRUE(Table.lost(link(2), Now));
+  EXPECT_TRUE(Table.linkClosed(link(2), Now));
 }
 
 // Hosts are replaced by hundreds a day under new names: what is remembered of
@@ -182,7 +182,7 @@
   EXPECT_FALSE(Table.expectedAt(Where));
   (void)dialled(1, "z", 1);
   EXPECT_THAT(Table.due(Now + seconds(60)), IsEmpty());
-  EXPECT_TRUE(Table.lost(link(1), Now));
+  EXPECT_TRUE(Table.linkClosed(link(1), Now));
   EXPECT_EQ(Table.due(Now + seconds(60)).size(), 1U);
   Table.dialFailed(Where, PeerRefusal::Self, Now);
   EXPECT_THAT(Table.due(Now + seconds(600)), IsEmpty());
--- a/packages/process/src/coltsfoottrail/dissemination/feedlog.cpp
+++ b/packages/process/src/coltsfoottrail/dissemination/feedlog.cpp
@@ -26,8 +26,9 @@
   if (Record.Bytes.size() > LargestRecord)
     TooLarge.insert(std::move(Record.Key));
   else
-    Newest.insert_or_assign(std::move(Record.Key),
-                            RelayedRecord{Record.At, std::move(Record.Bytes)});
+    Newest.insert_or_assign(
+        std::move(Record.Key),
+        RelayedRecord{Record.Position, std::move(Record.Bytes)});
 }
 
 void FeedLog::keepNewest(FeedRecord Record) {
@@ -35,7 +36,7 @@
 }
 
 void FeedLog::add(FeedRecord Record, RoutingEffect Effect) {
-  RelayedRecord Change{Record.At, Record.Bytes};
+  RelayedRecord Change{Record.Position, Record.Bytes};
   updateNewest(std::move(Record), Effect);
   addChange(std::move(Change));
 }
--- a/packages/process/src/coltsfoottrail/dissemination/node.cpp
+++ b/packages/process/src/coltsfoottrail/dissemination/node.cpp
@@ -13,8 +13,8 @@
 /// @return Behind the last record of a page.
 Offset endOfRecords(const FeedPage &Page) {
   Offset Out = 0;
-  for (const FeedRecord &Each : Page.Raw)
-    Out = std::max(Out, Each.At + 1);
+  for (const FeedRecord &Each : Page.Records)
+    Out = std::max(Out, Each.Position + 1);
   return Out;
 }
 
@@ -38,13 +38,13 @@
   if (!Whole && !Page.Projected &&
       (Page.From > Known || Its.All.next() != Known))
     Its.All.restart(std::max(Page.From, Known));
-  for (std::size_t Index = 0; Index < Page.Raw.size(); ++Index) {
-    const FeedRecord &Record = Page.Raw[Index];
+  for (std::size_t Index = 0; Index < Page.Records.size(); ++Index) {
+    const FeedRecord &Record = Page.Records[Index];
     const RoutingEffect Effect = Effects[Index];
-    if (Effect == RoutingEffect::None || (!Whole && Record.At < Known))
+    if (Effect == RoutingEffect::None || (!Whole && Record.Position < Known))
       continue;
     if (!Whole && !Page.Projected)
-      Its.All.addChange({Record.At, Record.Bytes});
+      Its.All.addChange({Record.Position, Record.Bytes});
     if (Effect == RoutingEffect::Other)
       continue;
     if (Whole)
--- a/packages/process/src/coltsfoottrail/fleethost/assemblydesk.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/assemblydesk.cpp
@@ -94,7 +94,7 @@
       endTerm();
       continue;
     }
-    DutyAsk Ask;
+    DutyRequest Ask;
     Ask.Member = Self;
     const milliseconds Lease = Term.lease();
     Ask.Lease = Lease;
--- a/packages/process/src/coltsfoottrail/fleethost/attempt.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/attempt.cpp
@@ -113,18 +113,18 @@
     co_return failed(RunState::NotRun, Reason::DeadlinePassed, Start);
   if (!bears(Asked, To, Start))
     co_return failed(RunState::NotRun, Reason::EndpointRefused, Start);
-  ForwardMarks Marks;
+  ForwardMetadata Marks;
   Marks.Endpoint = EndpointName(To.Host.Text);
   Marks.Team = Asked.Team;
   Marks.TimeLeft = std::chrono::floor<milliseconds>(Left);
   if (Asked.Route->streams())
-    Marks.Rank = Asked.late() ? LateRank : FreshRank;
+    Marks.QueuePriority = Asked.late() ? LateRank : FreshRank;
   // Failure guarded against: an endpoint breaks off inside its first event, and
   // the part of it is put before the first event of the next endpoint.
   Asked.Events.dropPartial();
   if (Asked.Events.any()) {
-    Marks.Rank = ResumedRank;
-    Marks.LastEvent = Asked.Events.lastId();
+    Marks.QueuePriority = ResumedRank;
+    Marks.LastEventId = Asked.Events.lastId();
     ++Counts.Resumed;
   }
   ++Counts.Sends;
@@ -157,16 +157,16 @@
     co_return Result;
   }
   HttpCall Answer = std::move(std::get<HttpCall>(Started));
-  const AnswerMarks Said = Wire.readAnswer(Answer.head());
+  const ResponseMetadata Said = Wire.readResponse(Answer.head());
   observe(To, Said);
   if (!Said.Id.empty() && Said.Id != Asked.Said.Id)
     co_return failed(RunState::MayHaveRun, Reason::EndpointCut, Start);
   if (ReportUnusable && Said.provesUnusable(To.Address))
-    ReportUnusable(EndpointName(To.Host.Text), Said.AtFault);
+    ReportUnusable(EndpointName(To.Host.Text), Said.FaultyEngine);
   if (Said.NotRun || Said.WrongEndpoint)
     co_return failed(RunState::NotRun, Reason::EndpointRefused, Start);
   const unsigned Status = Answer.head().Status;
-  const bool Broken = isSuccess(Status) ? !Said.Signed : Call.begun();
+  const bool Broken = isSuccess(Status) ? !Said.Signed : Call.hasBegun();
   if (Broken)
     co_return failed(RunState::MayHaveRun, Reason::EndpointFailed, Start);
   if (Asked.Route->streams() && isSuccess(Status))
@@ -210,13 +210,14 @@
   return Admitted;
 }
 
-void FleetRelay::observe(const EndpointSpec &From, const AnswerMarks &Marks) {
-  if (!Marks.Reported)
+void FleetRelay::observe(const EndpointSpec &From,
+                         const ResponseMetadata &Marks) {
+  if (!Marks.ReportedLoad)
     return;
   LoadReport Report;
   Report.EndpointKey = From.Key;
-  Report.Running = Marks.Reported->Running;
-  Report.Queued = Marks.Reported->Waiting;
+  Report.Running = Marks.ReportedLoad->Running;
+  Report.Queued = Marks.ReportedLoad->Waiting;
   Routing.observe(Report);
 }
 
@@ -224,7 +225,7 @@
                                                 HttpCall Answer,
                                                 TimePoint Start) {
   const TimePoint FirstByte = BootClock::now();
-  HttpResponse Whole = Wire.answerHead(Answer.head());
+  HttpResponse Whole = Wire.responseHead(Answer.head());
   while (true) {
     auto Next = co_await Answer.next(Asked.AnswerBy);
     if (const auto *const Failure = std::get_if<CallFailure>(&Next))
@@ -293,8 +294,8 @@
     const std::string_view Events = Asked.Events.take(*Part);
     if (Events.empty())
       continue;
-    if (!Call.begun()) {
-      HttpResponse Head = Wire.answerHead(Answer.head());
+    if (!Call.hasBegun()) {
+      HttpResponse Head = Wire.responseHead(Answer.head());
       co_await Call.begin(std::move(Head));
     }
     measureEvent(Asked);
@@ -306,8 +307,8 @@
     markDelivered(Asked, MayMove, Result);
     co_return Result;
   }
-  if (!Call.begun()) {
-    HttpResponse Head = Wire.answerHead(Answer.head());
+  if (!Call.hasBegun()) {
+    HttpResponse Head = Wire.responseHead(Answer.head());
     co_await Call.begin(std::move(Head));
   }
   ended(Asked, "answered", StatusOk, {});
--- a/packages/process/src/coltsfoottrail/fleethost/feeds.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/feeds.cpp
@@ -186,7 +186,7 @@
   for (const RelayedRecord &Each : Update.Records)
     if (auto Decoded = Platform.Store.decode(Which, Each.Bytes)) {
       Out.Changes.push_back(std::move(Decoded->Change));
-      Out.Raw.push_back({Each.At, std::move(Decoded->Key), Each.Bytes});
+      Out.Records.push_back({Each.At, std::move(Decoded->Key), Each.Bytes});
     }
   return Out;
 }
--- a/packages/process/src/coltsfoottrail/fleethost/host.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/host.hpp
@@ -24,7 +24,7 @@
 struct FleetLinks {
   FleetStore &Store;
   FleetEngines &Engines;
-  const CallerWire &Wire;
+  const HeaderCodec &Wire;
 };
 
 /// @brief Wires the parts of an entry host together. All of its work runs on
--- a/packages/process/src/coltsfoottrail/fleethost/relay.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/relay.cpp
@@ -130,7 +130,7 @@
                                            View.configAge(Now))
                                            .count()}},
                     Now);
-    Wire.mark(*Refused, Asked.Said.Id);
+    Wire.addRequiredFields(*Refused, Asked.Said.Id);
     co_await Call.respond(std::move(*Refused));
     co_return;
   }
@@ -169,8 +169,8 @@
     Asked.Team = Team->Name;
   }
   milliseconds Patience = Asked.Route->Timeout;
-  if (Asked.Said.Patience)
-    Patience = std::min(Patience, *Asked.Said.Patience);
+  if (Asked.Said.Timeout)
+    Patience = std::min(Patience, *Asked.Said.Timeout);
   Asked.AnswerBy = Asked.ArrivedAt + Patience;
   if (Patience < Asked.Route->Timeout * CameBackPart)
     Asked.How = Timeliness::CameBack;
@@ -317,7 +317,7 @@
 }
 
 Awaitable<void> FleetRelay::finish(Exchange &Call, Work &Asked, Verdict Final) {
-  if (Call.begun()) {
+  if (Call.hasBegun()) {
     ++Counts.CutStreams;
     ended(Asked, "cut", StatusOk, Final);
     Call.cut();
@@ -366,7 +366,7 @@
         {"Retry-After",
          secondsText(Asked.Route != nullptr ? comeBackAfter(Asked)
                                             : ElsewhereRetryAfter)});
-  Wire.mark(Out, Asked.Said.Id);
+  Wire.addRequiredFields(Out, Asked.Said.Id);
   return Out;
 }
 
--- a/packages/process/src/coltsfoottrail/fleethost/relay.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/relay.hpp
@@ -47,7 +47,7 @@
   /// @param Heard Is told which endpoints' streams move.
   /// @param Seed Starts the choice among a route's services.
   FleetRelay(const FleetView &Believed, Router &Decides, HttpClient &Out,
-             const CallerWire &Fields, SilenceWatch &Heard, std::uint64_t Seed)
+             const HeaderCodec &Fields, SilenceWatch &Heard, std::uint64_t Seed)
       : View(Believed), Routing(Decides), Client(Out), Wire(Fields),
         Silence(Heard), Draw(Seed), Gate(Draw()) {}
 
@@ -96,7 +96,7 @@
 private:
   /// A request and what is known of it.
   struct Work {
-    CallerWork Said;
+    RequestMetadata Said;
     /// Keeps the route alive.
     RouteIndexPtr Config;
     const RouteSpec *Route = nullptr;
@@ -171,12 +171,12 @@
                    const AttemptResult &Result);
   [[nodiscard]] bool bears(const Work &Asked, const EndpointSpec &To,
                            TimePoint Now);
-  void observe(const EndpointSpec &From, const AnswerMarks &Marks);
+  void observe(const EndpointSpec &From, const ResponseMetadata &Marks);
 
   const FleetView &View;
   Router &Routing;
   HttpClient &Client;
-  const CallerWire &Wire;
+  const HeaderCodec &Wire;
   SilenceWatch &Silence;
   Random Draw;
   ColdGate Gate;
--- a/packages/process/src/coltsfoottrail/server/relay.cpp
+++ b/packages/process/src/coltsfoottrail/server/relay.cpp
@@ -335,7 +335,7 @@
   while (true) {
     const Decision Next = co_await Mine->next();
     if (const auto *const Refused = std::get_if<Refusal>(&Next)) {
-      if (!Call.begun()) {
+      if (!Call.hasBegun()) {
         co_await refuse(Call, Refused->Final);
       } else {
         ++Counts.Cut;
@@ -406,7 +406,7 @@
   setField(Sent.Fields, "traceparent", formatTraceparent(Progress.Trace));
   if (Asked.ToModel)
     addField(Sent.Fields, "Coltsfoottrail-Group", groupOf(To));
-  if (Call.begun()) {
+  if (Call.hasBegun()) {
     const std::optional<std::string> Text = Progress.Events.text();
     Progress.Events.dropPartial();
     if (!Text) {
@@ -438,9 +438,9 @@
   const bool NotRun = fieldOf(Answer.head().Fields, VerdictField) == "not-run";
   if (NotRun && Guard != nullptr)
     Guard->provedNotRun();
-  if (NotRun && (isWorthAnother(Status) || Call.begun()))
+  if (NotRun && (isWorthAnother(Status) || Call.hasBegun()))
     co_return failed(RunState::NotRun, Reason::EndpointRefused, Start);
-  const bool Broken = Call.begun() && Status != StatusOk;
+  const bool Broken = Call.hasBegun() && Status != StatusOk;
   if (Broken || (Asked.ToModel && Status >= FirstErrorStatus))
     co_return failed(RunState::MayHaveRun, Reason::EndpointFailed, Start);
   if (Asked.Streams && Status == StatusOk)
@@ -490,7 +490,7 @@
                                             HttpCall Answer, TimePoint Start,
                                             StreamProgress &Progress) {
   const TimePoint FirstByte = BootClock::now();
-  if (!Call.begun()) {
+  if (!Call.hasBegun()) {
     HttpResponse Head;
     Head.Fields = answerFields(Answer.head());
     co_await Call.begin(std::move(Head));
--- a/packages/process/src/coltsfoottrail/telemetry/mesh.cpp
+++ b/packages/process/src/coltsfoottrail/telemetry/mesh.cpp
@@ -33,7 +33,7 @@
   std::array<ChannelSeries, ChannelCount> Channels;
   CounterId UnknownChannel;
   CounterId Malformed;
-  CounterId FromOldRun;
+  CounterId FromRetiredRun;
   CounterId HandlerFailures;
   CounterId Refused;
   GaugeId Connected;
@@ -64,8 +64,8 @@
                    "Messages of a channel that this release does not know.");
   Malformed = Into.counter("coltsfoottrail_mesh_malformed_total",
                            "Messages that could not be decoded.");
-  FromOldRun = Into.counter("coltsfoottrail_mesh_old_run_total",
-                            "Messages of a run that was cut off.");
+  FromRetiredRun = Into.counter("coltsfoottrail_mesh_old_run_total",
+                                "Messages of a run that was cut off.");
   HandlerFailures = Into.counter("coltsfoottrail_mesh_handler_failures_total",
                                  "Messages whose handling failed.");
   Refused = Into.counter("coltsfoottrail_mesh_refused_connections_total",
@@ -90,7 +90,7 @@
   }
   add(UnknownChannel, Now.UnknownChannel, Last.UnknownChannel);
   add(Malformed, Now.Malformed, Last.Malformed);
-  add(FromOldRun, Now.FromOldRun, Last.FromOldRun);
+  add(FromRetiredRun, Now.FromRetiredRun, Last.FromRetiredRun);
   add(HandlerFailures, Now.HandlerFailures, Last.HandlerFailures);
   add(Refused, Now.RefusedConnections, Last.RefusedConnections);
   Registry.set(Connected, static_cast<double>(Now.Connected));
--- a/packages/process/test/coltsfoottrail/dissemination/node.cpp
+++ b/packages/process/test/coltsfoottrail/dissemination/node.cpp
@@ -19,7 +19,7 @@
   for (Offset At = From; At < Next; ++At) {
     Out.Changes.emplace_back(EndpointRemoved{});
     const std::string Name = std::to_string(At);
-    Out.Raw.push_back({At, "key " + Name, "record " + Name});
+    Out.Records.push_back({At, "key " + Name, "record " + Name});
   }
   return Out;
 }
@@ -27,7 +27,8 @@
 void ingest(TreeNode &Node, const FeedPage &Page, RoutingEffect Effect,
             TimePoint AsOf = Start, bool Whole = false) {
   Node.ingest(Feed::Endpoints, Page,
-              std::vector<RoutingEffect>(Page.Raw.size(), Effect), Whole, AsOf);
+              std::vector<RoutingEffect>(Page.Records.size(), Effect), Whole,
+              AsOf);
 }
 
 void ingest(TreeNode &Node, Offset From, Offset Next) {
@@ -192,7 +193,7 @@
   TreeNode Node = node();
   ingest(Node, 0, 4);
   FeedPage Large = page(4, 5);
-  Large.Raw.front().Bytes.assign(FeedLog::LargestRecord + 1, 'x');
+  Large.Records.front().Bytes.assign(FeedLog::LargestRecord + 1, 'x');
   ingest(Node, Large, RoutingEffect::Set);
   EXPECT_TRUE(Node.hasUpdate(report("a", 4)));
   const Response Behind = Node.respond(report("a", 4), Start);
@@ -210,7 +211,7 @@
   ingest(Node, page(0, 3), RoutingEffect::Set, Start, true);
   ingest(Node, page(3, 4), RoutingEffect::Set);
   FeedPage Gone = page(4, 5);
-  Gone.Raw.front().Key = "key 1";
+  Gone.Records.front().Key = "key 1";
   ingest(Node, Gone, RoutingEffect::Unset);
   const Response Made = Node.respond(newcomer(), Start);
   const FeedUpdate &Update = Made.Feeds.at(Feed::Endpoints);
@@ -232,7 +233,7 @@
 TEST(TreeNode, NewcomerReadsALargeValueItself) {
   TreeNode Node = node();
   FeedPage Large = page(0, 1);
-  Large.Raw.front().Bytes.assign(FeedLog::LargestRecord + 1, 'x');
+  Large.Records.front().Bytes.assign(FeedLog::LargestRecord + 1, 'x');
   ingest(Node, Large, RoutingEffect::Set, Start, true);
   EXPECT_TRUE(Node.hasUpdate(newcomer()));
   const Response Made = Node.respond(newcomer(), Start);
--- a/packages/process/test/coltsfoottrail/dissemination/simulation.hpp
+++ b/packages/process/test/coltsfoottrail/dissemination/simulation.hpp
@@ -347,7 +347,7 @@
       Page.From = Update.Snapshot ? Update.Next : Asked->second;
       Page.Next = Page.End = Update.Next;
       for (const RelayedRecord &Record : Update.Records)
-        Page.Raw.push_back({Record.At, keyOf(Which, Record), Record.Bytes});
+        Page.Records.push_back({Record.At, keyOf(Which, Record), Record.Bytes});
       apply(Index, Which, Page, Update.Snapshot, AsOf);
     }
     if (!Useful && Its.StoreAnswers && Its.Version > 0 &&
@@ -363,7 +363,7 @@
              TimePoint AsOf) {
     Host &Its = *Fleet[Index];
     std::vector<RoutingEffect> Effects;
-    for (const FeedRecord &Record : Page.Raw) {
+    for (const FeedRecord &Record : Page.Records) {
       const bool Matters = Which == Feed::Operators
                                ? std::stoull(Record.Bytes) > Its.Version
                                : Record.Bytes.front() == 'r';
@@ -375,7 +375,7 @@
     if (Which != Feed::Operators)
       return;
     std::uint64_t Newest = Its.Version;
-    for (const FeedRecord &Record : Page.Raw)
+    for (const FeedRecord &Record : Page.Records)
       Newest = std::max<std::uint64_t>(Newest, std::stoull(Record.Bytes));
     Violations += Newest < Its.Version ? 1 : 0;
     Its.Version = Newest;
@@ -400,7 +400,7 @@
         Its.Next.contains(Feed::Operators) ? Its.Next[Feed::Operators] : 0;
     Config.Next = Config.End = OperatorsEnd;
     if (!Versions.empty() && Config.From < OperatorsEnd)
-      Config.Raw.push_back(
+      Config.Records.push_back(
           {OperatorsEnd - 1, "config", std::to_string(Published)});
     apply(Index, Feed::Operators, Config, !Its.Next.contains(Feed::Operators),
           Now);
@@ -410,7 +410,7 @@
     Page.Next = Page.End = Endpoints.size();
     for (Offset At = Page.From; At < Page.End; ++At) {
       const std::string Name = std::to_string(At % 1'000);
-      Page.Raw.push_back(
+      Page.Records.push_back(
           {At, Name,
            (Endpoints[At] ? "r" : "m") + Name + std::string(300, '.')});
     }
--- a/packages/process/test/coltsfoottrail/fleethost/follower.cpp
+++ b/packages/process/test/coltsfoottrail/fleethost/follower.cpp
@@ -24,7 +24,7 @@
   MOCK_METHOD(std::optional<DecodedRecord>, decode, (Feed, std::string_view),
               (const, override));
   MOCK_METHOD((Awaitable<std::variant<DutyGrant, StoreFailure>>), joinDuty,
-              (DutyAsk), (override));
+              (DutyRequest), (override));
   MOCK_METHOD((Awaitable<std::variant<std::string, StoreFailure>>), dutyHolder,
               (), (override));
   MOCK_METHOD(Awaitable<void>, leaveDuty, (std::string), (override));
--- a/packages/process/test/coltsfoottrail/fleethost/view.cpp
+++ b/packages/process/test/coltsfoottrail/fleethost/view.cpp
@@ -236,20 +236,20 @@
   EXPECT_EQ(View.routes().Shares.begin()->second, 26U);
 }
 
-TEST(AnswerMarks, OnlyARefusalThatBlamesAnotherProvesAnEndpointUnusable) {
+TEST(ResponseMetadata, OnlyARefusalThatBlamesAnotherProvesAnEndpointUnusable) {
   const EngineAddress Asked{"10.0.0.1", 80};
-  AnswerMarks Full;
+  ResponseMetadata Full;
   Full.NotRun = true;
   EXPECT_FALSE(Full.provesUnusable(Asked));
-  Full.AtFault = "10.0.0.1:80";
+  Full.FaultyEngine = "10.0.0.1:80";
   EXPECT_FALSE(Full.provesUnusable(Asked));
-  AnswerMarks Broken = Full;
-  Broken.AtFault = "10.0.0.2:80";
+  ResponseMetadata Broken = Full;
+  Broken.FaultyEngine = "10.0.0.2:80";
   EXPECT_TRUE(Broken.provesUnusable(Asked));
-  AnswerMarks Served;
-  Served.AtFault = "10.0.0.2:80";
+  ResponseMetadata Served;
+  Served.FaultyEngine = "10.0.0.2:80";
   EXPECT_FALSE(Served.provesUnusable(Asked));
-  AnswerMarks Reused;
+  ResponseMetadata Reused;
   Reused.WrongEndpoint = true;
   EXPECT_TRUE(Reused.provesUnusable(Asked));
 }
--- a/packages/process/test/coltsfoottrail/server/sparsemesh.hpp
+++ b/packages/process/test/coltsfoottrail/server/sparsemesh.hpp
@@ -185,7 +185,7 @@
         From.Table->admit({Link, To->Name, To->Run, Target}, Now);
     const internal::Admission Far =
         To->Table->admit({Link, From.Name, From.Run, std::nullopt}, Now);
-    if (Near.Refused || Far.Refused || Near.Spare || Far.Spare)
+    if (Near.Refused || Far.Refused || Near.Redundant || Far.Redundant)
       return;
     connect(From, *To, Link, true);
     connect(*To, From, Link, false);
@@ -206,7 +206,7 @@
       const auto Found = End->Links.find(Peer);
       if (Found == End->Links.end())
         continue;
-      (void)End->Table->lost(Found->second.Link, Now);
+      (void)End->Table->linkClosed(Found->second.Link, Now);
       End->Links.erase(Found);
     }
   }
