--- a/packages/connection/src/coltsfoottrail/mesh/channel.hpp
+++ b/packages/connection/src/coltsfoottrail/mesh/channel.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What entry hosts talk about, and how urgent and how dear each subject is.
+/// Channels of messages between entry hosts, with their priorities and overflow
+/// policies.
 #ifndef COLTSFOOTTRAIL_MESH_CHANNEL_HPP
 #define COLTSFOOTTRAIL_MESH_CHANNEL_HPP
 
@@ -10,48 +11,49 @@
 
 namespace coltsfoottrail {
 
-/// A subject of the mesh; the numbers are sent. In the order of urgency: what
-/// waits in a queue of an earlier one goes first.
+/// A kind of message between entry hosts. The numbers are sent on the wire. In
+/// order of priority: queued messages of a lower number are sent first.
 enum class Channel : std::uint8_t {
-  /// How fresh the sender's state is.
+  /// How recent the sender's state is.
   Heartbeat = 0,
-  /// Shares of endpoints' bounds.
+  /// Shares of the endpoints' limits.
   Credits = 1,
-  /// Requests that are held back on all hosts.
+  /// Requests that all hosts hold back.
   Notices = 2,
-  /// Claims of idempotency keys.
+  /// Claims on idempotency keys.
   Claims = 3,
-  /// Which members of groups were seen alive.
+  /// Liveness observations of group members.
   Sightings = 4,
-  /// Records of the agreed stream, by offset.
+  /// Records of the replicated log that holds the agreed state, by offset.
   Records = 5,
-  /// Requests on their way through another entry host.
+  /// Requests that are relayed through another entry host.
   Forward = 6,
 };
 
-/// How many channels there are.
+/// Number of channels.
 inline constexpr std::size_t ChannelCount = 7;
 
 /// @brief Name of a channel in metrics and logs. Thread-safe.
-/// @param Which A channel.
-[[nodiscard]] std::string_view channelName(Channel Which) noexcept;
+/// @param ChannelId The channel.
+[[nodiscard]] std::string_view channelName(Channel ChannelId) noexcept;
 
 namespace internal {
 
-/// What happens to a message that finds the queue full.
-enum class FullPolicy : std::uint8_t {
-  /// The sender is told that it was not sent.
-  Refuse,
-  /// The oldest of the same channel goes: only the newest matters.
+/// What happens to a new message when the queue is full.
+enum class OverflowPolicy : std::uint8_t {
+  /// The message is rejected, and the sender learns so.
+  Reject,
+  /// Older messages of the same channel are dropped, since only the newest
+  /// matters.
   DropOldest,
 };
 
-/// @brief What a channel does when the queue is full. Thread-safe.
-[[nodiscard]] FullPolicy fullPolicy(Channel Which) noexcept;
+/// @brief Overflow policy of a channel. Thread-safe.
+[[nodiscard]] OverflowPolicy overflowPolicy(Channel ChannelId) noexcept;
 
-/// @brief Tells whether a channel carries bulk, which may not take the last
-/// quarter of a queue. Thread-safe.
-[[nodiscard]] bool isBulk(Channel Which) noexcept;
+/// @brief Whether a channel carries bulk data, which may not use the last
+/// quarter of a queue's bounds. Thread-safe.
+[[nodiscard]] bool isBulk(Channel ChannelId) noexcept;
 
 } // namespace internal
 
--- a/packages/connection/src/coltsfoottrail/mesh/handshake.cpp
+++ b/packages/connection/src/coltsfoottrail/mesh/handshake.cpp
@@ -12,129 +12,136 @@
 
 namespace {
 
-constexpr std::string_view Purpose = "coltsfoottrail mesh";
-constexpr std::string_view Source = "hello of a peer";
+constexpr std::string_view ProtocolLabel = "coltsfoottrail mesh";
+constexpr std::string_view ErrorContext = "hello of a peer";
 constexpr std::size_t MaxHostBytes = 63;
 constexpr std::size_t ProofBytes = 32;
 
-std::string toText(const Json &Message) {
-  std::string Out;
-  Json::to_cbor(Message, Out);
-  return Out;
+std::string encodeCbor(const Json &Message) {
+  std::string Encoded;
+  Json::to_cbor(Message, Encoded);
+  return Encoded;
 }
 
 Json binary(const Nonce &Bytes) {
   return Json::binary({Bytes.begin(), Bytes.end()});
 }
 
-Json helloOf(const Introduction &Shown) {
-  return Json{{"lowest", Shown.Versions.Lowest},
-              {"highest", Shown.Versions.Highest},
-              {"host", Shown.Host.Text},
-              {"run", Shown.Run},
-              {"nonce", binary(Shown.Fresh)}};
+Json encodeHello(const PeerHello &Hello) {
+  return Json{{"lowest", Hello.Versions.Lowest},
+              {"highest", Hello.Versions.Highest},
+              {"host", Hello.Host.Text},
+              {"run", Hello.Run},
+              {"nonce", binary(Hello.ProofNonce)}};
 }
 
-Introduction readHello(const Json &Message) {
+PeerHello readHello(const Json &Message) {
   constexpr std::uint64_t MaxVersion = 0xffffffff;
-  ObjectReader Reader(Message, Source, "", UnknownKeys::Ignore);
-  Introduction Out;
-  Out.Versions.Lowest =
+  ObjectReader Reader(Message, ErrorContext, "", UnknownKeys::Ignore);
+  PeerHello Hello;
+  Hello.Versions.Lowest =
       static_cast<std::uint32_t>(Reader.number("lowest", 1, MaxVersion));
-  Out.Versions.Highest = static_cast<std::uint32_t>(
-      Reader.number("highest", Out.Versions.Lowest, MaxVersion));
-  Out.Host = HostName(Reader.text("host", MaxHostBytes));
-  Out.Run = Reader.number("run");
-  const Json &Fresh = Reader.raw("nonce");
-  if (!Fresh.is_binary() || Fresh.get_binary().size() != Out.Fresh.size())
-    throw Error("the nonce is malformed");
-  std::copy(Fresh.get_binary().begin(), Fresh.get_binary().end(),
-            Out.Fresh.begin());
-  return Out;
+  Hello.Versions.Highest = static_cast<std::uint32_t>(
+      Reader.number("highest", Hello.Versions.Lowest, MaxVersion));
+  Hello.Host = HostName(Reader.text("host", MaxHostBytes));
+  Hello.Run = Reader.number("run");
+  const Json &NonceField = Reader.raw("nonce");
+  if (!NonceField.is_binary() ||
+      NonceField.get_binary().size() != Hello.ProofNonce.size())
+    throw Error("hello of a peer: \"nonce\" must be 32 bytes");
+  std::copy(NonceField.get_binary().begin(), NonceField.get_binary().end(),
+            Hello.ProofNonce.begin());
+  return Hello;
 }
 
 std::string hmac(std::string_view Key, std::string_view Text) {
-  std::string Out(ProofBytes, '\0');
+  std::string Digest(ProofBytes, '\0');
   unsigned Size = 0;
-  const auto *const Done =
+  const auto *const Result =
       HMAC(EVP_sha256(), Key.data(), static_cast<int>(Key.size()),
            reinterpret_cast<const unsigned char *>(Text.data()), Text.size(),
-           reinterpret_cast<unsigned char *>(Out.data()), &Size);
-  if (Done == nullptr || Size != ProofBytes)
-    throw Error("the crypto library cannot compute HMAC-SHA256");
-  return Out;
+           reinterpret_cast<unsigned char *>(Digest.data()), &Size);
+  if (Result == nullptr || Size != ProofBytes)
+    throw Error("OpenSSL failed to compute HMAC-SHA256");
+  return Digest;
 }
 
-Handshake::Step refused(PeerRefusal Why) {
-  return Handshake::Step{std::nullopt, Why, false};
+Handshake::Result refuse(PeerRefusal Refusal) {
+  return Handshake::Result{std::nullopt, Refusal, false};
 }
 
 } // namespace
 
-Nonce freshNonce() {
-  Nonce Out{};
-  if (RAND_bytes(Out.data(), static_cast<int>(Out.size())) != 1)
-    throw Error("the crypto library has no randomness");
-  return Out;
+Nonce makeNonce() {
+  Nonce Bytes{};
+  if (RAND_bytes(Bytes.data(), static_cast<int>(Bytes.size())) != 1)
+    throw Error("OpenSSL failed to generate random bytes");
+  return Bytes;
 }
 
-Handshake::Handshake(End Which, Introduction Self, std::string SharedKey)
-    : Own(Which), Self(std::move(Self)), Key(std::move(SharedKey)) {}
+Handshake::Handshake(End ThisEnd, PeerHello LocalHello, std::string SharedKey)
+    : LocalEnd(ThisEnd), Local(std::move(LocalHello)),
+      Key(std::move(SharedKey)) {}
 
-std::string Handshake::hello() const { return toText(helloOf(Self)); }
+std::string Handshake::hello() const { return encodeCbor(encodeHello(Local)); }
 
-std::string Handshake::proofOf(End Prover) const {
-  const bool Dialling = Own == End::Dialler;
-  const Json Covered = Json::array(
-      {Purpose, Prover == End::Dialler ? "dialler" : "listener", Agreed,
-       helloOf(Dialling ? Self : Other), helloOf(Dialling ? Other : Self)});
-  return hmac(Key, toText(Covered));
+std::string Handshake::computeProof(End Prover) const {
+  const bool IsDialler = LocalEnd == End::Dialler;
+  const Json AuthenticatedFields = Json::array(
+      {ProtocolLabel, Prover == End::Dialler ? "dialler" : "listener",
+       AgreedVersion, encodeHello(IsDialler ? Local : Remote),
+       encodeHello(IsDialler ? Remote : Local)});
+  return hmac(Key, encodeCbor(AuthenticatedFields));
 }
 
-std::string Handshake::proofMessage() const {
-  const std::string Proof = proofOf(Own);
-  return toText(Json{{"proof", Json::binary({Proof.begin(), Proof.end()})}});
+std::string Handshake::encodeProof() const {
+  const std::string Proof = computeProof(LocalEnd);
+  return encodeCbor(
+      Json{{"proof", Json::binary({Proof.begin(), Proof.end()})}});
 }
 
-Handshake::Step Handshake::take(std::string_view Message) {
-  if (Message.size() > MaxMessageBytes || Next == Expects::Nothing)
-    return refused(PeerRefusal::Malformed);
+Handshake::Result Handshake::receive(std::string_view Message) {
+  if (Message.size() > MaxMessageBytes || Expected == ExpectedMessage::Nothing)
+    return refuse(PeerRefusal::Malformed);
   try {
-    const Json Read = Json::from_cbor(Message);
-    return Next == Expects::Hello ? takeHello(Read) : takeProof(Read);
+    const Json Decoded = Json::from_cbor(Message);
+    return Expected == ExpectedMessage::Hello ? handleHello(Decoded)
+                                              : handleProof(Decoded);
   } catch (const Json::exception &) {
-    return refused(PeerRefusal::Malformed);
+    return refuse(PeerRefusal::Malformed);
   } catch (const Error &) {
-    return refused(PeerRefusal::Malformed);
+    return refuse(PeerRefusal::Malformed);
   }
 }
 
-Handshake::Step Handshake::takeHello(const Json &Message) {
-  Other = readHello(Message);
-  if (Other.Versions.Lowest > Self.Versions.Highest ||
-      Other.Versions.Highest < Self.Versions.Lowest)
-    return refused(PeerRefusal::Version);
-  if (Other.Host == Self.Host && Other.Run == Self.Run)
-    return refused(PeerRefusal::Self);
-  Agreed = std::min(Other.Versions.Highest, Self.Versions.Highest);
-  Next = Expects::Proof;
-  return Step{Own == End::Dialler ? proofMessage() : hello(), std::nullopt,
-              false};
+Handshake::Result Handshake::handleHello(const Json &Message) {
+  Remote = readHello(Message);
+  if (Remote.Versions.Lowest > Local.Versions.Highest ||
+      Remote.Versions.Highest < Local.Versions.Lowest)
+    return refuse(PeerRefusal::Version);
+  if (Remote.Host == Local.Host && Remote.Run == Local.Run)
+    return refuse(PeerRefusal::Self);
+  AgreedVersion = std::min(Remote.Versions.Highest, Local.Versions.Highest);
+  Expected = ExpectedMessage::Proof;
+  return Result{LocalEnd == End::Dialler ? encodeProof() : hello(),
+                std::nullopt, false};
 }
 
-Handshake::Step Handshake::takeProof(const Json &Message) {
-  ObjectReader Reader(Message, Source, "", UnknownKeys::Ignore);
-  const Json &Given = Reader.raw("proof");
-  if (!Given.is_binary() || Given.get_binary().size() != ProofBytes)
-    return refused(PeerRefusal::Malformed);
-  const std::string Wanted =
-      proofOf(Own == End::Dialler ? End::Listener : End::Dialler);
-  if (CRYPTO_memcmp(Given.get_binary().data(), Wanted.data(), ProofBytes) != 0)
-    return refused(PeerRefusal::Key);
-  Next = Expects::Nothing;
-  if (Own == End::Dialler)
-    return Step{std::nullopt, std::nullopt, true};
-  return Step{proofMessage(), std::nullopt, true};
+Handshake::Result Handshake::handleProof(const Json &Message) {
+  ObjectReader Reader(Message, ErrorContext, "", UnknownKeys::Ignore);
+  const Json &ReceivedProof = Reader.raw("proof");
+  if (!ReceivedProof.is_binary() ||
+      ReceivedProof.get_binary().size() != ProofBytes)
+    return refuse(PeerRefusal::Malformed);
+  const std::string ExpectedProof =
+      computeProof(LocalEnd == End::Dialler ? End::Listener : End::Dialler);
+  if (CRYPTO_memcmp(ReceivedProof.get_binary().data(), ExpectedProof.data(),
+                    ProofBytes) != 0)
+    return refuse(PeerRefusal::Key);
+  Expected = ExpectedMessage::Nothing;
+  if (LocalEnd == End::Dialler)
+    return Result{std::nullopt, std::nullopt, true};
+  return Result{encodeProof(), std::nullopt, true};
 }
 
 } // namespace coltsfoottrail::internal
--- a/packages/connection/src/coltsfoottrail/mesh/handshake.hpp
+++ b/packages/connection/src/coltsfoottrail/mesh/handshake.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How two entry hosts prove to each other that they share the key.
+/// Mutual authentication of two entry hosts by a shared key.
 #ifndef COLTSFOOTTRAIL_MESH_HANDSHAKE_HPP
 #define COLTSFOOTTRAIL_MESH_HANDSHAKE_HPP
 
@@ -14,89 +14,93 @@
 
 namespace coltsfoottrail::internal {
 
-/// Versions of the protocol between entry hosts that a process speaks.
+/// Range of mesh protocol versions that a process supports.
 struct VersionRange {
   std::uint32_t Lowest = 1;
   std::uint32_t Highest = 1;
 };
 
-/// Random bytes that are used for one proof only.
+/// Random bytes that are used in a single handshake.
 using Nonce = std::array<std::uint8_t, 32>;
 
-/// @brief Draws a nonce from the crypto library. Thread-safe.
-/// @throws Error The library has no randomness.
-[[nodiscard]] Nonce freshNonce();
+/// @brief Generates a nonce with OpenSSL. Thread-safe.
+/// @throws Error OpenSSL failed to generate random bytes.
+[[nodiscard]] Nonce makeNonce();
 
-/// @brief What one end says of itself.
-struct Introduction {
+/// @brief Contents of the hello message: what one end states about itself.
+struct PeerHello {
   HostName Host;
   Incarnation Run = 0;
   VersionRange Versions;
-  Nonce Fresh{};
+  Nonce ProofNonce{};
 };
 
-/// @brief One end of the opening of a connection between entry hosts.
+/// @brief One end of the authentication handshake between entry hosts.
 ///
-/// The dialler sends its hello, the listener its own; then the dialler proves
-/// the key and, only after that was found good, the listener does. A proof is
-/// HMAC-SHA256 over the prover's role and both hellos.
+/// The dialler sends its hello and the listener replies with its own. The
+/// dialler then sends its proof, and the listener sends its own only after it
+/// has verified the dialler's. A proof is HMAC-SHA256, keyed with the shared
+/// key, over a protocol label, the prover's role, the agreed version and both
+/// hellos.
 ///
-/// Failures guarded against: a stranger replays a proof (both nonces are in
-/// it); it reflects a proof to its maker (the role is in it); it learns proofs
-/// for guessing the key (the listener proves second); somebody between the two
-/// changes a name, run or version (all are in it). What follows the proof is
-/// not protected by it: the network between entry hosts must not let strangers
-/// change TCP streams.
+/// Attacks guarded against: replay of a recorded proof (both nonces are
+/// covered); reflection of a proof to its sender (the role is covered);
+/// collecting proofs for an offline search for the key by dialling a listener
+/// (the listener sends its proof second); changing a host name, run or version
+/// in transit (all are covered). Messages after the handshake are not
+/// authenticated: the network between entry hosts must not let attackers modify
+/// TCP streams.
 ///
-/// Not thread-safe; no I/O.
+/// Not thread-safe; does no I/O.
 class Handshake {
 public:
-  /// Which end this is.
+  /// The role of an end.
   enum class End : std::uint8_t { Dialler, Listener };
 
-  /// What a message led to.
-  struct Step {
-    /// To be sent.
+  /// Result of processing a received message.
+  struct Result {
+    /// Message to send to the other end, if any.
     std::optional<std::string> Reply;
-    /// Set when the connection has to be refused; nothing is sent then.
+    /// Set when the connection has to be refused; there is no reply then.
     std::optional<PeerRefusal> Refused;
-    /// The other end has proved the key, and this one has sent its proof.
-    bool Proved = false;
+    /// The other end has proved that it has the key, and this end has sent its
+    /// proof or sends it with this reply.
+    bool Authenticated = false;
   };
 
-  /// Largest message of the handshake.
+  /// Largest handshake message that is accepted.
   static constexpr std::size_t MaxMessageBytes = 1024;
 
-  /// @brief Starts.
-  /// @param Which This end.
-  /// @param Self What to say of itself; the nonce must be fresh.
-  /// @param SharedKey The key.
-  Handshake(End Which, Introduction Self, std::string SharedKey);
+  /// @brief Begins a handshake.
+  /// @param ThisEnd Role of this end.
+  /// @param LocalHello This end's hello; its nonce must be new.
+  /// @param SharedKey The key that all entry hosts share.
+  Handshake(End ThisEnd, PeerHello LocalHello, std::string SharedKey);
 
-  /// @brief The dialler's first message.
+  /// @brief This end's encoded hello; the dialler's first message.
   [[nodiscard]] std::string hello() const;
-  /// @brief Takes the next message of the other end.
+  /// @brief Processes the next message of the other end.
   /// @param Message Untrusted bytes.
-  [[nodiscard]] Step take(std::string_view Message);
-  /// @brief What the other end said of itself; trustworthy once proved.
-  [[nodiscard]] const Introduction &other() const noexcept { return Other; }
-  /// @brief The version that both speak, once proved.
-  [[nodiscard]] std::uint32_t version() const noexcept { return Agreed; }
+  [[nodiscard]] Result receive(std::string_view Message);
+  /// @brief The hello of the other end; trustworthy only once authenticated.
+  [[nodiscard]] const PeerHello &peerHello() const noexcept { return Remote; }
+  /// @brief The agreed protocol version; valid once authenticated.
+  [[nodiscard]] std::uint32_t version() const noexcept { return AgreedVersion; }
 
 private:
-  enum class Expects : std::uint8_t { Hello, Proof, Nothing };
+  enum class ExpectedMessage : std::uint8_t { Hello, Proof, Nothing };
 
-  [[nodiscard]] Step takeHello(const Json &Message);
-  [[nodiscard]] Step takeProof(const Json &Message);
-  [[nodiscard]] std::string proofOf(End Prover) const;
-  [[nodiscard]] std::string proofMessage() const;
+  [[nodiscard]] Result handleHello(const Json &Message);
+  [[nodiscard]] Result handleProof(const Json &Message);
+  [[nodiscard]] std::string computeProof(End Prover) const;
+  [[nodiscard]] std::string encodeProof() const;
 
-  End Own;
-  Introduction Self;
+  End LocalEnd;
+  PeerHello Local;
   std::string Key;
-  Introduction Other;
-  Expects Next = Expects::Hello;
-  std::uint32_t Agreed = 0;
+  PeerHello Remote;
+  ExpectedMessage Expected = ExpectedMessage::Hello;
+  std::uint32_t AgreedVersion = 0;
 };
 
 } // namespace coltsfoottrail::internal
--- a/packages/connection/src/coltsfoottrail/mesh/link.cpp
+++ b/packages/connection/src/coltsfoottrail/mesh/link.cpp
@@ -14,58 +14,61 @@
 
 constexpr std::size_t ReadBytes = 64 * 1024;
 constexpr std::size_t MaxBatchBytes = 64 * 1024;
-/// An emptied buffer that is larger than this gives its memory back.
-constexpr std::size_t MaxIdleBytes = 4 * 1024;
-/// Reads in one go before other connections of the thread get their turn.
-constexpr int MaxReadsInARow = 8;
-constexpr std::uint16_t NormalClose = 1000;
-/// Close codes of refusals start here (RFC 6455 leaves 4000 to 4999 to users).
-constexpr std::uint16_t RefusalClose = 4000;
+/// An emptied buffer with a larger capacity than this releases its memory.
+constexpr std::size_t MaxRetainedBytes = 4 * 1024;
+/// Consecutive reads of one connection before the thread serves others.
+constexpr int MaxConsecutiveReads = 8;
+constexpr std::uint16_t NormalCloseCode = 1000;
+/// First close code for refusals (RFC 6455 reserves 4000 to 4999 for private
+/// use).
+constexpr std::uint16_t FirstRefusalCode = 4000;
 
 bool isRefusal(std::uint16_t Code) {
-  return Code >= RefusalClose && Code < RefusalClose + 1000;
+  return Code >= FirstRefusalCode && Code < FirstRefusalCode + 1000;
 }
 
-std::string remoteText(const Tcp::socket &Socket,
-                       const std::optional<DialTarget> &Dialled) {
+std::string describeRemote(const Tcp::socket &Socket,
+                           const std::optional<DialTarget> &Dialled) {
   if (Dialled)
     return Dialled->Address + ":" + std::to_string(Dialled->Port);
   error_code Problem;
-  const Tcp::endpoint End = Socket.remote_endpoint(Problem);
+  const Tcp::endpoint Remote = Socket.remote_endpoint(Problem);
   return Problem ? "unknown"
-                 : End.address().to_string() + ":" + std::to_string(End.port());
+                 : Remote.address().to_string() + ":" +
+                       std::to_string(Remote.port());
 }
 
-void empty(std::string &Buffer) {
+void clearBuffer(std::string &Buffer) {
   Buffer.clear();
-  if (Buffer.capacity() > MaxIdleBytes)
+  if (Buffer.capacity() > MaxRetainedBytes)
     Buffer.shrink_to_fit();
 }
 
 } // namespace
 
-Link::Link(Tcp::socket Opened, Strand On, LinkSetup How, LinkOwner &Listener,
-           std::atomic<std::size_t> &QueuedBytes)
-    : Socket(std::move(Opened)), Executor(On), Timer(On), LingerTimer(On),
-      Setup(std::move(How)), Owner(Listener),
-      Waiting(Setup.Bounds, QueuedBytes, Setup.Limits.MaxTotalQueuedBytes),
-      Remote(remoteText(Socket, Setup.Dialled)),
-      Proof(Setup.End, Setup.Self, Setup.Key),
-      Protocol(Setup.End == Handshake::End::Dialler ? WebSocket::Role::Client
+Link::Link(Tcp::socket NewSocket, Strand LinkStrand, LinkSetup NewSetup,
+           LinkOwner &NewOwner, std::atomic<std::size_t> &QueuedBytes)
+    : Socket(std::move(NewSocket)), Executor(LinkStrand), Timer(LinkStrand),
+      LingerTimer(LinkStrand), Setup(std::move(NewSetup)), Owner(NewOwner),
+      Queue(Setup.Bounds, QueuedBytes, Setup.Limits.MaxTotalQueuedBytes),
+      Remote(describeRemote(Socket, Setup.Dialled)),
+      AuthHandshake(Setup.LocalEnd, Setup.Self, Setup.Key),
+      Protocol(
+          Setup.LocalEnd == Handshake::End::Dialler ? WebSocket::Role::Client
                                                     : WebSocket::Role::Server,
-               Handshake::MaxMessageBytes,
-               WebSocket::Handlers{
-                   [this](std::string_view Bytes) { Output.append(Bytes); },
-                   [this] { greet(); },
-                   [this](const std::string &Bytes) { message(Bytes); },
-                   [this](std::uint16_t Code, const std::string &Reason) {
-                     closed(Code, Reason);
-                   }}) {}
+          Handshake::MaxMessageBytes,
+          WebSocket::Handlers{
+              [this](std::string_view Bytes) { Output.append(Bytes); },
+              [this] { onWebSocketOpen(); },
+              [this](const std::string &Bytes) { onWebSocketMessage(Bytes); },
+              [this](std::uint16_t Code, const std::string &Reason) {
+                onWebSocketClosed(Code, Reason);
+              }}) {}
 
-void Link::greet() {
+void Link::onWebSocketOpen() {
   Open = true;
-  if (Setup.End == Handshake::End::Dialler)
-    (void)Protocol.send(Proof.hello());
+  if (Setup.LocalEnd == Handshake::End::Dialler)
+    (void)Protocol.send(AuthHandshake.hello());
 }
 
 void Link::start() {
@@ -75,14 +78,14 @@
 void Link::connect() {
   Timer.expires_after(Setup.Limits.HandshakeTimeout);
   Timer.async_wait([Self = shared_from_this()](error_code Problem) {
-    if (Problem || Self->Proved || Self->Ended)
+    if (Problem || Self->Authenticated || Self->Ended)
       return;
     if (!Self->Refused)
       Self->Refused = PeerRefusal::Timeout;
     Self->end();
   });
   if (!Setup.Dialled)
-    return opened();
+    return onConnected();
   error_code Malformed;
   const auto Address =
       asio::ip::make_address(Setup.Dialled->Address, Malformed);
@@ -94,18 +97,18 @@
                           [Self = shared_from_this()](error_code Problem) {
                             if (Problem)
                               return Self->fail(Problem);
-                            Self->opened();
+                            Self->onConnected();
                           }));
 }
 
 void Link::fail(const error_code &Problem) {
-  if (EndText.empty())
-    EndText =
+  if (CloseReason.empty())
+    CloseReason =
         Problem == asio::error::eof ? "connection closed" : Problem.message();
   end();
 }
 
-void Link::opened() {
+void Link::onConnected() {
   if (Ended)
     return;
   error_code Ignored;
@@ -114,10 +117,10 @@
   LastReceived = BootClock::now();
   Protocol.start();
   flush();
-  watch();
+  awaitReadable();
 }
 
-void Link::watch() {
+void Link::awaitReadable() {
   if (Ended)
     return;
   Socket.async_wait(Tcp::socket::wait_read,
@@ -133,13 +136,13 @@
 
 void Link::read() {
   thread_local std::array<char, ReadBytes> Buffer;
-  for (int Turn = 0; Turn < MaxReadsInARow && !Ended; ++Turn) {
+  for (int Reads = 0; Reads < MaxConsecutiveReads && !Ended; ++Reads) {
     error_code Problem;
     const std::size_t Size = Socket.read_some(asio::buffer(Buffer), Problem);
     if (Problem == asio::error::would_block)
       break;
     if (Problem) {
-      Protocol.end();
+      Protocol.receiveEof();
       return fail(Problem);
     }
     LastReceived = BootClock::now();
@@ -149,21 +152,21 @@
       break;
   }
   flush();
-  watch();
+  awaitReadable();
 }
 
-void Link::wake() {
-  if (WakePosted.exchange(true))
+void Link::scheduleFlush() {
+  if (FlushPosted.exchange(true))
     return;
   asio::post(Executor, [Self = shared_from_this()] {
-    Self->WakePosted = false;
+    Self->FlushPosted = false;
     Self->flush();
   });
 }
 
-void Link::fill() {
+void Link::fillOutput() {
   while (Output.size() < MaxBatchBytes) {
-    const std::optional<Outgoing> Next = Waiting.pop();
+    const std::optional<QueuedMessage> Next = Queue.pop();
     if (!Next)
       return;
     (void)Protocol.send(*Next->Bytes);
@@ -174,9 +177,9 @@
   if (Writing || Ended)
     return;
   if (Sending && !Closing)
-    fill();
+    fillOutput();
   if (Output.empty()) {
-    if (Protocol.isOver())
+    if (Protocol.isClosed())
       end();
     return;
   }
@@ -186,80 +189,80 @@
       Socket, asio::buffer(InFlight),
       asio::bind_executor(Executor, [Self = shared_from_this()](
                                         error_code Problem, std::size_t) {
-        Self->written(Problem);
+        Self->onWritten(Problem);
       }));
 }
 
-void Link::written(const error_code &Problem) {
+void Link::onWritten(const error_code &Problem) {
   Writing = false;
   if (Ended)
     return;
   if (Problem)
     return fail(Problem);
-  empty(InFlight);
+  clearBuffer(InFlight);
   flush();
 }
 
-void Link::armTimer() {
+void Link::armIdleTimer() {
   Timer.expires_after(Setup.Limits.PingInterval);
   Timer.async_wait([Self = shared_from_this()](error_code Problem) {
     if (!Problem && !Self->Ended)
-      Self->tick();
+      Self->checkIdle();
   });
 }
 
-void Link::tick() {
-  const Duration Silence = BootClock::now() - LastReceived;
-  if (Silence >= Setup.Limits.IdleTimeout) {
-    EndText = "nothing came for too long";
+void Link::checkIdle() {
+  const Duration IdleTime = BootClock::now() - LastReceived;
+  if (IdleTime >= Setup.Limits.IdleTimeout) {
+    CloseReason = "no data received within the idle timeout";
     return end();
   }
-  if (Silence >= Setup.Limits.PingInterval && !Closing) {
+  if (IdleTime >= Setup.Limits.PingInterval && !Closing) {
     Protocol.ping();
     flush();
   }
-  armTimer();
+  armIdleTimer();
 }
 
-void Link::message(const std::string &Bytes) {
+void Link::onWebSocketMessage(const std::string &Bytes) {
   if (Refused || Ended)
     return;
-  if (Proved) {
-    Owner.received(*this, Bytes);
+  if (Authenticated) {
+    Owner.onReceived(*this, Bytes);
     return;
   }
-  const Handshake::Step Done = Proof.take(Bytes);
-  if (Done.Refused)
-    return refuse(*Done.Refused);
-  if (Done.Reply)
-    (void)Protocol.send(*Done.Reply);
-  if (!Done.Proved)
+  const Handshake::Result Result = AuthHandshake.receive(Bytes);
+  if (Result.Refused)
+    return refuse(*Result.Refused);
+  if (Result.Reply)
+    (void)Protocol.send(*Result.Reply);
+  if (!Result.Authenticated)
     return;
-  Proved = true;
+  Authenticated = true;
   Protocol.setMaxMessageBytes(Setup.Limits.MaxMessageBytes);
   Sending = true;
-  if (const std::optional<PeerRefusal> Why = Owner.proved(*this))
-    return refuse(*Why);
-  armTimer();
+  if (const std::optional<PeerRefusal> Refusal = Owner.onAuthenticated(*this))
+    return refuse(*Refusal);
+  armIdleTimer();
 }
 
-void Link::refuse(PeerRefusal Why) {
-  Refused = Why;
+void Link::refuse(PeerRefusal Refusal) {
+  Refused = Refusal;
   Sending = false;
-  beginClose(static_cast<std::uint16_t>(RefusalClose +
-                                        static_cast<std::uint16_t>(Why)),
-             std::string(refusalText(Why)));
+  beginClose(static_cast<std::uint16_t>(FirstRefusalCode +
+                                        static_cast<std::uint16_t>(Refusal)),
+             std::string(refusalText(Refusal)));
 }
 
-void Link::beginClose(std::uint16_t Code, const std::string &Why) {
+void Link::beginClose(std::uint16_t Code, const std::string &Reason) {
   if (Closing || Ended)
     return;
   Closing = true;
-  if (EndText.empty())
-    EndText = Why;
+  if (CloseReason.empty())
+    CloseReason = Reason;
   if (!Open)
     return end();
-  Protocol.close(Code, Why);
+  Protocol.close(Code, Reason);
   LingerTimer.expires_after(Setup.Limits.CloseTimeout);
   LingerTimer.async_wait([Self = shared_from_this()](error_code Problem) {
     if (!Problem)
@@ -268,11 +271,11 @@
   flush();
 }
 
-void Link::closed(std::uint16_t Code, const std::string &Reason) {
+void Link::onWebSocketClosed(std::uint16_t Code, const std::string &Reason) {
   if (isRefusal(Code) && !Refused)
     Refused = PeerRefusal::ByPeer;
-  if (EndText.empty())
-    EndText = Reason;
+  if (CloseReason.empty())
+    CloseReason = Reason;
   Closing = true;
 }
 
@@ -282,16 +285,16 @@
     Self->LingerTimer.expires_after(Self->Setup.Limits.Linger);
     Self->LingerTimer.async_wait([Self](error_code Problem) {
       if (!Problem)
-        Self->beginClose(NormalClose, "another connection took its place");
+        Self->beginClose(NormalCloseCode, "another connection took its place");
     });
   });
 }
 
-void Link::cut(const std::string &Why) {
-  Delivers = false;
-  asio::post(Executor, [Self = shared_from_this(), Why] {
+void Link::cut(const std::string &Reason) {
+  AcceptsMessages = false;
+  asio::post(Executor, [Self = shared_from_this(), Reason] {
     Self->Sending = false;
-    Self->beginClose(NormalClose, Why);
+    Self->beginClose(NormalCloseCode, Reason);
   });
 }
 
@@ -302,7 +305,7 @@
   error_code Ignored;
   Timer.cancel();
   LingerTimer.cancel();
-  Owner.ended(*this, Refused, EndText);
+  Owner.onEnded(*this, Refused, CloseReason);
   Socket.close(Ignored);
 }
 
--- a/packages/connection/src/coltsfoottrail/mesh/link.hpp
+++ b/packages/connection/src/coltsfoottrail/mesh/link.hpp
@@ -27,7 +27,7 @@
 
 class Link;
 
-/// @brief What connections tell the mesh; called on their strands.
+/// @brief Callbacks of connections; called on the strand of the connection.
 class LinkOwner {
 public:
   LinkOwner() = default;
@@ -35,91 +35,98 @@
   LinkOwner &operator=(const LinkOwner &) = delete;
   virtual ~LinkOwner() = default;
 
-  /// @brief The other end has proved the key.
-  /// @return Why the connection is refused nevertheless, if it is.
-  [[nodiscard]] virtual std::optional<PeerRefusal> proved(Link &Which) = 0;
-  /// @brief A message came over a proved connection.
-  virtual void received(Link &Which, std::string_view Message) = 0;
-  /// @brief The connection is over; called exactly once.
-  /// @param Refused Set when it ended because one end refused it.
-  virtual void ended(Link &Which, std::optional<PeerRefusal> Refused,
-                     const std::string &Why) = 0;
+  /// @brief The other end is authenticated.
+  /// @return Why the connection is refused; not set when it is accepted.
+  [[nodiscard]] virtual std::optional<PeerRefusal>
+  onAuthenticated(Link &Connection) = 0;
+  /// @brief A message was received over an authenticated connection.
+  virtual void onReceived(Link &Connection, std::string_view Message) = 0;
+  /// @brief The connection is closed; called exactly once.
+  /// @param Refused Set when one end refused the connection.
+  /// @param Reason Text for events.
+  virtual void onEnded(Link &Connection, std::optional<PeerRefusal> Refused,
+                       const std::string &Reason) = 0;
 };
 
-/// @brief What a connection is made with.
+/// @brief Construction parameters of a connection.
 struct LinkSetup {
-  Handshake::End End = Handshake::End::Dialler;
-  Introduction Self;
+  Handshake::End LocalEnd = Handshake::End::Dialler;
+  PeerHello Self;
   std::string Key;
   MeshLimits Limits;
-  /// The address to dial; nothing for a connection that was accepted.
+  /// The address to dial; not set for an accepted connection.
   std::optional<DialTarget> Dialled;
   OutboxBounds Bounds;
 };
 
-/// @brief One connection between entry hosts: a socket, the WebSocket protocol,
-/// the proof of the key, and the messages that wait. Its work runs on its own
-/// strand.
+/// @brief One connection between entry hosts: the socket, the WebSocket
+/// protocol, the authentication handshake and the queue of outgoing messages.
+/// It runs on its own strand.
 class Link : public std::enable_shared_from_this<Link> {
 public:
-  /// @brief Makes a connection; start() begins it.
-  /// @param Listener Must outlive the threads of the io context.
-  /// @param QueuedBytes Bytes that wait for all peers; must outlive it too.
-  Link(Tcp::socket Opened, Strand On, LinkSetup How, LinkOwner &Listener,
-       std::atomic<std::size_t> &QueuedBytes);
-
-  /// @brief Sets the identifier; before start().
-  void identify(LinkId Own) noexcept { Identifier = Own; }
-  /// @brief Identifier in the mesh.
+  /// @brief Creates a connection; nothing happens before start().
+  /// @param NewOwner Receives the callbacks; must outlive the threads of the
+  /// I/O context.
+  /// @param QueuedBytes Bytes queued for all peers; must outlive them too.
+  Link(Tcp::socket NewSocket, Strand LinkStrand, LinkSetup NewSetup,
+       LinkOwner &NewOwner, std::atomic<std::size_t> &QueuedBytes);
+
+  /// @brief Sets the identifier. Only before start().
+  void setId(LinkId NewId) noexcept { Identifier = NewId; }
+  /// @brief Identifier of the connection in this process.
   [[nodiscard]] LinkId id() const noexcept { return Identifier; }
-  /// @brief The address that was dialled, if this end dialled.
+  /// @brief The address that was dialled; not set for an accepted connection.
   [[nodiscard]] const std::optional<DialTarget> &dialled() const noexcept {
     return Setup.Dialled;
   }
-  /// @brief What the other end said it is; fixed once proved.
-  [[nodiscard]] const Introduction &other() const noexcept {
-    return Proof.other();
+  /// @brief The hello of the other end; does not change once authenticated.
+  [[nodiscard]] const PeerHello &peerHello() const noexcept {
+    return AuthHandshake.peerHello();
   }
-  /// @brief Tells whether the other end has proved the key; on the strand.
-  [[nodiscard]] bool wasProved() const noexcept { return Proved; }
-  /// @brief IP number and port of the other end, for events.
+  /// @brief Whether the other end is authenticated. Only on the strand.
+  [[nodiscard]] bool isAuthenticated() const noexcept { return Authenticated; }
+  /// @brief IP address and port of the other end, for events.
   [[nodiscard]] const std::string &remote() const noexcept { return Remote; }
 
-  /// @brief Begins. Thread-safe.
+  /// @brief Connects if this end dials, and starts the handshake. Thread-safe.
   void start();
-  /// @brief Sends what waits. Thread-safe.
-  void wake();
-  /// @brief Sends nothing more and closes a little later. Thread-safe.
+  /// @brief Schedules sending of the queued messages. Thread-safe.
+  void scheduleFlush();
+  /// @brief Stops sending, and closes after MeshLimits::Linger. Thread-safe.
   void closeLater();
-  /// @brief Closes now; nothing more is received from it. Thread-safe.
-  void cut(const std::string &Why);
-
-  /// @brief The messages that wait. Thread-safe.
-  [[nodiscard]] Outbox &waiting() noexcept { return Waiting; }
-  /// @brief Tells whether messages from it still count. Thread-safe.
-  [[nodiscard]] bool delivers() const noexcept { return Delivers; }
+  /// @brief Closes at once and discards further messages from the peer.
+  /// Thread-safe.
+  void cut(const std::string &Reason);
+
+  /// @brief The queue of outgoing messages. Thread-safe.
+  [[nodiscard]] Outbox &outbox() noexcept { return Queue; }
+  /// @brief Whether messages from the peer are still delivered: false after
+  /// cut(). Thread-safe.
+  [[nodiscard]] bool acceptsMessages() const noexcept {
+    return AcceptsMessages;
+  }
 
-  /// @brief Notes that a message went either way. Thread-safe.
+  /// @brief Records that a message was sent or received. Thread-safe.
   void markUsed(TimePoint Now) noexcept { LastUsed = Now; }
-  /// @brief When the last message went either way. Thread-safe.
+  /// @brief When the last message was sent or received. Thread-safe.
   [[nodiscard]] TimePoint lastUsed() const noexcept { return LastUsed; }
 
 private:
   void connect();
-  void greet();
-  void opened();
-  void watch();
+  void onWebSocketOpen();
+  void onConnected();
+  void awaitReadable();
   void read();
   void flush();
-  void written(const boost::system::error_code &Problem);
-  void fill();
+  void onWritten(const boost::system::error_code &Problem);
+  void fillOutput();
   void fail(const boost::system::error_code &Problem);
-  void tick();
-  void armTimer();
-  void message(const std::string &Bytes);
-  void refuse(PeerRefusal Why);
-  void closed(std::uint16_t Code, const std::string &Reason);
-  void beginClose(std::uint16_t Code, const std::string &Why);
+  void checkIdle();
+  void armIdleTimer();
+  void onWebSocketMessage(const std::string &Bytes);
+  void refuse(PeerRefusal Refusal);
+  void onWebSocketClosed(std::uint16_t Code, const std::string &Reason);
+  void beginClose(std::uint16_t Code, const std::string &Reason);
   void end();
 
   Tcp::socket Socket;
@@ -128,25 +135,25 @@
   boost::asio::steady_timer LingerTimer;
   LinkSetup Setup;
   LinkOwner &Owner;
-  Outbox Waiting;
+  Outbox Queue;
   std::string Remote;
   LinkId Identifier;
-  Handshake Proof;
+  Handshake AuthHandshake;
   WebSocket Protocol;
   std::string Output;
   std::string InFlight;
   TimePoint LastReceived;
   std::optional<PeerRefusal> Refused;
-  std::string EndText;
+  std::string CloseReason;
   bool Open = false;
-  bool Proved = false;
+  bool Authenticated = false;
   bool Sending = false;
   bool Writing = false;
   bool Closing = false;
   bool Ended = false;
-  std::atomic<bool> Delivers = true;
+  std::atomic<bool> AcceptsMessages = true;
   std::atomic<TimePoint> LastUsed = TimePoint{};
-  std::atomic<bool> WakePosted = false;
+  std::atomic<bool> FlushPosted = false;
 };
 
 } // namespace coltsfoottrail::internal
--- a/packages/connection/src/coltsfoottrail/mesh/mesh.cpp
+++ b/packages/connection/src/coltsfoottrail/mesh/mesh.cpp
@@ -23,7 +23,7 @@
 using internal::Link;
 using internal::LinkId;
 using internal::LinkSetup;
-using internal::Outgoing;
+using internal::QueuedMessage;
 using internal::Strand;
 using internal::Tcp;
 
@@ -38,36 +38,36 @@
 };
 
 internal::DialPolicy dialPolicy(const MeshLimits &Limits) {
-  internal::DialPolicy Out;
-  Out.FirstDelay = Limits.FirstRedial;
-  Out.MaxDelay = Limits.MaxRedial;
-  Out.UnusedAfter = Limits.UnusedAfter;
-  return Out;
+  internal::DialPolicy Policy;
+  Policy.FirstDelay = Limits.FirstRedial;
+  Policy.MaxDelay = Limits.MaxRedial;
+  Policy.UnusedAfter = Limits.UnusedAfter;
+  return Policy;
 }
 
 } // namespace
 
 class Mesh::State final : public internal::LinkOwner {
 public:
-  explicit State(MeshConfig How)
-      : Config(std::move(How)), Work(asio::make_work_guard(Io)),
+  explicit State(MeshConfig InitialConfig)
+      : Config(std::move(InitialConfig)), Work(asio::make_work_guard(Io)),
         Events(asio::make_strand(Io)), Control(asio::make_strand(Io)),
         Acceptor(Control), DialTimer(Control), AcceptTimer(Control),
         Table(Config.Self, dialPolicy(Config.Limits), Config.Seed) {}
 
   std::uint16_t start();
   void stop();
-  void setPeers(std::span<const MeshPeer> Wanted);
-  void setSeeds(std::span<const MeshSeed> Wanted);
-  bool send(const HostName &To, Channel Which, Json Body);
-  std::size_t broadcast(Channel Which, Json Body);
+  void setPeers(std::span<const MeshPeer> Peers);
+  void setSeeds(std::span<const MeshSeed> Seeds);
+  bool send(const HostName &Host, Channel ChannelId, Json Body);
+  std::size_t broadcast(Channel ChannelId, Json Body);
   [[nodiscard]] std::vector<HostName> connected() const;
   [[nodiscard]] MeshCounters counters() const;
 
-  std::optional<PeerRefusal> proved(Link &Which) override;
-  void received(Link &Which, std::string_view Message) override;
-  void ended(Link &Which, std::optional<PeerRefusal> Refused,
-             const std::string &Why) override;
+  std::optional<PeerRefusal> onAuthenticated(Link &Connection) override;
+  void onReceived(Link &Connection, std::string_view Message) override;
+  void onEnded(Link &Connection, std::optional<PeerRefusal> Refused,
+               const std::string &Reason) override;
 
   std::array<MessageHandler, ChannelCount> Handlers;
   PeerHandler OnPeer;
@@ -77,29 +77,29 @@
 
   void listen();
   void accept();
-  void accepted(Tcp::socket Socket, Strand On);
+  void accepted(Tcp::socket Socket, Strand LinkStrand);
   void dialDue();
   void dial(const internal::DialTarget &Target);
   [[nodiscard]] std::shared_ptr<Link>
-  makeLink(Tcp::socket Socket, Strand On,
+  makeLink(Tcp::socket Socket, Strand LinkStrand,
            std::optional<internal::DialTarget> Dialled);
-  [[nodiscard]] std::optional<PeerRefusal> decide(Link &Which,
-                                                  std::vector<PeerEvent> &Out);
-  void cutLink(LinkId Which, const std::string &Why,
-               std::vector<PeerEvent> &Out);
-  void tell(std::vector<PeerEvent> What);
-  [[nodiscard]] bool hold(const HostName &To, Channel Which,
-                          const internal::Encoded &Bytes);
-  void dropUnexpected(TimePoint Now);
-  void closeUnused(TimePoint Now, std::vector<PeerEvent> &Events);
-  void drop(internal::Outbox &Queue);
-  [[nodiscard]] bool push(Link &To, Channel Which,
-                          const internal::Encoded &Bytes);
-  [[nodiscard]] bool enqueue(internal::Outbox &Into, Channel Which,
-                             const internal::Encoded &Bytes);
-  [[nodiscard]] internal::Encoded encode(Channel Which, Json Body);
-  AtomicCounters &countersOf(Channel Which) {
-    return Counters[static_cast<std::size_t>(Which)];
+  [[nodiscard]] std::optional<PeerRefusal>
+  decide(Link &Connection, std::vector<PeerEvent> &NewEvents);
+  void cutLink(LinkId Id, const std::string &Reason,
+               std::vector<PeerEvent> &NewEvents);
+  void publishEvents(std::vector<PeerEvent> NewEvents);
+  [[nodiscard]] bool enqueuePending(const HostName &Host, Channel ChannelId,
+                                    const internal::EncodedMessage &Bytes);
+  void dropUnreachable(TimePoint Now);
+  void closeUnused(TimePoint Now, std::vector<PeerEvent> &NewEvents);
+  void discardQueue(internal::Outbox &Queue);
+  [[nodiscard]] bool push(Link &Connection, Channel ChannelId,
+                          const internal::EncodedMessage &Bytes);
+  [[nodiscard]] bool enqueue(internal::Outbox &Queue, Channel ChannelId,
+                             const internal::EncodedMessage &Bytes);
+  [[nodiscard]] internal::EncodedMessage encode(Channel ChannelId, Json Body);
+  AtomicCounters &countersFor(Channel ChannelId) {
+    return Counters[static_cast<std::size_t>(ChannelId)];
   }
 
   MeshConfig Config;
@@ -124,12 +124,12 @@
   std::condition_variable LinksGone;
   internal::PeerTable Table;
   Slots Links;
-  std::size_t Unproved = 0;
+  std::size_t Unauthenticated = 0;
   bool Stopping = false;
 
   mutable std::shared_mutex ActiveMutex;
   std::unordered_map<HostName, std::shared_ptr<Link>> Active;
-  /// Messages for hosts with which a connection is under way.
+  /// Messages for hosts whose connection is being opened.
   std::unordered_map<HostName, internal::Outbox> Pending;
 };
 
@@ -147,11 +147,11 @@
 
 void Mesh::State::listen() {
   try {
-    const Tcp::endpoint Where(asio::ip::make_address(Config.Address),
-                              Config.Port);
-    Acceptor.open(Where.protocol());
+    const Tcp::endpoint ListenEndpoint(asio::ip::make_address(Config.Address),
+                                       Config.Port);
+    Acceptor.open(ListenEndpoint.protocol());
     Acceptor.set_option(Tcp::acceptor::reuse_address(true));
-    Acceptor.bind(Where);
+    Acceptor.bind(ListenEndpoint);
     Acceptor.listen();
   } catch (const boost::system::system_error &Problem) {
     throw ListenError("cannot listen for entry hosts on " + Config.Address +
@@ -172,34 +172,35 @@
   {
     std::unique_lock Lock(Mutex);
     Stopping = true;
-    Links.each([](LinkId, const std::shared_ptr<Link> &Each) {
-      Each->cut("the other end stops");
+    Links.each([](LinkId, const std::shared_ptr<Link> &Connection) {
+      Connection->cut("the other end stops");
     });
     LinksGone.wait_for(Lock, 2 * Config.Limits.CloseTimeout,
                        [this] { return Links.size() == 0; });
   }
   Work.reset();
   Io.stop();
-  for (std::thread &Each : Threads)
-    Each.join();
+  for (std::thread &Thread : Threads)
+    Thread.join();
   Threads.clear();
   const std::unique_lock Lock(ActiveMutex);
   Active.clear();
 }
 
 void Mesh::State::accept() {
-  Strand On = asio::make_strand(Io);
+  Strand LinkStrand = asio::make_strand(Io);
   Acceptor.async_accept(
-      On, asio::bind_executor(Control, [this, On](error_code Problem,
-                                                  Tcp::socket Socket) {
+      LinkStrand,
+      asio::bind_executor(Control, [this, LinkStrand](error_code Problem,
+                                                      Tcp::socket Socket) {
         if (Problem == asio::error::operation_aborted || !Acceptor.is_open())
           return;
         if (!Problem) {
-          accepted(std::move(Socket), On);
+          accepted(std::move(Socket), LinkStrand);
           return accept();
         }
-        // Out of file descriptors: without a pause the loop would take a whole
-        // core until one is free.
+        // Typically out of file descriptors: without a pause the loop would use
+        // a whole core until one is free.
         AcceptTimer.expires_after(AcceptPause);
         AcceptTimer.async_wait([this](error_code Cancelled) {
           if (!Cancelled && Acceptor.is_open())
@@ -209,55 +210,55 @@
 }
 
 std::shared_ptr<Link>
-Mesh::State::makeLink(Tcp::socket Socket, Strand On,
+Mesh::State::makeLink(Tcp::socket Socket, Strand LinkStrand,
                       std::optional<internal::DialTarget> Dialled) {
   LinkSetup Setup;
-  Setup.End = Dialled ? Handshake::End::Dialler : Handshake::End::Listener;
+  Setup.LocalEnd = Dialled ? Handshake::End::Dialler : Handshake::End::Listener;
   Setup.Self = {Config.Self,
                 Config.Run,
                 {Config.LowestVersion, Config.HighestVersion},
-                internal::freshNonce()};
+                internal::makeNonce()};
   Setup.Key = Config.Key;
   Setup.Limits = Config.Limits;
   Setup.Dialled = std::move(Dialled);
   Setup.Bounds = {Config.Limits.MaxQueuedMessages,
                   Config.Limits.MaxQueuedBytes};
-  return std::make_shared<Link>(std::move(Socket), std::move(On),
+  return std::make_shared<Link>(std::move(Socket), std::move(LinkStrand),
                                 std::move(Setup), *this, QueuedBytes);
 }
 
-void Mesh::State::accepted(Tcp::socket Socket, Strand On) {
-  const std::shared_ptr<Link> New =
-      makeLink(std::move(Socket), std::move(On), std::nullopt);
+void Mesh::State::accepted(Tcp::socket Socket, Strand LinkStrand) {
+  const std::shared_ptr<Link> NewLink =
+      makeLink(std::move(Socket), std::move(LinkStrand), std::nullopt);
   {
     const std::lock_guard Lock(Mutex);
     if (Stopping)
       return;
-    if (Unproved >= Config.Limits.MaxUnauthenticated) {
+    if (Unauthenticated >= Config.Limits.MaxUnauthenticated) {
       ++RefusedConnections;
       return;
     }
-    ++Unproved;
-    New->identify(Links.insert(New));
+    ++Unauthenticated;
+    NewLink->setId(Links.insert(NewLink));
   }
-  New->start();
+  NewLink->start();
 }
 
 void Mesh::State::dialDue() {
   std::vector<internal::DialTarget> Due;
-  std::vector<PeerEvent> What;
+  std::vector<PeerEvent> NewEvents;
   {
     const std::lock_guard Lock(Mutex);
     if (Stopping)
       return;
     const TimePoint Now = BootClock::now();
-    dropUnexpected(Now);
-    closeUnused(Now, What);
+    dropUnreachable(Now);
+    closeUnused(Now, NewEvents);
     Due = Table.due(Now);
   }
-  tell(std::move(What));
-  for (const internal::DialTarget &Each : Due)
-    dial(Each);
+  publishEvents(std::move(NewEvents));
+  for (const internal::DialTarget &Target : Due)
+    dial(Target);
   DialTimer.expires_after(Config.Limits.DialInterval);
   DialTimer.async_wait([this](error_code Cancelled) {
     if (!Cancelled)
@@ -266,190 +267,200 @@
 }
 
 void Mesh::State::dial(const internal::DialTarget &Target) {
-  Strand On = asio::make_strand(Io);
-  const std::shared_ptr<Link> New = makeLink(Tcp::socket(On), On, Target);
+  Strand LinkStrand = asio::make_strand(Io);
+  const std::shared_ptr<Link> NewLink =
+      makeLink(Tcp::socket(LinkStrand), LinkStrand, Target);
   {
     const std::lock_guard Lock(Mutex);
     if (Stopping)
       return;
-    New->identify(Links.insert(New));
+    NewLink->setId(Links.insert(NewLink));
   }
-  New->start();
+  NewLink->start();
 }
 
-std::optional<PeerRefusal> Mesh::State::proved(Link &Which) {
-  std::vector<PeerEvent> What;
-  std::optional<PeerRefusal> Why;
+std::optional<PeerRefusal> Mesh::State::onAuthenticated(Link &Connection) {
+  std::vector<PeerEvent> NewEvents;
+  std::optional<PeerRefusal> Refusal;
   {
     const std::lock_guard Lock(Mutex);
-    if (!Which.dialled())
-      --Unproved;
-    Why = decide(Which, What);
+    if (!Connection.dialled())
+      --Unauthenticated;
+    Refusal = decide(Connection, NewEvents);
   }
-  tell(std::move(What));
-  return Why;
+  publishEvents(std::move(NewEvents));
+  return Refusal;
 }
 
-std::optional<PeerRefusal> Mesh::State::decide(Link &Which,
-                                               std::vector<PeerEvent> &Out) {
-  const HostName &Host = Which.other().Host;
-  const Incarnation Run = Which.other().Run;
-  if (Which.dialled()) {
-    const std::optional<HostName> Expected = Table.expectedAt(*Which.dialled());
+std::optional<PeerRefusal>
+Mesh::State::decide(Link &Connection, std::vector<PeerEvent> &NewEvents) {
+  const HostName &Host = Connection.peerHello().Host;
+  const Incarnation Run = Connection.peerHello().Run;
+  if (Connection.dialled()) {
+    const std::optional<HostName> Expected =
+        Table.expectedAt(*Connection.dialled());
     if (Expected && *Expected != Host) {
-      Table.dialFailed(*Which.dialled(), PeerRefusal::OtherHost,
+      Table.dialFailed(*Connection.dialled(), PeerRefusal::OtherHost,
                        BootClock::now());
       return PeerRefusal::OtherHost;
     }
   }
-  const Admission Admitted =
-      Table.admit(internal::ProvedLink{Which.id(), Host, Run, Which.dialled()},
+  const Admission Decision =
+      Table.admit(internal::AuthenticatedLink{Connection.id(), Host, Run,
+                                              Connection.dialled()},
                   BootClock::now());
-  if (Admitted.Refused)
-    return Admitted.Refused;
-  if (Admitted.SupersededLink)
-    cutLink(*Admitted.SupersededLink, "another run of the host took its place",
-            Out);
-  if (Admitted.Redundant) {
-    Which.closeLater();
+  if (Decision.Refused)
+    return Decision.Refused;
+  if (Decision.SupersededLink)
+    cutLink(*Decision.SupersededLink, "another run of the host took its place",
+            NewEvents);
+  if (Decision.Redundant) {
+    Connection.closeLater();
     return std::nullopt;
   }
-  if (!Admitted.Replaces)
-    Out.emplace_back(PeerUp{Host, Run});
-  // A sender that found the old queue would be told that its message is not
-  // sent although the host is connected; so queues change places under the lock
-  // that senders hold.
+  if (!Decision.Replaces)
+    NewEvents.emplace_back(PeerUp{Host, Run});
+  // A sender that found the old queue would see its message rejected although
+  // the host is connected. Queues are therefore swapped under the lock that
+  // senders hold.
   const std::unique_lock Lock(ActiveMutex);
-  const auto *const Old =
-      Admitted.Replaces ? Links.find(*Admitted.Replaces) : nullptr;
-  if (Old != nullptr) {
-    (*Old)->waiting().drainInto(Which.waiting());
-    (*Old)->closeLater();
+  const auto *const Replaced =
+      Decision.Replaces ? Links.find(*Decision.Replaces) : nullptr;
+  if (Replaced != nullptr) {
+    (*Replaced)->outbox().moveTo(Connection.outbox());
+    (*Replaced)->closeLater();
   }
-  if (const auto Held = Pending.find(Host); Held != Pending.end()) {
-    Held->second.drainInto(Which.waiting());
-    Pending.erase(Held);
+  if (const auto PendingEntry = Pending.find(Host);
+      PendingEntry != Pending.end()) {
+    PendingEntry->second.moveTo(Connection.outbox());
+    Pending.erase(PendingEntry);
   }
-  Which.markUsed(BootClock::now());
-  Active[Host] = Which.shared_from_this();
+  Connection.markUsed(BootClock::now());
+  Active[Host] = Connection.shared_from_this();
   return std::nullopt;
 }
 
-/// Drops what waits for hosts that could not be reached.
-void Mesh::State::dropUnexpected(TimePoint Now) {
+/// Discards messages queued for hosts that could not be reached.
+void Mesh::State::dropUnreachable(TimePoint Now) {
   const std::unique_lock Lock(ActiveMutex);
   for (auto Entry = Pending.begin(); Entry != Pending.end();) {
     if (Table.expects(Entry->first, Now)) {
       ++Entry;
       continue;
     }
-    drop(Entry->second);
+    discardQueue(Entry->second);
     Entry = Pending.erase(Entry);
   }
 }
 
-void Mesh::State::closeUnused(TimePoint Now, std::vector<PeerEvent> &Events) {
+void Mesh::State::closeUnused(TimePoint Now,
+                              std::vector<PeerEvent> &NewEvents) {
   std::vector<LinkId> Unused;
   {
     const std::shared_lock Lock(ActiveMutex);
-    for (const auto &[Host, Current] : Active)
-      if (Table.isUnused(Host, Current->lastUsed(), Now))
-        Unused.push_back(Current->id());
+    for (const auto &[Host, Connection] : Active)
+      if (Table.isUnused(Host, Connection->lastUsed(), Now))
+        Unused.push_back(Connection->id());
   }
   for (const LinkId Id : Unused) {
     Table.release(Id);
-    cutLink(Id, "no messages for it", Events);
+    cutLink(Id, "no messages for it", NewEvents);
   }
 }
 
-void Mesh::State::drop(internal::Outbox &Queue) {
+void Mesh::State::discardQueue(internal::Outbox &Queue) {
   const auto Dropped = Queue.close();
   for (std::size_t Index = 0; Index < ChannelCount; ++Index)
     Counters[Index].Dropped += Dropped[Index];
 }
 
-void Mesh::State::cutLink(LinkId Which, const std::string &Why,
-                          std::vector<PeerEvent> &Out) {
-  const auto *const Found = Links.find(Which);
-  if (Found == nullptr)
+void Mesh::State::cutLink(LinkId Id, const std::string &Reason,
+                          std::vector<PeerEvent> &NewEvents) {
+  const auto *const Slot = Links.find(Id);
+  if (Slot == nullptr)
     return;
-  Link &Old = **Found;
+  Link &Connection = **Slot;
   {
     const std::unique_lock Lock(ActiveMutex);
-    const auto Entry = Active.find(Old.other().Host);
-    if (Entry != Active.end() && Entry->second == *Found)
+    const auto Entry = Active.find(Connection.peerHello().Host);
+    if (Entry != Active.end() && Entry->second == *Slot)
       Active.erase(Entry);
   }
-  Out.emplace_back(PeerDown{Old.other().Host, Old.other().Run, Why});
-  Old.cut(Why);
+  NewEvents.emplace_back(PeerDown{Connection.peerHello().Host,
+                                  Connection.peerHello().Run, Reason});
+  Connection.cut(Reason);
 }
 
-void Mesh::State::ended(Link &Which, std::optional<PeerRefusal> Refused,
-                        const std::string &Why) {
-  std::vector<PeerEvent> What;
-  const std::shared_ptr<Link> Kept = Which.shared_from_this();
+void Mesh::State::onEnded(Link &Connection, std::optional<PeerRefusal> Refused,
+                          const std::string &Reason) {
+  std::vector<PeerEvent> NewEvents;
+  const std::shared_ptr<Link> KeepAlive = Connection.shared_from_this();
   {
     const std::lock_guard Lock(Mutex);
     const TimePoint Now = BootClock::now();
-    const bool WasCurrent = Table.linkClosed(Which.id(), Now);
-    if (WasCurrent) {
-      What.emplace_back(PeerDown{Which.other().Host, Which.other().Run, Why});
+    const bool WasActive = Table.linkClosed(Connection.id(), Now);
+    if (WasActive) {
+      NewEvents.emplace_back(PeerDown{Connection.peerHello().Host,
+                                      Connection.peerHello().Run, Reason});
       const std::unique_lock ActiveLock(ActiveMutex);
-      Active.erase(Which.other().Host);
-    } else if (!Which.wasProved()) {
-      if (Which.dialled())
-        Table.dialFailed(*Which.dialled(), Refused, Now);
+      Active.erase(Connection.peerHello().Host);
+    } else if (!Connection.isAuthenticated()) {
+      if (Connection.dialled())
+        Table.dialFailed(*Connection.dialled(), Refused, Now);
       else
-        --Unproved;
+        --Unauthenticated;
     }
     if (Refused) {
       ++RefusedConnections;
-      const std::string Detail =
-          *Refused == PeerRefusal::ByPeer ? Why : Which.other().Host.Text;
-      What.emplace_back(PeerRefused{Which.remote(), *Refused, Detail});
+      const std::string Detail = *Refused == PeerRefusal::ByPeer
+                                     ? Reason
+                                     : Connection.peerHello().Host.Text;
+      NewEvents.emplace_back(
+          PeerRefused{Connection.remote(), *Refused, Detail});
     }
-    drop(Which.waiting());
-    Links.erase(Which.id());
+    discardQueue(Connection.outbox());
+    Links.erase(Connection.id());
     if (Links.size() == 0)
       LinksGone.notify_all();
   }
-  tell(std::move(What));
+  publishEvents(std::move(NewEvents));
 }
 
-void Mesh::State::tell(std::vector<PeerEvent> What) {
-  if (What.empty() || !OnPeer)
+void Mesh::State::publishEvents(std::vector<PeerEvent> NewEvents) {
+  if (NewEvents.empty() || !OnPeer)
     return;
-  asio::post(Events, [this, Told = std::move(What)] {
+  asio::post(Events, [this, Published = std::move(NewEvents)] {
     try {
-      for (const PeerEvent &Each : Told)
-        OnPeer(Each);
+      for (const PeerEvent &Event : Published)
+        OnPeer(Event);
     } catch (const std::exception &) {
       ++HandlerFailures;
     }
   });
 }
 
-void Mesh::State::received(Link &Which, std::string_view Message) {
-  if (!Which.delivers()) {
+void Mesh::State::onReceived(Link &Connection, std::string_view Message) {
+  if (!Connection.acceptsMessages()) {
     ++FromRetiredRun;
     return;
   }
   try {
-    const internal::Incoming Read = internal::decodeMessage(Message);
-    if (!Read.Which) {
+    const internal::DecodedMessage Decoded = internal::decodeMessage(Message);
+    if (!Decoded.ChannelId) {
       ++UnknownChannel;
       return;
     }
-    Which.markUsed(BootClock::now());
-    AtomicCounters &Its = countersOf(*Read.Which);
-    ++Its.MessagesIn;
-    Its.BytesIn += Message.size();
-    const MessageHandler &Take =
-        Handlers[static_cast<std::size_t>(*Read.Which)];
-    if (!Take)
+    Connection.markUsed(BootClock::now());
+    AtomicCounters &ChannelStats = countersFor(*Decoded.ChannelId);
+    ++ChannelStats.MessagesIn;
+    ChannelStats.BytesIn += Message.size();
+    const MessageHandler &Handler =
+        Handlers[static_cast<std::size_t>(*Decoded.ChannelId)];
+    if (!Handler)
       return;
     try {
-      Take(Which.other().Host, Which.other().Run, Read.Body);
+      Handler(Connection.peerHello().Host, Connection.peerHello().Run,
+              Decoded.Body);
     } catch (const std::exception &) {
       ++HandlerFailures;
     }
@@ -458,137 +469,135 @@
   }
 }
 
-void Mesh::State::setPeers(std::span<const MeshPeer> Wanted) {
-  std::vector<PeerEvent> What;
+void Mesh::State::setPeers(std::span<const MeshPeer> Peers) {
+  std::vector<PeerEvent> NewEvents;
   {
     const std::lock_guard Lock(Mutex);
-    for (const LinkId Each : Table.setPeers(Wanted, BootClock::now()))
-      cutLink(Each, "the agreed state does not name this run", What);
+    for (const LinkId Id : Table.setPeers(Peers, BootClock::now()))
+      cutLink(Id, "the agreed state does not name this run", NewEvents);
   }
-  tell(std::move(What));
+  publishEvents(std::move(NewEvents));
 }
 
-void Mesh::State::setSeeds(std::span<const MeshSeed> Wanted) {
+void Mesh::State::setSeeds(std::span<const MeshSeed> Seeds) {
   const std::lock_guard Lock(Mutex);
-  Table.setSeeds(Wanted, BootClock::now());
+  Table.setSeeds(Seeds, BootClock::now());
 }
 
-internal::Encoded Mesh::State::encode(Channel Which, Json Body) {
+internal::EncodedMessage Mesh::State::encode(Channel ChannelId, Json Body) {
   return std::make_shared<const std::string>(
-      internal::encodeMessage(Which, std::move(Body)));
+      internal::encodeMessage(ChannelId, std::move(Body)));
 }
 
-bool Mesh::State::enqueue(internal::Outbox &Into, Channel Which,
-                          const internal::Encoded &Bytes) {
-  AtomicCounters &Its = countersOf(Which);
+bool Mesh::State::enqueue(internal::Outbox &Queue, Channel ChannelId,
+                          const internal::EncodedMessage &Bytes) {
+  AtomicCounters &ChannelStats = countersFor(ChannelId);
   if (Bytes->size() > Config.Limits.MaxMessageBytes) {
-    ++Its.Dropped;
+    ++ChannelStats.Dropped;
     return false;
   }
-  const internal::Queued Result = Into.push(Outgoing{Which, Bytes});
-  Its.Dropped += Result.Evicted + (Result.Taken ? 0 : 1);
-  if (!Result.Taken)
+  const internal::PushResult Result =
+      Queue.push(QueuedMessage{ChannelId, Bytes});
+  ChannelStats.Dropped += Result.Evicted + (Result.Accepted ? 0 : 1);
+  if (!Result.Accepted)
     return false;
-  ++Its.MessagesOut;
-  Its.BytesOut += Bytes->size();
+  ++ChannelStats.MessagesOut;
+  ChannelStats.BytesOut += Bytes->size();
   return true;
 }
 
-bool Mesh::State::push(Link &To, Channel Which,
-                       const internal::Encoded &Bytes) {
-  if (!enqueue(To.waiting(), Which, Bytes))
+bool Mesh::State::push(Link &Connection, Channel ChannelId,
+                       const internal::EncodedMessage &Bytes) {
+  if (!enqueue(Connection.outbox(), ChannelId, Bytes))
     return false;
-  To.markUsed(BootClock::now());
-  To.wake();
+  Connection.markUsed(BootClock::now());
+  Connection.scheduleFlush();
   return true;
 }
 
-/// Keeps a message until the connection that it asks for is there.
-bool Mesh::State::hold(const HostName &To, Channel Which,
-                       const internal::Encoded &Bytes) {
+/// Queues a message for a host that is not connected and has it dialled.
+bool Mesh::State::enqueuePending(const HostName &Host, Channel ChannelId,
+                                 const internal::EncodedMessage &Bytes) {
   const std::lock_guard Lock(Mutex);
-  const bool Expected = Table.demand(To, BootClock::now());
+  const bool Expected = Table.demand(Host, BootClock::now());
   const std::unique_lock ActiveLock(ActiveMutex);
-  if (const auto Found = Active.find(To); Found != Active.end())
-    return push(*Found->second, Which, Bytes);
+  if (const auto Entry = Active.find(Host); Entry != Active.end())
+    return push(*Entry->second, ChannelId, Bytes);
   if (!Expected || Stopping) {
-    ++countersOf(Which).Dropped;
+    ++countersFor(ChannelId).Dropped;
     return false;
   }
-  const auto [Place, Added] = Pending.try_emplace(
-      To,
+  const auto [PendingEntry, Inserted] = Pending.try_emplace(
+      Host,
       internal::OutboxBounds{Config.Limits.MaxQueuedMessages,
                              Config.Limits.MaxQueuedBytes},
       QueuedBytes, Config.Limits.MaxTotalQueuedBytes);
-  return enqueue(Place->second, Which, Bytes);
+  return enqueue(PendingEntry->second, ChannelId, Bytes);
 }
 
-bool Mesh::State::send(const HostName &To, Channel Which, Json Body) {
-  const internal::Encoded Bytes = encode(Which, std::move(Body));
+bool Mesh::State::send(const HostName &Host, Channel ChannelId, Json Body) {
+  const internal::EncodedMessage Bytes = encode(ChannelId, std::move(Body));
   {
     const std::shared_lock Lock(ActiveMutex);
-    const auto Found = Active.find(To);
-    if (Found != Active.end())
-      return push(*Found->second, Which, Bytes);
+    const auto Entry = Active.find(Host);
+    if (Entry != Active.end())
+      return push(*Entry->second, ChannelId, Bytes);
   }
-  return hold(To, Which, Bytes);
+  return enqueuePending(Host, ChannelId, Bytes);
 }
 
-std::size_t Mesh::State::broadcast(Channel Which, Json Body) {
-  const internal::Encoded Bytes = encode(Which, std::move(Body));
+std::size_t Mesh::State::broadcast(Channel ChannelId, Json Body) {
+  const internal::EncodedMessage Bytes = encode(ChannelId, std::move(Body));
   const std::shared_lock Lock(ActiveMutex);
-  std::size_t Taken = 0;
-  for (const auto &[Host, Each] : Active)
-    Taken += push(*Each, Which, Bytes) ? 1 : 0;
-  return Taken;
+  std::size_t Accepted = 0;
+  for (const auto &[Host, Connection] : Active)
+    Accepted += push(*Connection, ChannelId, Bytes) ? 1 : 0;
+  return Accepted;
 }
 
 std::vector<HostName> Mesh::State::connected() const {
-  std::vector<HostName> Out;
+  std::vector<HostName> Hosts;
   const std::shared_lock Lock(ActiveMutex);
-  for (const auto &[Host, Each] : Active)
-    Out.push_back(Host);
-  return Out;
+  for (const auto &[Host, Connection] : Active)
+    Hosts.push_back(Host);
+  return Hosts;
 }
 
 MeshCounters Mesh::State::counters() const {
-  MeshCounters Out;
+  MeshCounters Snapshot;
   for (std::size_t Index = 0; Index < ChannelCount; ++Index) {
-    const AtomicCounters &From = Counters[Index];
-    Out.Channels[Index] = {From.MessagesOut, From.BytesOut, From.MessagesIn,
-                           From.BytesIn, From.Dropped};
+    const AtomicCounters &Source = Counters[Index];
+    Snapshot.Channels[Index] = {Source.MessagesOut, Source.BytesOut,
+                                Source.MessagesIn, Source.BytesIn,
+                                Source.Dropped};
   }
-  Out.UnknownChannel = UnknownChannel;
-  Out.Malformed = Malformed;
-  Out.FromRetiredRun = FromRetiredRun;
-  Out.HandlerFailures = HandlerFailures;
-  Out.RefusedConnections = RefusedConnections;
-  Out.QueuedBytes = QueuedBytes;
+  Snapshot.UnknownChannel = UnknownChannel;
+  Snapshot.Malformed = Malformed;
+  Snapshot.FromRetiredRun = FromRetiredRun;
+  Snapshot.HandlerFailures = HandlerFailures;
+  Snapshot.RefusedConnections = RefusedConnections;
+  Snapshot.QueuedBytes = QueuedBytes;
   const std::shared_lock Lock(ActiveMutex);
-  Out.Connected = Active.size();
-  return Out;
+  Snapshot.Connected = Active.size();
+  return Snapshot;
 }
 
 Mesh::Mesh(MeshConfig Config)
     : Inner(std::make_unique<State>(std::move(Config))) {}
 Mesh::~Mesh() { Inner->stop(); }
-void Mesh::onMessage(Channel Which, MessageHandler Take) {
-  Inner->Handlers[static_cast<std::size_t>(Which)] = std::move(Take);
+void Mesh::onMessage(Channel ChannelId, MessageHandler Handler) {
+  Inner->Handlers[static_cast<std::size_t>(ChannelId)] = std::move(Handler);
 }
-void Mesh::onPeer(PeerHandler Take) { Inner->OnPeer = std::move(Take); }
+void Mesh::onPeer(PeerHandler Handler) { Inner->OnPeer = std::move(Handler); }
 std::uint16_t Mesh::start() { return Inner->start(); }
 void Mesh::stop() { Inner->stop(); }
-void Mesh::setPeers(std::span<const MeshPeer> Wanted) {
-  Inner->setPeers(Wanted);
+void Mesh::setPeers(std::span<const MeshPeer> Peers) { Inner->setPeers(Peers); }
+void Mesh::setSeeds(std::span<const MeshSeed> Seeds) { Inner->setSeeds(Seeds); }
+bool Mesh::send(const HostName &Host, Channel ChannelId, Json Body) {
+  return Inner->send(Host, ChannelId, std::move(Body));
 }
-void Mesh::setSeeds(std::span<const MeshSeed> Wanted) {
-  Inner->setSeeds(Wanted);
-}
-bool Mesh::send(const HostName &To, Channel Which, Json Body) {
-  return Inner->send(To, Which, std::move(Body));
-}
-std::size_t Mesh::broadcast(Channel Which, Json Body) {
-  return Inner->broadcast(Which, std::move(Body));
+std::size_t Mesh::broadcast(Channel ChannelId, Json Body) {
+  return Inner->broadcast(ChannelId, std::move(Body));
 }
 std::vector<HostName> Mesh::connected() const { return Inner->connected(); }
 MeshCounters Mesh::counters() const { return Inner->counters(); }
--- a/packages/connection/src/coltsfoottrail/mesh/message.cpp
+++ b/packages/connection/src/coltsfoottrail/mesh/message.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-/// Deepest nesting of a message.
+/// Maximum nesting depth of a message.
 constexpr std::size_t MaxDepth = 64;
 
 // NOLINTBEGIN(readability-identifier-naming): the library prescribes the names.
-/// Builds a message and stops where it nests too deeply.
+/// Builds a JSON value and stops at MaxDepth.
 class BoundedBuilder : public nlohmann::detail::json_sax_dom_parser<Json> {
   using Base = nlohmann::detail::json_sax_dom_parser<Json>;
 
@@ -36,37 +36,37 @@
 // NOLINTEND(readability-identifier-naming)
 
 Json decodeCbor(std::string_view Bytes) {
-  Json Out;
-  BoundedBuilder Builder(Out);
+  Json Value;
+  BoundedBuilder Builder(Value);
   if (!Json::sax_parse(Bytes, &Builder, Json::input_format_t::cbor))
-    throw Error("a message of a peer is no CBOR or nests too deeply");
-  return Out;
+    throw Error("message of a peer: not valid CBOR, or nested too deeply");
+  return Value;
 }
 
 } // namespace
 
-std::string encodeMessage(Channel Which, Json Body) {
+std::string encodeMessage(Channel ChannelId, Json Body) {
   Json Message = Json::object();
-  Message["c"] = static_cast<unsigned>(Which);
+  Message["c"] = static_cast<unsigned>(ChannelId);
   Message["b"] = std::move(Body);
-  std::string Out;
-  Json::to_cbor(Message, Out);
-  return Out;
+  std::string Encoded;
+  Json::to_cbor(Message, Encoded);
+  return Encoded;
 }
 
-Incoming decodeMessage(std::string_view Bytes) {
+DecodedMessage decodeMessage(std::string_view Bytes) {
   try {
     Json Message = decodeCbor(Bytes);
     ObjectReader Reader(Message, "message of a peer", "", UnknownKeys::Ignore);
     const std::uint64_t Number = Reader.number("c");
-    Incoming Out;
+    DecodedMessage Result;
     if (Number < ChannelCount)
-      Out.Which = static_cast<Channel>(Number);
+      Result.ChannelId = static_cast<Channel>(Number);
     if (Reader.has("b"))
-      Out.Body = std::move(Message["b"]);
-    return Out;
+      Result.Body = std::move(Message["b"]);
+    return Result;
   } catch (const Json::exception &) {
-    throw Error("a message of a peer is no CBOR");
+    throw Error("message of a peer: not valid CBOR");
   }
 }
 
--- a/packages/connection/src/coltsfoottrail/mesh/message.hpp
+++ b/packages/connection/src/coltsfoottrail/mesh/message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The form of a message on a connection between entry hosts.
+/// Encoding of messages between entry hosts.
 #ifndef COLTSFOOTTRAIL_MESH_MESSAGE_HPP
 #define COLTSFOOTTRAIL_MESH_MESSAGE_HPP
 
@@ -12,24 +12,24 @@
 
 namespace coltsfoottrail::internal {
 
-/// @brief A message as it came.
-struct Incoming {
-  /// Nothing for a channel that this release does not know.
-  std::optional<Channel> Which;
+/// @brief A decoded message.
+struct DecodedMessage {
+  /// Not set for a channel that this release does not know.
+  std::optional<Channel> ChannelId;
   Json Body;
 };
 
 /// @brief Encodes a message as a CBOR map with the keys "c" (channel) and "b"
 /// (body). Thread-safe.
-[[nodiscard]] std::string encodeMessage(Channel Which, Json Body);
+[[nodiscard]] std::string encodeMessage(Channel ChannelId, Json Body);
 
-/// @brief Decodes a message; unknown keys are passed over. Thread-safe.
+/// @brief Decodes a message; unknown keys are ignored. Thread-safe.
 ///
 /// Failure guarded against: a large message of nothing but nested lists
-/// overflows the stack of the recursive decoder and ends the process. The
-/// decoder is stopped at the 65th level.
-/// @throws Error It is not such a message.
-[[nodiscard]] Incoming decodeMessage(std::string_view Bytes);
+/// overflows the stack of the recursive decoder and crashes the process.
+/// Decoding stops at the 65th level.
+/// @throws Error The bytes are not a valid message.
+[[nodiscard]] DecodedMessage decodeMessage(std::string_view Bytes);
 
 } // namespace coltsfoottrail::internal
 
--- a/packages/connection/src/coltsfoottrail/mesh/neighbours.hpp
+++ b/packages/connection/src/coltsfoottrail/mesh/neighbours.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Chooses whom an entry host is connected with when there are many.
+/// Selects the peers that an entry host stays connected with.
 #ifndef COLTSFOOTTRAIL_MESH_NEIGHBOURS_HPP
 #define COLTSFOOTTRAIL_MESH_NEIGHBOURS_HPP
 
@@ -10,33 +10,33 @@
 
 namespace coltsfoottrail {
 
-/// @brief An entry host and where it stands.
+/// @brief An entry host and its data centre.
 struct MeshMember {
   HostName Host;
   DataCentreName DataCentre;
 };
 
-/// @brief How many connections there shall be.
+/// @brief Target numbers of connections.
 struct NeighbourPolicy {
-  /// Up to so many hosts in all, everyone is connected with everyone.
+  /// With up to this many hosts, every host is connected with every other one.
   std::size_t FullMeshMaxHosts = 32;
-  /// Connections that each host begins within its data centre.
+  /// Neighbours that each host selects within its data centre.
   std::size_t ConnectionsPerHost = 4;
-  /// Hosts of a data centre that are connected with other data centres.
-  std::size_t Gateways = 2;
+  /// Hosts of each data centre that are connected with other data centres.
+  std::size_t GatewaysPerCentre = 2;
 };
 
-/// @brief Chooses the hosts that one host shall be connected with.
+/// @brief Selects the hosts that one host stays connected with.
 ///
-/// The same on every host that knows the same members, and little changes when
-/// one member comes or goes. Within a data centre each host takes its two
-/// neighbours on a ring, so that none is left out, and further ones by
-/// rendezvous hashing, so that the ways are short. The gateways of all data
-/// centres are connected with each other. Thread-safe.
-/// @param Self The host that asks; among the members.
+/// Deterministic: every host with the same members computes the same result,
+/// and little changes when one member joins or leaves. Within a data centre
+/// each host selects its two neighbours on a hash ring, so that no host is
+/// isolated, and further ones by rendezvous hashing, so that paths are short.
+/// The gateways of all data centres are connected with each other. Thread-safe.
+/// @param Self The host whose neighbours to select; one of the members.
 /// @param Members All entry hosts of the agreed state.
-/// @param Policy How many connections.
-/// @return Names, sorted, without Self.
+/// @param Policy Target numbers of connections.
+/// @return Sorted names without Self.
 [[nodiscard]] std::vector<HostName>
 chooseNeighbours(const HostName &Self, std::span<const MeshMember> Members,
                  const NeighbourPolicy &Policy = {});
--- a/packages/connection/src/coltsfoottrail/mesh/outbox.cpp
+++ b/packages/connection/src/coltsfoottrail/mesh/outbox.cpp
@@ -4,81 +4,83 @@
 
 namespace {
 
-/// Bulk may use this share of a bound.
-constexpr std::size_t bulkShare(std::size_t Bound) { return Bound - Bound / 4; }
+/// The part of a bound that bulk channels may use: three quarters.
+constexpr std::size_t bulkLimit(std::size_t Bound) { return Bound - Bound / 4; }
 
 } // namespace
 
-Outbox::~Outbox() { Total -= Bytes; }
+Outbox::~Outbox() { SharedBytes -= Bytes; }
 
 bool Outbox::fits(std::size_t NewBytes, bool Bulk) const {
   const std::size_t MaxMessages =
-      Bulk ? bulkShare(Limits.MaxMessages) : Limits.MaxMessages;
+      Bulk ? bulkLimit(Bounds.MaxMessages) : Bounds.MaxMessages;
   const std::size_t MaxBytes =
-      Bulk ? bulkShare(Limits.MaxBytes) : Limits.MaxBytes;
-  const std::size_t MaxShared = Bulk ? bulkShare(MaxTotal) : MaxTotal;
+      Bulk ? bulkLimit(Bounds.MaxBytes) : Bounds.MaxBytes;
+  const std::size_t SharedLimit =
+      Bulk ? bulkLimit(MaxSharedBytes) : MaxSharedBytes;
   return Count < MaxMessages && Bytes + NewBytes <= MaxBytes &&
-         Total + NewBytes <= MaxShared;
+         SharedBytes + NewBytes <= SharedLimit;
 }
 
-Outgoing Outbox::takeFront(std::size_t Index) {
-  Outgoing Out{static_cast<Channel>(Index), std::move(Waiting[Index].front())};
-  Waiting[Index].pop_front();
+QueuedMessage Outbox::popFront(std::size_t Index) {
+  QueuedMessage Message{static_cast<Channel>(Index),
+                        std::move(Queues[Index].front())};
+  Queues[Index].pop_front();
   --Count;
-  Bytes -= Out.Bytes->size();
-  Total -= Out.Bytes->size();
-  return Out;
+  Bytes -= Message.Bytes->size();
+  SharedBytes -= Message.Bytes->size();
+  return Message;
 }
 
-Queued Outbox::push(Outgoing Message) {
+PushResult Outbox::push(QueuedMessage Message) {
   const std::lock_guard Lock(Mutex);
-  const auto Index = static_cast<std::size_t>(Message.Which);
+  const auto Index = static_cast<std::size_t>(Message.ChannelId);
   const std::size_t NewBytes = Message.Bytes->size();
-  const bool Bulk = isBulk(Message.Which);
-  Queued Out;
+  const bool Bulk = isBulk(Message.ChannelId);
+  PushResult Result;
   if (Closed)
-    return Out;
+    return Result;
   while (!fits(NewBytes, Bulk)) {
-    if (fullPolicy(Message.Which) == FullPolicy::Refuse ||
-        Waiting[Index].empty())
-      return Out;
-    (void)takeFront(Index);
-    ++Out.Evicted;
+    if (overflowPolicy(Message.ChannelId) == OverflowPolicy::Reject ||
+        Queues[Index].empty())
+      return Result;
+    (void)popFront(Index);
+    ++Result.Evicted;
   }
-  Waiting[Index].push_back(std::move(Message.Bytes));
+  Queues[Index].push_back(std::move(Message.Bytes));
   ++Count;
   Bytes += NewBytes;
-  Total += NewBytes;
-  Out.Taken = true;
-  return Out;
+  SharedBytes += NewBytes;
+  Result.Accepted = true;
+  return Result;
 }
 
-std::optional<Outgoing> Outbox::pop() {
+std::optional<QueuedMessage> Outbox::pop() {
   const std::lock_guard Lock(Mutex);
-  for (std::size_t Index = 0; Index < Waiting.size(); ++Index)
-    if (!Waiting[Index].empty())
-      return takeFront(Index);
+  for (std::size_t Index = 0; Index < Queues.size(); ++Index)
+    if (!Queues[Index].empty())
+      return popFront(Index);
   return std::nullopt;
 }
 
-void Outbox::drainInto(Outbox &Next) {
+void Outbox::moveTo(Outbox &Successor) {
   const std::lock_guard Lock(Mutex);
   Closed = true;
-  for (std::size_t Index = 0; Index < Waiting.size(); ++Index)
-    while (!Waiting[Index].empty())
-      (void)Next.push(takeFront(Index));
+  for (std::size_t Index = 0; Index < Queues.size(); ++Index)
+    while (!Queues[Index].empty())
+      (void)Successor.push(popFront(Index));
 }
 
 std::array<std::size_t, ChannelCount> Outbox::close() {
   const std::lock_guard Lock(Mutex);
   Closed = true;
-  std::array<std::size_t, ChannelCount> Out{};
-  for (std::size_t Index = 0; Index < Waiting.size(); ++Index) {
-    Out[Index] = Waiting[Index].size();
-    while (!Waiting[Index].empty())
-      (void)takeFront(Index);
+  std::array<std::size_t, ChannelCount> Discarded{};
+  for (std::size_t Index = 0; Index < Queues.size(); ++Index) {
+    Discarded[Index] = Queues[Index].size();
+    while (!Queues[Index].empty())
+      (void)popFront(Index);
   }
-  return Out;
+  return Discarded;
 }
 
 std::size_t Outbox::size() const {
--- a/packages/connection/src/coltsfoottrail/mesh/outbox.hpp
+++ b/packages/connection/src/coltsfoottrail/mesh/outbox.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Messages that wait for a connection to take them.
+/// Queue of outgoing messages to one peer.
 #ifndef COLTSFOOTTRAIL_MESH_OUTBOX_HPP
 #define COLTSFOOTTRAIL_MESH_OUTBOX_HPP
 
@@ -14,13 +14,13 @@
 
 namespace coltsfoottrail::internal {
 
-/// An encoded message; one that goes to many peers is stored once.
-using Encoded = std::shared_ptr<const std::string>;
+/// An encoded message; a broadcast message is shared between its peers.
+using EncodedMessage = std::shared_ptr<const std::string>;
 
-/// @brief A message on its way out.
-struct Outgoing {
-  Channel Which = Channel::Heartbeat;
-  Encoded Bytes;
+/// @brief A queued message.
+struct QueuedMessage {
+  Channel ChannelId = Channel::Heartbeat;
+  EncodedMessage Bytes;
 };
 
 /// @brief Bounds of an outbox.
@@ -29,58 +29,62 @@
   std::size_t MaxBytes = 0;
 };
 
-/// @brief What became of a message.
-struct Queued {
-  bool Taken = false;
-  /// Older messages of its channel that had to go.
+/// @brief Outcome of queueing a message.
+struct PushResult {
+  bool Accepted = false;
+  /// Older messages of the same channel that were dropped to make room.
   std::size_t Evicted = 0;
 };
 
 /// @brief Bounded queue of messages to one peer. Thread-safe.
 ///
 /// Failure guarded against: a peer that has stopped reading makes every other
-/// host collect messages for it until their memory is full. Both the count and
-/// the bytes of each queue are bounded, and so is the sum of all queues. Bulk
-/// cannot take the last quarter, so that a flood of forwarded requests does not
-/// stop heartbeats and credits.
+/// host queue messages for it until they run out of memory. Both the count and
+/// the bytes of each queue are bounded, and so are the bytes of all queues
+/// together. Bulk channels cannot use the last quarter of a bound, so that a
+/// flood of forwarded requests does not block heartbeats and credits.
 class Outbox {
 public:
-  /// @brief Makes an empty queue.
-  /// @param Bounds Bounds of this queue.
-  /// @param SharedBytes Bytes in all queues of the mesh; must outlive this one.
-  /// @param MaxSharedBytes Bound of that sum.
-  Outbox(OutboxBounds Bounds, std::atomic<std::size_t> &SharedBytes,
-         std::size_t MaxSharedBytes) noexcept
-      : Limits(Bounds), Total(SharedBytes), MaxTotal(MaxSharedBytes) {}
+  /// @brief Creates an empty queue.
+  /// @param Limits Bounds of this queue.
+  /// @param TotalBytes Bytes in all queues of the mesh; must outlive this
+  /// queue.
+  /// @param MaxTotalBytes Bound of TotalBytes.
+  Outbox(OutboxBounds Limits, std::atomic<std::size_t> &TotalBytes,
+         std::size_t MaxTotalBytes) noexcept
+      : Bounds(Limits), SharedBytes(TotalBytes), MaxSharedBytes(MaxTotalBytes) {
+  }
   Outbox(const Outbox &) = delete;
   Outbox &operator=(const Outbox &) = delete;
   ~Outbox();
 
-  /// @brief Adds a message, by the policy of its channel.
-  [[nodiscard]] Queued push(Outgoing Message);
-  /// @brief Takes the oldest message of the most urgent channel.
-  [[nodiscard]] std::optional<Outgoing> pop();
-  /// @brief Hands all messages on and takes none from now on, so that a sender
-  /// that still holds this queue is told so.
-  void drainInto(Outbox &Next);
-  /// @brief Throws all messages away and takes none from now on.
-  /// @return How many there were of each channel.
+  /// @brief Adds a message, subject to the overflow policy of its channel.
+  [[nodiscard]] PushResult push(QueuedMessage Message);
+  /// @brief Removes the oldest message of the most urgent channel.
+  [[nodiscard]] std::optional<QueuedMessage> pop();
+  /// @brief Moves all messages to another queue and closes this one, so that
+  /// push() fails for a sender that still refers to it.
+  void moveTo(Outbox &Successor);
+  /// @brief Discards all messages and closes the queue: push() fails from now
+  /// on.
+  /// @return Number of messages discarded per channel.
   [[nodiscard]] std::array<std::size_t, ChannelCount> close();
-  /// @brief Counts what waits.
+  /// @brief Number of queued messages.
   [[nodiscard]] std::size_t size() const;
-  /// @brief Bytes that wait.
+  /// @brief Bytes of the queued messages.
   [[nodiscard]] std::size_t bytes() const;
 
 private:
   [[nodiscard]] bool fits(std::size_t NewBytes, bool Bulk) const;
-  Outgoing takeFront(std::size_t Index);
+  QueuedMessage popFront(std::size_t Index);
 
-  OutboxBounds Limits;
-  std::atomic<std::size_t> &Total;
-  std::size_t MaxTotal;
+  OutboxBounds Bounds;
+  std::atomic<std::size_t> &SharedBytes;
+  std::size_t MaxSharedBytes;
   mutable std::mutex Mutex;
-  /// Lists, since an empty deque holds half a kilobyte and most are empty.
-  std::array<std::list<Encoded>, ChannelCount> Waiting;
+  /// Lists, since an empty deque allocates half a kilobyte and most queues are
+  /// empty.
+  std::array<std::list<EncodedMessage>, ChannelCount> Queues;
   std::size_t Count = 0;
   std::size_t Bytes = 0;
   bool Closed = false;
--- a/packages/connection/src/coltsfoottrail/mesh/peer.hpp
+++ b/packages/connection/src/coltsfoottrail/mesh/peer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Entry hosts as the mesh sees them, and what it tells of them.
+/// Peers of the mesh and events of their connections.
 #ifndef COLTSFOOTTRAIL_MESH_PEER_HPP
 #define COLTSFOOTTRAIL_MESH_PEER_HPP
 
@@ -12,23 +12,24 @@
 
 namespace coltsfoottrail {
 
-/// @brief An entry host as the agreed state names it.
+/// @brief An entry host as the agreed state lists it.
 struct MeshPeer {
   HostName Host;
   Incarnation Run = 0;
-  /// IP number.
+  /// IP address.
   std::string Address;
   std::uint16_t Port = 0;
-  /// Whether to stay connected with it. Any other one is connected on demand:
-  /// from a message to it until no more come.
+  /// Whether to stay connected with it. Other hosts are connected on demand:
+  /// from the first message until none has been exchanged for
+  /// MeshLimits::UnusedAfter.
   bool Neighbour = true;
   [[nodiscard]] friend bool operator==(const MeshPeer &,
                                        const MeshPeer &) = default;
 };
 
-/// @brief An address of an entry host whose name is not known.
+/// @brief The address of an entry host whose name is not known.
 struct MeshSeed {
-  /// IP number.
+  /// IP address.
   std::string Address;
   std::uint16_t Port = 0;
   [[nodiscard]] friend bool operator==(const MeshSeed &,
@@ -37,30 +38,30 @@
 
 /// Why a connection was refused.
 enum class PeerRefusal : std::uint8_t {
-  /// The first messages were not those of the protocol.
+  /// A handshake message was invalid.
   Malformed,
-  /// The other end speaks no version of the protocol that this one speaks.
+  /// The ends have no protocol version in common.
   Version,
   /// The other end does not have the shared key.
   Key,
-  /// The other end is this very run.
+  /// The other end is this same run: the process dialled itself.
   Self,
-  /// Another host answers at the address of the one that was dialled.
+  /// A different host than the listed one answered at the dialled address.
   OtherHost,
-  /// The run is over: the agreed state has named a later one.
+  /// The run is retired: another run of its host has replaced it.
   RetiredRun,
-  /// Another process with this host's name is connected, and the agreed state
-  /// names that one.
+  /// Another run with the same host name takes precedence: this process, or a
+  /// connected run that the agreed state lists.
   RunConflict,
-  /// The proof took too long.
+  /// The handshake took too long.
   Timeout,
-  /// There are too many connections.
+  /// Too many connections.
   TooMany,
-  /// The other end refused; its text says why.
+  /// The other end refused; its close reason has the cause.
   ByPeer,
 };
 
-/// @brief Stable words for a refusal. Thread-safe.
+/// @brief Name of a refusal in logs and close reasons. Thread-safe.
 [[nodiscard]] std::string_view refusalText(PeerRefusal Why) noexcept;
 
 /// A run of an entry host is connected.
@@ -68,22 +69,22 @@
   HostName Host;
   Incarnation Run = 0;
 };
-/// A run of an entry host is connected no more.
+/// A run of an entry host is no longer connected.
 struct PeerDown {
   HostName Host;
   Incarnation Run = 0;
   std::string Why;
 };
-/// A connection was refused before any message of it was taken.
+/// A connection was refused before any of its messages was delivered.
 struct PeerRefused {
-  /// IP number and port of the other end.
+  /// IP address and port of the other end.
   std::string Address;
   PeerRefusal Why = PeerRefusal::Malformed;
-  /// What the other end says it is, or the text that it gave; unproven.
+  /// The host name or close reason that the other end sent; not authenticated.
   std::string Detail;
 };
 
-/// What the mesh tells of connections.
+/// An event of a connection.
 using PeerEvent = std::variant<PeerUp, PeerDown, PeerRefused>;
 
 } // namespace coltsfoottrail
--- a/packages/connection/src/coltsfoottrail/mesh/table.cpp
+++ b/packages/connection/src/coltsfoottrail/mesh/table.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Beyond this the doubling would overflow; MaxDelay is reached long before.
+/// Keeps the shift below from overflowing; MaxDelay is reached with far fewer
+/// doublings.
 constexpr unsigned MaxDoublings = 20;
 
 } // namespace
@@ -16,268 +17,272 @@
   const unsigned Doublings = std::min(Failures, MaxDoublings);
   const Duration Mean =
       std::min(Policy.FirstDelay * (1U << Doublings), Policy.MaxDelay);
-  const double Jitter = 0.5 + Source.fraction();
+  const double Jitter = 0.5 + JitterSource.fraction();
   return std::chrono::duration_cast<Duration>(Mean * Jitter);
 }
 
-void PeerTable::retire(Known &Its, Incarnation Run) {
-  if (isRetired(Its, Run))
+void PeerTable::retire(HostRecord &Record, Incarnation Run) {
+  if (isRetired(Record, Run))
     return;
-  Its.Retired.push_back(Run);
-  if (Its.Retired.size() > MaxRetired)
-    Its.Retired.pop_front();
+  Record.RetiredRuns.push_back(Run);
+  if (Record.RetiredRuns.size() > MaxRetired)
+    Record.RetiredRuns.pop_front();
 }
 
-bool PeerTable::isRetired(const Known &Its, Incarnation Run) {
-  return std::find(Its.Retired.begin(), Its.Retired.end(), Run) !=
-         Its.Retired.end();
+bool PeerTable::isRetired(const HostRecord &Record, Incarnation Run) {
+  return std::find(Record.RetiredRuns.begin(), Record.RetiredRuns.end(), Run) !=
+         Record.RetiredRuns.end();
 }
 
-bool PeerTable::connected(const HostName &Host) const {
-  const auto Found = Hosts.find(Host);
-  return Found != Hosts.end() && Found->second.Link;
+bool PeerTable::isConnected(const HostName &Host) const {
+  const auto Entry = Hosts.find(Host);
+  return Entry != Hosts.end() && Entry->second.Active;
 }
 
-void PeerTable::want(const MeshPeer &Peer, bool NewRun, TimePoint Now) {
-  const DialTarget Where{Peer.Address, Peer.Port};
-  const auto [Entry, New] = Targets.try_emplace(Where);
-  Target &Its = Entry->second;
-  const bool SameHost = Its.Host == Peer.Host;
-  Its.Host = Peer.Host;
-  Its.IsSelf = false;
-  Its.Neighbour = Peer.Neighbour;
-  if (!New && SameHost && !NewRun)
+void PeerTable::updateTarget(const MeshPeer &Peer, bool NewRun, TimePoint Now) {
+  const DialTarget Address{Peer.Address, Peer.Port};
+  const auto [Entry, Inserted] = Targets.try_emplace(Address);
+  TargetStatus &Status = Entry->second;
+  const bool SameHost = Status.Host == Peer.Host;
+  Status.Host = Peer.Host;
+  Status.IsOwnAddress = false;
+  Status.Neighbour = Peer.Neighbour;
+  if (!Inserted && SameHost && !NewRun)
     return;
-  Its.Failures = 0;
-  // The host with the lower name dials first, so that usually only one does.
-  Its.Next = Self < Peer.Host ? Now : Now + delayAfter(0);
+  Status.Failures = 0;
+  // The host with the lower name dials at once and the other one after a delay,
+  // so that usually only one connection is opened.
+  Status.NextDial = Self < Peer.Host ? Now : Now + delayAfter(0);
 }
 
-std::vector<LinkId> PeerTable::setPeers(std::span<const MeshPeer> Wanted,
+std::vector<LinkId> PeerTable::setPeers(std::span<const MeshPeer> Peers,
                                         TimePoint Now) {
-  std::vector<LinkId> Cut;
-  unlist(Wanted, Cut);
-  for (const MeshPeer &Peer : Wanted) {
+  std::vector<LinkId> LinksToCut;
+  removeUnlisted(Peers, LinksToCut);
+  for (const MeshPeer &Peer : Peers) {
     if (Peer.Host == Self)
       continue;
-    Known &Its = Hosts[Peer.Host];
-    const bool NewRun = Its.Listed != Peer.Run;
-    if (Its.Listed && NewRun)
-      retire(Its, *Its.Listed);
-    if (Its.Link && Its.Link->Run != Peer.Run) {
-      retire(Its, Its.Link->Run);
-      Cut.push_back(Its.Link->Link);
-      Its.Link.reset();
+    HostRecord &Record = Hosts[Peer.Host];
+    const bool NewRun = Record.ListedRun != Peer.Run;
+    if (Record.ListedRun && NewRun)
+      retire(Record, *Record.ListedRun);
+    if (Record.Active && Record.Active->Run != Peer.Run) {
+      retire(Record, Record.Active->Run);
+      LinksToCut.push_back(Record.Active->Link);
+      Record.Active.reset();
     }
-    std::erase(Its.Retired, Peer.Run);
-    Its.Listed = Peer.Run;
-    Its.At = {Peer.Address, Peer.Port};
-    want(Peer, NewRun, Now);
+    std::erase(Record.RetiredRuns, Peer.Run);
+    Record.ListedRun = Peer.Run;
+    Record.ListedAddress = {Peer.Address, Peer.Port};
+    updateTarget(Peer, NewRun, Now);
   }
-  forgetOldHosts();
-  return Cut;
+  forgetFormerHosts();
+  return LinksToCut;
 }
 
-void PeerTable::unlist(std::span<const MeshPeer> Wanted,
-                       std::vector<LinkId> &Cut) {
-  std::set<HostName> Named;
+void PeerTable::removeUnlisted(std::span<const MeshPeer> Peers,
+                               std::vector<LinkId> &LinksToCut) {
+  std::set<HostName> ListedHosts;
   std::set<DialTarget> Addresses;
-  for (const MeshPeer &Peer : Wanted) {
-    Named.insert(Peer.Host);
+  for (const MeshPeer &Peer : Peers) {
+    ListedHosts.insert(Peer.Host);
     Addresses.insert(DialTarget{Peer.Address, Peer.Port});
   }
   std::erase_if(Targets, [&](const auto &Entry) {
     return !Entry.second.FromSeed && !Addresses.contains(Entry.first);
   });
-  for (auto &[Host, Its] : Hosts) {
-    if (Named.contains(Host) || !Its.Listed)
+  for (auto &[Host, Record] : Hosts) {
+    if (ListedHosts.contains(Host) || !Record.ListedRun)
       continue;
-    Its.Listed.reset();
-    if (!Its.Link || !Its.Link->DialledByUs)
+    Record.ListedRun.reset();
+    if (!Record.Active || !Record.Active->DialledHere)
       continue;
-    Cut.push_back(Its.Link->Link);
-    Its.Link.reset();
+    LinksToCut.push_back(Record.Active->Link);
+    Record.Active.reset();
   }
 }
 
-bool PeerTable::isSpareable(const Known &Its) {
-  return !Its.Listed && !Its.Link;
+bool PeerTable::isFormer(const HostRecord &Record) {
+  return !Record.ListedRun && !Record.Active;
 }
 
-void PeerTable::forgetOldHosts() {
+void PeerTable::forgetFormerHosts() {
   std::erase_if(Hosts, [](const auto &Entry) {
-    return isSpareable(Entry.second) && Entry.second.Retired.empty();
+    return isFormer(Entry.second) && Entry.second.RetiredRuns.empty();
   });
   auto Former =
-      std::count_if(Hosts.begin(), Hosts.end(), [](const auto &Entry) {
-        return isSpareable(Entry.second);
-      });
+      std::count_if(Hosts.begin(), Hosts.end(),
+                    [](const auto &Entry) { return isFormer(Entry.second); });
   std::erase_if(Hosts, [&Former](const auto &Entry) {
     if (static_cast<std::size_t>(Former) <= MaxFormerHosts ||
-        !isSpareable(Entry.second))
+        !isFormer(Entry.second))
       return false;
     --Former;
     return true;
   });
 }
 
-void PeerTable::setSeeds(std::span<const MeshSeed> Wanted, TimePoint Now) {
-  for (auto &[Where, Its] : Targets)
-    Its.FromSeed = false;
-  for (const MeshSeed &Seed : Wanted) {
-    const auto [Entry, New] =
+void PeerTable::setSeeds(std::span<const MeshSeed> Seeds, TimePoint Now) {
+  for (auto &[Address, Status] : Targets)
+    Status.FromSeed = false;
+  for (const MeshSeed &Seed : Seeds) {
+    const auto [Entry, Inserted] =
         Targets.try_emplace(DialTarget{Seed.Address, Seed.Port});
     Entry->second.FromSeed = true;
-    if (New)
-      Entry->second.Next = Now;
+    if (Inserted)
+      Entry->second.NextDial = Now;
   }
 }
 
-Admission PeerTable::admit(const ProvedLink &Proved, TimePoint Now) {
-  const auto Dialled =
-      Proved.Dialled ? Targets.find(*Proved.Dialled) : Targets.end();
-  if (Dialled != Targets.end()) {
-    Dialled->second.Busy = false;
-    Dialled->second.Host = Proved.Host;
+Admission PeerTable::admit(const AuthenticatedLink &NewLink, TimePoint Now) {
+  const auto TargetEntry =
+      NewLink.Dialled ? Targets.find(*NewLink.Dialled) : Targets.end();
+  if (TargetEntry != Targets.end()) {
+    TargetEntry->second.Dialling = false;
+    TargetEntry->second.Host = NewLink.Host;
   }
-  Admission Out = decide(Proved, Now);
-  if (Out.Refused && Dialled != Targets.end()) {
-    Dialled->second.Next = Now + delayAfter(Dialled->second.Failures);
-    ++Dialled->second.Failures;
+  Admission Result = decide(NewLink, Now);
+  if (Result.Refused && TargetEntry != Targets.end()) {
+    TargetEntry->second.NextDial =
+        Now + delayAfter(TargetEntry->second.Failures);
+    ++TargetEntry->second.Failures;
   }
-  return Out;
+  return Result;
 }
 
-Admission PeerTable::decide(const ProvedLink &Proved, TimePoint Now) {
-  Admission Out;
-  if (Proved.Host == Self) {
-    Out.Refused = PeerRefusal::RunConflict;
-    return Out;
+Admission PeerTable::decide(const AuthenticatedLink &NewLink, TimePoint Now) {
+  Admission Result;
+  if (NewLink.Host == Self) {
+    Result.Refused = PeerRefusal::RunConflict;
+    return Result;
   }
-  Known &Its = Hosts[Proved.Host];
-  if (isRetired(Its, Proved.Run)) {
-    Out.Refused = PeerRefusal::RetiredRun;
-    return Out;
+  HostRecord &Record = Hosts[NewLink.Host];
+  if (isRetired(Record, NewLink.Run)) {
+    Result.Refused = PeerRefusal::RetiredRun;
+    return Result;
   }
-  if (Its.Link && Its.Link->Run != Proved.Run) {
-    if (Its.Listed == Its.Link->Run) {
-      Out.Refused = PeerRefusal::RunConflict;
-      return Out;
+  if (Record.Active && Record.Active->Run != NewLink.Run) {
+    if (Record.ListedRun == Record.Active->Run) {
+      Result.Refused = PeerRefusal::RunConflict;
+      return Result;
     }
-    retire(Its, Its.Link->Run);
-    Out.SupersededLink = Its.Link->Link;
-    Its.Link.reset();
+    retire(Record, Record.Active->Run);
+    Result.SupersededLink = Record.Active->Link;
+    Record.Active.reset();
   }
-  const bool DialledByUs = Proved.Dialled.has_value();
-  if (Its.Link) {
-    const bool LowerDials = Self < Proved.Host;
-    Out.Redundant =
-        DialledByUs != Its.Link->DialledByUs && DialledByUs != LowerDials;
-    if (Out.Redundant)
-      return Out;
-    Out.Replaces = Its.Link->Link;
+  const bool DialledHere = NewLink.Dialled.has_value();
+  if (Record.Active) {
+    const bool OwnNameIsLower = Self < NewLink.Host;
+    Result.Redundant = DialledHere != Record.Active->DialledHere &&
+                       DialledHere != OwnNameIsLower;
+    if (Result.Redundant)
+      return Result;
+    Result.Replaces = Record.Active->Link;
   }
-  Its.Link = Current{Proved.Link, Proved.Run, DialledByUs, Now};
-  return Out;
+  Record.Active = ActiveLink{NewLink.Link, NewLink.Run, DialledHere, Now};
+  return Result;
 }
 
 bool PeerTable::linkClosed(LinkId Link, TimePoint Now) {
-  const auto Found =
+  const auto HostEntry =
       std::find_if(Hosts.begin(), Hosts.end(), [Link](const auto &Entry) {
-        return Entry.second.Link && Entry.second.Link->Link == Link;
+        return Entry.second.Active && Entry.second.Active->Link == Link;
       });
-  if (Found == Hosts.end())
+  if (HostEntry == Hosts.end())
     return false;
-  const bool Stable = Now - Found->second.Link->Since >= Policy.StableAfter;
-  Found->second.Link.reset();
-  for (auto &[Where, Its] : Targets) {
-    if (Its.Host != Found->first)
+  const bool Stable =
+      Now - HostEntry->second.Active->Since >= Policy.StableAfter;
+  HostEntry->second.Active.reset();
+  for (auto &[Address, Status] : Targets) {
+    if (Status.Host != HostEntry->first)
       continue;
-    Its.Failures = Stable ? 0 : Its.Failures;
-    Its.Next = Now + delayAfter(Its.Failures);
-    Its.Failures += Stable ? 0 : 1;
+    Status.Failures = Stable ? 0 : Status.Failures;
+    Status.NextDial = Now + delayAfter(Status.Failures);
+    Status.Failures += Stable ? 0 : 1;
   }
   return true;
 }
 
 void PeerTable::release(LinkId Link) {
-  for (auto &[Host, Peer] : Hosts)
-    if (Peer.Link && Peer.Link->Link == Link)
-      Peer.Link.reset();
+  for (auto &[Host, Record] : Hosts)
+    if (Record.Active && Record.Active->Link == Link)
+      Record.Active.reset();
 }
 
-void PeerTable::dialFailed(const DialTarget &Which,
-                           std::optional<PeerRefusal> Why, TimePoint Now) {
-  const auto Found = Targets.find(Which);
-  if (Found == Targets.end())
+void PeerTable::dialFailed(const DialTarget &Target,
+                           std::optional<PeerRefusal> Refusal, TimePoint Now) {
+  const auto Entry = Targets.find(Target);
+  if (Entry == Targets.end())
     return;
-  Target &Its = Found->second;
-  Its.Busy = false;
-  Its.IsSelf = Why == PeerRefusal::Self;
-  Its.Next = Now + delayAfter(Its.Failures);
-  ++Its.Failures;
+  TargetStatus &Status = Entry->second;
+  Status.Dialling = false;
+  Status.IsOwnAddress = Refusal == PeerRefusal::Self;
+  Status.NextDial = Now + delayAfter(Status.Failures);
+  ++Status.Failures;
 }
 
-const PeerTable::Target *PeerTable::targetOf(const HostName &Host) const {
-  const auto Found = Hosts.find(Host);
-  if (Found == Hosts.end() || !Found->second.Listed)
+const PeerTable::TargetStatus *
+PeerTable::findTarget(const HostName &Host) const {
+  const auto HostEntry = Hosts.find(Host);
+  if (HostEntry == Hosts.end() || !HostEntry->second.ListedRun)
     return nullptr;
-  const auto Entry = Targets.find(Found->second.At);
-  return Entry == Targets.end() ? nullptr : &Entry->second;
+  const auto TargetEntry = Targets.find(HostEntry->second.ListedAddress);
+  return TargetEntry == Targets.end() ? nullptr : &TargetEntry->second;
 }
 
 bool PeerTable::demand(const HostName &Host, TimePoint Now) {
-  if (targetOf(Host) == nullptr)
+  if (findTarget(Host) == nullptr)
     return false;
-  Target &Peer = Targets.at(Hosts.at(Host).At);
-  if (!Peer.Neighbour) {
-    if (Peer.Failures == 0 && Peer.WantedUntil <= Now)
-      Peer.Next = Now;
-    Peer.WantedUntil = Now + Policy.DemandLife;
+  TargetStatus &Status = Targets.at(Hosts.at(Host).ListedAddress);
+  if (!Status.Neighbour) {
+    if (Status.Failures == 0 && Status.DemandedUntil <= Now)
+      Status.NextDial = Now;
+    Status.DemandedUntil = Now + Policy.DemandDuration;
   }
   return expects(Host, Now);
 }
 
 bool PeerTable::expects(const HostName &Host, TimePoint Now) const {
-  const Target *const Peer = targetOf(Host);
-  return Peer != nullptr &&
-         (Peer->Busy || (Peer->Next <= Now && !Peer->IsSelf));
+  const TargetStatus *const Status = findTarget(Host);
+  return Status != nullptr && (Status->Dialling || (Status->NextDial <= Now &&
+                                                    !Status->IsOwnAddress));
 }
 
 bool PeerTable::isUnused(const HostName &Host, TimePoint LastUsed,
                          TimePoint Now) const {
   if (Now - LastUsed < Policy.UnusedAfter)
     return false;
-  const Target *const Peer = targetOf(Host);
-  if (Peer == nullptr || Peer->Neighbour || Peer->FromSeed)
+  const TargetStatus *const Status = findTarget(Host);
+  if (Status == nullptr || Status->Neighbour || Status->FromSeed)
     return false;
-  const auto &Link = Hosts.at(Host).Link;
-  return Link && Link->DialledByUs;
+  const auto &Active = Hosts.at(Host).Active;
+  return Active && Active->DialledHere;
 }
 
-bool PeerTable::isWanted(const Target &Peer, TimePoint Now) {
-  return Peer.FromSeed || Peer.Neighbour || Peer.WantedUntil > Now;
+bool PeerTable::isWanted(const TargetStatus &Status, TimePoint Now) {
+  return Status.FromSeed || Status.Neighbour || Status.DemandedUntil > Now;
 }
 
 std::vector<DialTarget> PeerTable::due(TimePoint Now) {
-  std::vector<DialTarget> Out;
-  for (auto &[Where, Its] : Targets) {
-    if (Its.Busy || Its.IsSelf || Its.Next > Now || !isWanted(Its, Now))
+  std::vector<DialTarget> DueTargets;
+  for (auto &[Address, Status] : Targets) {
+    if (Status.Dialling || Status.IsOwnAddress || Status.NextDial > Now ||
+        !isWanted(Status, Now))
       continue;
-    if (!Its.Host.empty() && connected(Its.Host))
+    if (!Status.Host.empty() && isConnected(Status.Host))
       continue;
-    Its.Busy = true;
-    Out.push_back(Where);
+    Status.Dialling = true;
+    DueTargets.push_back(Address);
   }
-  return Out;
+  return DueTargets;
 }
 
-std::optional<HostName> PeerTable::expectedAt(const DialTarget &Which) const {
-  const auto Found = Targets.find(Which);
-  if (Found == Targets.end() || Found->second.Host.empty() ||
-      Found->second.FromSeed)
+std::optional<HostName> PeerTable::expectedAt(const DialTarget &Target) const {
+  const auto Entry = Targets.find(Target);
+  if (Entry == Targets.end() || Entry->second.Host.empty() ||
+      Entry->second.FromSeed)
     return std::nullopt;
-  return Found->second.Host;
+  return Entry->second.Host;
 }
 
 } // namespace coltsfoottrail::internal
--- a/packages/connection/src/coltsfoottrail/mesh/table.hpp
+++ b/packages/connection/src/coltsfoottrail/mesh/table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Decides whom to dial and which connections to keep.
+/// Decides which peers to dial and which connections to keep.
 #ifndef COLTSFOOTTRAIL_MESH_TABLE_HPP
 #define COLTSFOOTTRAIL_MESH_TABLE_HPP
 
@@ -17,22 +17,23 @@
 
 namespace coltsfoottrail::internal {
 
-/// @brief When to dial again.
+/// @brief Redial backoff and lifetimes of connections.
 struct DialPolicy {
-  /// Mean wait after the first failure; doubles with each further one.
+  /// Mean delay after the first failure; doubles with each further one.
   Duration FirstDelay = milliseconds(200);
-  /// Longest mean wait.
+  /// Longest mean delay.
   Duration MaxDelay = seconds(10);
-  /// A connection that lasted this long makes the failures before it forgotten.
+  /// A connection that lasted this long resets the failure count.
   Duration StableAfter = seconds(10);
-  /// How long after a message to it a host that is no neighbour is dialled.
-  Duration DemandLife = seconds(5);
-  /// A connection with a host that is no neighbour is closed after this time
-  /// without a message.
+  /// How long a message to a host that is not a neighbour keeps that host
+  /// eligible for dialling.
+  Duration DemandDuration = seconds(5);
+  /// Time without a message after which the connection with a host that is not
+  /// a neighbour is closed.
   Duration UnusedAfter = seconds(30);
 };
 
-/// An address that is dialled.
+/// An address to dial.
 struct DialTarget {
   std::string Address;
   std::uint16_t Port = 0;
@@ -43,142 +44,154 @@
   }
 };
 
-/// @brief What happens with a connection that has proved the key.
+/// @brief Decision on a newly authenticated connection.
 struct Admission {
-  /// Set when it has to be closed.
+  /// Set when the connection has to be refused.
   std::optional<PeerRefusal> Refused;
-  /// The connection of the same run that it takes the place of: it sends
-  /// nothing more and is closed a little later, so that what is under way
-  /// still arrives.
+  /// The older connection with the same run that the new one replaces. It sends
+  /// nothing more and is closed after a delay, so that messages in flight still
+  /// arrive.
   std::optional<LinkId> Replaces;
-  /// The connection of another run of the host: it is cut at once.
+  /// The connection with another run of the host; it is cut at once.
   std::optional<LinkId> SupersededLink;
-  /// It is itself the one that is not kept: it sends nothing and is closed a
-  /// little later.
+  /// The new connection duplicates the one that is kept: it sends nothing and
+  /// is closed after a delay.
   bool Redundant = false;
 };
 
-/// @brief A connection that has proved the key.
-struct ProvedLink {
+/// @brief A connection whose other end has proved that it has the shared key.
+struct AuthenticatedLink {
   LinkId Link;
   HostName Host;
   Incarnation Run = 0;
-  /// The address that was dialled; nothing when the other end dialled.
+  /// The address that was dialled; not set when the other end dialled.
   std::optional<DialTarget> Dialled;
 };
 
-/// @brief Decides whom to dial and which connections to keep.
+/// @brief Decides which peers to dial and which connections to keep.
 ///
-/// Not thread-safe; no I/O, and the time is given. Of two connections between
-/// the same two runs both ends keep the one that the host with the lower name
-/// dialled, and of two that the same end dialled, the newer one.
+/// Not thread-safe. Does no I/O and has no clock: callers pass the time. Of two
+/// connections between the same two runs, both ends keep the one that the host
+/// with the lower name dialled; of two that the same end dialled, the newer
+/// one.
 ///
-/// Failure guarded against: a process that was paused wakes up under a name
-/// that a newer run has taken, and its late messages are taken for those of the
-/// newer run. Once the agreed state has named another run for a host, or
-/// another run has taken its place, the earlier one is retired: its connection
-/// is cut and none of it is admitted again.
+/// Failure guarded against: a process resumes after a pause while a newer run
+/// already uses its host name, and its late messages are attributed to the
+/// newer run. Once the agreed state names another run for a host, or another
+/// run has replaced it, the earlier run is retired: its connection is cut and
+/// no further connection of it is admitted.
 class PeerTable {
 public:
-  /// Retired runs that are remembered for each host.
+  /// Retired runs that are remembered per host; the oldest is dropped first.
   static constexpr std::size_t MaxRetired = 8;
-  /// Hosts that are neither named nor connected of which retired runs are
-  /// remembered.
+  /// Hosts neither listed in the agreed state nor connected whose retired runs
+  /// are remembered.
   static constexpr std::size_t MaxFormerHosts = 1024;
 
-  /// @brief Starts without peers.
-  /// @param Own This host.
-  /// @param Dialling When to dial again.
-  /// @param Seed For the jitter.
-  PeerTable(HostName Own, DialPolicy Dialling, std::uint64_t Seed)
-      : Self(std::move(Own)), Policy(Dialling), Source(Seed) {}
+  /// @brief Creates a table without peers.
+  /// @param OwnName Name of this host.
+  /// @param Dialling Redial backoff.
+  /// @param Seed Seed of the jitter on redial delays.
+  PeerTable(HostName OwnName, DialPolicy Dialling, std::uint64_t Seed)
+      : Self(std::move(OwnName)), Policy(Dialling), JitterSource(Seed) {}
 
-  /// @brief Takes the peers that the agreed state names.
-  /// @param Wanted All of them; this host among them is passed over.
+  /// @brief Sets the peers that the agreed state lists.
+  /// @param Peers The complete list; an entry for this host is ignored.
   /// @param Now The time.
   /// @return Connections to cut.
-  [[nodiscard]] std::vector<LinkId> setPeers(std::span<const MeshPeer> Wanted,
+  [[nodiscard]] std::vector<LinkId> setPeers(std::span<const MeshPeer> Peers,
                                              TimePoint Now);
-  /// @brief Takes the addresses from the settings.
-  void setSeeds(std::span<const MeshSeed> Wanted, TimePoint Now);
-
-  /// @brief Decides on a connection that has proved the key.
-  [[nodiscard]] Admission admit(const ProvedLink &Proved, TimePoint Now);
-  /// @brief Learns that an admitted connection is over.
-  /// @return Whether it was the host's current one.
+  /// @brief Sets the seed addresses from the settings.
+  void setSeeds(std::span<const MeshSeed> Seeds, TimePoint Now);
+
+  /// @brief Decides on a newly authenticated connection.
+  [[nodiscard]] Admission admit(const AuthenticatedLink &NewLink,
+                                TimePoint Now);
+  /// @brief Records that an admitted connection has closed.
+  /// @return Whether it was the host's active connection.
   bool linkClosed(LinkId Link, TimePoint Now);
-  /// @brief Learns that this end closes an admitted connection that is unused.
+  /// @brief Records that this end closes an unused connection; the next dial is
+  /// not delayed.
   void release(LinkId Link);
-  /// @brief Learns that a dialled connection ended before it was admitted.
-  /// @param Target What was dialled.
-  /// @param Why Nothing when it could not be reached.
-  void dialFailed(const DialTarget &Target, std::optional<PeerRefusal> Why,
+  /// @brief Records that a dialled connection ended before it was admitted.
+  /// @param Target The dialled address.
+  /// @param Refusal Why it was refused; not set when the address could not be
+  /// reached.
+  void dialFailed(const DialTarget &Target, std::optional<PeerRefusal> Refusal,
                   TimePoint Now);
-  /// @brief Notes that there is a message for a host that is not connected.
-  /// @return Whether a connection is under way, so that the message may wait.
+  /// @brief Records that there is a message for a host that is not connected.
+  /// @return Whether a connection is due or being opened, so that the message
+  /// may be queued.
   [[nodiscard]] bool demand(const HostName &Host, TimePoint Now);
-  /// @brief Tells whether a connection with a host is under way.
+  /// @brief Whether a connection with a host is due or being opened.
   [[nodiscard]] bool expects(const HostName &Host, TimePoint Now) const;
-  /// @brief Tells whether the current connection with a host may be closed: it
-  /// is no neighbour, this end dialled, and no messages come.
-  /// @param LastUsed When the last message went either way.
+  /// @brief Whether the active connection with a host may be closed: the host
+  /// is not a neighbour, this end dialled, and the connection has been without
+  /// messages for DialPolicy::UnusedAfter.
+  /// @param LastUsed When the last message was sent or received.
   [[nodiscard]] bool isUnused(const HostName &Host, TimePoint LastUsed,
                               TimePoint Now) const;
-  /// @brief Whom to dial now. Each is taken as being dialled until admit(),
-  /// dialFailed() or lost() is told.
+  /// @brief The addresses to dial now. Each one returned counts as being
+  /// dialled until admit() or dialFailed() is called for it.
   [[nodiscard]] std::vector<DialTarget> due(TimePoint Now);
-  /// @brief The host that is expected at an address.
+  /// @brief The host that the agreed state lists at an address; not set for a
+  /// seed address.
   [[nodiscard]] std::optional<HostName>
   expectedAt(const DialTarget &Target) const;
 
-  /// @brief Counts the hosts of which something is remembered.
-  [[nodiscard]] std::size_t knownHosts() const noexcept { return Hosts.size(); }
+  /// @brief Number of hosts with a record.
+  [[nodiscard]] std::size_t hostCount() const noexcept { return Hosts.size(); }
 
 private:
-  struct Current {
+  struct ActiveLink {
     LinkId Link;
     Incarnation Run = 0;
-    bool DialledByUs = false;
+    bool DialledHere = false;
     TimePoint Since;
   };
-  struct Known {
-    /// The run that the agreed state names, and where it listens.
-    std::optional<Incarnation> Listed;
-    DialTarget At;
-    std::optional<Current> Link;
-    std::deque<Incarnation> Retired;
+  struct HostRecord {
+    /// The run that the agreed state lists, and the address it listens on.
+    std::optional<Incarnation> ListedRun;
+    DialTarget ListedAddress;
+    std::optional<ActiveLink> Active;
+    std::deque<Incarnation> RetiredRuns;
   };
-  struct Target {
-    /// Empty for a seed whose host has not been seen.
+  struct TargetStatus {
+    /// Empty for a seed address whose host is not known yet.
     HostName Host;
     bool FromSeed = false;
-    /// The address is this host's own.
-    bool IsSelf = false;
+    /// This host itself answered at the address.
+    bool IsOwnAddress = false;
     bool Neighbour = false;
-    /// There are messages for a host that is no neighbour.
-    TimePoint WantedUntil;
-    bool Busy = false;
+    /// Until when a host that is not a neighbour is dialled because of messages
+    /// for it.
+    TimePoint DemandedUntil;
+    bool Dialling = false;
     unsigned Failures = 0;
-    TimePoint Next;
+    /// When to dial it next.
+    TimePoint NextDial;
   };
 
-  [[nodiscard]] Admission decide(const ProvedLink &Proved, TimePoint Now);
+  [[nodiscard]] Admission decide(const AuthenticatedLink &NewLink,
+                                 TimePoint Now);
   [[nodiscard]] Duration delayAfter(unsigned Failures);
-  void retire(Known &Its, Incarnation Run);
-  [[nodiscard]] static bool isRetired(const Known &Its, Incarnation Run);
-  void want(const MeshPeer &Peer, bool NewRun, TimePoint Now);
-  void unlist(std::span<const MeshPeer> Wanted, std::vector<LinkId> &Cut);
-  void forgetOldHosts();
-  [[nodiscard]] bool connected(const HostName &Host) const;
-  [[nodiscard]] static bool isSpareable(const Known &Its);
-  [[nodiscard]] static bool isWanted(const Target &Peer, TimePoint Now);
-  [[nodiscard]] const Target *targetOf(const HostName &Host) const;
+  void retire(HostRecord &Record, Incarnation Run);
+  [[nodiscard]] static bool isRetired(const HostRecord &Record,
+                                      Incarnation Run);
+  void updateTarget(const MeshPeer &Peer, bool NewRun, TimePoint Now);
+  void removeUnlisted(std::span<const MeshPeer> Peers,
+                      std::vector<LinkId> &LinksToCut);
+  void forgetFormerHosts();
+  [[nodiscard]] bool isConnected(const HostName &Host) const;
+  [[nodiscard]] static bool isFormer(const HostRecord &Record);
+  [[nodiscard]] static bool isWanted(const TargetStatus &Status, TimePoint Now);
+  [[nodiscard]] const TargetStatus *findTarget(const HostName &Host) const;
 
   HostName Self;
   DialPolicy Policy;
-  Random Source;
-  std::map<HostName, Known> Hosts;
-  std::map<DialTarget, Target> Targets;
+  Random JitterSource;
+  std::map<HostName, HostRecord> Hosts;
+  std::map<DialTarget, TargetStatus> Targets;
 };
 
 } // namespace coltsfoottrail::internal
--- a/packages/connection/src/coltsfoottrail/mesh/websocket.cpp
+++ b/packages/connection/src/coltsfoottrail/mesh/websocket.cpp
@@ -11,9 +11,10 @@
 
 namespace {
 
-/// Sockets and timers belong to the caller, so the library gets its byte
-/// transport. No locks: each connection is used by one thread at a time. The
-/// source of frame masks is shared by all and has a lock.
+/// The caller owns sockets and timers, so the library is used with its iostream
+/// transport. It takes no locks, since each connection is used by one thread at
+/// a time. Only the random source of frame masks, which all connections share,
+/// is locked.
 // NOLINTBEGIN(readability-identifier-naming): the library prescribes the names.
 struct ProtocolConfig : websocketpp::config::core {
   using type = ProtocolConfig;
@@ -57,124 +58,130 @@
 } // namespace
 
 struct WebSocket::State {
-  Handlers Told;
-  Server::connection_ptr AsServer;
-  Client::connection_ptr AsClient;
+  Handlers Callbacks;
+  Server::connection_ptr ServerConnection;
+  Client::connection_ptr ClientConnection;
   bool Closed = false;
 
-  template <class Function> auto visit(Function Act) {
-    return AsServer ? Act(*AsServer) : Act(*AsClient);
+  template <class Function> auto visit(Function Visitor) {
+    return ServerConnection ? Visitor(*ServerConnection)
+                            : Visitor(*ClientConnection);
   }
 
-  void end(std::uint16_t Code, const std::string &Reason) {
+  void reportClosed(std::uint16_t Code, const std::string &Reason) {
     if (Closed)
       return;
     Closed = true;
-    Told.OnClosed(Code, Reason);
+    Callbacks.OnClosed(Code, Reason);
   }
 
-  template <class Connection> void connect(Connection &With) {
-    With.set_write_handler([this](Handle, const char *Bytes, std::size_t Size) {
-      Told.OnOutput(std::string_view(Bytes, Size));
-      return ErrorCode();
-    });
-    With.set_open_handler([this](Handle) { Told.OnOpen(); });
-    With.set_fail_handler([this, &With](Handle) {
-      end(0, "opening handshake: " + With.get_ec().message());
+  template <class Connection> void connect(Connection &WsConnection) {
+    WsConnection.set_write_handler(
+        [this](Handle, const char *Bytes, std::size_t Size) {
+          Callbacks.OnOutput(std::string_view(Bytes, Size));
+          return ErrorCode();
+        });
+    WsConnection.set_open_handler([this](Handle) { Callbacks.OnOpen(); });
+    WsConnection.set_fail_handler([this, &WsConnection](Handle) {
+      reportClosed(0, "opening handshake: " + WsConnection.get_ec().message());
     });
-    With.set_close_handler([this, &With](Handle) {
-      const std::uint16_t Code = With.get_remote_close_code();
-      const bool Given = Code != websocketpp::close::status::abnormal_close &&
-                         Code != websocketpp::close::status::blank;
-      if (Given)
-        end(Code, With.get_remote_close_reason());
+    WsConnection.set_close_handler([this, &WsConnection](Handle) {
+      const std::uint16_t Code = WsConnection.get_remote_close_code();
+      const bool HasRemoteCode =
+          Code != websocketpp::close::status::abnormal_close &&
+          Code != websocketpp::close::status::blank;
+      if (HasRemoteCode)
+        reportClosed(Code, WsConnection.get_remote_close_reason());
       else
-        end(websocketpp::close::status::abnormal_close,
-            With.get_local_close_reason());
+        reportClosed(websocketpp::close::status::abnormal_close,
+                     WsConnection.get_local_close_reason());
     });
-    With.set_message_handler(
+    WsConnection.set_message_handler(
         [this](Handle, const Server::message_ptr &Message) {
           if (Message->get_opcode() == websocketpp::frame::opcode::binary)
-            Told.OnMessage(Message->get_payload());
+            Callbacks.OnMessage(Message->get_payload());
         });
   }
 };
 
-WebSocket::WebSocket(Role End, std::size_t MaxMessageBytes, Handlers Told)
+WebSocket::WebSocket(Role LocalRole, std::size_t MaxMessageBytes,
+                     Handlers Callbacks)
     : Inner(std::make_unique<State>()) {
-  Inner->Told = std::move(Told);
-  if (End == Role::Server) {
-    Inner->AsServer = server().get_connection();
+  Inner->Callbacks = std::move(Callbacks);
+  if (LocalRole == Role::Server) {
+    Inner->ServerConnection = server().get_connection();
   } else {
     ErrorCode Problem;
-    Inner->AsClient = client().get_connection(Location, Problem);
+    Inner->ClientConnection = client().get_connection(Location, Problem);
   }
-  Inner->visit([this, MaxMessageBytes](auto &With) {
-    With.set_max_message_size(MaxMessageBytes);
-    Inner->connect(With);
+  Inner->visit([this, MaxMessageBytes](auto &WsConnection) {
+    WsConnection.set_max_message_size(MaxMessageBytes);
+    Inner->connect(WsConnection);
   });
 }
 
 WebSocket::~WebSocket() {
-  // The library's pending read holds its own connection; the end of the stream
-  // lets go of it. The handlers go first, since the owner may be half gone.
-  Inner->visit([](auto &With) {
-    With.set_write_handler(
+  // The library's pending read keeps the connection alive until it sees the end
+  // of the stream. The handlers are removed first, since the owner may already
+  // be partly destroyed.
+  Inner->visit([](auto &WsConnection) {
+    WsConnection.set_write_handler(
         [](Handle, const char *, std::size_t) { return ErrorCode(); });
-    With.set_open_handler(nullptr);
-    With.set_fail_handler(nullptr);
-    With.set_close_handler(nullptr);
-    With.set_message_handler(nullptr);
-    With.eof();
+    WsConnection.set_open_handler(nullptr);
+    WsConnection.set_fail_handler(nullptr);
+    WsConnection.set_close_handler(nullptr);
+    WsConnection.set_message_handler(nullptr);
+    WsConnection.eof();
   });
 }
 
 void WebSocket::start() {
-  if (Inner->AsServer)
-    Inner->AsServer->start();
+  if (Inner->ServerConnection)
+    Inner->ServerConnection->start();
   else
-    client().connect(Inner->AsClient);
+    client().connect(Inner->ClientConnection);
 }
 
 bool WebSocket::read(std::string_view Bytes) {
   if (Inner->Closed)
     return false;
-  const std::size_t Taken = Inner->visit([Bytes](auto &With) {
-    return With.read_all(Bytes.data(), Bytes.size());
+  const std::size_t Consumed = Inner->visit([Bytes](auto &WsConnection) {
+    return WsConnection.read_all(Bytes.data(), Bytes.size());
   });
-  return Taken == Bytes.size() && !Inner->Closed;
+  return Consumed == Bytes.size() && !Inner->Closed;
 }
 
 bool WebSocket::send(std::string_view Message) {
-  return Inner->visit([Message](auto &With) {
-    return !With.send(Message.data(), Message.size(),
-                      websocketpp::frame::opcode::binary);
+  return Inner->visit([Message](auto &WsConnection) {
+    return !WsConnection.send(Message.data(), Message.size(),
+                              websocketpp::frame::opcode::binary);
   });
 }
 
 void WebSocket::ping() {
-  Inner->visit([](auto &With) {
+  Inner->visit([](auto &WsConnection) {
     ErrorCode Ignored;
-    With.ping(std::string(), Ignored);
+    WsConnection.ping(std::string(), Ignored);
   });
 }
 
 void WebSocket::close(std::uint16_t Code, std::string_view Reason) {
-  Inner->visit([Code, Reason](auto &With) {
+  Inner->visit([Code, Reason](auto &WsConnection) {
     ErrorCode Ignored;
-    With.close(Code, std::string(Reason.substr(0, MaxReasonBytes)), Ignored);
+    WsConnection.close(Code, std::string(Reason.substr(0, MaxReasonBytes)),
+                       Ignored);
   });
 }
 
-void WebSocket::end() {
-  Inner->visit([](auto &With) { With.eof(); });
+void WebSocket::receiveEof() {
+  Inner->visit([](auto &WsConnection) { WsConnection.eof(); });
 }
 
-bool WebSocket::isOver() const noexcept { return Inner->Closed; }
+bool WebSocket::isClosed() const noexcept { return Inner->Closed; }
 
 void WebSocket::setMaxMessageBytes(std::size_t MaxMessageBytes) {
-  Inner->visit([MaxMessageBytes](auto &With) {
-    With.set_max_message_size(MaxMessageBytes);
+  Inner->visit([MaxMessageBytes](auto &WsConnection) {
+    WsConnection.set_max_message_size(MaxMessageBytes);
   });
 }
 
--- a/packages/connection/test/coltsfoottrail/mesh/handshake.cpp
+++ b/packages/connection/test/coltsfoottrail/mesh/handshake.cpp
@@ -10,60 +10,60 @@
 
 const std::string Key = "a-key-of-the-mesh-with-32-letters-or-more";
 
-Introduction introduction(const char *Name, Incarnation Run) {
-  return {HostName(Name), Run, {1, 1}, freshNonce()};
+PeerHello makeHello(const char *Name, Incarnation Run) {
+  return {HostName(Name), Run, {1, 1}, makeNonce()};
 }
 
 class HandshakeTest : public ::testing::Test {
 protected:
-  Handshake Dialler{Handshake::End::Dialler, introduction("one", 1), Key};
-  Handshake Listener{Handshake::End::Listener, introduction("two", 2), Key};
+  Handshake Dialler{Handshake::End::Dialler, makeHello("one", 1), Key};
+  Handshake Listener{Handshake::End::Listener, makeHello("two", 2), Key};
 };
 
-TEST_F(HandshakeTest, BothProveTheKeyAndTheListenerSecond) {
-  const auto Hello = Listener.take(Dialler.hello());
+TEST_F(HandshakeTest, ListenerProvesTheKeyAfterTheDialler) {
+  const auto Hello = Listener.receive(Dialler.hello());
   ASSERT_TRUE(Hello.Reply);
-  const auto Proof = Dialler.take(*Hello.Reply);
+  const auto Proof = Dialler.receive(*Hello.Reply);
   ASSERT_TRUE(Proof.Reply);
-  EXPECT_FALSE(Proof.Proved);
-  const auto Answer = Listener.take(*Proof.Reply);
-  EXPECT_TRUE(Answer.Proved);
+  EXPECT_FALSE(Proof.Authenticated);
+  const auto Answer = Listener.receive(*Proof.Reply);
+  EXPECT_TRUE(Answer.Authenticated);
   ASSERT_TRUE(Answer.Reply);
-  EXPECT_TRUE(Dialler.take(*Answer.Reply).Proved);
-  EXPECT_EQ(Dialler.other().Host, HostName("two"));
-  EXPECT_EQ(Listener.other().Run, 1U);
+  EXPECT_TRUE(Dialler.receive(*Answer.Reply).Authenticated);
+  EXPECT_EQ(Dialler.peerHello().Host, HostName("two"));
+  EXPECT_EQ(Listener.peerHello().Run, 1U);
   EXPECT_EQ(Listener.version(), 1U);
-  EXPECT_EQ(Dialler.take(*Answer.Reply).Refused, PeerRefusal::Malformed);
+  EXPECT_EQ(Dialler.receive(*Answer.Reply).Refused, PeerRefusal::Malformed);
 }
 
-// A stranger without the key answers a dialler with the dialler's own proof.
+// An attacker without the key sends the dialler's own proof back to it.
 TEST_F(HandshakeTest, ReflectedProofIsRefused) {
-  Handshake Stranger(Handshake::End::Listener, introduction("two", 2), "none");
-  const auto Hello = Stranger.take(Dialler.hello());
-  const auto Proof = Dialler.take(*Hello.Reply);
-  EXPECT_EQ(Dialler.take(*Proof.Reply).Refused, PeerRefusal::Key);
+  Handshake Attacker(Handshake::End::Listener, makeHello("two", 2), "none");
+  const auto Hello = Attacker.receive(Dialler.hello());
+  const auto Proof = Dialler.receive(*Hello.Reply);
+  EXPECT_EQ(Dialler.receive(*Proof.Reply).Refused, PeerRefusal::Key);
 }
 
-// A stranger has recorded a whole opening and plays it again.
+// An attacker replays the recorded messages of an earlier handshake.
 TEST_F(HandshakeTest, ReplayedProofIsRefused) {
   const std::string RecordedHello = Dialler.hello();
-  const auto Hello = Listener.take(RecordedHello);
-  const std::string RecordedProof = *Dialler.take(*Hello.Reply).Reply;
-  ASSERT_TRUE(Listener.take(RecordedProof).Proved);
-  Handshake Again(Handshake::End::Listener, introduction("two", 2), Key);
-  ASSERT_TRUE(Again.take(RecordedHello).Reply);
-  EXPECT_EQ(Again.take(RecordedProof).Refused, PeerRefusal::Key);
+  const auto Hello = Listener.receive(RecordedHello);
+  const std::string RecordedProof = *Dialler.receive(*Hello.Reply).Reply;
+  ASSERT_TRUE(Listener.receive(RecordedProof).Authenticated);
+  Handshake Second(Handshake::End::Listener, makeHello("two", 2), Key);
+  ASSERT_TRUE(Second.receive(RecordedHello).Reply);
+  EXPECT_EQ(Second.receive(RecordedProof).Refused, PeerRefusal::Key);
 }
 
-// Somebody between the two changes a field of a hello, to pass a run or a name
-// off as another one or to have an older version spoken.
+// An attacker between the two ends changes a field of a hello, to impersonate
+// another host or run or to force an older protocol version.
 TEST_F(HandshakeTest, ChangedHelloIsRefused) {
   for (const char *Field : {"run", "lowest", "highest", "host"}) {
-    Handshake One(Handshake::End::Dialler, introduction("one", 1), Key);
-    Introduction Wide = introduction("two", 2);
-    Wide.Versions.Highest = 9;
-    Handshake Two(Handshake::End::Listener, Wide, Key);
-    const auto Answer = Two.take(One.hello());
+    Handshake One(Handshake::End::Dialler, makeHello("one", 1), Key);
+    PeerHello WideRange = makeHello("two", 2);
+    WideRange.Versions.Highest = 9;
+    Handshake Two(Handshake::End::Listener, WideRange, Key);
+    const auto Answer = Two.receive(One.hello());
     Json Changed = Json::from_cbor(*Answer.Reply);
     if (Changed[Field].is_string())
       Changed[Field] = "three";
@@ -72,36 +72,36 @@
     const bool Same = Changed == Json::from_cbor(*Answer.Reply);
     std::string Text;
     Json::to_cbor(Changed, Text);
-    const auto Proof = One.take(Text);
+    const auto Proof = One.receive(Text);
     ASSERT_TRUE(Proof.Reply);
-    EXPECT_EQ(Two.take(*Proof.Reply).Refused.has_value(), !Same) << Field;
+    EXPECT_EQ(Two.receive(*Proof.Reply).Refused.has_value(), !Same) << Field;
   }
 }
 
-TEST_F(HandshakeTest, AnyDamagedMessageIsRefusedOrHarmless) {
+TEST_F(HandshakeTest, CorruptedMessageNeverAuthenticates) {
   Random Source(11);
   const std::string Hello = Dialler.hello();
   for (int Round = 0; Round < 2000; ++Round) {
-    Handshake Target(Handshake::End::Listener, introduction("two", 2), Key);
+    Handshake Target(Handshake::End::Listener, makeHello("two", 2), Key);
     std::string Damaged = Hello;
     for (std::uint64_t Count = 1 + Source.below(4); Count > 0; --Count)
       Damaged[Source.below(Damaged.size())] = static_cast<char>(Source());
     Damaged.resize(1 + Source.below(Damaged.size()));
-    EXPECT_FALSE(Target.take(Damaged).Proved);
-    EXPECT_FALSE(Target.take(Damaged).Proved);
+    EXPECT_FALSE(Target.receive(Damaged).Authenticated);
+    EXPECT_FALSE(Target.receive(Damaged).Authenticated);
   }
 }
 
-TEST_F(HandshakeTest, FieldsOfALaterReleaseArePassedOver) {
+TEST_F(HandshakeTest, UnknownFieldsOfALaterReleaseAreIgnored) {
   Json Hello = Json::from_cbor(Dialler.hello());
   Hello["newer"] = "field";
   std::string Text;
   Json::to_cbor(Hello, Text);
-  EXPECT_TRUE(Listener.take(Text).Reply);
+  EXPECT_TRUE(Listener.receive(Text).Reply);
 }
 
 TEST_F(HandshakeTest, LongMessageIsNotParsed) {
-  EXPECT_EQ(Listener.take(std::string(2000, '\x81')).Refused,
+  EXPECT_EQ(Listener.receive(std::string(2000, '\x81')).Refused,
             PeerRefusal::Malformed);
 }
 
--- a/packages/connection/test/coltsfoottrail/mesh/mesh.cpp
+++ b/packages/connection/test/coltsfoottrail/mesh/mesh.cpp
@@ -19,9 +19,9 @@
 
 const std::string Key = "a-key-of-the-mesh-with-32-letters-or-more";
 
-/// What a mesh told, to be waited for. The limit only ends a test that has
-/// failed; nothing is asserted of time.
-class Seen {
+/// Records messages and events of a mesh so that tests can wait for them. The
+/// timeout only ends a failing test; no test asserts times.
+class EventRecorder {
 public:
   template <class Function> void add(Function Change) {
     {
@@ -50,7 +50,7 @@
   std::condition_variable Changed;
 };
 
-MeshConfig configOf(const char *Name, Incarnation Run) {
+MeshConfig makeConfig(const char *Name, Incarnation Run) {
   MeshConfig Config;
   Config.Self = HostName(Name);
   Config.Run = Run;
@@ -68,80 +68,92 @@
   return Config;
 }
 
-/// A mesh with what it told.
+/// A mesh with a recorder of its messages and events.
 class Node {
 public:
-  explicit Node(MeshConfig Config) : Own(Config), Links(std::move(Config)) {
+  explicit Node(MeshConfig Initial)
+      : Config(Initial), Transport(std::move(Initial)) {
     for (std::size_t Index = 0; Index < ChannelCount; ++Index)
-      Links.onMessage(
+      Transport.onMessage(
           static_cast<Channel>(Index),
           [this](const HostName &From, Incarnation Run, const Json &Body) {
-            Told.add([&] { Told.Messages.push_back({From, Run, Body}); });
+            Recorded.add([&] {
+              Recorded.Messages.push_back({From, Run, Body});
+            });
           });
-    Links.onPeer([this](const PeerEvent &Event) {
-      Told.add([&] { std::visit(*this, Event); });
+    Transport.onPeer([this](const PeerEvent &Event) {
+      Recorded.add([&] { std::visit(*this, Event); });
     });
-    Own.Port = Links.start();
+    Config.Port = Transport.start();
   }
 
-  void operator()(const PeerUp &Event) { Told.Ups.push_back(Event); }
-  void operator()(const PeerDown &Event) { Told.Downs.push_back(Event); }
-  void operator()(const PeerRefused &Event) { Told.Refusals.push_back(Event); }
+  void operator()(const PeerUp &Event) { Recorded.Ups.push_back(Event); }
+  void operator()(const PeerDown &Event) { Recorded.Downs.push_back(Event); }
+  void operator()(const PeerRefused &Event) {
+    Recorded.Refusals.push_back(Event);
+  }
 
-  [[nodiscard]] MeshPeer asPeer() const {
-    return {Own.Self, Own.Run, "127.0.0.1", Own.Port};
+  [[nodiscard]] MeshPeer peer() const {
+    return {Config.Self, Config.Run, "127.0.0.1", Config.Port};
+  }
+  [[nodiscard]] MeshSeed seedAddress() const {
+    return {"127.0.0.1", Config.Port};
   }
-  [[nodiscard]] MeshSeed asSeed() const { return {"127.0.0.1", Own.Port}; }
-  [[nodiscard]] const HostName &name() const { return Own.Self; }
+  [[nodiscard]] const HostName &name() const { return Config.Self; }
 
-  [[nodiscard]] bool sees(const Node &Other) {
-    return Told.wait([&] {
+  [[nodiscard]] bool isConnectedTo(const Node &Other) {
+    return Recorded.wait([&] {
       return std::any_of(
-          Told.Ups.begin(), Told.Ups.end(), [&](const PeerUp &Up) {
-            return Up.Host == Other.Own.Self && Up.Run == Other.Own.Run;
+          Recorded.Ups.begin(), Recorded.Ups.end(), [&](const PeerUp &Up) {
+            return Up.Host == Other.Config.Self && Up.Run == Other.Config.Run;
           });
     });
   }
-  [[nodiscard]] bool refused(PeerRefusal Why) {
-    return Told.wait([&] {
+  [[nodiscard]] bool refusedFor(PeerRefusal Refusal) {
+    return Recorded.wait([&] {
       return std::any_of(
-          Told.Refusals.begin(), Told.Refusals.end(),
-          [&](const PeerRefused &Event) { return Event.Why == Why; });
+          Recorded.Refusals.begin(), Recorded.Refusals.end(),
+          [&](const PeerRefused &Event) { return Event.Why == Refusal; });
     });
   }
-  [[nodiscard]] bool got(std::size_t Count) {
-    return Told.wait([&] { return Told.Messages.size() >= Count; });
+  [[nodiscard]] bool receivedAtLeast(std::size_t Count) {
+    return Recorded.wait([&] { return Recorded.Messages.size() >= Count; });
+  }
+  void setPeers(const std::vector<MeshPeer> &Peers) {
+    Transport.setPeers(Peers);
+  }
+  void setSeeds(const std::vector<MeshSeed> &Seeds) {
+    Transport.setSeeds(Seeds);
   }
-  void know(const std::vector<MeshPeer> &Peers) { Links.setPeers(Peers); }
-  void seed(const std::vector<MeshSeed> &Seeds) { Links.setSeeds(Seeds); }
 
-  MeshConfig Own;
-  Seen Told;
-  Mesh Links;
+  MeshConfig Config;
+  EventRecorder Recorded;
+  Mesh Transport;
 };
 
-internal::Introduction introduction(const char *Name, Incarnation Run) {
-  return {HostName(Name), Run, {1, 1}, internal::freshNonce()};
+internal::PeerHello makeHello(const char *Name, Incarnation Run) {
+  return {HostName(Name), Run, {1, 1}, internal::makeNonce()};
 }
 
-TEST(Mesh, TwoHostsTalkOverOneConnection) {
-  Node One(configOf("one", 1));
-  Node Two(configOf("two", 2));
-  const std::vector<MeshPeer> All = {One.asPeer(), Two.asPeer()};
-  One.know(All);
-  Two.know(All);
-  ASSERT_TRUE(One.sees(Two));
-  ASSERT_TRUE(Two.sees(One));
-  EXPECT_TRUE(One.Links.send(Two.name(), Channel::Records, Json{{"at", 7}}));
-  EXPECT_EQ(Two.Links.broadcast(Channel::Credits, Json{{"credit", 3}}), 1U);
-  ASSERT_TRUE(Two.got(1));
-  ASSERT_TRUE(One.got(1));
-  EXPECT_EQ(Two.Told.Messages[0].From, One.name());
-  EXPECT_EQ(Two.Told.Messages[0].Run, 1U);
-  EXPECT_EQ(Two.Told.Messages[0].Body.at("at"), 7);
-  EXPECT_EQ(One.Told.Messages[0].Body.at("credit"), 3);
-  EXPECT_THAT(One.Links.connected(), ElementsAre(Two.name()));
-  const MeshCounters Counted = Two.Links.counters();
+TEST(Mesh, TwoHostsExchangeMessagesOverOneConnection) {
+  Node One(makeConfig("one", 1));
+  Node Two(makeConfig("two", 2));
+  const std::vector<MeshPeer> All = {One.peer(), Two.peer()};
+  One.setPeers(All);
+  Two.setPeers(All);
+  ASSERT_TRUE(One.isConnectedTo(Two));
+  ASSERT_TRUE(Two.isConnectedTo(One));
+  EXPECT_TRUE(
+      One.Transport.send(Two.name(), Channel::Records, Json{{"at", 7}}));
+  EXPECT_EQ(Two.Transport.broadcast(Channel::Credits, Json{{"credit", 3}}), 1U);
+  ASSERT_TRUE(Two.receivedAtLeast(1));
+  ASSERT_TRUE(One.receivedAtLeast(1));
+  EXPECT_EQ(Two.Recorded.Messages[0].From, One.name());
+  EXPECT_EQ(Two.Recorded.Messages[0].Run, 1U);
+  EXPECT_EQ(Two.Recorded.Messages[0].Body.at("at"), 7);
+  EXPECT_EQ(One.Recorded.Messages[0].Body.at("credit"), 3);
+  EXPECT_THAT(One.Transport.connected(), ElementsAre(Two.name()));
+  const MeshCounters Counted = Two.Transport.counters();
   const auto &Records =
       Counted.Channels[static_cast<std::size_t>(Channel::Records)];
   EXPECT_EQ(Records.MessagesIn, 1U);
@@ -149,309 +161,316 @@
   EXPECT_EQ(Counted.Connected, 1U);
 }
 
-TEST(Mesh, HostThatIsNotConnectedIsNotSentTo) {
-  Node One(configOf("one", 1));
-  EXPECT_FALSE(One.Links.send(HostName("two"), Channel::Credits, Json(1)));
-  EXPECT_EQ(One.Links.broadcast(Channel::Credits, Json(1)), 0U);
+TEST(Mesh, SendToAHostThatIsNotConnectedFails) {
+  Node One(makeConfig("one", 1));
+  EXPECT_FALSE(One.Transport.send(HostName("two"), Channel::Credits, Json(1)));
+  EXPECT_EQ(One.Transport.broadcast(Channel::Credits, Json(1)), 0U);
 }
 
-// Guards against dropping messages to hosts that are no neighbours.
+// Guards against dropped messages to hosts that are not neighbours.
 TEST(Mesh, ConnectsOnDemandAndClosesWhenUnused) {
-  MeshConfig Config = configOf("one", 1);
+  MeshConfig Config = makeConfig("one", 1);
   Config.Limits.UnusedAfter = milliseconds(300);
   Node One(Config);
-  Node Two(configOf("two", 2));
-  MeshPeer Far = Two.asPeer();
-  Far.Neighbour = false;
-  One.know({Far});
-  EXPECT_TRUE(One.Links.send(Two.name(), Channel::Claims, Json(1)));
-  EXPECT_TRUE(One.Links.send(Two.name(), Channel::Claims, Json(2)));
-  ASSERT_TRUE(Two.got(2));
-  EXPECT_EQ(Two.Told.Messages[0].Body, Json(1));
-  EXPECT_EQ(Two.Told.Messages[1].Body, Json(2));
-  EXPECT_TRUE(Two.Links.send(One.name(), Channel::Claims, Json(3)));
-  ASSERT_TRUE(One.got(1));
-  ASSERT_TRUE(One.Told.wait([&] { return One.Told.Downs.size() == 1; }));
-  EXPECT_TRUE(One.Links.send(Two.name(), Channel::Claims, Json(4)));
-  EXPECT_TRUE(Two.got(3));
+  Node Two(makeConfig("two", 2));
+  MeshPeer OnDemand = Two.peer();
+  OnDemand.Neighbour = false;
+  One.setPeers({OnDemand});
+  EXPECT_TRUE(One.Transport.send(Two.name(), Channel::Claims, Json(1)));
+  EXPECT_TRUE(One.Transport.send(Two.name(), Channel::Claims, Json(2)));
+  ASSERT_TRUE(Two.receivedAtLeast(2));
+  EXPECT_EQ(Two.Recorded.Messages[0].Body, Json(1));
+  EXPECT_EQ(Two.Recorded.Messages[1].Body, Json(2));
+  EXPECT_TRUE(Two.Transport.send(One.name(), Channel::Claims, Json(3)));
+  ASSERT_TRUE(One.receivedAtLeast(1));
+  ASSERT_TRUE(
+      One.Recorded.wait([&] { return One.Recorded.Downs.size() == 1; }));
+  EXPECT_TRUE(One.Transport.send(Two.name(), Channel::Claims, Json(4)));
+  EXPECT_TRUE(Two.receivedAtLeast(3));
 }
 
-// Guards against keeping messages for a host that cannot be reached.
+// Guards against queueing messages indefinitely for an unreachable host.
 TEST(Mesh, DropsMessagesForAHostThatCannotBeReached) {
-  Node One(configOf("one", 1));
-  MeshPeer Gone;
+  Node One(makeConfig("one", 1));
+  MeshPeer Unreachable;
   {
-    Node Two(configOf("two", 2));
-    Gone = Two.asPeer();
+    Node Two(makeConfig("two", 2));
+    Unreachable = Two.peer();
   }
-  Gone.Neighbour = false;
-  One.know({Gone});
-  EXPECT_TRUE(One.Links.send(Gone.Host, Channel::Claims, Json(1)));
+  Unreachable.Neighbour = false;
+  One.setPeers({Unreachable});
+  EXPECT_TRUE(One.Transport.send(Unreachable.Host, Channel::Claims, Json(1)));
   const auto Dropped = [&] {
-    return One.Links.counters()
+    return One.Transport.counters()
         .Channels[static_cast<std::size_t>(Channel::Claims)]
         .Dropped;
   };
-  for (int Turn = 0; Turn < 4'000 && Dropped() == 0; ++Turn)
+  for (int Poll = 0; Poll < 4'000 && Dropped() == 0; ++Poll)
     std::this_thread::sleep_for(milliseconds(5));
   EXPECT_EQ(Dropped(), 1U);
-  EXPECT_EQ(One.Links.counters().QueuedBytes, 0U);
+  EXPECT_EQ(One.Transport.counters().QueuedBytes, 0U);
 }
 
-// A new entry host knows nothing but an address of one other: it must get into
-// the mesh by that, and pass over its own address in the list.
-TEST(Mesh, SeedIsEnoughToBegin) {
-  Node One(configOf("one", 1));
-  Node Two(configOf("two", 2));
-  Two.seed({Two.asSeed(), One.asSeed()});
-  ASSERT_TRUE(Two.sees(One));
-  ASSERT_TRUE(One.sees(Two));
-  ASSERT_TRUE(Two.refused(PeerRefusal::Self));
-  EXPECT_TRUE(One.Links.send(Two.name(), Channel::Heartbeat, Json(1)));
-  EXPECT_TRUE(Two.got(1));
+// A new entry host knows only seed addresses: it must join the mesh through
+// them and skip its own address in the list.
+TEST(Mesh, JoinsThroughASeedAddress) {
+  Node One(makeConfig("one", 1));
+  Node Two(makeConfig("two", 2));
+  Two.setSeeds({Two.seedAddress(), One.seedAddress()});
+  ASSERT_TRUE(Two.isConnectedTo(One));
+  ASSERT_TRUE(One.isConnectedTo(Two));
+  ASSERT_TRUE(Two.refusedFor(PeerRefusal::Self));
+  EXPECT_TRUE(One.Transport.send(Two.name(), Channel::Heartbeat, Json(1)));
+  EXPECT_TRUE(Two.receivedAtLeast(1));
 }
 
 TEST(Mesh, MessagesOfAChannelKeepTheirOrder) {
-  Node One(configOf("one", 1));
-  Node Two(configOf("two", 2));
-  One.know({Two.asPeer()});
-  ASSERT_TRUE(One.sees(Two));
+  Node One(makeConfig("one", 1));
+  Node Two(makeConfig("two", 2));
+  One.setPeers({Two.peer()});
+  ASSERT_TRUE(One.isConnectedTo(Two));
   constexpr std::size_t Count = 2000;
   for (std::size_t Number = 0; Number < Count; ++Number)
-    ASSERT_TRUE(One.Links.send(Two.name(), Channel::Records, Json(Number)));
-  ASSERT_TRUE(Two.got(Count));
+    ASSERT_TRUE(One.Transport.send(Two.name(), Channel::Records, Json(Number)));
+  ASSERT_TRUE(Two.receivedAtLeast(Count));
   for (std::size_t Number = 0; Number < Count; ++Number)
-    EXPECT_EQ(Two.Told.Messages[Number].Body, Json(Number));
+    EXPECT_EQ(Two.Recorded.Messages[Number].Body, Json(Number));
 }
 
-// An operator gives one host another key: its messages must not count, and both
-// ends must say why they are not connected.
-TEST(Mesh, WrongKeyIsRefusedAndBothEndsSaySo) {
-  Node One(configOf("one", 1));
-  MeshConfig Config = configOf("two", 2);
+// A host is configured with a different key: its messages must not be
+// delivered, and both ends must report why they are not connected.
+TEST(Mesh, WrongKeyIsRefusedAndBothEndsReportIt) {
+  Node One(makeConfig("one", 1));
+  MeshConfig Config = makeConfig("two", 2);
   Config.Key = "another-key-that-has-32-letters-or-more";
   Node Two(Config);
-  One.know({Two.asPeer()});
-  ASSERT_TRUE(Two.refused(PeerRefusal::Key));
-  ASSERT_TRUE(One.refused(PeerRefusal::ByPeer));
-  EXPECT_EQ(One.Told.Refusals[0].Detail, "key");
-  EXPECT_TRUE(One.Links.connected().empty());
-  EXPECT_TRUE(Two.Links.connected().empty());
+  One.setPeers({Two.peer()});
+  ASSERT_TRUE(Two.refusedFor(PeerRefusal::Key));
+  ASSERT_TRUE(One.refusedFor(PeerRefusal::ByPeer));
+  EXPECT_EQ(One.Recorded.Refusals[0].Detail, "key");
+  EXPECT_TRUE(One.Transport.connected().empty());
+  EXPECT_TRUE(Two.Transport.connected().empty());
 }
 
-// A host of a release that speaks only a later protocol is started: it must be
-// told why it is not let in, rather than be misread.
+// A host supports only later protocol versions: it must be refused with a
+// reason instead of having its messages misinterpreted.
 TEST(Mesh, UnknownProtocolVersionIsRefused) {
-  Node One(configOf("one", 1));
-  MeshConfig Config = configOf("two", 2);
+  Node One(makeConfig("one", 1));
+  MeshConfig Config = makeConfig("two", 2);
   Config.LowestVersion = 7;
   Config.HighestVersion = 9;
   Node Two(Config);
-  Two.know({One.asPeer()});
-  ASSERT_TRUE(One.refused(PeerRefusal::Version));
-  ASSERT_TRUE(Two.refused(PeerRefusal::ByPeer));
-  EXPECT_EQ(Two.Told.Refusals[0].Detail, "version");
+  Two.setPeers({One.peer()});
+  ASSERT_TRUE(One.refusedFor(PeerRefusal::Version));
+  ASSERT_TRUE(Two.refusedFor(PeerRefusal::ByPeer));
+  EXPECT_EQ(Two.Recorded.Refusals[0].Detail, "version");
 }
 
-TEST(Mesh, VersionsThatOverlapAreConnected) {
-  Node One(configOf("one", 1));
-  MeshConfig Config = configOf("two", 2);
+TEST(Mesh, HostsWithACommonVersionConnect) {
+  Node One(makeConfig("one", 1));
+  MeshConfig Config = makeConfig("two", 2);
   Config.HighestVersion = 9;
   Node Two(Config);
-  Two.know({One.asPeer()});
-  EXPECT_TRUE(One.sees(Two));
+  Two.setPeers({One.peer()});
+  EXPECT_TRUE(One.isConnectedTo(Two));
 }
 
-// Another machine got the address of a host that was replaced: what is sent to
-// that host must not reach the other one.
-TEST(Mesh, OtherHostAtTheAddressIsRefused) {
-  Node One(configOf("one", 1));
-  Node Two(configOf("two", 2));
-  MeshPeer Wrong = Two.asPeer();
-  Wrong.Host = HostName("three");
-  One.know({Wrong});
-  ASSERT_TRUE(One.refused(PeerRefusal::OtherHost));
-  EXPECT_FALSE(One.Links.send(HostName("three"), Channel::Credits, Json(1)));
+// Guards against misdelivery: a different host now uses the address of a
+// replaced one and must not receive the messages for it.
+TEST(Mesh, DifferentHostAtTheAddressIsRefused) {
+  Node One(makeConfig("one", 1));
+  Node Two(makeConfig("two", 2));
+  MeshPeer WrongName = Two.peer();
+  WrongName.Host = HostName("three");
+  One.setPeers({WrongName});
+  ASSERT_TRUE(One.refusedFor(PeerRefusal::OtherHost));
+  EXPECT_FALSE(
+      One.Transport.send(HostName("three"), Channel::Credits, Json(1)));
 }
 
-TEST(Mesh, AddressThatIsNoNumberEndsNothing) {
-  Node One(configOf("one", 1));
-  Node Two(configOf("two", 2));
-  One.know({{HostName("bad"), 9, "no-number", 1}, Two.asPeer()});
-  EXPECT_TRUE(One.sees(Two));
+TEST(Mesh, InvalidAddressDoesNotAffectOtherPeers) {
+  Node One(makeConfig("one", 1));
+  Node Two(makeConfig("two", 2));
+  One.setPeers({{HostName("bad"), 9, "no-number", 1}, Two.peer()});
+  EXPECT_TRUE(One.isConnectedTo(Two));
 }
 
-// A process dies and comes back under its name, at another port: its peers must
-// notice, and connect with the new run once the agreed state names it.
-TEST(Mesh, PeerThatDiedAndCameBackIsConnectedAgain) {
-  Node One(configOf("one", 1));
-  auto Two = std::make_unique<Node>(configOf("two", 2));
-  One.know({Two->asPeer()});
-  ASSERT_TRUE(One.sees(*Two));
+// A process restarts under the same host name at another port: its peers must
+// detect the loss, and connect to the new run once the agreed state lists it.
+TEST(Mesh, RestartedPeerIsConnectedAgain) {
+  Node One(makeConfig("one", 1));
+  auto Two = std::make_unique<Node>(makeConfig("two", 2));
+  One.setPeers({Two->peer()});
+  ASSERT_TRUE(One.isConnectedTo(*Two));
   Two.reset();
-  ASSERT_TRUE(One.Told.wait([&] { return One.Told.Downs.size() == 1; }));
-  EXPECT_THAT(One.Told.Downs[0].Why, HasSubstr("stops"));
-  Node Back(configOf("two", 3));
-  One.know({Back.asPeer()});
-  ASSERT_TRUE(One.sees(Back));
-  EXPECT_TRUE(One.Links.send(Back.name(), Channel::Notices, Json(1)));
-  EXPECT_TRUE(Back.got(1));
+  ASSERT_TRUE(
+      One.Recorded.wait([&] { return One.Recorded.Downs.size() == 1; }));
+  EXPECT_THAT(One.Recorded.Downs[0].Why, HasSubstr("stops"));
+  Node Restarted(makeConfig("two", 3));
+  One.setPeers({Restarted.peer()});
+  ASSERT_TRUE(One.isConnectedTo(Restarted));
+  EXPECT_TRUE(One.Transport.send(Restarted.name(), Channel::Notices, Json(1)));
+  EXPECT_TRUE(Restarted.receivedAtLeast(1));
 }
 
-// The network cuts a connection while both processes live on: it has to come
-// back without any change of the agreed state.
+// A connection is lost while the agreed state stays the same: it must be opened
+// again.
 TEST(Mesh, LostConnectionIsDialledAgain) {
-  Node One(configOf("one", 1));
+  Node One(makeConfig("one", 1));
   std::uint16_t Port = 0;
   {
-    Node Two(configOf("two", 2));
-    Port = Two.Own.Port;
-    One.know({Two.asPeer()});
-    ASSERT_TRUE(One.sees(Two));
+    Node Two(makeConfig("two", 2));
+    Port = Two.Config.Port;
+    One.setPeers({Two.peer()});
+    ASSERT_TRUE(One.isConnectedTo(Two));
   }
-  MeshConfig Same = configOf("two", 2);
-  Same.Port = Port;
-  const Node Again(Same);
-  EXPECT_TRUE(One.Told.wait([&] { return One.Told.Ups.size() == 2; }));
+  MeshConfig SameAddress = makeConfig("two", 2);
+  SameAddress.Port = Port;
+  const Node Second(SameAddress);
+  EXPECT_TRUE(One.Recorded.wait([&] { return One.Recorded.Ups.size() == 2; }));
 }
 
-// A process is paused, another one takes its name, and the paused one wakes up:
-// what it then sends must not be taken for the word of its successor.
-TEST(Mesh, LateMessagesOfAnOldRunAreNotDelivered) {
-  Node One(configOf("one", 1));
-  RawPeer Old(One.Own.Port, introduction("two", 2), Key);
-  ASSERT_TRUE(Old.prove());
+// Guards against stale messages: a paused process is replaced by a new run of
+// the same host and then resumes; its messages must not be delivered as those
+// of the new run.
+TEST(Mesh, LateMessagesOfARetiredRunAreNotDelivered) {
+  Node One(makeConfig("one", 1));
+  RawPeer Old(One.Config.Port, makeHello("two", 2), Key);
+  ASSERT_TRUE(Old.authenticate());
   Old.send(internal::encodeMessage(Channel::Credits, "early"));
-  ASSERT_TRUE(One.got(1));
-  EXPECT_EQ(One.Told.Messages[0].Run, 2U);
-  Node New(configOf("two", 3));
-  One.know({New.asPeer()});
-  ASSERT_TRUE(One.sees(New));
+  ASSERT_TRUE(One.receivedAtLeast(1));
+  EXPECT_EQ(One.Recorded.Messages[0].Run, 2U);
+  Node New(makeConfig("two", 3));
+  One.setPeers({New.peer()});
+  ASSERT_TRUE(One.isConnectedTo(New));
   Old.send(internal::encodeMessage(Channel::Credits, "late"));
   Old.readToEnd();
-  RawPeer Again(One.Own.Port, introduction("two", 2), Key);
-  (void)Again.prove();
-  Again.readToEnd();
-  EXPECT_EQ(Again.CloseReason, "retired-run");
-  ASSERT_TRUE(New.Links.send(One.name(), Channel::Credits, "new"));
-  ASSERT_TRUE(One.got(2));
-  EXPECT_EQ(One.Told.Messages[1].Run, 3U);
-  EXPECT_EQ(One.Told.Messages[1].Body, "new");
-  EXPECT_TRUE(One.Told.wait([&] { return !One.Told.Downs.empty(); }));
-  EXPECT_EQ(One.Told.Downs[0].Run, 2U);
+  RawPeer Second(One.Config.Port, makeHello("two", 2), Key);
+  (void)Second.authenticate();
+  Second.readToEnd();
+  EXPECT_EQ(Second.CloseReason, "retired-run");
+  ASSERT_TRUE(New.Transport.send(One.name(), Channel::Credits, "new"));
+  ASSERT_TRUE(One.receivedAtLeast(2));
+  EXPECT_EQ(One.Recorded.Messages[1].Run, 3U);
+  EXPECT_EQ(One.Recorded.Messages[1].Body, "new");
+  EXPECT_TRUE(One.Recorded.wait([&] { return !One.Recorded.Downs.empty(); }));
+  EXPECT_EQ(One.Recorded.Downs[0].Run, 2U);
 }
 
-TEST(Mesh, TooLargeMessageIsNotSentAndCutsItsSenderOff) {
-  MeshConfig Config = configOf("one", 1);
+TEST(Mesh, TooLargeMessageIsNotSentAndDisconnectsItsSender) {
+  MeshConfig Config = makeConfig("one", 1);
   Config.Limits.MaxMessageBytes = 1000;
   Node One(Config);
-  RawPeer Two(One.Own.Port, introduction("two", 2), Key);
-  ASSERT_TRUE(Two.prove());
-  ASSERT_TRUE(One.Told.wait([&] { return !One.Told.Ups.empty(); }));
+  RawPeer Two(One.Config.Port, makeHello("two", 2), Key);
+  ASSERT_TRUE(Two.authenticate());
+  ASSERT_TRUE(One.Recorded.wait([&] { return !One.Recorded.Ups.empty(); }));
   const std::string Large(2000, 'x');
-  EXPECT_FALSE(One.Links.send(HostName("two"), Channel::Forward, Large));
+  EXPECT_FALSE(One.Transport.send(HostName("two"), Channel::Forward, Large));
   Two.send(internal::encodeMessage(Channel::Forward, Large));
   Two.readToEnd();
   EXPECT_EQ(Two.CloseCode, 1009);
-  EXPECT_TRUE(One.Told.wait([&] { return !One.Told.Downs.empty(); }));
-  EXPECT_TRUE(One.Told.Messages.empty());
+  EXPECT_TRUE(One.Recorded.wait([&] { return !One.Recorded.Downs.empty(); }));
+  EXPECT_TRUE(One.Recorded.Messages.empty());
 }
 
-// A stranger connects and sends much before any proof: none of it may be held
-// or parsed.
-TEST(Mesh, StrangerMaySendLittleBeforeTheProof) {
-  Node One(configOf("one", 1));
-  RawPeer Stranger(One.Own.Port, introduction("two", 2), Key);
-  Stranger.send(std::string(5000, 'x'));
-  Stranger.readToEnd();
-  EXPECT_EQ(Stranger.CloseCode, 1009);
-  RawPeer Another(One.Own.Port, introduction("two", 2), Key);
+// An unauthenticated client sends large or regular messages before the
+// handshake: none of them may be buffered or delivered.
+TEST(Mesh, UnauthenticatedClientMaySendOnlySmallHandshakeMessages) {
+  Node One(makeConfig("one", 1));
+  RawPeer Unknown(One.Config.Port, makeHello("two", 2), Key);
+  Unknown.send(std::string(5000, 'x'));
+  Unknown.readToEnd();
+  EXPECT_EQ(Unknown.CloseCode, 1009);
+  RawPeer Another(One.Config.Port, makeHello("two", 2), Key);
   Another.send(internal::encodeMessage(Channel::Records, Json(1)));
   Another.readToEnd();
   EXPECT_EQ(Another.CloseReason, "malformed");
-  EXPECT_TRUE(One.Told.Messages.empty());
+  EXPECT_TRUE(One.Recorded.Messages.empty());
 }
 
-// A port scanner, or a client of another protocol, comes to the mesh's port.
-TEST(Mesh, OtherProtocolsAreCutOff) {
-  Node One(configOf("one", 1));
+// A port scanner or a client of another protocol connects to the mesh's port.
+TEST(Mesh, OtherProtocolsAreDisconnected) {
+  Node One(makeConfig("one", 1));
   boost::asio::io_context Io;
   for (const std::string &Bytes :
        {std::string("\x16\x03\x01\x02\0\x01\0 no HTTP\r\n\r\n", 18),
         std::string("GET / HTTP/1.1\r\nHost: mesh\r\n\r\n"),
         "GET /mesh HTTP/1.1\r\nX: " + std::string(100000, 'x')}) {
     boost::asio::ip::tcp::socket Socket(Io);
-    Socket.connect({boost::asio::ip::make_address("127.0.0.1"), One.Own.Port});
+    Socket.connect(
+        {boost::asio::ip::make_address("127.0.0.1"), One.Config.Port});
     boost::system::error_code Problem;
     boost::asio::write(Socket, boost::asio::buffer(Bytes), Problem);
     std::array<char, 4096> Buffer{};
     while (!Problem)
       (void)Socket.read_some(boost::asio::buffer(Buffer), Problem);
   }
-  RawPeer Two(One.Own.Port, introduction("two", 2), Key);
-  EXPECT_TRUE(Two.prove());
-  EXPECT_TRUE(One.Told.Messages.empty());
+  RawPeer Two(One.Config.Port, makeHello("two", 2), Key);
+  EXPECT_TRUE(Two.authenticate());
+  EXPECT_TRUE(One.Recorded.Messages.empty());
 }
 
-TEST(Mesh, UnprovedConnectionsAreBoundedAndTimeOut) {
-  MeshConfig Config = configOf("one", 1);
+TEST(Mesh, UnauthenticatedConnectionsAreBoundedAndTimeOut) {
+  MeshConfig Config = makeConfig("one", 1);
   Config.Limits.MaxUnauthenticated = 1;
   Config.Limits.HandshakeTimeout = milliseconds(50);
   Node One(Config);
-  RawPeer Silent(One.Own.Port, introduction("two", 2), Key);
+  RawPeer Silent(One.Config.Port, makeHello("two", 2), Key);
   Silent.readToEnd();
-  ASSERT_TRUE(One.refused(PeerRefusal::Timeout));
+  ASSERT_TRUE(One.refusedFor(PeerRefusal::Timeout));
   Config.Limits.HandshakeTimeout = milliseconds(30000);
   Node Three(Config);
-  RawPeer First(Three.Own.Port, introduction("two", 2), Key);
-  RawPeer Second(Three.Own.Port, introduction("two", 2), Key);
+  RawPeer First(Three.Config.Port, makeHello("two", 2), Key);
+  RawPeer Second(Three.Config.Port, makeHello("two", 2), Key);
   Second.readToEnd();
   EXPECT_TRUE(Second.Closed);
-  EXPECT_EQ(Three.Links.counters().RefusedConnections, 1U);
-  EXPECT_TRUE(First.prove());
+  EXPECT_EQ(Three.Transport.counters().RefusedConnections, 1U);
+  EXPECT_TRUE(First.authenticate());
 }
 
-// A peer stops reading while its connection stays up: the messages for it must
-// not fill this host's memory, and the sender must learn that they wait no
-// more.
+// Guards against running out of memory: a peer stops reading while its
+// connection stays open. Its send queue must be bounded, and send() must report
+// a full queue.
 TEST(Mesh, QueueForAPeerThatDoesNotReadIsBounded) {
-  MeshConfig Config = configOf("one", 1);
+  MeshConfig Config = makeConfig("one", 1);
   Config.Limits.MaxQueuedBytes = 1 << 20U;
   Node One(Config);
-  RawPeer Two(One.Own.Port, introduction("two", 2), Key);
-  ASSERT_TRUE(Two.prove());
-  ASSERT_TRUE(One.Told.wait([&] { return !One.Told.Ups.empty(); }));
-  const std::string Part(16384, 'x');
-  constexpr int Enough = 4096;
+  RawPeer Two(One.Config.Port, makeHello("two", 2), Key);
+  ASSERT_TRUE(Two.authenticate());
+  ASSERT_TRUE(One.Recorded.wait([&] { return !One.Recorded.Ups.empty(); }));
+  const std::string Payload(16384, 'x');
+  constexpr int MaxParts = 4096;
   int Taken = 0;
-  while (Taken < Enough &&
-         One.Links.send(HostName("two"), Channel::Forward, Part))
+  while (Taken < MaxParts &&
+         One.Transport.send(HostName("two"), Channel::Forward, Payload))
     ++Taken;
-  EXPECT_LT(Taken, Enough);
-  EXPECT_LE(One.Links.counters().QueuedBytes, Config.Limits.MaxQueuedBytes);
-  EXPECT_TRUE(One.Links.send(HostName("two"), Channel::Credits, Json(1)));
+  EXPECT_LT(Taken, MaxParts);
+  EXPECT_LE(One.Transport.counters().QueuedBytes, Config.Limits.MaxQueuedBytes);
+  EXPECT_TRUE(One.Transport.send(HostName("two"), Channel::Credits, Json(1)));
   for (int Number = 0; Number < 100; ++Number)
-    EXPECT_TRUE(One.Links.send(HostName("two"), Channel::Heartbeat, Part));
-  EXPECT_LE(One.Links.counters().QueuedBytes, Config.Limits.MaxQueuedBytes);
+    EXPECT_TRUE(
+        One.Transport.send(HostName("two"), Channel::Heartbeat, Payload));
+  EXPECT_LE(One.Transport.counters().QueuedBytes, Config.Limits.MaxQueuedBytes);
 }
 
-TEST(Mesh, ConnectionWithoutAByteIsGivenUp) {
-  MeshConfig Config = configOf("one", 1);
+TEST(Mesh, ConnectionWithoutDataIsClosed) {
+  MeshConfig Config = makeConfig("one", 1);
   Config.Limits.PingInterval = milliseconds(20);
   Config.Limits.IdleTimeout = milliseconds(100);
   Node One(Config);
-  RawPeer Paused(One.Own.Port, introduction("two", 2), Key);
-  ASSERT_TRUE(Paused.prove());
-  ASSERT_TRUE(One.Told.wait([&] { return One.Told.Downs.size() == 1; }));
-  EXPECT_THAT(One.Told.Downs[0].Why, HasSubstr("nothing came"));
+  RawPeer Paused(One.Config.Port, makeHello("two", 2), Key);
+  ASSERT_TRUE(Paused.authenticate());
+  ASSERT_TRUE(
+      One.Recorded.wait([&] { return One.Recorded.Downs.size() == 1; }));
+  EXPECT_THAT(One.Recorded.Downs[0].Why, HasSubstr("no data received"));
 }
 
-// A later release has new channels and new fields: an older one passes over
-// them and goes on.
-TEST(Mesh, NewerMessagesArePassedOver) {
-  Node One(configOf("one", 1));
-  RawPeer Two(One.Own.Port, introduction("two", 2), Key);
-  ASSERT_TRUE(Two.prove());
+// A peer with a later release sends unknown channels and fields: they must be
+// ignored without closing the connection.
+TEST(Mesh, UnknownChannelsAndFieldsAreIgnored) {
+  Node One(makeConfig("one", 1));
+  RawPeer Two(One.Config.Port, makeHello("two", 2), Key);
+  ASSERT_TRUE(Two.authenticate());
   std::string Message;
   Json::to_cbor(Json{{"c", 200}, {"b", 1}}, Message);
   Two.send(Message);
@@ -459,49 +478,50 @@
   Message.clear();
   Json::to_cbor(Json{{"c", 1}, {"b", "known"}, {"newer", 2}}, Message);
   Two.send(Message);
-  ASSERT_TRUE(One.got(1));
-  EXPECT_EQ(One.Told.Messages[0].Body, "known");
-  EXPECT_EQ(One.Links.counters().UnknownChannel, 1U);
-  EXPECT_EQ(One.Links.counters().Malformed, 1U);
+  ASSERT_TRUE(One.receivedAtLeast(1));
+  EXPECT_EQ(One.Recorded.Messages[0].Body, "known");
+  EXPECT_EQ(One.Transport.counters().UnknownChannel, 1U);
+  EXPECT_EQ(One.Transport.counters().Malformed, 1U);
 }
 
-TEST(Mesh, HandlerThatThrowsEndsNothing) {
-  MeshConfig Config = configOf("one", 1);
-  Seen Told;
+TEST(Mesh, ExceptionFromAHandlerDoesNotCloseTheConnection) {
+  MeshConfig Config = makeConfig("one", 1);
+  EventRecorder Recorded;
   int Count = 0;
-  Mesh Links(Config);
-  Links.onMessage(Channel::Credits, [](const HostName &, Incarnation,
-                                       const Json &) { throw Error("no"); });
-  Links.onMessage(Channel::Claims,
-                  [&](const HostName &, Incarnation, const Json &) {
-                    Told.add([&] { ++Count; });
-                  });
-  RawPeer Two(Links.start(), introduction("two", 2), Key);
-  ASSERT_TRUE(Two.prove());
+  Mesh Transport(Config);
+  Transport.onMessage(
+      Channel::Credits,
+      [](const HostName &, Incarnation, const Json &) { throw Error("no"); });
+  Transport.onMessage(Channel::Claims,
+                      [&](const HostName &, Incarnation, const Json &) {
+                        Recorded.add([&] { ++Count; });
+                      });
+  RawPeer Two(Transport.start(), makeHello("two", 2), Key);
+  ASSERT_TRUE(Two.authenticate());
   Two.send(internal::encodeMessage(Channel::Credits, Json(1)));
   Two.send(internal::encodeMessage(Channel::Claims, Json(1)));
-  EXPECT_TRUE(Told.wait([&] { return Count == 1; }));
-  EXPECT_EQ(Links.counters().HandlerFailures, 1U);
+  EXPECT_TRUE(Recorded.wait([&] { return Count == 1; }));
+  EXPECT_EQ(Transport.counters().HandlerFailures, 1U);
 }
 
-TEST(Mesh, TakenPortIsNamed) {
-  const Node One(configOf("one", 1));
-  MeshConfig Config = configOf("two", 2);
-  Config.Port = One.Own.Port;
+TEST(Mesh, ListenErrorNamesTheOccupiedPort) {
+  const Node One(makeConfig("one", 1));
+  MeshConfig Config = makeConfig("two", 2);
+  Config.Port = One.Config.Port;
   Mesh Two(Config);
   try {
     (void)Two.start();
     FAIL();
   } catch (const ListenError &Problem) {
     EXPECT_THAT(Problem.what(),
-                HasSubstr("127.0.0.1:" + std::to_string(One.Own.Port) +
+                HasSubstr("127.0.0.1:" + std::to_string(One.Config.Port) +
                           ": Address already in use"));
   }
 }
 
-// Many hosts start at once and all dial each other: each pair must end up with
-// one connection, and no message sent meanwhile may be refused or lost. Cause
-// of a failure once seen: a sender still held the queue of the connection that
+// Many hosts start at the same time and dial each other: each pair must end up
+// with one connection, and no message sent meanwhile may be rejected or lost.
+// Guards against a sender that still refers to the queue of a connection that
 // was just replaced.
 TEST(Mesh, HostsThatDialEachOtherAtOnceKeepOneConnection) {
   constexpr std::size_t Count = 6;
@@ -511,28 +531,29 @@
   std::vector<MeshSeed> Seeds;
   for (std::size_t Index = 0; Index < Count; ++Index) {
     Nodes.push_back(
-        std::make_unique<Node>(configOf(Names.at(Index), Index + 1)));
-    Peers.push_back(Nodes.back()->asPeer());
-    Seeds.push_back(Nodes.back()->asSeed());
+        std::make_unique<Node>(makeConfig(Names.at(Index), Index + 1)));
+    Peers.push_back(Nodes.back()->peer());
+    Seeds.push_back(Nodes.back()->seedAddress());
   }
-  for (const auto &Each : Nodes) {
-    Each->seed(Seeds);
-    Each->know(Peers);
+  for (const auto &Current : Nodes) {
+    Current->setSeeds(Seeds);
+    Current->setPeers(Peers);
   }
-  for (const auto &Each : Nodes)
+  for (const auto &Current : Nodes)
     for (const auto &Other : Nodes)
-      ASSERT_TRUE(Each == Other || Each->sees(*Other));
-  for (const auto &Each : Nodes) {
-    EXPECT_EQ(Each->Links.connected().size(), Count - 1);
-    EXPECT_EQ(Each->Links.broadcast(Channel::Notices, Each->name().Text),
-              Count - 1);
+      ASSERT_TRUE(Current == Other || Current->isConnectedTo(*Other));
+  for (const auto &Current : Nodes) {
+    EXPECT_EQ(Current->Transport.connected().size(), Count - 1);
+    EXPECT_EQ(
+        Current->Transport.broadcast(Channel::Notices, Current->name().Text),
+        Count - 1);
   }
-  for (const auto &Each : Nodes)
-    EXPECT_TRUE(Each->got(Count - 1));
-  for (const auto &Each : Nodes)
-    for (const PeerDown &Down : Each->Told.Downs)
-      ADD_FAILURE() << Each->name().Text << " lost " << Down.Host.Text << ": "
-                    << Down.Why;
+  for (const auto &Current : Nodes)
+    EXPECT_TRUE(Current->receivedAtLeast(Count - 1));
+  for (const auto &Current : Nodes)
+    for (const PeerDown &Down : Current->Recorded.Downs)
+      ADD_FAILURE() << Current->name().Text << " lost " << Down.Host.Text
+                    << ": " << Down.Why;
 }
 
 } // namespace
--- a/packages/connection/test/coltsfoottrail/mesh/message.cpp
+++ b/packages/connection/test/coltsfoottrail/mesh/message.cpp
@@ -5,15 +5,17 @@
 namespace coltsfoottrail::internal {
 namespace {
 
-TEST(MeshMessage, ComesBackAsItWas) {
+TEST(MeshMessage, EncodeAndDecodeRoundTrip) {
   const Json Body = {{"offset", 12}, {"text", std::string(5000, 'x')}};
-  const Incoming Read = decodeMessage(encodeMessage(Channel::Records, Body));
-  EXPECT_EQ(Read.Which, Channel::Records);
-  EXPECT_EQ(Read.Body, Body);
+  const DecodedMessage Decoded =
+      decodeMessage(encodeMessage(Channel::Records, Body));
+  EXPECT_EQ(Decoded.ChannelId, Channel::Records);
+  EXPECT_EQ(Decoded.Body, Body);
 }
 
-// A peer of a faulty release sends a megabyte of opening brackets: the decoder
-// would call itself a million times and end the process.
+// Guards against a stack overflow: a peer with a faulty release sends a
+// megabyte of opening brackets, and an unbounded decoder would recurse a
+// million times.
 TEST(MeshMessage, DeepNestingIsRefused) {
   EXPECT_THROW((void)decodeMessage(std::string(std::size_t{1} << 20U, '\x81')),
                Error);
--- a/packages/connection/test/coltsfoottrail/mesh/rawpeer.hpp
+++ b/packages/connection/test/coltsfoottrail/mesh/rawpeer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One end of a connection between entry hosts, driven by hand.
+/// A mesh peer that a test drives step by step.
 #ifndef COLTSFOOTTRAIL_MESH_RAWPEER_HPP
 #define COLTSFOOTTRAIL_MESH_RAWPEER_HPP
 
@@ -15,13 +15,13 @@
 
 namespace coltsfoottrail {
 
-/// Dials a mesh and speaks its protocol step by step; blocking.
+/// Dials a mesh and runs its protocol step by step. Calls block.
 class RawPeer {
 public:
-  /// Connects and ends the WebSocket handshake.
-  RawPeer(std::uint16_t Port, internal::Introduction Self, std::string Key)
-      : Socket(Io), Proof(internal::Handshake::End::Dialler, std::move(Self),
-                          std::move(Key)),
+  /// Connects and completes the WebSocket handshake.
+  RawPeer(std::uint16_t Port, internal::PeerHello Self, std::string Key)
+      : Socket(Io), AuthHandshake(internal::Handshake::End::Dialler,
+                                  std::move(Self), std::move(Key)),
         Protocol(WebSocket::Role::Client, std::size_t{1} << 24U,
                  WebSocket::Handlers{
                      [this](std::string_view Bytes) { Output.append(Bytes); },
@@ -40,20 +40,21 @@
     }
   }
 
-  /// Proves the key. Tells whether the other end proved it too.
-  [[nodiscard]] bool prove() {
-    send(Proof.hello());
+  /// Runs the authentication handshake; returns whether both ends are
+  /// authenticated.
+  [[nodiscard]] bool authenticate() {
+    send(AuthHandshake.hello());
     while (!Closed) {
       while (Messages.empty())
         if (Closed || !step())
           return false;
-      const auto Done = Proof.take(Messages.front());
+      const auto Result = AuthHandshake.receive(Messages.front());
       Messages.erase(Messages.begin());
-      if (Done.Refused)
+      if (Result.Refused)
         return false;
-      if (Done.Reply)
-        send(*Done.Reply);
-      if (Done.Proved)
+      if (Result.Reply)
+        send(*Result.Reply);
+      if (Result.Authenticated)
         return true;
     }
     return false;
@@ -70,7 +71,7 @@
     write();
   }
 
-  /// Reads until the other end has closed.
+  /// Reads until the other end has closed the connection.
   void readToEnd() {
     while (!Closed && step()) {
     }
@@ -89,7 +90,7 @@
     const std::size_t Size =
         Socket.read_some(boost::asio::buffer(Buffer), Problem);
     if (Problem) {
-      Protocol.end();
+      Protocol.receiveEof();
       Closed = true;
       return false;
     }
@@ -106,7 +107,7 @@
 
   boost::asio::io_context Io;
   boost::asio::ip::tcp::socket Socket;
-  internal::Handshake Proof;
+  internal::Handshake AuthHandshake;
   std::string Output;
   bool Open = false;
   WebSocket Protocol;
