--- a/packages/connection/src/coltsfoottrail/adapter/engines.cpp
+++ b/packages/connection/src/coltsfoottrail/adapter/engines.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 3> RoleWords{"mixed", "prefill",
+constexpr std::array<std::string_view, 3> RoleNames{"mixed", "prefill",
                                                     "decode"};
-constexpr std::array<std::string_view, 4> PhaseWords{"idle", "loading", "ready",
+constexpr std::array<std::string_view, 4> PhaseNames{"idle", "loading", "ready",
                                                      "leaving"};
-constexpr std::array<std::string_view, 3> OrderWords{
+constexpr std::array<std::string_view, 3> OrderNames{
     "join-group", "leave-group", "load-adapters"};
 constexpr unsigned StatusOk = 200;
 constexpr unsigned StatusConflict = 409;
@@ -61,7 +61,7 @@
   Join.Model = ModelName(Reader.text("model"));
   Join.Version = VersionName(Reader.text("version"));
   Join.Adapters = readAdapters(Reader);
-  Join.Role = static_cast<EngineRole>(Reader.word("role", RoleWords));
+  Join.Role = static_cast<EngineRole>(Reader.word("role", RoleNames));
   Join.Rank = static_cast<std::uint32_t>(Reader.number("rank"));
   Reader.eachObject("members", [&](ObjectReader &Member) {
     Join.Members.push_back(
@@ -72,7 +72,7 @@
 }
 
 OrderResult
-orderResultOf(const std::variant<HttpResponse, CallFailure> &Outcome) {
+toOrderResult(const std::variant<HttpResponse, CallFailure> &Outcome) {
   if (const auto *const Failed = std::get_if<CallFailure>(&Outcome))
     return Failed->State == RunState::NotRun ? OrderResult::NotDone
                                              : OrderResult::Unknown;
@@ -89,7 +89,7 @@
 }
 
 std::optional<EngineReport>
-reportOf(const std::variant<HttpResponse, CallFailure> &Outcome) {
+toEngineReport(const std::variant<HttpResponse, CallFailure> &Outcome) {
   const auto *const Response = std::get_if<HttpResponse>(&Outcome);
   if (Response == nullptr || Response->Status != StatusOk)
     return std::nullopt;
@@ -101,7 +101,7 @@
 }
 
 std::optional<std::vector<ListedHost>>
-hostsOf(const std::variant<HttpResponse, CallFailure> &Outcome) {
+toHostList(const std::variant<HttpResponse, CallFailure> &Outcome) {
   const auto *const Response = std::get_if<HttpResponse>(&Outcome);
   if (Response == nullptr || Response->Status != StatusOk)
     return std::nullopt;
@@ -122,36 +122,36 @@
 } // namespace
 
 Json writeOrder(const EngineOrder &Order) {
-  Json Out{{"fence", Order.Fence},
-           {"order", OrderWords.at(Order.What.index())}};
+  Json Encoded{{"fence", Order.Fence},
+               {"order", OrderNames.at(Order.What.index())}};
   std::visit(Overloaded{
                  [&](const JoinGroup &Join) {
-                   Out["group"] = writeGroup(Join.Group);
-                   Out["model"] = Join.Model.Text;
-                   Out["version"] = Join.Version.Text;
-                   Out["adapters"] = writeAdapters(Join.Adapters);
-                   Out["role"] =
-                       RoleWords.at(static_cast<std::size_t>(Join.Role));
-                   Out["rank"] = Join.Rank;
-                   Out["members"] = writeMembers(Join.Members);
+                   Encoded["group"] = writeGroup(Join.Group);
+                   Encoded["model"] = Join.Model.Text;
+                   Encoded["version"] = Join.Version.Text;
+                   Encoded["adapters"] = writeAdapters(Join.Adapters);
+                   Encoded["role"] =
+                       RoleNames.at(static_cast<std::size_t>(Join.Role));
+                   Encoded["rank"] = Join.Rank;
+                   Encoded["members"] = writeMembers(Join.Members);
                  },
                  [&](const LeaveGroup &Leave) {
-                   Out["group"] = writeGroup(Leave.Group);
+                   Encoded["group"] = writeGroup(Leave.Group);
                  },
                  [&](const LoadAdapters &Load) {
-                   Out["group"] = writeGroup(Load.Group);
-                   Out["adapters"] = writeAdapters(Load.Adapters);
+                   Encoded["group"] = writeGroup(Load.Group);
+                   Encoded["adapters"] = writeAdapters(Load.Adapters);
                  },
              },
              Order.What);
-  return Out;
+  return Encoded;
 }
 
 EngineOrder readOrder(const Json &Value) {
   ObjectReader Reader(Value, "order", "", UnknownKeys::Ignore);
   EngineOrder Order;
   Order.Fence = Reader.number("fence");
-  switch (Reader.word("order", OrderWords)) {
+  switch (Reader.word("order", OrderNames)) {
   case 0:
     Order.What = readJoin(Reader);
     break;
@@ -167,17 +167,17 @@
 }
 
 Json writeReport(const EngineReport &Report) {
-  Json Out{{"run", Report.Run},
-           {"fence", Report.Fence},
-           {"phase", PhaseWords.at(static_cast<std::size_t>(Report.Phase))},
-           {"adapters", writeAdapters(Report.Adapters)},
-           {"running", Report.Running},
-           {"queued", Report.Queued}};
+  Json Encoded{{"run", Report.Run},
+               {"fence", Report.Fence},
+               {"phase", PhaseNames.at(static_cast<std::size_t>(Report.Phase))},
+               {"adapters", writeAdapters(Report.Adapters)},
+               {"running", Report.Running},
+               {"queued", Report.Queued}};
   if (!Report.Version.empty())
-    Out["version"] = Report.Version.Text;
+    Encoded["version"] = Report.Version.Text;
   if (Report.Group)
-    Out["group"] = writeGroup(*Report.Group);
-  return Out;
+    Encoded["group"] = writeGroup(*Report.Group);
+  return Encoded;
 }
 
 EngineReport readReport(const Json &Value) {
@@ -186,7 +186,7 @@
   Report.Run = Reader.number("run");
   Report.Fence = Reader.numberOr("fence", 0);
   Report.Phase = static_cast<EnginePhase>(Reader.wordOr(
-      "phase", PhaseWords, static_cast<std::size_t>(EnginePhase::Ready)));
+      "phase", PhaseNames, static_cast<std::size_t>(EnginePhase::Ready)));
   if (Reader.has("group"))
     Report.Group = readGroup(Reader.object("group"));
   Report.Version = VersionName(Reader.textOr("version", ""));
@@ -196,10 +196,10 @@
   return Report;
 }
 
-HttpEngines::HttpEngines(boost::asio::io_context &Where)
-    : Context(Where), Client(Where, ClientOptions{}) {}
+HttpEngines::HttpEngines(boost::asio::io_context &IoContext)
+    : Context(IoContext), Client(IoContext, ClientOptions{}) {}
 
-void HttpEngines::order(const EngineAddress &To, const EngineOrder &Order,
+void HttpEngines::order(const EngineAddress &Engine, const EngineOrder &Order,
                         milliseconds Timeout, OrderHandler Done) {
   HttpRequest Request;
   Request.Method = "POST";
@@ -208,40 +208,42 @@
   Request.Body = writeOrder(Order).dump();
   boost::asio::co_spawn(
       Context,
-      [this, To, Sent = std::move(Request),
+      [this, Engine, Sent = std::move(Request),
        Deadline = BootClock::now() + Timeout,
-       Then = std::move(Done)]() mutable -> Awaitable<void> {
-        Then(orderResultOf(
-            co_await Client.fetch(To, std::move(Sent), Deadline)));
+       Handler = std::move(Done)]() mutable -> Awaitable<void> {
+        Handler(toOrderResult(
+            co_await Client.fetch(Engine, std::move(Sent), Deadline)));
       },
       boost::asio::detached);
 }
 
-void HttpEngines::ask(const EngineAddress &Whom, milliseconds Timeout,
+void HttpEngines::ask(const EngineAddress &Engine, milliseconds Timeout,
                       ReportHandler Done) {
   boost::asio::co_spawn(
       Context,
-      [this, Whom, Deadline = BootClock::now() + Timeout,
-       Then = std::move(Done)]() mutable -> Awaitable<void> {
+      [this, Engine, Deadline = BootClock::now() + Timeout,
+       Handler = std::move(Done)]() mutable -> Awaitable<void> {
         HttpRequest Request;
         Request.Target = "/report";
-        Then(reportOf(
-            co_await Client.fetch(Whom, std::move(Request), Deadline)));
+        Handler(toEngineReport(
+            co_await Client.fetch(Engine, std::move(Request), Deadline)));
       },
       boost::asio::detached);
 }
 
-HttpHostList::HttpHostList(boost::asio::io_context &Where, EngineAddress To)
-    : Context(Where), Client(Where, ClientOptions{}), Service(std::move(To)) {}
+HttpHostList::HttpHostList(boost::asio::io_context &IoContext,
+                           EngineAddress Address)
+    : Context(IoContext), Client(IoContext, ClientOptions{}),
+      Service(std::move(Address)) {}
 
 void HttpHostList::list(milliseconds Timeout, HostListHandler Done) {
   boost::asio::co_spawn(
       Context,
       [this, Deadline = BootClock::now() + Timeout,
-       Then = std::move(Done)]() mutable -> Awaitable<void> {
+       Handler = std::move(Done)]() mutable -> Awaitable<void> {
         HttpRequest Request;
         Request.Target = "/v1/hosts";
-        Then(hostsOf(
+        Handler(toHostList(
             co_await Client.fetch(Service, std::move(Request), Deadline)));
       },
       boost::asio::detached);
--- a/packages/connection/src/coltsfoottrail/adapter/engines.hpp
+++ b/packages/connection/src/coltsfoottrail/adapter/engines.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Orders to engines, their reports and the host list over HTTP;
-/// docs/PLATFORM.md tells the wire form.
+/// HTTP clients of the engines and of the host list. docs/PLATFORM.md specifies
+/// the wire format.
 #ifndef COLTSFOOTTRAIL_ADAPTER_ENGINES_HPP
 #define COLTSFOOTTRAIL_ADAPTER_ENGINES_HPP
 
@@ -11,28 +11,28 @@
 
 namespace coltsfoottrail {
 
-/// @brief Writes an order in its wire form. Thread-safe.
+/// @brief Encodes an order. Thread-safe.
 [[nodiscard]] Json writeOrder(const EngineOrder &Order);
-/// @brief Reads an order from its wire form.
-/// @throws InputError It is not an order. Thread-safe.
+/// @brief Decodes an order. Thread-safe.
+/// @throws InputError The value is not a valid order.
 [[nodiscard]] EngineOrder readOrder(const Json &Value);
-/// @brief Writes a report in its wire form. Thread-safe.
+/// @brief Encodes an engine report. Thread-safe.
 [[nodiscard]] Json writeReport(const EngineReport &Report);
-/// @brief Reads a report from its wire form.
-/// @throws InputError It is not a report. Thread-safe.
+/// @brief Decodes an engine report. Thread-safe.
+/// @throws InputError The value is not a valid report.
 [[nodiscard]] EngineReport readReport(const Json &Value);
 
-/// @brief Client of the engines over HTTP.
+/// @brief HTTP client of the engines.
 class HttpEngines final : public Engines {
 public:
-  /// @brief Makes a client.
-  /// @param Where Context whose thread carries the calls; must outlive the
-  /// client and stop before it is destroyed.
-  explicit HttpEngines(boost::asio::io_context &Where);
+  /// @brief Creates a client.
+  /// @param IoContext Context whose thread runs the calls; must outlive the
+  /// client and be stopped before the client is destroyed.
+  explicit HttpEngines(boost::asio::io_context &IoContext);
 
-  void order(const EngineAddress &To, const EngineOrder &Order,
+  void order(const EngineAddress &Engine, const EngineOrder &Order,
              milliseconds Timeout, OrderHandler Done) override;
-  void ask(const EngineAddress &Whom, milliseconds Timeout,
+  void ask(const EngineAddress &Engine, milliseconds Timeout,
            ReportHandler Done) override;
 
 private:
@@ -40,14 +40,14 @@
   HttpClient Client;
 };
 
-/// @brief Client of the platform's host list over HTTP.
+/// @brief HTTP client of the platform's host list.
 class HttpHostList final : public HostList {
 public:
-  /// @brief Makes a client.
-  /// @param Where Context whose thread carries the calls; must outlive the
-  /// client and stop before it is destroyed.
-  /// @param To The list's service.
-  HttpHostList(boost::asio::io_context &Where, EngineAddress To);
+  /// @brief Creates a client.
+  /// @param IoContext Context whose thread runs the calls; must outlive the
+  /// client and be stopped before the client is destroyed.
+  /// @param Address Address of the host list service.
+  HttpHostList(boost::asio::io_context &IoContext, EngineAddress Address);
 
   void list(milliseconds Timeout, HostListHandler Done) override;
 
--- a/packages/connection/src/coltsfoottrail/adapter/log.cpp
+++ b/packages/connection/src/coltsfoottrail/adapter/log.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Beyond the time that the log may hold a read back.
-constexpr milliseconds ReadMargin{2'000};
+/// Added to the time that the log may delay its response to a read.
+constexpr milliseconds ReadTimeoutMargin{2'000};
 constexpr unsigned StatusOk = 200;
 constexpr unsigned StatusGone = 410;
 constexpr unsigned StatusServerError = 500;
@@ -43,7 +43,7 @@
 }
 
 AppendResult
-appendResultOf(const std::variant<HttpResponse, CallFailure> &Outcome) {
+toAppendResult(const std::variant<HttpResponse, CallFailure> &Outcome) {
   if (const auto *const Failed = std::get_if<CallFailure>(&Outcome))
     return Failed->State == RunState::NotRun ? LogFailure::NotDone
                                              : LogFailure::Unknown;
@@ -61,7 +61,7 @@
   }
 }
 
-LogBatch batchOf(const Json &Body) {
+LogBatch decodeBatch(const Json &Body) {
   ObjectReader Reader(Body, "log answer", "", UnknownKeys::Ignore);
   LogBatch Batch;
   Batch.End = Reader.number("end");
@@ -78,7 +78,7 @@
 }
 
 ReadResult
-readResultOf(const std::variant<HttpResponse, CallFailure> &Outcome) {
+toReadResult(const std::variant<HttpResponse, CallFailure> &Outcome) {
   const auto *const Response = std::get_if<HttpResponse>(&Outcome);
   if (Response == nullptr)
     return LogFailure::NotDone;
@@ -87,7 +87,7 @@
   if (Response->Status != StatusOk)
     return LogFailure::NotDone;
   try {
-    return batchOf(Json::from_cbor(Response->Body));
+    return decodeBatch(Json::from_cbor(Response->Body));
   } catch (const Json::exception &) {
     return LogFailure::NotDone;
   } catch (const InputError &) {
@@ -97,8 +97,9 @@
 
 } // namespace
 
-HttpLog::HttpLog(boost::asio::io_context &Where, EngineAddress To)
-    : Context(Where), Client(Where, ClientOptions{}), Service(std::move(To)) {}
+HttpLog::HttpLog(boost::asio::io_context &IoContext, EngineAddress Address)
+    : Context(IoContext), Client(IoContext, ClientOptions{}),
+      Service(std::move(Address)) {}
 
 void HttpLog::append(const StreamName &Stream, std::vector<std::byte> Payload,
                      milliseconds Timeout, AppendHandler Done) {
@@ -106,8 +107,8 @@
       Context,
       [this, Request = appendRequest(Stream, Payload),
        Deadline = BootClock::now() + Timeout,
-       Then = std::move(Done)]() mutable -> Awaitable<void> {
-        Then(appendResultOf(
+       Handler = std::move(Done)]() mutable -> Awaitable<void> {
+        Handler(toAppendResult(
             co_await Client.fetch(Service, std::move(Request), Deadline)));
       },
       boost::asio::detached);
@@ -119,9 +120,9 @@
   boost::asio::co_spawn(
       Context,
       [this, Request = readRequest(Stream, From, MaxEntries, Wait),
-       Deadline = BootClock::now() + Wait + ReadMargin,
-       Then = std::move(Done)]() mutable -> Awaitable<void> {
-        Then(readResultOf(
+       Deadline = BootClock::now() + Wait + ReadTimeoutMargin,
+       Handler = std::move(Done)]() mutable -> Awaitable<void> {
+        Handler(toReadResult(
             co_await Client.fetch(Service, std::move(Request), Deadline)));
       },
       boost::asio::detached);
--- a/packages/connection/src/coltsfoottrail/adapter/log.hpp
+++ b/packages/connection/src/coltsfoottrail/adapter/log.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The platform's log over HTTP; docs/PLATFORM.md tells the wire form.
+/// HTTP client of the platform's log. docs/PLATFORM.md specifies the wire
+/// format.
 #ifndef COLTSFOOTTRAIL_ADAPTER_LOG_HPP
 #define COLTSFOOTTRAIL_ADAPTER_LOG_HPP
 
@@ -9,14 +10,14 @@
 
 namespace coltsfoottrail {
 
-/// @brief Log client over HTTP.
+/// @brief HTTP client of the platform's log.
 class HttpLog final : public Log {
 public:
-  /// @brief Makes a client; connects when first used.
-  /// @param Where Context whose thread carries the calls; must outlive the
-  /// client and stop before it is destroyed.
-  /// @param To The log service.
-  HttpLog(boost::asio::io_context &Where, EngineAddress To);
+  /// @brief Creates a client; it connects when first used.
+  /// @param IoContext Context whose thread runs the calls; must outlive the
+  /// client and be stopped before the client is destroyed.
+  /// @param Address Address of the log service.
+  HttpLog(boost::asio::io_context &IoContext, EngineAddress Address);
 
   void append(const StreamName &Stream, std::vector<std::byte> Payload,
               milliseconds Timeout, AppendHandler Done) override;
--- a/packages/connection/src/coltsfoottrail/boundary/engines.hpp
+++ b/packages/connection/src/coltsfoottrail/boundary/engines.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Orders to model engines, and what they report, on a fleet whose endpoints
-/// publish themselves.
+/// Interface to the model engines of a fleet whose endpoints register
+/// themselves: orders and liveness checks.
 #ifndef COLTSFOOTTRAIL_BOUNDARY_ENGINES_HPP
 #define COLTSFOOTTRAIL_BOUNDARY_ENGINES_HPP
 
@@ -10,7 +10,8 @@
 
 namespace coltsfoottrail {
 
-/// @brief The engines. Calls of one object belong to one thread.
+/// @brief Client of the engines. Not thread-safe: an object must be used by one
+/// thread only.
 class FleetEngines {
 public:
   FleetEngines() = default;
@@ -18,23 +19,24 @@
   FleetEngines &operator=(const FleetEngines &) = delete;
   virtual ~FleetEngines() = default;
 
-  /// @brief Gives an order.
-  /// @param To Where the endpoint listens.
-  /// @param Name The endpoint that is meant.
-  /// @param Order What to do.
-  /// @param Fence Fencing number of the duty that it is given under.
-  [[nodiscard]] virtual Awaitable<OrderOutcome> order(EngineAddress To,
+  /// @brief Sends an order to an endpoint.
+  /// @param Address Where the endpoint listens.
+  /// @param Name Expected name of the endpoint.
+  /// @param Order The order.
+  /// @param Fence Fencing token: the generation of the duty under which the
+  /// order is sent.
+  [[nodiscard]] virtual Awaitable<OrderOutcome> order(EngineAddress Address,
                                                       EndpointName Name,
                                                       SeatOrder Order,
                                                       std::uint64_t Fence) = 0;
 
-  /// @brief Asks whether an engine answers at all.
-  /// @param To Where the endpoint listens.
-  /// @param Name The endpoint that is meant; another one at its address does
-  /// not count.
-  /// @param Within How long to wait.
+  /// @brief Checks whether an endpoint responds.
+  /// @param Address Where the endpoint listens.
+  /// @param Name Expected name of the endpoint; a response of a different
+  /// endpoint at the address does not count.
+  /// @param Timeout How long to wait.
   [[nodiscard]] virtual Awaitable<bool>
-  answers(EngineAddress To, EndpointName Name, milliseconds Within) = 0;
+  answers(EngineAddress Address, EndpointName Name, milliseconds Timeout) = 0;
 };
 
 } // namespace coltsfoottrail
--- a/packages/connection/src/coltsfoottrail/boundary/fwd.hpp
+++ b/packages/connection/src/coltsfoottrail/boundary/fwd.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Forward declarations of the boundary module: the interfaces behind which the
-/// platform's own names and encodings stay.
+/// Forward declarations of the boundary module: interfaces that keep the names
+/// and encodings of the platform out of the rest of the code.
 #ifndef COLTSFOOTTRAIL_BOUNDARY_FWD_HPP
 #define COLTSFOOTTRAIL_BOUNDARY_FWD_HPP
 
--- a/packages/connection/src/coltsfoottrail/boundary/store.hpp
+++ b/packages/connection/src/coltsfoottrail/boundary/store.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The platform's store as the project uses it.
+/// Interface to the platform's store.
 #ifndef COLTSFOOTTRAIL_BOUNDARY_STORE_HPP
 #define COLTSFOOTTRAIL_BOUNDARY_STORE_HPP
 
@@ -17,36 +17,36 @@
 
 namespace coltsfoottrail {
 
-/// A feed of the store: an ordered sequence of changes, and the newest value of
-/// each key.
+/// A feed of the store: an ordered log of changes with the newest value of each
+/// key.
 enum class Feed : std::uint8_t {
   /// Configuration and drained data centres, written by operators.
   Operators,
-  /// Endpoints, written by themselves.
+  /// Endpoint registrations, written by the endpoints.
   Endpoints
 };
 
-/// A version of the configuration was accepted.
+/// A new version of the configuration was published.
 struct ConfigPublished {
   PublishedConfig Config;
 };
-/// A data centre is to get no new work.
+/// A data centre must not receive new work.
 struct DataCentreDrained {
   DataCentreName DataCentre;
 };
-/// A data centre may get work again.
+/// A data centre may receive work again.
 struct DataCentreReturned {
   DataCentreName DataCentre;
 };
-/// An endpoint published itself.
+/// An endpoint registered itself or updated its registration.
 struct EndpointPublished {
   EndpointRecord Record;
 };
-/// An endpoint left, or was silent for too long.
+/// An endpoint left, or did not renew its registration in time.
 struct EndpointRemoved {
   EndpointName Name;
 };
-/// Something that cannot be read stands under a key: it names nothing to use.
+/// The value of a key cannot be decoded; it must not be used.
 struct UnreadableEntry {
   std::string Key;
   std::string Problem;
@@ -57,76 +57,79 @@
     std::variant<ConfigPublished, DataCentreDrained, DataCentreReturned,
                  EndpointPublished, EndpointRemoved, UnreadableEntry>;
 
-/// @brief A record of a feed as the store gave it.
+/// @brief A record of a feed as the store returned it.
 struct FeedRecord {
   Offset Position = 0;
-  /// What the record is about; a later record of the same key replaces it.
+  /// Identifies the subject; a later record with the same key replaces this
+  /// one.
   std::string Key;
   std::string Bytes;
 };
 
-/// What a record means to a host that only routes.
+/// Effect of a record on a host that only routes requests.
 enum class RoutingEffect : std::uint8_t {
-  /// Nothing changes.
+  /// No change.
   None,
-  /// Something changes that only a coordinator needs.
+  /// A change that only coordinators need.
   Other,
-  /// A value that routing depends on is new.
+  /// A value that routing depends on was set.
   Set,
-  /// A value that routing depended on is gone.
+  /// A value that routing depends on was removed.
   Unset
 };
 
-/// @brief A record that was decoded.
+/// @brief A decoded record.
 struct DecodedRecord {
-  /// As FeedRecord::Key.
+  /// The key, as in FeedRecord::Key.
   std::string Key;
   FleetChange Change;
 };
 
-/// @brief A part of a feed.
+/// @brief A page of a feed.
 struct FeedPage {
   std::vector<FleetChange> Changes;
-  /// The record of each change.
+  /// The raw record of each change.
   std::vector<FeedRecord> Records;
-  /// Whether records that do not matter to routing were left out.
+  /// Whether records without effect on routing were filtered out.
   bool Projected = false;
-  /// Where the page begins; for newest values as Next.
+  /// Offset at which the page begins; equal to Next for newest values.
   Offset From = 0;
-  /// Where to read on.
+  /// Offset at which to continue reading.
   Offset Next = 0;
-  /// Behind the last record that the store held when it answered.
+  /// Offset after the last record of the feed when the store responded.
   Offset End = 0;
 };
 
-/// Why a call to the store gave nothing.
+/// Why a call to the store failed.
 enum class StoreFailure : std::uint8_t {
-  /// The store did nothing: it refused, or was not reached.
+  /// The call had no effect: the store refused it or was not reached.
   NotDone,
-  /// It may have been done, now or some seconds later.
+  /// The call may have taken effect, or may still do so seconds later.
   Unknown,
-  /// The records asked for are deleted: start again from the newest values.
+  /// The requested records are deleted: restart from the newest values.
   Expired
 };
 
-/// @brief What a member of a duty asks for.
+/// @brief Request of a member to acquire or renew the duty: a lease that only
+/// one member holds at a time.
 struct DutyRequest {
-  /// Unique for each run of a process.
+  /// Unique per run of a process.
   std::string Member;
   milliseconds Lease{0};
-  /// The last generation that was granted; zero for none.
+  /// The generation granted last; zero for none.
   std::uint64_t Generation = 0;
 };
 
-/// @brief The store's answer to a member of a duty.
+/// @brief Response of the store to a DutyRequest.
 struct DutyGrant {
-  /// Grows with each change of the assignment; a fencing number.
+  /// Increases with each change of the holder; used as fencing token.
   std::uint64_t Generation = 0;
-  /// Whether the duty is this member's.
+  /// Whether this member holds the duty.
   bool Holds = false;
 };
 
-/// @brief The store. Calls of one object belong to one thread.
+/// @brief Client of the store. Not thread-safe: an object must be used by one
+/// thread only.
 class FleetStore {
 public:
   FleetStore() = default;
@@ -135,35 +138,36 @@
   virtual ~FleetStore() = default;
 
   /// @brief Reads the newest value of each key.
-  /// @param Which The feed.
-  /// @return All values; Next is not before any of them.
+  /// @param Source The feed.
+  /// @return All values; Next is not less than the offset of any of them.
   [[nodiscard]] virtual Awaitable<std::variant<FeedPage, StoreFailure>>
-  newest(Feed Which) = 0;
+  newest(Feed Source) = 0;
 
   /// @brief Reads changes.
-  /// @param Which The feed.
-  /// @param From Offset of the first one.
-  /// @param Wait How long the store may wait for one.
+  /// @param Source The feed.
+  /// @param From Offset of the first record.
+  /// @param Wait How long the store may wait for a record (long polling).
   [[nodiscard]] virtual Awaitable<std::variant<FeedPage, StoreFailure>>
-  read(Feed Which, Offset From, milliseconds Wait) = 0;
+  read(Feed Source, Offset From, milliseconds Wait) = 0;
 
   /// @brief Decodes a record that another entry host read.
-  /// @param Record As FeedRecord::Bytes.
-  /// @return Nothing when it is of no interest.
+  /// @param Source The feed.
+  /// @param Record The bytes, as in FeedRecord::Bytes.
+  /// @return Not set when the record is irrelevant.
   [[nodiscard]] virtual std::optional<DecodedRecord>
-  decode(Feed Which, std::string_view Record) const = 0;
+  decode(Feed Source, std::string_view Record) const = 0;
 
-  /// @brief Asks for the duty to drive the groups, or renews it.
+  /// @brief Acquires or renews the duty to manage the groups of endpoints.
   [[nodiscard]] virtual Awaitable<std::variant<DutyGrant, StoreFailure>>
-  joinDuty(DutyRequest Ask) = 0;
+  joinDuty(DutyRequest Request) = 0;
 
-  /// @brief Asks who has the duty.
-  /// @return The member's name; empty when nobody has it.
+  /// @brief Reads which member holds the duty.
+  /// @return The member's name; empty when no member holds it.
   [[nodiscard]] virtual Awaitable<std::variant<std::string, StoreFailure>>
   dutyHolder() = 0;
 
-  /// @brief Gives the duty up.
-  /// @param Member The member that asked for it.
+  /// @brief Releases the duty.
+  /// @param Member The member name, as in DutyRequest::Member.
   [[nodiscard]] virtual Awaitable<void> leaveDuty(std::string Member) = 0;
 };
 
--- a/packages/connection/src/coltsfoottrail/boundary/wire.hpp
+++ b/packages/connection/src/coltsfoottrail/boundary/wire.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What requests and answers say beside their bodies.
+/// Metadata of requests and responses, and its encoding in header fields.
 #ifndef COLTSFOOTTRAIL_BOUNDARY_WIRE_HPP
 #define COLTSFOOTTRAIL_BOUNDARY_WIRE_HPP
 
@@ -15,73 +15,77 @@
 
 namespace coltsfoottrail {
 
-/// @brief What a caller's request says of itself.
+/// @brief Metadata of a caller's request.
 struct RequestMetadata {
-  /// Identifier of this attempt of the caller; empty when missing.
+  /// The caller's identifier of this attempt; empty when missing.
   std::string Id;
   std::string HostHeader;
   /// Path without the query.
   std::string Path;
   std::string Credential;
-  /// How long the caller waits; nothing when it did not say.
+  /// How long the caller waits for the response; not set when not stated.
   std::optional<milliseconds> Timeout;
   /// Empty where the service has no models.
   ModelName Model;
   std::uint32_t PromptTokens = 0;
-  /// Most tokens of the answer.
+  /// Maximum number of tokens in the response.
   std::uint32_t MaxAnswerTokens = 0;
-  /// The caller's guess at the tokens of the answer.
+  /// The caller's estimate of the number of tokens in the response.
   std::optional<std::uint32_t> ExpectedTokens;
-  /// Last event that the caller has of an earlier answer.
+  /// Identifier of the last event of an interrupted stream that the caller has;
+  /// empty when it resumes none.
   std::string LastEventId;
 };
 
-/// @brief What is said to an endpoint with a request.
+/// @brief Metadata that is added to a request to an endpoint.
 struct ForwardMetadata {
   EndpointName Endpoint;
   TeamName Team;
   milliseconds TimeLeft{0};
-  /// Place in the endpoint's queue, zero first; nothing for its usual one.
+  /// Priority in the endpoint's queue, with zero served first; not set for the
+  /// default one.
   std::optional<std::uint32_t> QueuePriority;
-  /// Event after which a stream goes on; empty to leave the caller's.
+  /// Identifier of the event after which a stream resumes; empty to forward the
+  /// caller's.
   std::string LastEventId;
 };
 
-/// @brief What an endpoint's answer says of itself.
+/// @brief Metadata of an endpoint's response.
 struct ResponseMetadata {
-  /// The endpoint states that the request has not run.
+  /// The endpoint states that it did not execute the request.
   bool NotRun = false;
-  /// Another endpoint has the address.
+  /// A different endpoint uses the address.
   bool WrongEndpoint = false;
-  /// Identifier of the request that it answers; empty when not told.
+  /// Identifier of the request; empty when not stated.
   std::string Id;
-  /// Requests that run and wait there, and its slots.
+  /// Numbers of running and waiting requests at the endpoint, and of its slots.
   struct Load {
     std::uint32_t Running = 0;
     std::uint32_t Waiting = 0;
     std::uint32_t Slots = 0;
   };
   std::optional<Load> ReportedLoad;
-  /// Whether it bears the endpoint's digest.
+  /// Whether it carries the endpoint's digest.
   bool Signed = false;
-  /// The endpoint is leaving, or closes this connection.
+  /// The endpoint is shutting down or closes this connection.
   bool Closing = false;
-  /// Address and port of the engine that the endpoint holds at fault; empty
-  /// when not told.
+  /// Address and port of the engine that the endpoint reports as the cause of a
+  /// failure; empty when not stated.
   std::string FaultyEngine;
 
-  /// @brief Whether the answer proves that the endpoint can serve nobody, as it
-  /// is: another one has its address, or its group lost a member. A full
-  /// endpoint refuses too, but blames no other.
-  /// @param Asked Address of the endpoint that the request was sent to.
-  [[nodiscard]] bool provesUnusable(const EngineAddress &Asked) const {
-    const bool BlamesAnother =
-        !FaultyEngine.empty() && FaultyEngine != textOf(Asked);
-    return WrongEndpoint || (NotRun && BlamesAnother);
+  /// @brief Whether the response proves that the endpoint cannot serve any
+  /// request: a different endpoint uses its address, or its group lost a
+  /// member. A full endpoint also refuses requests, but does not report another
+  /// engine as faulty.
+  /// @param Target Address of the endpoint that the request was sent to.
+  [[nodiscard]] bool provesUnusable(const EngineAddress &Target) const {
+    const bool ReportsOtherEngine =
+        !FaultyEngine.empty() && FaultyEngine != textOf(Target);
+    return WrongEndpoint || (NotRun && ReportsOtherEngine);
   }
 };
 
-/// @brief Reads and writes the header fields of requests and answers.
+/// @brief Reads and writes the header fields of requests and responses.
 /// Thread-safe.
 class HeaderCodec {
 public:
@@ -90,27 +94,30 @@
   HeaderCodec &operator=(const HeaderCodec &) = delete;
   virtual ~HeaderCodec() = default;
 
-  /// @brief Reads what a request says of itself.
+  /// @brief Reads the metadata of a request.
   [[nodiscard]] virtual RequestMetadata
   read(const HttpRequest &Request) const = 0;
 
-  /// @brief Makes the request for an endpoint: the caller's without what
-  /// concerns only its connection and without its credential.
+  /// @brief Builds the request for an endpoint: the caller's without hop-by-hop
+  /// fields and without its credential, with Metadata added.
   [[nodiscard]] virtual HttpRequest
-  forward(const HttpRequest &Request, const ForwardMetadata &Marks) const = 0;
+  forward(const HttpRequest &Request,
+          const ForwardMetadata &Metadata) const = 0;
 
-  /// @brief Reads what an answer says of itself.
+  /// @brief Reads the metadata of a response.
   [[nodiscard]] virtual ResponseMetadata
-  readResponse(const HttpResponse &Answer) const = 0;
+  readResponse(const HttpResponse &Response) const = 0;
 
-  /// @brief Makes the head for the caller: the endpoint's without what concerns
-  /// only its connection.
+  /// @brief Builds the response head for the caller: the endpoint's without
+  /// hop-by-hop fields.
   [[nodiscard]] virtual HttpResponse
-  responseHead(const HttpResponse &Answer) const = 0;
+  responseHead(const HttpResponse &Response) const = 0;
 
-  /// @brief Adds to an answer of the project's own what the platform wants of
-  /// every answer.
-  virtual void addRequiredFields(HttpResponse &Own,
+  /// @brief Adds the fields that the platform requires in every response to a
+  /// response that this process produced itself.
+  /// @param Response The response to extend.
+  /// @param Id Identifier of the request.
+  virtual void addRequiredFields(HttpResponse &Response,
                                  std::string_view Id) const = 0;
 };
 
