--- a/packages/connection/src/coltsfoottrail/http/blocking.cpp
+++ b/packages/connection/src/coltsfoottrail/http/blocking.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-using Answer = std::variant<HttpResponse, CallFailure>;
+using Result = std::variant<HttpResponse, CallFailure>;
 
-Awaitable<Answer>
-streamOne(HttpClient &Client, EngineAddress To, HttpRequest Request,
-          TimePoint Deadline,
-          const std::function<void(std::string_view)> &OnPart) {
-  auto Started = co_await Client.start(std::move(To), std::move(Request),
+Awaitable<Result>
+streamResponse(HttpClient &Client, EngineAddress Address, HttpRequest Request,
+               TimePoint Deadline,
+               const std::function<void(std::string_view)> &OnPart) {
+  auto Started = co_await Client.start(std::move(Address), std::move(Request),
                                        Deadline, SingleUseConnection);
   if (const auto *const Failed = std::get_if<CallFailure>(&Started))
     co_return *Failed;
@@ -32,35 +32,36 @@
 
 } // namespace
 
-Answer streamBlocking(const EngineAddress &To, HttpRequest Request,
+Result streamBlocking(const EngineAddress &Address, HttpRequest Request,
                       milliseconds Timeout,
                       const std::function<void(std::string_view)> &OnPart) {
   boost::asio::io_context Context(1);
   HttpClient Client(Context, ClientOptions{});
-  Answer Out = CallFailure{};
+  Result Outcome = CallFailure{};
   std::exception_ptr Problem;
   const TimePoint Deadline = BootClock::now() + Timeout;
   boost::asio::co_spawn(
       Context,
       [&]() -> Awaitable<void> {
-        Out = co_await streamOne(Client, To, std::move(Request), Deadline,
-                                 OnPart);
+        Outcome = co_await streamResponse(Client, Address, std::move(Request),
+                                          Deadline, OnPart);
       },
-      [&Problem](const std::exception_ptr &Thrown) { Problem = Thrown; });
+      [&Problem](const std::exception_ptr &Exception) { Problem = Exception; });
   Context.run();
   if (Problem)
     std::rethrow_exception(Problem);
-  return Out;
+  return Outcome;
 }
 
-Answer fetchBlocking(const EngineAddress &To, HttpRequest Request,
+Result fetchBlocking(const EngineAddress &Address, HttpRequest Request,
                      milliseconds Timeout) {
   std::string Body;
-  Answer Out = streamBlocking(To, std::move(Request), Timeout,
-                              [&Body](std::string_view Part) { Body += Part; });
-  if (auto *const Whole = std::get_if<HttpResponse>(&Out))
-    Whole->Body = std::move(Body);
-  return Out;
+  Result Outcome =
+      streamBlocking(Address, std::move(Request), Timeout,
+                     [&Body](std::string_view Part) { Body += Part; });
+  if (auto *const Response = std::get_if<HttpResponse>(&Outcome))
+    Response->Body = std::move(Body);
+  return Outcome;
 }
 
 } // namespace coltsfoottrail
--- a/packages/connection/src/coltsfoottrail/http/blocking.hpp
+++ b/packages/connection/src/coltsfoottrail/http/blocking.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A call that blocks its thread, for tools and tests.
+/// Blocking HTTP calls for tools and tests.
 #ifndef COLTSFOOTTRAIL_HTTP_BLOCKING_HPP
 #define COLTSFOOTTRAIL_HTTP_BLOCKING_HPP
 
@@ -11,26 +11,26 @@
 
 namespace coltsfoottrail {
 
-/// @brief Sends a request and blocks until the whole answer is there.
+/// @brief Sends a request and blocks until the complete response has arrived.
 /// Thread-safe.
-/// @param To Where to.
-/// @param Request What to send.
-/// @param Timeout When to give up.
-/// @return The answer, or why there is none.
+/// @param Address Address of the server.
+/// @param Request The request.
+/// @param Timeout Time limit of the whole call.
+/// @return The response, or why the call failed.
 [[nodiscard]] std::variant<HttpResponse, CallFailure>
-fetchBlocking(const EngineAddress &To, HttpRequest Request,
+fetchBlocking(const EngineAddress &Address, HttpRequest Request,
               milliseconds Timeout);
 
-/// @brief Sends a request and passes each part of the answer on as it comes.
-/// Thread-safe.
-/// @param To Where to.
-/// @param Request What to send.
-/// @param Timeout When to give up.
-/// @param OnPart Called with each part of the body; what it throws ends the
-/// call and is passed on.
-/// @return The answer without its body, or why it is not whole.
+/// @brief Sends a request and passes on each part of the body as it arrives;
+/// blocks until the response is complete. Thread-safe.
+/// @param Address Address of the server.
+/// @param Request The request.
+/// @param Timeout Time limit of the whole call.
+/// @param OnPart Called with each part of the body; an exception from it ends
+/// the call and is rethrown.
+/// @return The response without its body, or why the call failed.
 [[nodiscard]] std::variant<HttpResponse, CallFailure>
-streamBlocking(const EngineAddress &To, HttpRequest Request,
+streamBlocking(const EngineAddress &Address, HttpRequest Request,
                milliseconds Timeout,
                const std::function<void(std::string_view)> &OnPart);
 
--- a/packages/connection/src/coltsfoottrail/http/client.cpp
+++ b/packages/connection/src/coltsfoottrail/http/client.cpp
@@ -20,15 +20,15 @@
 
 namespace {
 
-constexpr std::size_t PartBytes = std::size_t{16} << 10U;
-constexpr std::size_t LargestBufferedBytes = std::size_t{64} << 10U;
+constexpr std::size_t MaxPartBytes = std::size_t{16} << 10U;
+constexpr std::size_t MaxBufferBytes = std::size_t{64} << 10U;
 
-std::chrono::steady_clock::duration leftUntil(TimePoint Deadline) {
+std::chrono::steady_clock::duration timeUntil(TimePoint Deadline) {
   return std::max(Deadline - BootClock::now(), Duration::zero());
 }
 
-/// Whether the other side broke the connection, and not this one.
-bool lostConnection(const ErrorCode &Problem) {
+/// Whether the other end or the network, not this end, broke the connection.
+bool isConnectionLost(const ErrorCode &Problem) {
   return Problem != beast::error::timeout &&
          Problem != asio::error::operation_aborted;
 }
@@ -40,25 +40,26 @@
   explicit Connection(asio::io_context &Context) : Stream(Context) {}
   Connection(const Connection &) = delete;
   Connection &operator=(const Connection &) = delete;
-  ~Connection() { leave(); }
-
-  /// Counts as in progress until leave(). The set must outlive the connection
-  /// or be empty.
-  using InProgress = std::multimap<EngineAddress, Connection *>;
-  void enter(const std::shared_ptr<InProgress> &All, const EngineAddress &To) {
-    Calls = All;
-    Place = All->emplace(To, this);
+  ~Connection() { unregisterCall(); }
+
+  /// Calls in progress by endpoint. An entry lasts from registerCall() to
+  /// unregisterCall() or the end of the connection, whichever comes first.
+  using CallRegistry = std::multimap<EngineAddress, Connection *>;
+  void registerCall(const std::shared_ptr<CallRegistry> &Registry,
+                    const EngineAddress &Endpoint) {
+    Calls = Registry;
+    RegistryEntry = Registry->emplace(Endpoint, this);
   }
-  void leave() {
-    if (const auto All = std::exchange(Calls, {}).lock())
-      All->erase(Place);
+  void unregisterCall() {
+    if (const auto Registry = std::exchange(Calls, {}).lock())
+      Registry->erase(RegistryEntry);
   }
 
-  // Failure guarded against: an endpoint closes an idle connection, or a late
-  // answer to an earlier request waits in it. Either shows as a readable
-  // socket, and the connection is then not used again, so that no request meets
-  // another one's answer.
-  [[nodiscard]] bool clean() {
+  // Failure guarded against: the endpoint has closed the idle connection, or a
+  // late response to an earlier request is buffered in it. Either makes the
+  // socket readable. Such a connection is not reused, so that no request gets
+  // the response to another one.
+  [[nodiscard]] bool isReusable() {
     if (Buffer.size() != 0)
       return false;
     char Byte = 0;
@@ -70,22 +71,22 @@
   }
 
   beast::tcp_stream Stream;
-  beast::flat_buffer Buffer{LargestBufferedBytes};
+  beast::flat_buffer Buffer{MaxBufferBytes};
   TimePoint IdleSince{};
 
 private:
-  std::weak_ptr<InProgress> Calls;
-  InProgress::iterator Place;
+  std::weak_ptr<CallRegistry> Calls;
+  CallRegistry::iterator RegistryEntry;
 };
 
 struct HttpClient::Core {
   using ConnectionPtr = std::unique_ptr<HttpCall::Connection>;
 
-  Core(asio::io_context &Where, ClientOptions Limits)
-      : Context(Where), Options(Limits) {}
+  Core(asio::io_context &IoContext, ClientOptions Limits)
+      : Context(IoContext), Options(Limits) {}
 
-  [[nodiscard]] ConnectionPtr takeIdle(const EngineAddress &To) {
-    const auto Found = Idle.find(To);
+  [[nodiscard]] ConnectionPtr takeIdle(const EngineAddress &Endpoint) {
+    const auto Found = Idle.find(Endpoint);
     if (Found == Idle.end())
       return nullptr;
     const TimePoint Oldest = BootClock::now() - Options.MaxIdle;
@@ -93,27 +94,27 @@
       ConnectionPtr Candidate = std::move(Found->second.back());
       Found->second.pop_back();
       --IdleCount;
-      if (Candidate->IdleSince > Oldest && Candidate->clean())
+      if (Candidate->IdleSince > Oldest && Candidate->isReusable())
         return Candidate;
     }
     return nullptr;
   }
 
-  void giveBack(const EngineAddress &To, ConnectionPtr Used,
-                std::size_t MaxIdleConnections) {
-    Used->leave();
-    const std::size_t Most =
+  void release(const EngineAddress &Endpoint, ConnectionPtr Connection,
+               std::size_t MaxIdleConnections) {
+    Connection->unregisterCall();
+    const std::size_t IdleLimit =
         std::min(Options.MaxIdlePerEndpoint, MaxIdleConnections);
-    std::deque<ConnectionPtr> &Kept = Idle[To];
-    while (!Kept.empty() && Kept.size() >= Most) {
-      Kept.pop_front();
+    std::deque<ConnectionPtr> &Connections = Idle[Endpoint];
+    while (!Connections.empty() && Connections.size() >= IdleLimit) {
+      Connections.pop_front();
       --IdleCount;
     }
-    if (Most == 0)
+    if (IdleLimit == 0)
       return;
-    Used->Stream.expires_never();
-    Used->IdleSince = BootClock::now();
-    Kept.push_back(std::move(Used));
+    Connection->Stream.expires_never();
+    Connection->IdleSince = BootClock::now();
+    Connections.push_back(std::move(Connection));
     ++IdleCount;
   }
 
@@ -121,13 +122,13 @@
   ClientOptions Options;
   std::map<EngineAddress, std::deque<ConnectionPtr>> Idle;
   std::size_t IdleCount = 0;
-  std::shared_ptr<HttpCall::Connection::InProgress> Calls =
-      std::make_shared<HttpCall::Connection::InProgress>();
+  std::shared_ptr<HttpCall::Connection::CallRegistry> Calls =
+      std::make_shared<HttpCall::Connection::CallRegistry>();
 };
 
 struct HttpCall::State {
   std::weak_ptr<HttpClient::Core> Owner;
-  EngineAddress To;
+  EngineAddress Endpoint;
   std::size_t MaxIdleConnections = 0;
   std::unique_ptr<Connection> Link;
   http::response_parser<http::buffer_body> Parser;
@@ -146,12 +147,12 @@
 HttpCall::next(TimePoint Deadline) {
   State &Call = *Current;
   while (!Call.Parser.is_done()) {
-    Call.Part.resize(PartBytes);
+    Call.Part.resize(MaxPartBytes);
     auto &Body = Call.Parser.get().body();
     Body.data = Call.Part.data();
     Body.size = Call.Part.size();
     Body.more = true;
-    Call.Link->Stream.expires_after(leftUntil(Deadline));
+    Call.Link->Stream.expires_after(timeUntil(Deadline));
     ErrorCode Problem;
     co_await http::async_read_some(
         Call.Link->Stream, Call.Link->Buffer, Call.Parser,
@@ -163,7 +164,7 @@
       co_return CallFailure{RunState::MayHaveRun,
                             TimedOut ? Reason::EndpointTimedOut
                                      : Reason::EndpointCut,
-                            lostConnection(Problem)};
+                            isConnectionLost(Problem)};
     }
     const std::size_t Bytes = Call.Part.size() - Body.size;
     if (Bytes > 0) {
@@ -173,7 +174,8 @@
   }
   const auto Owner = Call.Owner.lock();
   if (Owner && Call.Link && Call.Parser.get().keep_alive())
-    Owner->giveBack(Call.To, std::move(Call.Link), Call.MaxIdleConnections);
+    Owner->release(Call.Endpoint, std::move(Call.Link),
+                   Call.MaxIdleConnections);
   co_return std::optional<std::string>{};
 }
 
@@ -182,10 +184,10 @@
 
 HttpClient::~HttpClient() = default;
 
-std::size_t HttpClient::abort(const EngineAddress &To) {
-  const auto [First, Last] = Shared->Calls->equal_range(To);
-  for (auto Each = First; Each != Last; ++Each)
-    Each->second->Stream.cancel();
+std::size_t HttpClient::abort(const EngineAddress &Endpoint) {
+  const auto [First, Last] = Shared->Calls->equal_range(Endpoint);
+  for (auto Entry = First; Entry != Last; ++Entry)
+    Entry->second->Stream.cancel();
   return static_cast<std::size_t>(std::distance(First, Last));
 }
 
@@ -198,13 +200,14 @@
 
 namespace {
 
-http::request<http::string_body> messageOf(const EngineAddress &To,
-                                           HttpRequest Request) {
+http::request<http::string_body> buildMessage(const EngineAddress &Endpoint,
+                                              HttpRequest Request) {
   http::request<http::string_body> Message;
   Message.version(11);
   Message.method_string(Request.Method);
   Message.target(Request.Target);
-  Message.set(http::field::host, To.Address + ":" + std::to_string(To.Port));
+  Message.set(http::field::host,
+              Endpoint.Address + ":" + std::to_string(Endpoint.Port));
   for (const HttpField &Field : Request.Fields)
     Message.set(Field.Name, Field.Value);
   Message.body() = std::move(Request.Body);
@@ -215,32 +218,32 @@
 } // namespace
 
 Awaitable<std::variant<HttpCall, CallFailure>>
-HttpClient::start(EngineAddress To, HttpRequest Request, TimePoint Deadline,
-                  ConnectionUse Use) {
-  const std::shared_ptr<Core> Own = Shared;
+HttpClient::start(EngineAddress Endpoint, HttpRequest Request,
+                  TimePoint Deadline, ConnectionUse Use) {
+  const std::shared_ptr<Core> ClientCore = Shared;
   Core::ConnectionPtr Link =
-      Use.Mode == Reuse::Allowed ? Own->takeIdle(To) : nullptr;
+      Use.Mode == Reuse::Allowed ? ClientCore->takeIdle(Endpoint) : nullptr;
   ErrorCode Problem;
   if (!Link) {
-    Link = std::make_unique<HttpCall::Connection>(Own->Context);
-    const auto Address = asio::ip::make_address(To.Address, Problem);
+    Link = std::make_unique<HttpCall::Connection>(ClientCore->Context);
+    const auto Address = asio::ip::make_address(Endpoint.Address, Problem);
     if (Problem)
       co_return CallFailure{RunState::NotRun, Reason::EndpointFailed, false};
     Link->Stream.expires_after(std::min<std::chrono::steady_clock::duration>(
-        leftUntil(Deadline), Own->Options.ConnectTimeout));
+        timeUntil(Deadline), ClientCore->Options.ConnectTimeout));
     co_await Link->Stream.async_connect(
-        Tcp::endpoint(Address, To.Port),
+        Tcp::endpoint(Address, Endpoint.Port),
         asio::redirect_error(asio::use_awaitable, Problem));
     if (Problem)
       co_return CallFailure{RunState::NotRun, Reason::EndpointFailed, false};
     Link->Stream.socket().set_option(Tcp::no_delay(true), Problem);
   }
-  Link->enter(Own->Calls, To);
+  Link->registerCall(ClientCore->Calls, Endpoint);
 
   const bool HeadOnly = Request.Method == "HEAD";
   const http::request<http::string_body> Message =
-      messageOf(To, std::move(Request));
-  Link->Stream.expires_after(leftUntil(Deadline));
+      buildMessage(Endpoint, std::move(Request));
+  Link->Stream.expires_after(timeUntil(Deadline));
   const std::size_t Written = co_await http::async_write(
       Link->Stream, Message,
       asio::redirect_error(asio::use_awaitable, Problem));
@@ -252,48 +255,48 @@
 
   HttpCall Call;
   Call.Current = std::make_unique<HttpCall::State>();
-  HttpCall::State &Opened = *Call.Current;
-  Opened.Owner = Own;
-  Opened.To = std::move(To);
-  Opened.MaxIdleConnections = Use.MaxIdleConnections;
-  Opened.Link = std::move(Link);
-  Opened.Parser.header_limit(Own->Options.MaxHeaderBytes);
-  Opened.Parser.body_limit(Own->Options.MaxBodyBytes);
-  Opened.Parser.skip(HeadOnly);
+  HttpCall::State &CallState = *Call.Current;
+  CallState.Owner = ClientCore;
+  CallState.Endpoint = std::move(Endpoint);
+  CallState.MaxIdleConnections = Use.MaxIdleConnections;
+  CallState.Link = std::move(Link);
+  CallState.Parser.header_limit(ClientCore->Options.MaxHeaderBytes);
+  CallState.Parser.body_limit(ClientCore->Options.MaxBodyBytes);
+  CallState.Parser.skip(HeadOnly);
   co_await http::async_read_header(
-      Opened.Link->Stream, Opened.Link->Buffer, Opened.Parser,
+      CallState.Link->Stream, CallState.Link->Buffer, CallState.Parser,
       asio::redirect_error(asio::use_awaitable, Problem));
   if (Problem) {
     const bool TimedOut = Problem == beast::error::timeout;
     co_return CallFailure{RunState::MayHaveRun,
                           TimedOut ? Reason::EndpointTimedOut
                                    : Reason::EndpointFailed,
-                          lostConnection(Problem)};
+                          isConnectionLost(Problem)};
   }
-  Opened.Head.Status = Opened.Parser.get().result_int();
-  for (const auto &Field : Opened.Parser.get())
-    Opened.Head.Fields.push_back(
+  CallState.Head.Status = CallState.Parser.get().result_int();
+  for (const auto &Field : CallState.Parser.get())
+    CallState.Head.Fields.push_back(
         {std::string(Field.name_string()), std::string(Field.value())});
   co_return Call;
 }
 
 Awaitable<std::variant<HttpResponse, CallFailure>>
-HttpClient::fetch(EngineAddress To, HttpRequest Request, TimePoint Deadline,
-                  ConnectionUse Use) {
+HttpClient::fetch(EngineAddress Endpoint, HttpRequest Request,
+                  TimePoint Deadline, ConnectionUse Use) {
   auto Started =
-      co_await start(std::move(To), std::move(Request), Deadline, Use);
+      co_await start(std::move(Endpoint), std::move(Request), Deadline, Use);
   if (const auto *const Failed = std::get_if<CallFailure>(&Started))
     co_return *Failed;
   HttpCall &Call = std::get<HttpCall>(Started);
-  HttpResponse Whole = Call.head();
+  HttpResponse Response = Call.head();
   while (true) {
     auto Next = co_await Call.next(Deadline);
     if (const auto *const Failed = std::get_if<CallFailure>(&Next))
       co_return *Failed;
     auto &Part = std::get<std::optional<std::string>>(Next);
     if (!Part)
-      co_return Whole;
-    Whole.Body += *Part;
+      co_return Response;
+    Response.Body += *Part;
   }
 }
 
--- a/packages/connection/src/coltsfoottrail/http/client.hpp
+++ b/packages/connection/src/coltsfoottrail/http/client.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP client towards endpoints and the platform.
+/// HTTP client for endpoints and platform services.
 #ifndef COLTSFOOTTRAIL_HTTP_CLIENT_HPP
 #define COLTSFOOTTRAIL_HTTP_CLIENT_HPP
 
@@ -20,47 +20,50 @@
 
 namespace coltsfoottrail {
 
-/// @brief Why a call got no whole answer.
+/// @brief Why a call did not get a complete response.
 struct CallFailure {
-  /// NotRun only where no byte of the request can have left this host.
+  /// NotRun only if no byte of the request can have left this host.
   RunState State = RunState::NotRun;
   Reason Why = Reason::EndpointFailed;
-  /// The connection broke after the request was sent: the endpoint may have
-  /// crashed on it.
+  /// The connection broke after some of the request was sent: the endpoint may
+  /// have crashed on it.
   bool ConnectionLost = false;
 };
 
 /// @brief Limits of a client.
 struct ClientOptions {
   milliseconds ConnectTimeout{1'000};
-  /// Connections kept for reuse to one endpoint.
+  /// Idle connections kept per endpoint for reuse.
   std::size_t MaxIdlePerEndpoint = 64;
-  /// A connection that stood idle for longer is not used again: the endpoint
+  /// A connection that was idle for longer is not reused, since the endpoint
   /// may be closing it.
   milliseconds MaxIdle{15'000};
   std::uint32_t MaxHeaderBytes = 16U << 10U;
   std::uint64_t MaxBodyBytes = std::uint64_t{64} << 20U;
 };
 
-/// Whether a call may use a connection that served an earlier one.
+/// Whether a call may use the connection of an earlier one.
 enum class Reuse : std::uint8_t {
   Allowed,
-  /// For calls that must not run twice: writing to a connection that the
-  /// endpoint is closing would leave open whether they ran.
+  /// For requests that must not be executed twice: after writing to a
+  /// connection that the endpoint is closing, it would be unknown whether they
+  /// were.
   Never,
 };
 
 /// @brief How a call uses connections.
 struct ConnectionUse {
   Reuse Mode = Reuse::Allowed;
-  /// Connections to the endpoint that may stay open for reuse after the call.
+  /// Maximum number of idle connections to the endpoint that stay open for
+  /// reuse after the call.
   std::size_t MaxIdleConnections = std::numeric_limits<std::size_t>::max();
 };
-/// For a call that leaves nothing behind.
+/// For a call that opens its own connection and leaves no idle one open.
 inline constexpr ConnectionUse SingleUseConnection{Reuse::Never, 0};
 
-/// @brief One call in progress. Belongs to one thread. Destroying it before the
-/// answer is whole closes the connection, which cancels the work behind it.
+/// @brief One call in progress. Not thread-safe: belongs to the thread of its
+/// client. Destroying it before the response is complete closes the connection,
+/// which lets the server cancel the request.
 class HttpCall {
 public:
   class Connection;
@@ -72,12 +75,13 @@
   HttpCall &operator=(const HttpCall &) = delete;
   ~HttpCall();
 
-  /// @brief Status and fields of the answer.
+  /// @brief Status and fields of the response.
   [[nodiscard]] const HttpResponse &head() const noexcept;
 
   /// @brief Waits for the next part of the body.
-  /// @param Deadline When to give up.
-  /// @return A part; nothing at the end of a whole body; or the failure.
+  /// @param Deadline Deadline of the wait.
+  /// @return The part; an empty optional at the end of a complete body; or the
+  /// failure.
   [[nodiscard]] Awaitable<std::variant<std::optional<std::string>, CallFailure>>
   next(TimePoint Deadline);
 
@@ -87,48 +91,48 @@
   std::unique_ptr<State> Current;
 };
 
-/// @brief Client with connections for reuse. Belongs to the thread of its
-/// context; not thread-safe.
+/// @brief HTTP client with a pool of idle connections. Not thread-safe: belongs
+/// to the thread of its context.
 class HttpClient {
 public:
-  /// @brief Makes a client.
-  /// @param Context The thread's context; must outlive the client.
-  /// @param Limits Its limits.
+  /// @brief Creates a client.
+  /// @param Context I/O context of the thread; must outlive the client.
+  /// @param Limits Limits of the client.
   HttpClient(boost::asio::io_context &Context, ClientOptions Limits);
   HttpClient(const HttpClient &) = delete;
   HttpClient &operator=(const HttpClient &) = delete;
   ~HttpClient();
 
-  /// @brief Sends a request and waits for the head of the answer.
-  /// @param To Where to.
-  /// @param Request What to send; Content-Length is added.
-  /// @param Deadline When to give up.
-  /// @param Use Whether an old connection may be used, and what stays.
-  /// @return The call, or why there is none.
+  /// @brief Sends a request and waits for the head of the response.
+  /// @param Endpoint Address of the endpoint.
+  /// @param Request The request; Content-Length is added.
+  /// @param Deadline Deadline for the head of the response.
+  /// @param Use Use of pooled connections.
+  /// @return The call, or why it failed.
   [[nodiscard]] Awaitable<std::variant<HttpCall, CallFailure>>
-  start(EngineAddress To, HttpRequest Request, TimePoint Deadline,
+  start(EngineAddress Endpoint, HttpRequest Request, TimePoint Deadline,
         ConnectionUse Use = {});
 
-  /// @brief Sends a request and waits for the whole answer.
-  /// @param To Where to.
-  /// @param Request What to send.
-  /// @param Deadline When to give up.
-  /// @param Use Whether an old connection may be used, and what stays.
-  /// @return The answer, or why there is none.
+  /// @brief Sends a request and waits for the complete response.
+  /// @param Endpoint Address of the endpoint.
+  /// @param Request The request; Content-Length is added.
+  /// @param Deadline Deadline for the complete response.
+  /// @param Use Use of pooled connections.
+  /// @return The response, or why the call failed.
   [[nodiscard]] Awaitable<std::variant<HttpResponse, CallFailure>>
-  fetch(EngineAddress To, HttpRequest Request, TimePoint Deadline,
+  fetch(EngineAddress Endpoint, HttpRequest Request, TimePoint Deadline,
         ConnectionUse Use = {});
 
-  /// @brief Ends all calls in progress to an address as cut; each learns so at
-  /// its next step.
-  /// @return How many there were.
-  std::size_t abort(const EngineAddress &To);
+  /// @brief Aborts all calls in progress to an address; each fails at its
+  /// pending or next I/O operation.
+  /// @return Number of aborted calls.
+  std::size_t abort(const EngineAddress &Endpoint);
 
-  /// @brief Closes all connections that wait for reuse. Needed before the
-  /// context is destroyed: their sockets belong to it.
+  /// @brief Closes all idle connections. Must be called before the context is
+  /// destroyed, since their sockets refer to it.
   void closeIdle();
 
-  /// @brief Connections that wait for reuse.
+  /// @brief Number of idle connections in the pool.
   [[nodiscard]] std::size_t idle() const noexcept;
 
 private:
--- a/packages/connection/src/coltsfoottrail/http/fwd.hpp
+++ b/packages/connection/src/coltsfoottrail/http/fwd.hpp
@@ -19,7 +19,7 @@
 class HttpClient;
 class HttpCall;
 
-/// What a coroutine of the connection package returns.
+/// Return type of coroutines in the connection package.
 template <class Value> using Awaitable = boost::asio::awaitable<Value>;
 
 } // namespace coltsfoottrail
--- a/packages/connection/src/coltsfoottrail/http/iopool.cpp
+++ b/packages/connection/src/coltsfoottrail/http/iopool.cpp
@@ -5,13 +5,13 @@
 namespace coltsfoottrail {
 
 IoPool::IoPool(std::size_t Count) {
-  const std::size_t Wanted = std::max<std::size_t>(Count, 1);
-  for (std::size_t Index = 0; Index < Wanted; ++Index) {
+  const std::size_t ThreadCount = std::max<std::size_t>(Count, 1);
+  for (std::size_t Index = 0; Index < ThreadCount; ++Index) {
     Contexts.push_back(std::make_unique<boost::asio::io_context>(1));
     Guards.push_back(boost::asio::make_work_guard(*Contexts.back()));
   }
   for (const auto &Context : Contexts)
-    Threads.emplace_back([Running = Context.get()] { Running->run(); });
+    Threads.emplace_back([IoContext = Context.get()] { IoContext->run(); });
 }
 
 IoPool::~IoPool() { stop(); }
--- a/packages/connection/src/coltsfoottrail/http/iopool.hpp
+++ b/packages/connection/src/coltsfoottrail/http/iopool.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The threads that carry connections.
+/// Thread pool for network I/O.
 #ifndef COLTSFOOTTRAIL_HTTP_IOPOOL_HPP
 #define COLTSFOOTTRAIL_HTTP_IOPOOL_HPP
 
@@ -14,32 +14,33 @@
 
 namespace coltsfoottrail {
 
-/// @brief A fixed number of threads with an io_context each; a connection stays
-/// on one of them for its whole life and needs no lock.
+/// @brief A fixed number of threads with one io_context each. A connection
+/// stays on one thread for its lifetime and therefore needs no locks.
 class IoPool {
 public:
   /// @brief Starts the threads.
-  /// @param Threads How many; at least one.
-  explicit IoPool(std::size_t Threads);
+  /// @param Count Number of threads; zero is treated as one.
+  explicit IoPool(std::size_t Count);
   IoPool(const IoPool &) = delete;
   IoPool &operator=(const IoPool &) = delete;
   /// @brief Stops and joins the threads.
   ~IoPool();
 
-  /// @brief Stops and joins the threads; what they carried is dropped. Safe to
-  /// call twice, not from one of the threads.
+  /// @brief Stops and joins the threads; pending handlers do not run any more.
+  /// May be called more than once, but not from one of the threads.
   void stop();
 
-  /// @brief Destroys the contexts with all that still waits in them: suspended
-  /// coroutines end here, while what they refer to is still alive.
-  /// Precondition: stop(), and no socket or timer outside of them uses them.
+  /// @brief Destroys the contexts and with them all pending handlers and
+  /// suspended coroutines. Objects that these refer to must still be alive.
+  /// Precondition: stop() was called, and no socket or timer outside the
+  /// contexts uses them.
   void clear();
 
-  /// @brief How many threads there are. Thread-safe.
+  /// @brief Number of threads. Thread-safe.
   [[nodiscard]] std::size_t size() const noexcept;
 
-  /// @brief The context of one thread. Thread-safe.
-  /// @param Index Below size().
+  /// @brief The I/O context of a thread. Thread-safe.
+  /// @param Index Thread index, less than size().
   [[nodiscard]] boost::asio::io_context &context(std::size_t Index);
 
 private:
--- a/packages/connection/src/coltsfoottrail/http/message.hpp
+++ b/packages/connection/src/coltsfoottrail/http/message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP messages without the library's types.
+/// HTTP messages independent of Boost.Beast types.
 #ifndef COLTSFOOTTRAIL_HTTP_MESSAGE_HPP
 #define COLTSFOOTTRAIL_HTTP_MESSAGE_HPP
 
@@ -17,14 +17,15 @@
   std::string Value;
 };
 
-/// @brief Finds a field by its name, whatever its case. Thread-safe.
-/// @param Fields Where to look.
+/// @brief Finds a field by name, ignoring case. Thread-safe.
+/// @param Fields The fields to search.
 /// @param Name The field's name.
-/// @return Its first value, or an empty view. Valid while the fields live.
+/// @return The value of the first match, or an empty view. Valid while the
+/// fields live.
 [[nodiscard]] std::string_view fieldOf(const std::vector<HttpField> &Fields,
                                        std::string_view Name) noexcept;
 
-/// @brief A request.
+/// @brief An HTTP request.
 struct HttpRequest {
   std::string Method = "GET";
   /// Path and query.
@@ -33,14 +34,14 @@
   std::string Body;
 };
 
-/// @brief A response; the body is empty where it is streamed.
+/// @brief An HTTP response; the body is empty if it is streamed.
 struct HttpResponse {
   unsigned Status = 200;
   std::vector<HttpField> Fields;
   std::string Body;
 };
 
-/// @brief Makes a response with a JSON body. Thread-safe.
+/// @brief Creates a response with a JSON body. Thread-safe.
 /// @param Status HTTP status.
 /// @param Body JSON text.
 [[nodiscard]] HttpResponse jsonResponse(unsigned Status, std::string Body);
--- a/packages/connection/src/coltsfoottrail/http/server.cpp
+++ b/packages/connection/src/coltsfoottrail/http/server.cpp
@@ -29,7 +29,7 @@
 
 namespace {
 
-constexpr std::size_t LargestBufferedBytes = std::size_t{64} << 10U;
+constexpr std::size_t MaxBufferBytes = std::size_t{64} << 10U;
 
 constexpr std::size_t FirstReadBytes = 4096;
 
@@ -44,63 +44,66 @@
 }
 
 HttpRequest copyHead(const http::request_header<> &Head) {
-  HttpRequest Out;
-  Out.Method = std::string(Head.method_string());
-  Out.Target = std::string(Head.target());
+  HttpRequest Result;
+  Result.Method = std::string(Head.method_string());
+  Result.Target = std::string(Head.target());
   for (const auto &Field : Head)
-    Out.Fields.push_back(
+    Result.Fields.push_back(
         {std::string(Field.name_string()), std::string(Field.value())});
-  return Out;
+  return Result;
 }
 
-HttpResponse plainRefusal(unsigned Status, std::string_view Why) {
-  return jsonResponse(Status, R"({"error":")" + std::string(Why) + "\"}");
+HttpResponse plainRefusal(unsigned Status, std::string_view Reason) {
+  return jsonResponse(Status, R"({"error":")" + std::string(Reason) + "\"}");
 }
 
 } // namespace
 
 struct HttpServer::Core : std::enable_shared_from_this<HttpServer::Core> {
-  Core(IoPool &Pool, const Tcp::endpoint &Where, ServerLimits Bounds,
-       ServerHooks What)
-      : Threads(Pool), Limits(Bounds), Hooks(std::move(What)), Port(0) {
-    auto Listening = std::make_shared<Tcp::acceptor>(Pool.context(0));
-    Listening->open(Where.protocol());
-    Listening->set_option(asio::socket_base::reuse_address(true));
-    Listening->bind(Where);
-    Listening->listen(asio::socket_base::max_listen_connections);
-    Port = Listening->local_endpoint().port();
-    Acceptor = Listening;
-    FirstHold = std::move(Listening);
+  Core(IoPool &IoThreads, const Tcp::endpoint &ListenEndpoint,
+       ServerLimits InitialLimits, ServerHooks ServerCallbacks)
+      : Threads(IoThreads), Limits(InitialLimits),
+        Hooks(std::move(ServerCallbacks)), Port(0) {
+    auto ListenSocket = std::make_shared<Tcp::acceptor>(IoThreads.context(0));
+    ListenSocket->open(ListenEndpoint.protocol());
+    ListenSocket->set_option(asio::socket_base::reuse_address(true));
+    ListenSocket->bind(ListenEndpoint);
+    ListenSocket->listen(asio::socket_base::max_listen_connections);
+    Port = ListenSocket->local_endpoint().port();
+    Acceptor = ListenSocket;
+    InitialAcceptor = std::move(ListenSocket);
   }
 
-  Awaitable<void> acceptLoop(std::shared_ptr<Tcp::acceptor> Listening);
-  void add(Session &Opened);
-  void remove(Session &Closed);
-  HttpResponse refusal(unsigned Status, std::string_view Why) const {
-    return Hooks.Refuse ? Hooks.Refuse(Status, Why) : plainRefusal(Status, Why);
+  Awaitable<void> acceptLoop(std::shared_ptr<Tcp::acceptor> ListenSocket);
+  void add(Session &NewSession);
+  void remove(Session &ClosedSession);
+  HttpResponse refusal(unsigned Status, std::string_view Reason) const {
+    return Hooks.Refuse ? Hooks.Refuse(Status, Reason)
+                        : plainRefusal(Status, Reason);
   }
 
   [[nodiscard]] ServerLimits limits() {
-    const std::lock_guard Hold(Lock);
+    const std::lock_guard Guard(Mutex);
     return Limits;
   }
-  void setLimits(const ServerLimits &Wanted) {
-    const std::lock_guard Hold(Lock);
-    Limits = Wanted;
+  void setLimits(const ServerLimits &NewLimits) {
+    const std::lock_guard Guard(Mutex);
+    Limits = NewLimits;
   }
 
   IoPool &Threads;
   ServerLimits Limits;
   ServerHooks Hooks;
   std::uint16_t Port;
-  /// The accepting coroutine owns it: it must end with its thread's context,
-  /// while sessions of other threads may outlive that.
+  /// Weak, since the accepting coroutine owns the acceptor: it must be
+  /// destroyed with the context of its thread, while sessions of other threads
+  /// may keep this object alive for longer.
   std::weak_ptr<Tcp::acceptor> Acceptor;
-  std::shared_ptr<Tcp::acceptor> FirstHold;
+  std::shared_ptr<Tcp::acceptor> InitialAcceptor;
   std::atomic<bool> Stopping{false};
-  std::atomic<std::size_t> Open{0};
-  std::atomic<std::size_t> Busy{0};
-  std::mutex Lock;
+  std::atomic<std::size_t> OpenConnections{0};
+  std::atomic<std::size_t> RequestsInProgress{0};
+  std::mutex Mutex;
   std::set<Session *> Sessions;
 };
 
@@ -111,9 +114,9 @@
 public:
   using CorePtr = std::shared_ptr<HttpServer::Core>;
 
-  Session(Tcp::socket Socket, std::size_t Thread, CorePtr Owner)
+  Session(Tcp::socket Socket, std::size_t Thread, CorePtr SharedCore)
       : Stream(std::move(Socket)), ThreadIndex(Thread),
-        Server(std::move(Owner)) {
+        Server(std::move(SharedCore)) {
     Server->add(*this);
   }
 
@@ -135,7 +138,7 @@
     });
   }
 
-  void cutFromOutside() {
+  void postCut() {
     asio::post(Stream.get_executor(), [Weak = weak_from_this()] {
       if (const auto Self = Weak.lock())
         Self->cut();
@@ -148,43 +151,45 @@
   [[nodiscard]] std::size_t thread() const noexcept override {
     return ThreadIndex;
   }
-  [[nodiscard]] bool hasBegun() const noexcept override { return Begun; }
+  [[nodiscard]] bool hasBegun() const noexcept override {
+    return ResponseStarted;
+  }
 
-  Awaitable<void> respond(HttpResponse Whole) override {
-    Begun = true;
+  Awaitable<void> respond(HttpResponse Response) override {
+    ResponseStarted = true;
     http::response<http::string_body> Message;
-    fillHead(Message, Whole);
-    Message.body() = std::move(Whole.Body);
+    fillHead(Message, Response);
+    Message.body() = std::move(Response.Body);
     Message.prepare_payload();
-    Stream.expires_after(Bounds.WriteTimeout);
+    Stream.expires_after(RequestLimits.WriteTimeout);
     co_await http::async_write(Stream, Message, asio::use_awaitable);
-    AnswerWhole = true;
+    ResponseComplete = true;
   }
 
   Awaitable<void> begin(HttpResponse Head) override {
-    Begun = true;
+    ResponseStarted = true;
     http::response<http::empty_body> Message;
     fillHead(Message, Head);
     Message.chunked(true);
     http::response_serializer<http::empty_body> Serializer(Message);
-    Stream.expires_after(Bounds.WriteTimeout);
+    Stream.expires_after(RequestLimits.WriteTimeout);
     co_await http::async_write_header(Stream, Serializer, asio::use_awaitable);
   }
 
   Awaitable<void> write(std::string_view Part) override {
     if (Part.empty())
       co_return;
-    Stream.expires_after(Bounds.WriteTimeout);
+    Stream.expires_after(RequestLimits.WriteTimeout);
     co_await asio::async_write(
         Stream, http::make_chunk(asio::buffer(Part.data(), Part.size())),
         asio::use_awaitable);
   }
 
   Awaitable<void> end() override {
-    Stream.expires_after(Bounds.WriteTimeout);
+    Stream.expires_after(RequestLimits.WriteTimeout);
     co_await asio::async_write(Stream, http::make_chunk_last(),
                                asio::use_awaitable);
-    AnswerWhole = true;
+    ResponseComplete = true;
   }
 
   void cut() noexcept override {
@@ -194,24 +199,25 @@
   }
 
 private:
-  template <class Message>
-  void fillHead(Message &Into, const HttpResponse &From) {
-    Into.version(11);
-    Into.result(From.Status);
-    for (const HttpField &Field : From.Fields)
-      Into.set(Field.Name, Field.Value);
+  template <class MessageType>
+  void fillHead(MessageType &Message, const HttpResponse &Head) {
+    Message.version(11);
+    Message.result(Head.Status);
+    for (const HttpField &Field : Head.Fields)
+      Message.set(Field.Name, Field.Value);
     KeepAlive = KeepAlive && !Server->Stopping;
-    Into.keep_alive(KeepAlive);
+    Message.keep_alive(KeepAlive);
   }
 
   Awaitable<void> run() {
     try {
-      // An answer that began before the stop could not say that its connection
-      // closes; it closes all the same, so that no request comes on it later.
+      // A response that started before stopAccepting() did not announce that
+      // its connection closes. Close it nevertheless, so that no later request
+      // arrives on it.
       while (KeepAlive && co_await serveOne() && !Server->Stopping) {
       }
     } catch (const boost::system::system_error &) {
-      // The client is gone, too slow, or this session was cut.
+      // The client disconnected or is too slow, or the session was cut.
     }
     ErrorCode Ignored;
     Stream.socket().shutdown(Tcp::socket::shutdown_send, Ignored);
@@ -219,14 +225,14 @@
 
   Awaitable<bool> serveOne() {
     resetRequest();
-    Bounds = Server->limits();
+    RequestLimits = Server->limits();
     http::request_parser<http::string_body> Parser;
-    Parser.header_limit(Bounds.MaxHeaderBytes);
-    Parser.body_limit(Bounds.MaxBodyBytes);
+    Parser.header_limit(RequestLimits.MaxHeaderBytes);
+    Parser.body_limit(RequestLimits.MaxBodyBytes);
     if (!co_await readHead(Parser))
       co_return false;
     Idle = false;
-    BusyMark Mark(Server->Busy);
+    InProgressGuard Guard(Server->RequestsInProgress);
     KeepAlive = Parser.get().keep_alive();
     Request = copyHead(Parser.get());
     if (!co_await readBody(Parser))
@@ -235,18 +241,18 @@
     watchClient();
     co_await handle();
     stopWatching();
-    co_return KeepAlive &&AnswerWhole;
+    co_return KeepAlive &&ResponseComplete;
   }
 
   Awaitable<bool> readHead(http::request_parser<http::string_body> &Parser) {
     Idle = Buffer.size() == 0;
     if (Idle) {
-      Stream.expires_after(Bounds.IdleTimeout);
+      Stream.expires_after(RequestLimits.IdleTimeout);
       const std::size_t Bytes = co_await Stream.async_read_some(
           Buffer.prepare(FirstReadBytes), asio::use_awaitable);
       Buffer.commit(Bytes);
     }
-    Stream.expires_after(Bounds.HeaderTimeout);
+    Stream.expires_after(RequestLimits.HeaderTimeout);
     ErrorCode Problem;
     co_await http::async_read_header(
         Stream, Buffer, Parser,
@@ -276,7 +282,7 @@
       co_await asio::async_write(Stream, asio::buffer(Continue),
                                  asio::use_awaitable);
     }
-    Stream.expires_after(Bounds.BodyTimeout);
+    Stream.expires_after(RequestLimits.BodyTimeout);
     ErrorCode Problem;
     co_await http::async_read(
         Stream, Buffer, Parser,
@@ -297,126 +303,129 @@
     } catch (const std::exception &) {
       Failed = true;
     }
-    if (Failed && !Begun)
+    if (Failed && !ResponseStarted)
       co_await refuse(500, "internal");
     else if (Failed)
       cut();
   }
 
-  Awaitable<void> refuse(unsigned Status, std::string_view Why) {
+  Awaitable<void> refuse(unsigned Status, std::string_view Reason) {
     KeepAlive = false;
-    co_await respond(Server->refusal(Status, Why));
+    co_await respond(Server->refusal(Status, Reason));
     co_await drainThenClose();
   }
 
-  // Failure guarded against: closing while the client still sends makes the
-  // kernel answer with a reset, and the client loses the refusal that it was
-  // sent. Reading on for a bounded time and size lets the refusal arrive.
+  // Failure guarded against: closing the socket while the client still sends
+  // makes the kernel reset the connection, and the client loses the refusal
+  // that it was sent. Reading on, bounded in time and size, lets the refusal
+  // arrive.
   Awaitable<void> drainThenClose() {
     ErrorCode Problem;
     Stream.socket().shutdown(Tcp::socket::shutdown_send, Problem);
     Stream.expires_after(std::chrono::seconds(2));
-    std::size_t Left = std::size_t{1} << 20U;
-    std::array<char, 4096> Waste{};
-    while (!Problem && Left >= Waste.size()) {
-      Left -= Waste.size();
+    std::size_t RemainingBytes = std::size_t{1} << 20U;
+    std::array<char, 4096> Discarded{};
+    while (!Problem && RemainingBytes >= Discarded.size()) {
+      RemainingBytes -= Discarded.size();
       co_await Stream.async_read_some(
-          asio::buffer(Waste),
+          asio::buffer(Discarded),
           asio::redirect_error(asio::use_awaitable, Problem));
     }
   }
 
   void resetRequest() {
     Request = HttpRequest{};
-    Begun = false;
-    AnswerWhole = false;
+    ResponseStarted = false;
+    ResponseComplete = false;
   }
 
-  // A caller that goes away must stop the work done for it: its socket becomes
-  // readable with no bytes, and the signal cancels what the handler waits for.
+  // Cancels the handler when the client disconnects, so that no more work is
+  // done for it. A disconnect makes the socket readable without any bytes.
   void watchClient() {
-    Watching = true;
-    const std::uint64_t Watch = ++WatchNumber;
+    WatchingClient = true;
+    const std::uint64_t Watch = ++LatestWatch;
     Stream.socket().async_wait(
         Tcp::socket::wait_read,
         [Weak = weak_from_this(), Watch](const ErrorCode &Problem) {
           const auto Self = Weak.lock();
-          if (Problem || !Self || !Self->Watching || Self->WatchNumber != Watch)
+          if (Problem || !Self || !Self->WatchingClient ||
+              Self->LatestWatch != Watch)
             return;
           char Byte = 0;
           ErrorCode PeekProblem;
-          const std::size_t Seen = Self->Stream.socket().receive(
+          const std::size_t PeekedBytes = Self->Stream.socket().receive(
               asio::buffer(&Byte, 1), asio::socket_base::message_peek,
               PeekProblem);
-          if (PeekProblem || Seen == 0)
+          if (PeekProblem || PeekedBytes == 0)
             Self->Cancel.emit(asio::cancellation_type::terminal);
         });
   }
 
   void stopWatching() {
-    Watching = false;
+    WatchingClient = false;
     ErrorCode Ignored;
     Stream.socket().cancel(Ignored);
   }
 
-  struct BusyMark {
-    explicit BusyMark(std::atomic<std::size_t> &Counter) : Count(Counter) {
+  struct InProgressGuard {
+    explicit InProgressGuard(std::atomic<std::size_t> &Counter)
+        : Count(Counter) {
       ++Count;
     }
-    BusyMark(const BusyMark &) = delete;
-    BusyMark &operator=(const BusyMark &) = delete;
-    ~BusyMark() { --Count; }
+    InProgressGuard(const InProgressGuard &) = delete;
+    InProgressGuard &operator=(const InProgressGuard &) = delete;
+    ~InProgressGuard() { --Count; }
     std::atomic<std::size_t> &Count;
   };
 
   beast::tcp_stream Stream;
-  beast::flat_buffer Buffer{LargestBufferedBytes};
+  beast::flat_buffer Buffer{MaxBufferBytes};
   std::size_t ThreadIndex;
   CorePtr Server;
   asio::cancellation_signal Cancel;
   HttpRequest Request;
   bool KeepAlive = true;
-  /// In force for the request that is read or answered.
-  ServerLimits Bounds;
-  bool Begun = false;
-  bool AnswerWhole = false;
+  /// Limits for the current request.
+  ServerLimits RequestLimits;
+  bool ResponseStarted = false;
+  bool ResponseComplete = false;
   bool Idle = true;
-  bool Watching = false;
-  std::uint64_t WatchNumber = 0;
+  bool WatchingClient = false;
+  std::uint64_t LatestWatch = 0;
 };
 
 } // namespace
 
-void HttpServer::Core::add(Session &Opened) {
-  ++Open;
-  const std::lock_guard Hold(Lock);
-  Sessions.insert(&Opened);
+void HttpServer::Core::add(Session &NewSession) {
+  ++OpenConnections;
+  const std::lock_guard Guard(Mutex);
+  Sessions.insert(&NewSession);
 }
 
-void HttpServer::Core::remove(Session &Closed) {
-  --Open;
-  const std::lock_guard Hold(Lock);
-  Sessions.erase(&Closed);
+void HttpServer::Core::remove(Session &ClosedSession) {
+  --OpenConnections;
+  const std::lock_guard Guard(Mutex);
+  Sessions.erase(&ClosedSession);
 }
 
 Awaitable<void>
-HttpServer::Core::acceptLoop(std::shared_ptr<Tcp::acceptor> Listening) {
-  std::size_t Next = 0;
+HttpServer::Core::acceptLoop(std::shared_ptr<Tcp::acceptor> ListenSocket) {
+  std::size_t NextThread = 0;
   while (!Stopping) {
     ErrorCode Problem;
-    const std::size_t Thread = Next++ % Threads.size();
-    Tcp::socket Socket = co_await Listening->async_accept(
+    const std::size_t Thread = NextThread++ % Threads.size();
+    Tcp::socket Socket = co_await ListenSocket->async_accept(
         Threads.context(Thread),
         asio::redirect_error(asio::use_awaitable, Problem));
-    if (Problem == asio::error::operation_aborted || !Listening->is_open())
+    if (Problem == asio::error::operation_aborted || !ListenSocket->is_open())
       co_return;
     if (Problem) {
-      // Out of descriptors: accepting again at once would spin.
+      // Typically out of file descriptors: accepting again at once would spin.
       asio::steady_timer Pause(Threads.context(0), milliseconds(20));
       co_await Pause.async_wait(asio::use_awaitable);
       continue;
     }
-    if (Open >= limits().MaxConnections)
+    if (OpenConnections >= limits().MaxConnections)
       continue;
     Socket.set_option(Tcp::no_delay(true), Problem);
     asio::post(Threads.context(Thread), [Accepted = std::move(Socket), Thread,
@@ -426,16 +435,16 @@
   }
 }
 
-HttpServer::HttpServer(IoPool &Threads, const std::string &Address,
+HttpServer::HttpServer(IoPool &Pool, const std::string &Address,
                        std::uint16_t Port, ServerLimits Limits,
                        ServerHooks Hooks)
     : Shared(std::make_shared<Core>(
-          Threads, Tcp::endpoint(asio::ip::make_address(Address), Port), Limits,
+          Pool, Tcp::endpoint(asio::ip::make_address(Address), Port), Limits,
           std::move(Hooks))) {
   asio::co_spawn(
-      Threads.context(0),
-      [Self = Shared, Listening = std::move(Shared->FirstHold)] {
-        return Self->acceptLoop(Listening);
+      Pool.context(0),
+      [Self = Shared, ListenSocket = std::move(Shared->InitialAcceptor)] {
+        return Self->acceptLoop(ListenSocket);
       },
       asio::detached);
 }
@@ -445,8 +454,8 @@
   cutAll();
 }
 
-void HttpServer::setLimits(const ServerLimits &Wanted) {
-  Shared->setLimits(Wanted);
+void HttpServer::setLimits(const ServerLimits &NewLimits) {
+  Shared->setLimits(NewLimits);
 }
 
 std::uint16_t HttpServer::port() const noexcept { return Shared->Port; }
@@ -455,22 +464,26 @@
   Shared->Stopping = true;
   asio::post(Shared->Threads.context(0), [Self = Shared] {
     ErrorCode Ignored;
-    if (const auto Listening = Self->Acceptor.lock())
-      Listening->close(Ignored);
+    if (const auto ListenSocket = Self->Acceptor.lock())
+      ListenSocket->close(Ignored);
   });
-  const std::lock_guard Hold(Shared->Lock);
-  for (Session *const Open : Shared->Sessions)
-    Open->stopWhenIdle();
+  const std::lock_guard Guard(Shared->Mutex);
+  for (Session *const Active : Shared->Sessions)
+    Active->stopWhenIdle();
 }
 
 void HttpServer::cutAll() {
-  const std::lock_guard Hold(Shared->Lock);
-  for (Session *const Open : Shared->Sessions)
-    Open->cutFromOutside();
+  const std::lock_guard Guard(Shared->Mutex);
+  for (Session *const Active : Shared->Sessions)
+    Active->postCut();
 }
 
-std::size_t HttpServer::connections() const noexcept { return Shared->Open; }
+std::size_t HttpServer::connections() const noexcept {
+  return Shared->OpenConnections;
+}
 
-std::size_t HttpServer::inProgress() const noexcept { return Shared->Busy; }
+std::size_t HttpServer::inProgress() const noexcept {
+  return Shared->RequestsInProgress;
+}
 
 } // namespace coltsfoottrail
--- a/packages/connection/src/coltsfoottrail/http/server.hpp
+++ b/packages/connection/src/coltsfoottrail/http/server.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP server for callers, operators and the stand-ins.
+/// HTTP server for callers, operators and the stand-ins of platform services.
 #ifndef COLTSFOOTTRAIL_HTTP_SERVER_HPP
 #define COLTSFOOTTRAIL_HTTP_SERVER_HPP
 
@@ -16,23 +16,23 @@
 
 namespace coltsfoottrail {
 
-/// @brief Limits on what a client can make the server hold.
+/// @brief Limits on the resources that clients can use.
 struct ServerLimits {
   std::uint32_t MaxHeaderBytes = 16U << 10U;
   std::uint64_t MaxBodyBytes = std::uint64_t{1} << 20U;
   std::size_t MaxConnections = 4096;
-  /// Longest that a client may take to send a request's head.
+  /// Time limit for receiving a request's head.
   milliseconds HeaderTimeout{10'000};
-  /// Longest that a client may take to send a request's body.
+  /// Time limit for receiving a request's body.
   milliseconds BodyTimeout{30'000};
-  /// Longest that a client may let one write wait.
+  /// Time limit for one write to a client.
   milliseconds WriteTimeout{30'000};
-  /// Longest that a connection may stand idle between requests.
+  /// Time limit for an idle connection between requests.
   milliseconds IdleTimeout{75'000};
 };
 
-/// @brief One request and the way to answer it. Belongs to one thread of the
-/// pool; its calls are not thread-safe.
+/// @brief A request and the means to respond to it. Not thread-safe: belongs to
+/// one thread of the pool.
 class Exchange {
 public:
   Exchange() = default;
@@ -42,89 +42,97 @@
 
   /// @brief The request.
   [[nodiscard]] virtual const HttpRequest &request() const noexcept = 0;
-  /// @brief Index of the thread in the pool that carries this exchange.
+  /// @brief Index of the pool thread that runs this exchange.
   [[nodiscard]] virtual std::size_t thread() const noexcept = 0;
-  /// @brief Whether the head of an answer has been sent.
+  /// @brief Whether a response has been started with respond() or begin().
   [[nodiscard]] virtual bool hasBegun() const noexcept = 0;
 
-  /// @brief Sends a whole answer.
-  /// @param Whole The answer.
-  /// @throws boost::system::system_error The client is gone or too slow.
-  [[nodiscard]] virtual Awaitable<void> respond(HttpResponse Whole) = 0;
-  /// @brief Sends the head of a streamed answer.
-  /// @param Head Status and fields; its body is not used.
-  /// @throws boost::system::system_error The client is gone or too slow.
+  /// @brief Sends a complete response.
+  /// @param Response The response.
+  /// @throws boost::system::system_error The client disconnected or is too
+  /// slow.
+  [[nodiscard]] virtual Awaitable<void> respond(HttpResponse Response) = 0;
+  /// @brief Sends the head of a streamed response.
+  /// @param Head Status and fields; the body is ignored.
+  /// @throws boost::system::system_error The client disconnected or is too
+  /// slow.
   [[nodiscard]] virtual Awaitable<void> begin(HttpResponse Head) = 0;
-  /// @brief Sends a part of a streamed answer. Precondition: begin().
+  /// @brief Sends a part of a streamed response. Precondition: begin().
   /// @param Part Bytes; an empty part is skipped.
-  /// @throws boost::system::system_error The client is gone or too slow.
+  /// @throws boost::system::system_error The client disconnected or is too
+  /// slow.
   [[nodiscard]] virtual Awaitable<void> write(std::string_view Part) = 0;
-  /// @brief Ends a streamed answer. Precondition: begin().
-  /// @throws boost::system::system_error The client is gone or too slow.
+  /// @brief Completes a streamed response. Precondition: begin().
+  /// @throws boost::system::system_error The client disconnected or is too
+  /// slow.
   [[nodiscard]] virtual Awaitable<void> end() = 0;
-  /// @brief Breaks a streamed answer off, so that the client sees that it is
-  /// not whole.
+  /// @brief Closes the connection in the middle of a streamed response, so that
+  /// the client detects that it is incomplete.
   virtual void cut() noexcept = 0;
 };
 
-/// Answers a request. It is cancelled (its next wait throws) when the client
-/// goes away. An exception that it lets out is answered with status 500.
+/// Handles a request. The coroutine is cancelled (its pending or next wait
+/// throws) when the client disconnects. Any other exception results in status
+/// 500, or in a closed connection if a response was already started.
 using ExchangeHandler = std::function<Awaitable<void>(Exchange &)>;
-/// Looks at a request's head before its body is read; an answer refuses it.
+/// Checks a request's head before its body is read; returns a response to
+/// refuse the request.
 using HeadCheck =
     std::function<std::optional<HttpResponse>(const HttpRequest &)>;
-/// Makes the answer for what the server itself refuses: status and reason.
+/// Creates the response for a request that the server itself refuses.
 using RefusalMaker =
-    std::function<HttpResponse(unsigned Status, std::string_view Why)>;
+    std::function<HttpResponse(unsigned Status, std::string_view Reason)>;
 
-/// @brief What a server does with requests.
+/// @brief Callbacks of a server.
 struct ServerHooks {
   ExchangeHandler Handle;
-  /// May be empty.
+  /// Optional.
   HeadCheck Check;
-  /// May be empty: then refusals carry a short JSON body.
+  /// Optional; by default refusals carry a short JSON body.
   RefusalMaker Refuse;
 };
 
 /// @brief An HTTP/1.1 server on the threads of a pool.
 class HttpServer {
 public:
-  /// @brief Listens. The pool must outlive the server.
-  /// @param Threads Where connections live.
-  /// @param Address IP number.
-  /// @param Port Port; zero for any free one.
-  /// @param Limits Limits on clients.
-  /// @param Hooks What to do with requests.
-  /// @throws boost::system::system_error The port is taken or the address is
-  /// not this machine's.
-  HttpServer(IoPool &Threads, const std::string &Address, std::uint16_t Port,
+  /// @brief Starts to listen. The pool must outlive the server.
+  /// @param Pool Threads that run the connections.
+  /// @param Address IP address.
+  /// @param Port Port; zero for any free port.
+  /// @param Limits Limits for clients.
+  /// @param Hooks Callbacks of the server.
+  /// @throws boost::system::system_error Listening failed: the port is in use,
+  /// or the address is invalid or not local.
+  HttpServer(IoPool &Pool, const std::string &Address, std::uint16_t Port,
              ServerLimits Limits, ServerHooks Hooks);
   HttpServer(const HttpServer &) = delete;
   HttpServer &operator=(const HttpServer &) = delete;
-  /// @brief Closes the listener and cuts what is open.
+  /// @brief Closes the listener and all open connections.
   ~HttpServer();
 
-  /// @brief The port listened on. Thread-safe.
+  /// @brief The port that the server listens on. Thread-safe.
   [[nodiscard]] std::uint16_t port() const noexcept;
 
-  /// @brief Changes the limits: they hold for each connection from its next
+  /// @brief Changes the limits. They apply to each connection from its next
   /// request on. Thread-safe.
-  void setLimits(const ServerLimits &Wanted);
+  void setLimits(const ServerLimits &NewLimits);
 
-  /// @brief Stops taking connections; answers carry "Connection: close" and
-  /// idle connections are closed. Requests in progress go on. Thread-safe.
+  /// @brief Stops accepting connections, closes idle ones and marks responses
+  /// that start from now on with "Connection: close". Requests in progress
+  /// continue. Thread-safe.
   void stopAccepting();
 
-  /// @brief Cuts all open connections. Thread-safe.
+  /// @brief Closes all open connections without completing their responses.
+  /// Thread-safe.
   void cutAll();
 
-  /// @brief Connections that are open. Thread-safe.
+  /// @brief Number of open connections. Thread-safe.
   [[nodiscard]] std::size_t connections() const noexcept;
 
-  /// @brief Requests whose answer has not been sent whole. Thread-safe.
+  /// @brief Number of requests whose response is not complete. Thread-safe.
   [[nodiscard]] std::size_t inProgress() const noexcept;
 
-  /// What the listener and the sessions share; opaque.
+  /// State shared by the listener and the sessions; opaque.
   struct Core;
 
 private:
--- a/packages/connection/test/coltsfoottrail/http/client.cpp
+++ b/packages/connection/test/coltsfoottrail/http/client.cpp
@@ -10,32 +10,33 @@
 
 namespace {
 
-Awaitable<void> answer(Exchange &Call) {
-  HttpResponse Out;
-  Out.Body = "whole";
-  co_await Call.respond(std::move(Out));
+Awaitable<void> sendResponse(Exchange &Call) {
+  HttpResponse Response;
+  Response.Body = "whole";
+  co_await Call.respond(std::move(Response));
 }
 
 class HttpClientTest : public ::testing::Test {
 protected:
   HttpClientTest()
-      : Server(Pool, "127.0.0.1", 0, ServerLimits{}, {answer, {}, {}}),
+      : Server(Pool, "127.0.0.1", 0, ServerLimits{}, {sendResponse, {}, {}}),
         Client(Pool.context(0), ClientOptions{}) {}
   ~HttpClientTest() override {
     Pool.stop();
     Client.closeIdle();
   }
 
-  /// @return Connections kept after a call.
-  std::size_t idleAfter(ConnectionUse Use) {
+  /// @brief Makes a call.
+  /// @return Number of idle connections after it.
+  std::size_t idleConnectionsAfterCall(ConnectionUse Use) {
     return boost::asio::co_spawn(
                Pool.context(0),
                [this, Use]() -> Awaitable<std::size_t> {
-                 EngineAddress To{"127.0.0.1", Server.port()};
+                 EngineAddress Endpoint{"127.0.0.1", Server.port()};
                  HttpRequest Request;
-                 (void)co_await Client.fetch(std::move(To), std::move(Request),
-                                             BootClock::now() + seconds(5),
-                                             Use);
+                 (void)co_await Client.fetch(
+                     std::move(Endpoint), std::move(Request),
+                     BootClock::now() + seconds(5), Use);
                  co_return Client.idle();
                },
                boost::asio::use_future)
@@ -48,18 +49,18 @@
 };
 
 TEST_F(HttpClientTest, KeepsAConnectionForReuse) {
-  EXPECT_EQ(idleAfter({}), 1U);
-  EXPECT_EQ(idleAfter({}), 1U);
+  EXPECT_EQ(idleConnectionsAfterCall({}), 1U);
+  EXPECT_EQ(idleConnectionsAfterCall({}), 1U);
 }
 
-// Orders fill an endpoint's connections and are reset.
-// Each call that must not run twice opened a connection of its own and left it
-// behind for others, forty a second.
-TEST_F(HttpClientTest, LeavesNoMoreBehindThanTold) {
-  EXPECT_EQ(idleAfter(SingleUseConnection), 0U);
-  EXPECT_EQ(idleAfter({Reuse::Never, 1}), 1U);
-  EXPECT_EQ(idleAfter({Reuse::Never, 1}), 1U);
-  EXPECT_EQ(idleAfter({Reuse::Allowed, 0}), 0U);
+// Guards against exhausting an endpoint's connections, which makes it reset
+// orders: each call that must not be executed twice opens its own connection,
+// and if each left its connection open for reuse, forty a second would add up.
+TEST_F(HttpClientTest, KeepsNoMoreIdleConnectionsThanAllowed) {
+  EXPECT_EQ(idleConnectionsAfterCall(SingleUseConnection), 0U);
+  EXPECT_EQ(idleConnectionsAfterCall({Reuse::Never, 1}), 1U);
+  EXPECT_EQ(idleConnectionsAfterCall({Reuse::Never, 1}), 1U);
+  EXPECT_EQ(idleConnectionsAfterCall({Reuse::Allowed, 0}), 0U);
 }
 
 } // namespace
