--- a/packages/connection/src/coltsfoottrail/mesh/mesh.cpp
+++ b/packages/connection/src/coltsfoottrail/mesh/mesh.cpp
@@ -318,14 +318,14 @@
     Connection.closeLater();
     return std::nullopt;
   }
-  if (!Decision.Replaces)
+  if (!Decision.ReplacedLink)
     NewEvents.emplace_back(PeerUp{Host, Run});
   // A sender that found the old queue would see its message rejected although
   // the host is connected. Queues are therefore swapped under the lock that
   // senders hold.
   const std::unique_lock Lock(ActiveMutex);
   const auto *const Replaced =
-      Decision.Replaces ? Links.find(*Decision.Replaces) : nullptr;
+      Decision.ReplacedLink ? Links.find(*Decision.ReplacedLink) : nullptr;
   if (Replaced != nullptr) {
     (*Replaced)->outbox().moveTo(Connection.outbox());
     (*Replaced)->closeLater();
--- a/packages/connection/src/coltsfoottrail/mesh/table.cpp
+++ b/packages/connection/src/coltsfoottrail/mesh/table.cpp
@@ -177,7 +177,7 @@
                        DialledHere != OwnNameIsLower;
     if (Result.Redundant)
       return Result;
-    Result.Replaces = Record.Active->Link;
+    Result.ReplacedLink = Record.Active->Link;
   }
   Record.Active = ActiveLink{NewLink.Link, NewLink.Run, DialledHere, Now};
   return Result;
--- a/packages/connection/src/coltsfoottrail/mesh/table.hpp
+++ b/packages/connection/src/coltsfoottrail/mesh/table.hpp
@@ -51,7 +51,7 @@
   /// The older connection with the same run that the new one replaces. It sends
   /// nothing more and is closed after a delay, so that messages in flight still
   /// arrive.
-  std::optional<LinkId> Replaces;
+  std::optional<LinkId> ReplacedLink;
   /// The connection with another run of the host; it is cut at once.
   std::optional<LinkId> SupersededLink;
   /// The new connection duplicates the one that is kept: it sends nothing and
--- a/packages/connection/test/coltsfoottrail/mesh/neighbours.cpp
+++ b/packages/connection/test/coltsfoottrail/mesh/neighbours.cpp
@@ -34,10 +34,10 @@
 /// The longest of the shortest paths from a host; not set when a host that is
 /// not dead cannot be reached.
 std::optional<std::size_t> eccentricity(const Graph &Edges,
-                                        const HostName &From,
+                                        const HostName &Source,
                                         const std::set<HostName> &Dead) {
-  std::map<HostName, std::size_t> Distance = {{From, 0}};
-  std::queue<HostName> Frontier({From});
+  std::map<HostName, std::size_t> Distance = {{Source, 0}};
+  std::queue<HostName> Frontier({Source});
   std::size_t Longest = 0;
   while (!Frontier.empty()) {
     const HostName Host = Frontier.front();
@@ -72,8 +72,8 @@
   EXPECT_LE(DegreeSum, 12U * 1000U);
   std::size_t Longest = 0;
   for (std::size_t Index = 0; Index < 100; ++Index) {
-    const HostName From("entry-" + std::to_string(Index));
-    const auto Reached = eccentricity(All, From, {});
+    const HostName Source("entry-" + std::to_string(Index));
+    const auto Reached = eccentricity(All, Source, {});
     ASSERT_TRUE(Reached);
     Longest = std::max(Longest, *Reached);
   }
@@ -86,8 +86,8 @@
   const auto Members = makeMembers(6, 60);
   const Graph All = buildGraph(Members);
   for (const MeshMember &Dead : Members) {
-    const HostName From = Members[Dead.Host == Members[0].Host ? 1 : 0].Host;
-    EXPECT_TRUE(eccentricity(All, From, {Dead.Host})) << Dead.Host.Text;
+    const HostName Source = Members[Dead.Host == Members[0].Host ? 1 : 0].Host;
+    EXPECT_TRUE(eccentricity(All, Source, {Dead.Host})) << Dead.Host.Text;
   }
 }
 
--- a/packages/connection/test/coltsfoottrail/mesh/table.cpp
+++ b/packages/connection/test/coltsfoottrail/mesh/table.cpp
@@ -81,13 +81,13 @@
   const Admission First =
       Other.admit({link(1), HostName("m"), 4, std::nullopt}, Now);
   EXPECT_FALSE(First.Redundant);
-  EXPECT_EQ(First.Replaces, link(2));
+  EXPECT_EQ(First.ReplacedLink, link(2));
 }
 
 TEST_F(PeerTableTest, NewerConnectionOfTheSameDiallerReplacesTheOlderOne) {
   (void)accepted(1, "a", 5);
   const Admission Again = accepted(2, "a", 5);
-  EXPECT_EQ(Again.Replaces, link(1));
+  EXPECT_EQ(Again.ReplacedLink, link(1));
   EXPECT_FALSE(Table.linkClosed(link(1), Now));
   EXPECT_TRUE(Table.linkClosed(link(2), Now));
 }
