--- a/packages/process/src/coltsfoottrail/server/claimdesk.cpp
+++ b/packages/process/src/coltsfoottrail/server/claimdriver.cpp
@@ -1,4 +1,4 @@
-#include "coltsfoottrail/server/claimdesk.hpp"
+#include "coltsfoottrail/server/claimdriver.hpp"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
--- a/packages/process/src/coltsfoottrail/server/claimdesk.hpp
+++ b/packages/process/src/coltsfoottrail/server/claimdriver.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Carries the claims of this host between coroutines, log and peers.
-#ifndef COLTSFOOTTRAIL_SERVER_CLAIMDESK_HPP
-#define COLTSFOOTTRAIL_SERVER_CLAIMDESK_HPP
+#ifndef COLTSFOOTTRAIL_SERVER_CLAIMDRIVER_HPP
+#define COLTSFOOTTRAIL_SERVER_CLAIMDRIVER_HPP
 
 #include "coltsfoottrail/claims/service.hpp"
 #include "coltsfoottrail/http/fwd.hpp"
--- a/packages/process/src/coltsfoottrail/server/groupdesk.cpp
+++ b/packages/process/src/coltsfoottrail/server/groupdriver.cpp
@@ -1,4 +1,4 @@
-#include "coltsfoottrail/server/groupdesk.hpp"
+#include "coltsfoottrail/server/groupdriver.hpp"
 
 #include "coltsfoottrail/groups/agent.hpp"
 #include "coltsfoottrail/json/reader.hpp"
--- a/packages/process/src/coltsfoottrail/server/groupdesk.hpp
+++ b/packages/process/src/coltsfoottrail/server/groupdriver.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Carries the decisions on groups between agreed stream, engines and peers.
-#ifndef COLTSFOOTTRAIL_SERVER_GROUPDESK_HPP
-#define COLTSFOOTTRAIL_SERVER_GROUPDESK_HPP
+#ifndef COLTSFOOTTRAIL_SERVER_GROUPDRIVER_HPP
+#define COLTSFOOTTRAIL_SERVER_GROUPDRIVER_HPP
 
 #include "coltsfoottrail/fold/state.hpp"
 #include "coltsfoottrail/json/fwd.hpp"
--- a/packages/process/src/coltsfoottrail/server/memberdesk.cpp
+++ b/packages/process/src/coltsfoottrail/server/membershipdriver.cpp
@@ -1,4 +1,4 @@
-#include "coltsfoottrail/server/memberdesk.hpp"
+#include "coltsfoottrail/server/membershipdriver.hpp"
 
 #include "coltsfoottrail/admission/manager.hpp"
 #include "coltsfoottrail/json/reader.hpp"
--- a/packages/process/src/coltsfoottrail/server/memberdesk.hpp
+++ b/packages/process/src/coltsfoottrail/server/membershipdriver.hpp
@@ -1,8 +1,8 @@
 /// @file
 /// Carries membership and shares of endpoints' bounds between the agreed stream
 /// and peers.
-#ifndef COLTSFOOTTRAIL_SERVER_MEMBERDESK_HPP
-#define COLTSFOOTTRAIL_SERVER_MEMBERDESK_HPP
+#ifndef COLTSFOOTTRAIL_SERVER_MEMBERSHIPDRIVER_HPP
+#define COLTSFOOTTRAIL_SERVER_MEMBERSHIPDRIVER_HPP
 
 #include "coltsfoottrail/admission/types.hpp"
 #include "coltsfoottrail/dispatch/types.hpp"
--- a/packages/process/src/coltsfoottrail/server/operators.cpp
+++ b/packages/process/src/coltsfoottrail/server/operatorapi.cpp
@@ -1,4 +1,4 @@
-#include "coltsfoottrail/server/operators.hpp"
+#include "coltsfoottrail/server/operatorapi.hpp"
 
 #include "coltsfoottrail/core/hash.hpp"
 #include "coltsfoottrail/intents/describe.hpp"
--- a/packages/process/src/coltsfoottrail/server/operators.hpp
+++ b/packages/process/src/coltsfoottrail/server/operatorapi.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// The interface that operators' tools talk to; docs/OPERATIONS.md explains it.
-#ifndef COLTSFOOTTRAIL_SERVER_OPERATORS_HPP
-#define COLTSFOOTTRAIL_SERVER_OPERATORS_HPP
+#ifndef COLTSFOOTTRAIL_SERVER_OPERATORAPI_HPP
+#define COLTSFOOTTRAIL_SERVER_OPERATORAPI_HPP
 
 #include "coltsfoottrail/http/server.hpp"
 #include "coltsfoottrail/json/fwd.hpp"
--- a/packages/process/src/coltsfoottrail/server/relay.hpp
+++ b/packages/process/src/coltsfoottrail/server/relay.hpp
@@ -7,7 +7,7 @@
 #include "coltsfoottrail/http/server.hpp"
 #include "coltsfoottrail/logging/log.hpp"
 #include "coltsfoottrail/server/callerrequest.hpp"
-#include "coltsfoottrail/server/claimdesk.hpp"
+#include "coltsfoottrail/server/claimdriver.hpp"
 #include "coltsfoottrail/server/router.hpp"
 #include "coltsfoottrail/server/spans.hpp"
 
