--- a/apps/coltsfoottraild/main.cpp
+++ b/apps/coltsfoottraild/main.cpp
@@ -95,7 +95,7 @@
   // Failure guarded against: the host slept, its peers have dropped this run,
   // and it would stay unready for good. It stops as planned, and whoever keeps
   // it running starts it again under a new run.
-  Process.onEnded([&] {
+  Process.onRunRemoved([&] {
     boost::asio::post(Waiting, [&] { Ended = BeginStop() || Ended; });
   });
   Waiting.run();
--- a/packages/process/src/coltsfoottrail/fleethost/attempt.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/attempt.cpp
@@ -116,9 +116,9 @@
   const TimePoint Start = BootClock::now();
   const Duration TimeLeft = Context.Deadline - Start;
   if (TimeLeft < MinUsefulTime)
-    co_return failed(RunState::NotRun, Reason::DeadlinePassed, Start);
+    co_return failedAttempt(RunState::NotRun, Reason::DeadlinePassed, Start);
   if (!admitCold(Context, Target, Start))
-    co_return failed(RunState::NotRun, Reason::EndpointRefused, Start);
+    co_return failedAttempt(RunState::NotRun, Reason::EndpointRefused, Start);
   ForwardMetadata Marks;
   Marks.Endpoint = EndpointName(Target.Host.Text);
   Marks.Team = Context.Team;
@@ -156,7 +156,7 @@
   auto Started = co_await Client.start(Target.Address, std::move(Sent),
                                        HeadDeadline, connectionUse(Context));
   if (const auto *const Failure = std::get_if<CallFailure>(&Started)) {
-    AttemptResult Result = failed(*Failure, Start);
+    AttemptResult Result = failedAttempt(*Failure, Start);
     if (Failure->Why == Reason::EndpointTimedOut &&
         BootClock::now() < Context.Deadline)
       Result.FailureReason = Reason::EndpointCut;
@@ -166,16 +166,17 @@
   const ResponseMetadata AnswerHeaders = Wire.readResponse(UpstreamCall.head());
   recordLoad(Target, AnswerHeaders);
   if (!AnswerHeaders.Id.empty() && AnswerHeaders.Id != Context.Caller.Id)
-    co_return failed(RunState::MayHaveRun, Reason::EndpointCut, Start);
+    co_return failedAttempt(RunState::MayHaveRun, Reason::EndpointCut, Start);
   if (ReportUnusable && AnswerHeaders.provesUnusable(Target.Address))
     ReportUnusable(EndpointName(Target.Host.Text), AnswerHeaders.FaultyEngine);
   if (AnswerHeaders.NotRun || AnswerHeaders.WrongEndpoint)
-    co_return failed(RunState::NotRun, Reason::EndpointRefused, Start);
+    co_return failedAttempt(RunState::NotRun, Reason::EndpointRefused, Start);
   const unsigned Status = UpstreamCall.head().Status;
   const bool Broken =
       isSuccess(Status) ? !AnswerHeaders.Signed : Call.hasBegun();
   if (Broken)
-    co_return failed(RunState::MayHaveRun, Reason::EndpointFailed, Start);
+    co_return failedAttempt(RunState::MayHaveRun, Reason::EndpointFailed,
+                            Start);
   if (Context.Route->streams() && isSuccess(Status))
     co_return co_await relayStream(Call, Context, std::move(UpstreamCall),
                                    Target, Start, QueuedGuard);
@@ -238,7 +239,7 @@
   while (true) {
     auto Next = co_await UpstreamCall.next(Context.Deadline);
     if (const auto *const Failure = std::get_if<CallFailure>(&Next))
-      co_return failed(*Failure, Start);
+      co_return failedAttempt(*Failure, Start);
     auto &Chunk = std::get<std::optional<std::string>>(Next);
     if (!Chunk)
       break;
@@ -249,14 +250,15 @@
                               Context.Runs + 1 < Context.Route->MaxAttempts;
   if (RetryElsewhere) {
     Context.FallbackResponse = std::move(Reply);
-    co_return failed(RunState::MayHaveRun, Reason::EndpointFailed, Start);
+    co_return failedAttempt(RunState::MayHaveRun, Reason::EndpointFailed,
+                            Start);
   }
   recordEnd(Context, "answered", Reply.Status, {});
   Metrics.recordResponseStart(Context.Route->Policy,
                               BootClock::now() - Context.ArrivedAt);
-  Context.RouterPlace->begun();
+  Context.RouterPlace->responseStarted();
   co_await Call.respond(std::move(Reply));
-  co_return answered(Start, FirstByte);
+  co_return answeredAttempt(Start, FirstByte);
 }
 
 /// Sets in the result of a broken stream whether it can be resumed at another
@@ -289,7 +291,7 @@
                               BootClock::now() + silenceLimit(*Context.Route));
     auto Next = co_await UpstreamCall.next(ReadDeadline);
     if (const auto *const Failure = std::get_if<CallFailure>(&Next)) {
-      AttemptResult Result = failed(*Failure, Start);
+      AttemptResult Result = failedAttempt(*Failure, Start);
       const bool WentSilent = Failure->Why == Reason::EndpointTimedOut &&
                               BootClock::now() < Context.Deadline;
       if (WentSilent)
@@ -302,7 +304,7 @@
       break;
     Mark.heard();
     QueuedGuard.begun();
-    Context.RouterPlace->begun();
+    Context.RouterPlace->responseStarted();
     const std::string_view Events = Context.Events.append(*Chunk);
     if (Events.empty())
       continue;
@@ -315,7 +317,7 @@
   }
   if (!Context.Events.endsOnBoundary()) {
     AttemptResult Result =
-        failed(RunState::MayHaveRun, Reason::EndpointCut, Start);
+        failedAttempt(RunState::MayHaveRun, Reason::EndpointCut, Start);
     markDelivered(Context, MayMove, Result);
     co_return Result;
   }
@@ -325,7 +327,7 @@
   }
   recordEnd(Context, "answered", StatusOk, {});
   co_await Call.end();
-  co_return answered(Start, FirstByte);
+  co_return answeredAttempt(Start, FirstByte);
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/fleethost/callerproxy.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/callerproxy.cpp
@@ -263,13 +263,13 @@
     Backlog = std::make_shared<PoolBacklog>();
   Backlog->Recent.add(Context.ArrivedAt);
   const auto Executor = co_await boost::asio::this_coro::executor;
-  std::optional<Place> RouterPlace = Routing.submit(
+  std::optional<DispatchHandle> RouterPlace = Routing.submit(
       Context.Pool, makeWorkItem(Call.request(), Context, *Backlog), Executor);
   while (RouterPlace) {
     const Decision Next = co_await RouterPlace->next();
     if (const auto *const Refused = std::get_if<Refusal>(&Next)) {
       if (!mayDemote(Context, Refused->Final)) {
-        logRetryEnd(Context, Refused->Basis);
+        logRetryEnd(Context, Refused->Details);
         co_await finish(Call, Context, Refused->Final);
         co_return;
       }
@@ -277,7 +277,7 @@
       Context.Trail.add(Event::RequestDemoted, {{"pool", Context.Pool}},
                         BootClock::now());
       RouterPlace.reset();
-      std::optional<Place> DemotedPlace = Routing.submit(
+      std::optional<DispatchHandle> DemotedPlace = Routing.submit(
           Context.Pool, makeWorkItem(Call.request(), Context, *Backlog),
           Executor);
       if (DemotedPlace)
--- a/packages/process/src/coltsfoottrail/fleethost/callerproxy.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/callerproxy.hpp
@@ -131,7 +131,7 @@
     std::uint32_t Sends = 0;
     /// The request's place in the router, queued or running; null while it has
     /// none.
-    Place *RouterPlace = nullptr;
+    DispatchHandle *RouterPlace = nullptr;
     bool Ended = false;
   };
 
--- a/packages/process/src/coltsfoottrail/fleethost/feeds.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/feeds.cpp
@@ -142,7 +142,7 @@
                               TimePoint SentAt) {
   if (Answer.CoordinatorHeard || Answer.LeaseHeard)
     Coordinator.recordCoordinator(Answer.LeaseHeard, BootClock::now());
-  Routing.shareLoads(Answer.Loads);
+  Routing.setRemoteLoads(Answer.Loads);
   for (const auto &[FeedId, Update] : Answer.Feeds) {
     const auto Next = SentReport.Next.find(FeedId);
     applyUpdate(FeedId,
--- a/packages/process/src/coltsfoottrail/server/agreedstream.cpp
+++ b/packages/process/src/coltsfoottrail/server/agreedstream.cpp
@@ -24,10 +24,10 @@
 
 AgreedStream::AgreedStream(asio::io_context &Where, Log &Platform,
                            AgreedOptions Wanted)
-    : Control(Where), Service(Platform), Options(std::move(Wanted)),
+    : Control(Where), LogService(Platform), Options(std::move(Wanted)),
       CheckpointStream(Options.Stream.Text + "-checkpoints"),
       Schedule(Options.Host, Options.Checkpoints), StartRetryTimer(Where),
-      AppendRetry(Where), Tick(Where),
+      AppendRetryTimer(Where), TickTimer(Where),
       Published(std::make_shared<const State>()) {}
 
 void AgreedStream::start(AgreedListener Told) {
@@ -38,9 +38,9 @@
 void AgreedStream::stop() {
   Stopped = true;
   StartRetryTimer.cancel();
-  AppendRetry.cancel();
-  Tick.cancel();
-  Waiting.clear();
+  AppendRetryTimer.cancel();
+  TickTimer.cancel();
+  PendingAppends.clear();
 }
 
 StatePtr AgreedStream::state() const {
@@ -50,39 +50,40 @@
 
 Freshness AgreedStream::freshness(TimePoint Now) const {
   const std::lock_guard Hold(Lock);
-  if (!Follows)
+  if (!StreamFollower)
     return Freshness::Starting;
-  return Differs ? Freshness::LeftBehind : Follows->freshness(Now);
+  return DiffersFromCheckpoint ? Freshness::LeftBehind
+                               : StreamFollower->freshness(Now);
 }
 
 void AgreedStream::findStart() {
-  Start = Starter(Folded.Next);
-  perform(Start.start());
+  CheckpointStarter = Starter(FoldedState.Next);
+  perform(CheckpointStarter.start());
 }
 
 void AgreedStream::perform(StartCommand Next) {
   if (Stopped)
     return;
   if (const auto *const Read = std::get_if<StartRead>(&Next)) {
-    Service.read(Read->Checkpoints ? CheckpointStream : Options.Stream,
-                 Read->From, Read->MaxEntries, milliseconds(0),
-                 [this](ReadResult Result) {
-                   asio::post(Control, [this, Got = std::move(Result)] {
-                     if (!Stopped)
-                       perform(Start.onRead(Got));
-                   });
-                 });
+    LogService.read(Read->Checkpoints ? CheckpointStream : Options.Stream,
+                    Read->From, Read->MaxEntries, milliseconds(0),
+                    [this](ReadResult Result) {
+                      asio::post(Control, [this, Got = std::move(Result)] {
+                        if (!Stopped)
+                          perform(CheckpointStarter.onRead(Got));
+                      });
+                    });
     return;
   }
   if (auto *const From = std::get_if<StartFrom>(&Next)) {
-    for (const std::string &Problem : Start.problems())
+    for (const std::string &Problem : CheckpointStarter.problems())
       logEvent(Event::CheckpointRefused, {{"why", Problem}});
-    begin(std::move(From->Found));
+    followFrom(std::move(From->Found));
     return;
   }
   if (const auto *const Lost = std::get_if<HistoryLost>(&Next))
     logEvent(Event::Trimmed, {{"horizon", Lost->Horizon}});
-  else if (!std::exchange(Unreachable, true))
+  else if (!std::exchange(LogUnreachable, true))
     logEvent(Event::LogUnreachable, {{"stream", Options.Stream}});
   retryStart();
 }
@@ -95,19 +96,19 @@
   });
 }
 
-void AgreedStream::begin(State Found) {
-  if (std::exchange(Unreachable, false))
+void AgreedStream::followFrom(State Found) {
+  if (std::exchange(LogUnreachable, false))
     logEvent(Event::LogBack, {{"stream", Options.Stream}});
-  Folded = std::move(Found);
+  FoldedState = std::move(Found);
   {
     const std::lock_guard Hold(Lock);
-    if (Follows) {
-      Follows->restart(Folded.Next);
+    if (StreamFollower) {
+      StreamFollower->restart(FoldedState.Next);
     } else {
       FollowerOptions Wanted;
       Wanted.Self = Member{Options.Host, Options.DataCentre};
       Wanted.Seed = Options.Run;
-      Follows.emplace(Wanted, Folded.Next, BootClock::now());
+      StreamFollower.emplace(Wanted, FoldedState.Next, BootClock::now());
     }
   }
   publish();
@@ -121,13 +122,13 @@
   FollowCommands Due;
   {
     const std::lock_guard Hold(Lock);
-    if (Follows->nextWake() <= Now)
-      Follows->advance(Now, Due);
+    if (StreamFollower->nextWake() <= Now)
+      StreamFollower->advance(Now, Due);
   }
   perform(std::move(Due));
   checkpointIfDue(Now);
-  Tick.expires_after(TickEvery);
-  Tick.async_wait([this](const boost::system::error_code &Problem) {
+  TickTimer.expires_after(TickEvery);
+  TickTimer.async_wait([this](const boost::system::error_code &Problem) {
     if (!Problem)
       tick();
   });
@@ -140,36 +141,36 @@
 
 void AgreedStream::perform(const ReadAgreed &Command) {
   const TimePoint Left = BootClock::now();
-  Service.read(Options.Stream, Command.From, Command.MaxEntries, Command.Wait,
-               [this, Left, Number = Command.Number](ReadResult Result) {
-                 asio::post(Control,
-                            [this, Left, Number, Got = std::move(Result)] {
-                              taken(Number, Got, Left);
-                            });
-               });
+  LogService.read(
+      Options.Stream, Command.From, Command.MaxEntries, Command.Wait,
+      [this, Left, Number = Command.Number](ReadResult Result) {
+        asio::post(Control, [this, Left, Number, Got = std::move(Result)] {
+          handleRead(Number, Got, Left);
+        });
+      });
 }
 
-void AgreedStream::taken(std::uint64_t Number, const ReadResult &Result,
-                         TimePoint Left) {
+void AgreedStream::handleRead(std::uint64_t Number, const ReadResult &Result,
+                              TimePoint Left) {
   if (Stopped)
     return;
   const auto *const Batch = std::get_if<LogBatch>(&Result);
   if (Batch != nullptr)
     Horizon = std::max(Horizon, Batch->Horizon);
   const bool Failed = Batch == nullptr;
-  if (Failed != std::exchange(Unreachable, Failed))
+  if (Failed != std::exchange(LogUnreachable, Failed))
     logEvent(Failed ? Event::LogUnreachable : Event::LogBack,
              {{"stream", Options.Stream}});
   FollowCommands Due;
   {
     const std::lock_guard Hold(Lock);
-    Follows->onRead(Number, Result, BootClock::now(), Due);
+    StreamFollower->onRead(Number, Result, BootClock::now(), Due);
   }
   perform(std::move(Due));
   if (Failed)
     Listener.OnLogFailure();
-  else if (Folded.Next >= Batch->End)
-    Listener.OnProof(Left);
+  else if (FoldedState.Next >= Batch->End)
+    Listener.OnLogRead(Left);
 }
 
 void AgreedStream::perform(const FoldNow &Command) {
@@ -181,23 +182,25 @@
 void AgreedStream::perform(const RelayRecords &Command) {
   const Json Message = writeFollowMessage(FollowRecords{Command.Records});
   for (const HostName &Peer : Command.To)
-    Listener.ToPeer(Peer, Message);
+    Listener.SendToPeer(Peer, Message);
 }
 
 void AgreedStream::perform(const AskRecords &Command) {
-  Listener.ToPeer(Command.Peer, writeFollowMessage(FollowAsk{Command.From}));
+  Listener.SendToPeer(Command.Peer,
+                      writeFollowMessage(FollowRequest{Command.From}));
 }
 
 void AgreedStream::perform(const TellGone &Command) {
-  Listener.ToPeer(Command.Peer, writeFollowMessage(FollowGone{Command.From}));
+  Listener.SendToPeer(Command.Peer,
+                      writeFollowMessage(FollowUnavailable{Command.From}));
 }
 
 void AgreedStream::perform(const SendQuery &Command) {
-  Listener.ToPeer(Command.Peer, writeFollowMessage(Command.Query));
+  Listener.SendToPeer(Command.Peer, writeFollowMessage(Command.Query));
 }
 
 void AgreedStream::perform(const SendAnswer &Command) {
-  Listener.ToPeer(Command.Peer, writeFollowMessage(Command.Answer));
+  Listener.SendToPeer(Command.Peer, writeFollowMessage(Command.Answer));
 }
 
 void AgreedStream::perform(const FreshnessChanged &Command) {
@@ -205,7 +208,7 @@
   if (Stale == std::exchange(WasStale, Stale))
     return;
   logEvent(Stale ? Event::Stale : Event::FreshAgain,
-           {{"now", freshnessText(Command.Now)}, {"next", Folded.Next}});
+           {{"now", freshnessText(Command.Now)}, {"next", FoldedState.Next}});
 }
 
 void AgreedStream::perform(const StartOver &Command) {
@@ -213,8 +216,8 @@
   findStart();
 }
 
-void AgreedStream::received(const HostName &From, const Json &Message) {
-  if (Stopped || !Follows)
+void AgreedStream::receive(const HostName &From, const Json &Message) {
+  if (Stopped || !StreamFollower)
     return;
   try {
     dispatch(From, Message);
@@ -230,50 +233,52 @@
   {
     const std::lock_guard Hold(Lock);
     if (const auto *const Given = std::get_if<FollowRecords>(&Read))
-      Follows->onRecords(From, Given->Records, Now, Due);
-    else if (const auto *const Ask = std::get_if<FollowAsk>(&Read))
-      Follows->onAsked(From, Ask->From, Now, Due);
-    else if (const auto *const Gone = std::get_if<FollowGone>(&Read))
-      Follows->onGone(From, Gone->From, Now, Due);
+      StreamFollower->onRecords(From, Given->Records, Now, Due);
+    else if (const auto *const Ask = std::get_if<FollowRequest>(&Read))
+      StreamFollower->onAsked(From, Ask->From, Now, Due);
+    else if (const auto *const Gone = std::get_if<FollowUnavailable>(&Read))
+      StreamFollower->onGone(From, Gone->From, Now, Due);
     else if (const auto *const Query = std::get_if<FollowQuery>(&Read))
-      Follows->onQuery(From, *Query, Now, Due);
+      StreamFollower->onQuery(From, *Query, Now, Due);
     else
-      Follows->onAnswer(From, std::get<FollowAnswer>(Read), Now, Due);
+      StreamFollower->onAnswer(From, std::get<FollowAnswer>(Read), Now, Due);
   }
   perform(std::move(Due));
 }
 
 void AgreedStream::fold(const LogEntry &Entry) {
-  if (Entry.At < Folded.Next)
+  if (Entry.At < FoldedState.Next)
     return;
-  const FoldResult Effect = foldRecord(Folded, Entry.At, Entry.Payload);
-  if (Folded.Next % SweepInterval == 0)
-    noteDigest();
+  const FoldResult Effect = foldRecord(FoldedState, Entry.At, Entry.Payload);
+  if (FoldedState.Next % SweepInterval == 0)
+    recordDigest();
   compareCheckpoint();
-  answerFolded(Entry, Effect);
+  completeAppend(Entry, Effect);
 }
 
-void AgreedStream::noteDigest() { Digests.note(Folded.Next, digestOf(Folded)); }
+void AgreedStream::recordDigest() {
+  Digests.note(FoldedState.Next, digestOf(FoldedState));
+}
 
 // Failure guarded against: two hosts fold the same records into different
 // states. The digest that comes with a checkpoint differs from that of the own
 // state at the same offset, and this host then starts no work.
 void AgreedStream::compareCheckpoint() {
-  if (Folded.Checkpoint.AnnouncedAt == ComparedAt)
+  if (FoldedState.Checkpoint.AnnouncedAt == ComparedCheckpoint)
     return;
-  ComparedAt = Folded.Checkpoint.AnnouncedAt;
-  if (Digests.matches(Folded.Checkpoint) != false)
+  ComparedCheckpoint = FoldedState.Checkpoint.AnnouncedAt;
+  if (Digests.matches(FoldedState.Checkpoint) != false)
     return;
   logEvent(Event::CheckpointRefused,
            {{"why", "the own state differs from the checkpoint"},
-            {"offset", ComparedAt}});
+            {"offset", ComparedCheckpoint}});
   const std::lock_guard Hold(Lock);
-  Differs = true;
+  DiffersFromCheckpoint = true;
 }
 
-void AgreedStream::answerFolded(const LogEntry &Entry,
-                                const FoldResult &Effect) {
-  if (Waiting.empty() || Effect.Effect == FoldEffect::Twin)
+void AgreedStream::completeAppend(const LogEntry &Entry,
+                                  const FoldResult &Effect) {
+  if (PendingAppends.empty() || Effect.Effect == FoldEffect::Twin)
     return;
   WriterId Writer;
   try {
@@ -281,30 +286,30 @@
   } catch (const InputError &) {
     return;
   }
-  if (Waiting.front().Writer != Writer)
+  if (PendingAppends.front().Writer != Writer)
     return;
   if (Effect.Effect == FoldEffect::Void)
     logEvent(Event::RecordVoid, {{"offset", Entry.At}, {"why", Effect.Why}});
-  const Outcome Done = std::move(Waiting.front().Done);
-  Waiting.pop_front();
+  const AppendCallback Done = std::move(PendingAppends.front().Done);
+  PendingAppends.pop_front();
   Appending = false;
-  AppendRetry.cancel();
+  AppendRetryTimer.cancel();
   publish();
   Done(AppendOutcome{true, Entry.At, Effect});
-  appendFirst();
+  appendNext();
 }
 
 void AgreedStream::publish() {
-  auto Copy = std::make_shared<const State>(Folded);
+  auto Copy = std::make_shared<const State>(FoldedState);
   std::vector<Member> Members;
-  for (const auto &[Name, Host] : Folded.EntryHosts)
+  for (const auto &[Name, Host] : FoldedState.EntryHosts)
     Members.push_back({Name, Host.Joined.DataCentre});
   {
     const std::lock_guard Hold(Lock);
     if (Started && Published->Next >= Copy->Next)
       return;
     Published = Copy;
-    Follows->setMembers(Members);
+    StreamFollower->setMembers(Members);
   }
   Listener.OnState(Copy);
 }
@@ -313,7 +318,8 @@
   return encodeRecord(Envelope{Writer, std::move(Body)});
 }
 
-void AgreedStream::append(Record Body, milliseconds Timeout, Outcome Done) {
+void AgreedStream::append(Record Body, milliseconds Timeout,
+                          AppendCallback Done) {
   asio::post(Control, [this, Said = std::move(Body),
                        Deadline = BootClock::now() + Timeout,
                        Then = std::move(Done)]() mutable {
@@ -328,60 +334,62 @@
           true, 0, FoldResult{FoldEffect::Unreadable, Problem.what(), {}}});
       return;
     }
-    Waiting.push_back({Writer, std::move(Bytes), Deadline, std::move(Then)});
-    appendFirst();
+    PendingAppends.push_back(
+        {Writer, std::move(Bytes), Deadline, std::move(Then)});
+    appendNext();
   });
 }
 
-void AgreedStream::appendFirst() {
-  if (Stopped || Appending || Waiting.empty())
+void AgreedStream::appendNext() {
+  if (Stopped || Appending || PendingAppends.empty())
     return;
   Appending = true;
-  const Pending &First = Waiting.front();
-  Service.append(Options.Stream, First.Bytes, Options.AppendTimeout,
-                 [this, Writer = First.Writer](AppendResult Result) {
-                   asio::post(Control, [this, Writer, Result] {
-                     appended(Writer, Result);
-                   });
-                 });
+  const Pending &First = PendingAppends.front();
+  LogService.append(Options.Stream, First.Bytes, Options.AppendTimeout,
+                    [this, Writer = First.Writer](AppendResult Result) {
+                      asio::post(Control, [this, Writer, Result] {
+                        handleAppendResult(Writer, Result);
+                      });
+                    });
 }
 
 // Failure guarded against: the answer to an append is lost after it took
 // effect. It is appended again under the same writer id; whichever comes first
 // counts and the fold drops the twin, so the record takes effect once.
-void AgreedStream::appended(const WriterId &Writer,
-                            const AppendResult &Result) {
-  if (Waiting.empty() || Waiting.front().Writer != Writer ||
+void AgreedStream::handleAppendResult(const WriterId &Writer,
+                                      const AppendResult &Result) {
+  if (PendingAppends.empty() || PendingAppends.front().Writer != Writer ||
       std::holds_alternative<Offset>(Result))
     return;
-  AppendRetry.expires_after(RetryDelay);
-  AppendRetry.async_wait([this](const boost::system::error_code &Problem) {
+  AppendRetryTimer.expires_after(RetryDelay);
+  AppendRetryTimer.async_wait([this](const boost::system::error_code &Problem) {
     if (Problem)
       return;
     Appending = false;
     expire(BootClock::now());
-    appendFirst();
+    appendNext();
   });
 }
 
 void AgreedStream::expire(TimePoint Now) {
-  while (!Waiting.empty() && Waiting.front().Deadline <= Now) {
-    const Outcome Done = std::move(Waiting.front().Done);
-    Waiting.pop_front();
+  while (!PendingAppends.empty() && PendingAppends.front().Deadline <= Now) {
+    const AppendCallback Done = std::move(PendingAppends.front().Done);
+    PendingAppends.pop_front();
     Appending = false;
     Done(AppendOutcome{});
   }
-  appendFirst();
+  appendNext();
 }
 
 void AgreedStream::checkpointIfDue(TimePoint Now) {
-  if (Writing || Folded.Next == 0 ||
-      !Schedule.shouldWrite(Folded, Horizon, Now))
+  if (WritingCheckpoint || FoldedState.Next == 0 ||
+      !Schedule.shouldWrite(FoldedState, Horizon, Now))
     return;
-  Writing = true;
-  noteDigest();
+  WritingCheckpoint = true;
+  recordDigest();
   writePart(
-      std::make_shared<std::vector<CheckpointPart>>(cutCheckpoint(Folded)), 0);
+      std::make_shared<std::vector<CheckpointPart>>(cutCheckpoint(FoldedState)),
+      0);
 }
 
 void AgreedStream::writePart(std::shared_ptr<std::vector<CheckpointPart>> Parts,
@@ -389,23 +397,23 @@
   if (Index == Parts->size()) {
     append(announcementOf(Parts->front()), Options.AppendTimeout,
            [this, At = Parts->front().At](const AppendOutcome &Got) {
-             Writing = false;
-             if (Got.OnLog)
+             WritingCheckpoint = false;
+             if (Got.Appended)
                logEvent(Event::CheckpointWritten, {{"at", At}});
            });
     return;
   }
   const WriterId Writer{Options.Run, NextPartSequence++};
-  Service.append(CheckpointStream, encode((*Parts)[Index], Writer),
-                 Options.AppendTimeout,
-                 [this, Parts, Index](AppendResult Result) {
-                   asio::post(Control, [this, Parts, Index, Result] {
-                     if (std::holds_alternative<Offset>(Result))
-                       writePart(Parts, Index + 1);
-                     else
-                       Writing = false;
-                   });
-                 });
+  LogService.append(CheckpointStream, encode((*Parts)[Index], Writer),
+                    Options.AppendTimeout,
+                    [this, Parts, Index](AppendResult Result) {
+                      asio::post(Control, [this, Parts, Index, Result] {
+                        if (std::holds_alternative<Offset>(Result))
+                          writePart(Parts, Index + 1);
+                        else
+                          WritingCheckpoint = false;
+                      });
+                    });
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/agreedstream.hpp
+++ b/packages/process/src/coltsfoottrail/server/agreedstream.hpp
@@ -24,9 +24,9 @@
 /// @brief What became of an append.
 struct AppendOutcome {
   /// False: the log did not take it within the time; it may still appear.
-  bool OnLog = false;
-  Offset At = 0;
-  FoldResult Effect;
+  bool Appended = false;
+  Offset RecordOffset = 0;
+  FoldResult FoldOutcome;
 };
 
 /// @brief What an agreed stream is made with.
@@ -47,18 +47,18 @@
   /// A new state is in force.
   std::function<void(const StatePtr &)> OnState;
   /// A read of the log was answered; it left then and all it showed is folded.
-  std::function<void(TimePoint Left)> OnProof;
+  std::function<void(TimePoint Left)> OnLogRead;
   /// A read of the log failed.
   std::function<void()> OnLogFailure;
   /// Sends a message to a peer, which gives it to received().
-  std::function<void(const HostName &, Json)> ToPeer;
+  std::function<void(const HostName &, Json)> SendToPeer;
 };
 
 /// @brief Follows, folds, appends and writes checkpoints. Its calls run on the
 /// control thread unless they say otherwise.
 class AgreedStream {
 public:
-  using Outcome = std::function<void(const AppendOutcome &)>;
+  using AppendCallback = std::function<void(const AppendOutcome &)>;
 
   /// @brief Makes a stream that does nothing until start().
   /// @param Control Context of the control thread; must outlive the stream.
@@ -75,7 +75,7 @@
   /// @brief Stops to follow; open appends are not answered.
   void stop();
   /// @brief Takes a message from a peer; anything may stand there.
-  void received(const HostName &From, const Json &Message);
+  void receive(const HostName &From, const Json &Message);
 
   /// @brief Appends a record and waits until it is folded. Thread-safe.
   ///
@@ -84,7 +84,7 @@
   /// @param Body What to append.
   /// @param Timeout After this the outcome is "not on the log".
   /// @param Done Called once, on the control thread.
-  void append(Record Body, milliseconds Timeout, Outcome Done);
+  void append(Record Body, milliseconds Timeout, AppendCallback Done);
 
   /// @brief The newest state. Thread-safe; never null.
   [[nodiscard]] StatePtr state() const;
@@ -98,12 +98,12 @@
     WriterId Writer;
     std::vector<std::byte> Bytes;
     TimePoint Deadline;
-    Outcome Done;
+    AppendCallback Done;
   };
 
   void findStart();
   void perform(StartCommand Next);
-  void begin(State Found);
+  void followFrom(State Found);
   void retryStart();
 
   void perform(FollowCommands Due);
@@ -116,18 +116,19 @@
   void perform(const SendAnswer &Command);
   void perform(const FreshnessChanged &Command);
   void perform(const StartOver &Command);
-  void taken(std::uint64_t Number, const ReadResult &Result, TimePoint Left);
+  void handleRead(std::uint64_t Number, const ReadResult &Result,
+                  TimePoint Left);
   void dispatch(const HostName &From, const Json &Message);
   void tick();
 
   void fold(const LogEntry &Entry);
-  void answerFolded(const LogEntry &Entry, const FoldResult &Effect);
+  void completeAppend(const LogEntry &Entry, const FoldResult &Effect);
   void publish();
-  void noteDigest();
+  void recordDigest();
   void compareCheckpoint();
 
-  void appendFirst();
-  void appended(const WriterId &Writer, const AppendResult &Result);
+  void appendNext();
+  void handleAppendResult(const WriterId &Writer, const AppendResult &Result);
   void expire(TimePoint Now);
   [[nodiscard]] std::vector<std::byte> encode(Record Body, WriterId Writer);
 
@@ -136,32 +137,32 @@
                  std::size_t Index);
 
   boost::asio::io_context &Control;
-  Log &Service;
+  Log &LogService;
   AgreedOptions Options;
   StreamName CheckpointStream;
   AgreedListener Listener;
-  Starter Start;
+  Starter CheckpointStarter;
   bool Started = false;
   bool Stopped = false;
-  bool Unreachable = false;
-  State Folded;
+  bool LogUnreachable = false;
+  State FoldedState;
   Offset Horizon = 0;
   CheckpointSchedule Schedule;
   DigestHistory Digests;
-  Offset ComparedAt = 0;
-  bool Writing = false;
+  Offset ComparedCheckpoint = 0;
+  bool WritingCheckpoint = false;
   std::uint64_t NextSequence = 1;
   std::uint64_t NextPartSequence = 1;
-  std::deque<Pending> Waiting;
+  std::deque<Pending> PendingAppends;
   bool Appending = false;
   boost::asio::steady_timer StartRetryTimer;
-  boost::asio::steady_timer AppendRetry;
-  boost::asio::steady_timer Tick;
+  boost::asio::steady_timer AppendRetryTimer;
+  boost::asio::steady_timer TickTimer;
   mutable std::mutex Lock;
   StatePtr Published;
   /// Under the lock: callers' threads ask it for the freshness.
-  std::optional<Follower> Follows;
-  bool Differs = false;
+  std::optional<Follower> StreamFollower;
+  bool DiffersFromCheckpoint = false;
   bool WasStale = false;
 };
 
--- a/packages/process/src/coltsfoottrail/server/attempts.hpp
+++ b/packages/process/src/coltsfoottrail/server/attempts.hpp
@@ -12,8 +12,8 @@
 /// @param State Whether it may have run.
 /// @param Why Why there is no answer.
 /// @param Start When it was sent.
-[[nodiscard]] inline AttemptResult failed(RunState State, Reason Why,
-                                          TimePoint Start) {
+[[nodiscard]] inline AttemptResult failedAttempt(RunState State, Reason Why,
+                                                 TimePoint Start) {
   AttemptResult Out;
   Out.State = State;
   Out.FailureReason = Why;
@@ -24,9 +24,9 @@
 /// @brief The same for a call that failed. Thread-safe.
 /// @param Failure How it failed.
 /// @param Start When it was sent.
-[[nodiscard]] inline AttemptResult failed(const CallFailure &Failure,
-                                          TimePoint Start) {
-  AttemptResult Out = failed(Failure.State, Failure.Why, Start);
+[[nodiscard]] inline AttemptResult failedAttempt(const CallFailure &Failure,
+                                                 TimePoint Start) {
+  AttemptResult Out = failedAttempt(Failure.State, Failure.Why, Start);
   Out.ConnectionLost = Failure.ConnectionLost;
   return Out;
 }
@@ -34,8 +34,8 @@
 /// @brief An attempt that was answered whole. Thread-safe.
 /// @param Start When it was sent.
 /// @param FirstByte When the first byte of the answer came.
-[[nodiscard]] inline AttemptResult answered(TimePoint Start,
-                                            TimePoint FirstByte) {
+[[nodiscard]] inline AttemptResult answeredAttempt(TimePoint Start,
+                                                   TimePoint FirstByte) {
   AttemptResult Out;
   Out.State = RunState::Ran;
   Out.Answered = true;
--- a/packages/process/src/coltsfoottrail/server/callerrequest.cpp
+++ b/packages/process/src/coltsfoottrail/server/callerrequest.cpp
@@ -113,7 +113,7 @@
     const Json Body = parseJson(Asked.Body, "request body");
     ObjectReader Reader(Body, "request body", "", UnknownKeys::Ignore);
     Out.PoolName = modelPoolName(Reader.text("model", 256));
-    Out.Streams = Reader.flagOr("stream", false);
+    Out.IsStreaming = Reader.flagOr("stream", false);
     if (Chat &&
         (!Reader.has("messages") || !Reader.raw("messages").is_array() ||
          Reader.raw("messages").empty()))
@@ -129,7 +129,7 @@
   } catch (const InputError &Problem) {
     refuse(Reason::BadRequest, Problem.what());
   }
-  Out.ToModel = true;
+  Out.IsModelCall = true;
   Out.Item.Repeatable = true;
 }
 
@@ -196,7 +196,7 @@
   Out.Item.Team = Out.Team.Name;
   Out.Item.Urgency = priorityOf(Asked);
   Out.Item.Deadline = deadlineOf(Asked, Limits, Now);
-  Out.AnswerBy = Out.Item.Deadline;
+  Out.AnswerDeadline = Out.Item.Deadline;
   Out.Item.Bytes = Asked.Body.size() + Asked.Target.size();
   Out.Item.Fingerprint =
       hashText(Asked.Body, hashText(Out.PoolName + Out.Forwarded.Target,
--- a/packages/process/src/coltsfoottrail/server/callerrequest.hpp
+++ b/packages/process/src/coltsfoottrail/server/callerrequest.hpp
@@ -21,13 +21,15 @@
   /// @param Final The verdict; always NotRun.
   /// @param Detail For people.
   RequestRefused(Verdict Final, const std::string &Detail)
-      : Error(Detail), Given(Final) {}
+      : Error(Detail), RefusalVerdict(Final) {}
 
   /// @brief The verdict.
-  [[nodiscard]] const Verdict &verdict() const noexcept { return Given; }
+  [[nodiscard]] const Verdict &verdict() const noexcept {
+    return RefusalVerdict;
+  }
 
 private:
-  Verdict Given;
+  Verdict RefusalVerdict;
 };
 
 /// @brief Limits on what a caller may ask for.
@@ -44,13 +46,13 @@
   /// Its deadline is when the request must have been sent.
   WorkItem Item;
   /// When the answer must be there.
-  TimePoint AnswerBy;
+  TimePoint AnswerDeadline;
   /// Empty when none was given.
   std::string IdempotencyKey;
   /// Whether the answer comes as server-sent events.
-  bool Streams = false;
+  bool IsStreaming = false;
   /// Whether it goes to a model, whose work may be repeated and resumed.
-  bool ToModel = false;
+  bool IsModelCall = false;
   /// The span that this host serves it under.
   TraceContext Trace;
   /// What the endpoint is sent.
--- a/packages/process/src/coltsfoottrail/server/claimdriver.cpp
+++ b/packages/process/src/coltsfoottrail/server/claimdriver.cpp
@@ -21,18 +21,18 @@
 
 } // namespace
 
-ClaimDesk::ClaimDesk(asio::io_context &Where, Log &Platform,
-                     ClaimOptions Limits, Sender Send)
-    : Control(Where), Service(Platform), Decides(std::move(Limits)),
-      ToPeer(std::move(Send)), Wake(Where) {}
+ClaimDriver::ClaimDriver(asio::io_context &Where, Log &Platform,
+                         ClaimOptions Limits, Sender Send)
+    : Control(Where), LogService(Platform), Claims(std::move(Limits)),
+      SendToPeer(std::move(Send)), WakeTimer(Where) {}
 
-ClaimTime ClaimDesk::now() {
+ClaimTime ClaimDriver::now() {
   const auto Wall = std::chrono::duration_cast<seconds>(
       std::chrono::system_clock::now().time_since_epoch());
   return {BootClock::now(), static_cast<std::uint64_t>(Wall.count())};
 }
 
-struct ClaimDesk::Asked {
+struct ClaimDriver::Asked {
   explicit Asked(const asio::any_io_executor &Executor)
       : Answer(std::make_shared<Reply<DeliverDecision>>(Executor)) {}
 
@@ -45,16 +45,16 @@
 // claim is granted, and nobody holds it: the key would be "in progress" until
 // its life ends. The abandoned claim is given up, or released when the grant
 // came first; the coroutine has not seen the grant, so nothing was sent.
-Awaitable<DeliverDecision> ClaimDesk::ask(Starter Start) {
+Awaitable<DeliverDecision> ClaimDriver::awaitDecision(Starter Start) {
   const auto Mine = std::make_shared<Asked>(co_await asio::this_coro::executor);
   asio::post(Control, [this, Mine, Begin = std::move(Start)] {
     if (Stopped) {
-      Mine->Answer->give(unavailable());
+      Mine->Answer->set(unavailable());
       return;
     }
     ClaimCommands Due;
     Mine->Id = Begin(Due);
-    Open[Mine->Id] = Mine;
+    OpenRequests[Mine->Id] = Mine;
     perform(std::move(Due));
   });
   bool Abandoned = false;
@@ -71,141 +71,142 @@
   co_return Decided;
 }
 
-void ClaimDesk::abandon(const AskedPtr &Gone) {
+void ClaimDriver::abandon(const AskedPtr &Gone) {
   if (Stopped)
     return;
   ClaimCommands Due;
-  if (Open.erase(Gone->Id) > 0)
-    Decides.giveUp(Gone->Id, now(), Due);
+  if (OpenRequests.erase(Gone->Id) > 0)
+    Claims.giveUp(Gone->Id, now(), Due);
   else if (Gone->Granted)
-    Decides.settle(Gone->Id, ReleaseClaim{}, now(), Due);
+    Claims.settle(Gone->Id, ReleaseClaim{}, now(), Due);
   perform(std::move(Due));
 }
 
-Awaitable<DeliverDecision> ClaimDesk::claim(const ClaimRequest &Request,
-                                            TimePoint Deadline) {
-  return ask([this, Deadline, What = Request](ClaimCommands &Due) {
-    return Decides.claim(What, Deadline, now(), Due);
+Awaitable<DeliverDecision> ClaimDriver::claim(const ClaimRequest &Request,
+                                              TimePoint Deadline) {
+  return awaitDecision([this, Deadline, What = Request](ClaimCommands &Due) {
+    return Claims.claim(What, Deadline, now(), Due);
   });
 }
 
-Awaitable<DeliverDecision> ClaimDesk::query(const ClaimKey &What,
-                                            TimePoint Deadline) {
-  return ask([this, Deadline, Key = What](ClaimCommands &Due) {
-    return Decides.query(Key, Deadline, now(), Due);
+Awaitable<DeliverDecision> ClaimDriver::query(const ClaimKey &What,
+                                              TimePoint Deadline) {
+  return awaitDecision([this, Deadline, Key = What](ClaimCommands &Due) {
+    return Claims.query(Key, Deadline, now(), Due);
   });
 }
 
-void ClaimDesk::settle(ClaimId Id, Settlement How) {
-  ++Posted;
+void ClaimDriver::settle(ClaimId Id, Settlement How) {
+  ++PostedSettlements;
   asio::post(Control, [this, Id, Ended = std::move(How)] {
     if (Stopped)
       return;
     ClaimCommands Due;
-    Decides.settle(Id, Ended, now(), Due);
+    Claims.settle(Id, Ended, now(), Due);
     perform(std::move(Due));
-    --Posted;
+    --PostedSettlements;
   });
 }
 
-void ClaimDesk::received(const HostName &From, const ClaimMessage &Message) {
+void ClaimDriver::receive(const HostName &From, const ClaimMessage &Message) {
   ClaimCommands Due;
-  Decides.received(From, Message, now(), Due);
+  Claims.received(From, Message, now(), Due);
   perform(std::move(Due));
 }
 
-void ClaimDesk::members(const std::vector<ClaimMember> &Joined) {
+void ClaimDriver::setMembers(const std::vector<ClaimMember> &Joined) {
   ClaimCommands Due;
-  Decides.setMembers(Joined, now(), Due);
+  Claims.setMembers(Joined, now(), Due);
   perform(std::move(Due));
 }
 
-void ClaimDesk::stop() {
+void ClaimDriver::stop() {
   Stopped = true;
-  Wake.cancel();
-  for (auto &[Id, Waits] : Open)
-    Waits->Answer->give(unavailable());
-  Open.clear();
+  WakeTimer.cancel();
+  for (auto &[Id, Waits] : OpenRequests)
+    Waits->Answer->set(unavailable());
+  OpenRequests.clear();
 }
 
-void ClaimDesk::perform(ClaimCommands Due) {
+void ClaimDriver::perform(ClaimCommands Due) {
   for (ClaimCommand &One : Due)
     std::visit([this](auto &Command) { perform(std::move(Command)); }, One);
-  arm();
-}
-
-void ClaimDesk::perform(ClaimAppend Command) {
-  Service.append(claimStream(Command.Partition), std::move(Command.Payload),
-                 LogTimeout,
-                 [this, Partition = Command.Partition,
-                  Token = Command.Token](AppendResult Result) {
-                   asio::post(Control, [this, Partition, Token, Result] {
-                     if (Stopped)
-                       return;
-                     ClaimCommands Next;
-                     Decides.appended(Partition, Token, Result, now(), Next);
-                     perform(std::move(Next));
-                   });
-                 });
-}
-
-void ClaimDesk::perform(ClaimRead Command) {
-  Service.read(claimStream(Command.Partition), Command.From, MaxEntriesPerRead,
-               milliseconds(0),
-               [this, Partition = Command.Partition,
-                Token = Command.Token](ReadResult Result) {
-                 asio::post(Control,
-                            [this, Partition, Token, Got = std::move(Result)] {
-                              if (Stopped)
-                                return;
-                              ClaimCommands Next;
-                              Decides.read(Partition, Token, Got, now(), Next);
-                              perform(std::move(Next));
-                            });
-               });
-}
-
-void ClaimDesk::perform(ClaimSend Command) {
-  ToPeer(Command.To, Command.Message);
-}
-
-void ClaimDesk::perform(DeliverDecision Command) {
-  const auto Found = Open.find(Command.Id);
-  if (Found == Open.end())
+  armTimer();
+}
+
+void ClaimDriver::perform(ClaimAppend Command) {
+  LogService.append(claimStream(Command.Partition), std::move(Command.Payload),
+                    LogTimeout,
+                    [this, Partition = Command.Partition,
+                     Token = Command.Token](AppendResult Result) {
+                      asio::post(Control, [this, Partition, Token, Result] {
+                        if (Stopped)
+                          return;
+                        ClaimCommands Next;
+                        Claims.appended(Partition, Token, Result, now(), Next);
+                        perform(std::move(Next));
+                      });
+                    });
+}
+
+void ClaimDriver::perform(ClaimRead Command) {
+  LogService.read(
+      claimStream(Command.Partition), Command.From, MaxEntriesPerRead,
+      milliseconds(0),
+      [this, Partition = Command.Partition,
+       Token = Command.Token](ReadResult Result) {
+        asio::post(Control, [this, Partition, Token, Got = std::move(Result)] {
+          if (Stopped)
+            return;
+          ClaimCommands Next;
+          Claims.read(Partition, Token, Got, now(), Next);
+          perform(std::move(Next));
+        });
+      });
+}
+
+void ClaimDriver::perform(ClaimSend Command) {
+  SendToPeer(Command.To, Command.Message);
+}
+
+void ClaimDriver::perform(DeliverDecision Command) {
+  const auto Found = OpenRequests.find(Command.Id);
+  if (Found == OpenRequests.end())
     return;
   const AskedPtr Waits = std::move(Found->second);
-  Open.erase(Found);
+  OpenRequests.erase(Found);
   Waits->Granted = std::holds_alternative<ClaimGranted>(Command.Decision);
-  Waits->Answer->give(std::move(Command));
+  Waits->Answer->set(std::move(Command));
 }
 
-void ClaimDesk::arm() {
-  Settling = Decides.settling();
-  const std::optional<TimePoint> At = Decides.nextWake();
+void ClaimDriver::armTimer() {
+  PendingSettlements = Claims.settling();
+  const std::optional<TimePoint> At = Claims.nextWake();
   if (!At || Stopped)
     return;
-  Wake.expires_after(std::max<Duration>(*At - BootClock::now(), LeastWake));
-  Wake.async_wait([this](const boost::system::error_code &Problem) {
+  WakeTimer.expires_after(
+      std::max<Duration>(*At - BootClock::now(), LeastWake));
+  WakeTimer.async_wait([this](const boost::system::error_code &Problem) {
     if (Problem)
       return;
     ClaimCommands Due;
-    Decides.advance(now(), Due);
+    Claims.advance(now(), Due);
     perform(std::move(Due));
   });
 }
 
 ClaimGuard::~ClaimGuard() {
-  if (Done)
+  if (Settled)
     return;
-  if (Left)
-    Home->settle(Id, OutcomeUnknown{});
+  if (Sent)
+    Driver->settle(Id, OutcomeUnknown{});
   else
-    Home->settle(Id, ReleaseClaim{});
+    Driver->settle(Id, ReleaseClaim{});
 }
 
 void ClaimGuard::settle(StoredOutcome Outcome) {
-  Done = true;
-  Home->settle(Id, std::move(Outcome));
+  Settled = true;
+  Driver->settle(Id, std::move(Outcome));
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/claimdriver.hpp
+++ b/packages/process/src/coltsfoottrail/server/claimdriver.hpp
@@ -19,7 +19,7 @@
 namespace coltsfoottrail {
 
 /// @brief The asio side of ClaimService, which stands on the control thread.
-class ClaimDesk {
+class ClaimDriver {
 public:
   using Sender = std::function<void(const HostName &, const ClaimMessage &)>;
 
@@ -28,10 +28,10 @@
   /// @param Service The log; must outlive the desk.
   /// @param Limits Limits of the claims.
   /// @param ToPeer Sends a message to a peer; called on the control thread.
-  ClaimDesk(boost::asio::io_context &Control, Log &Service, ClaimOptions Limits,
-            Sender ToPeer);
-  ClaimDesk(const ClaimDesk &) = delete;
-  ClaimDesk &operator=(const ClaimDesk &) = delete;
+  ClaimDriver(boost::asio::io_context &Control, Log &Service,
+              ClaimOptions Limits, Sender ToPeer);
+  ClaimDriver(const ClaimDriver &) = delete;
+  ClaimDriver &operator=(const ClaimDriver &) = delete;
 
   /// @brief Claims a key. Called from any thread's coroutine.
   /// @param Request What is claimed.
@@ -46,12 +46,12 @@
   void settle(ClaimId Id, Settlement How);
 
   /// @brief Takes a message from a peer. On the control thread.
-  void received(const HostName &From, const ClaimMessage &Message);
+  void receive(const HostName &From, const ClaimMessage &Message);
   /// @brief Takes the entry hosts of the agreed state. On the control thread.
-  void members(const std::vector<ClaimMember> &Joined);
+  void setMembers(const std::vector<ClaimMember> &Joined);
   /// @brief Settlements that are not on the log yet. Thread-safe.
   [[nodiscard]] std::size_t unsettled() const noexcept {
-    return Posted + Settling;
+    return PostedSettlements + PendingSettlements;
   }
 
   /// @brief Stops. On the control thread.
@@ -64,7 +64,7 @@
   using AskedPtr = std::shared_ptr<Asked>;
   using Starter = std::function<ClaimId(ClaimCommands &)>;
 
-  [[nodiscard]] Awaitable<DeliverDecision> ask(Starter Start);
+  [[nodiscard]] Awaitable<DeliverDecision> awaitDecision(Starter Start);
   void abandon(const AskedPtr &Gone);
 
   void perform(ClaimCommands Due);
@@ -72,20 +72,20 @@
   void perform(ClaimRead Command);
   void perform(ClaimSend Command);
   void perform(DeliverDecision Command);
-  void arm();
+  void armTimer();
   [[nodiscard]] static ClaimTime now();
 
   boost::asio::io_context &Control;
-  Log &Service;
-  ClaimService Decides;
-  Sender ToPeer;
-  std::map<ClaimId, AskedPtr> Open;
-  boost::asio::steady_timer Wake;
+  Log &LogService;
+  ClaimService Claims;
+  Sender SendToPeer;
+  std::map<ClaimId, AskedPtr> OpenRequests;
+  boost::asio::steady_timer WakeTimer;
   bool Stopped = false;
   /// Settlements on their way to the control thread, and those that are not
   /// on the log yet.
-  std::atomic<std::size_t> Posted{0};
-  std::atomic<std::size_t> Settling{0};
+  std::atomic<std::size_t> PostedSettlements{0};
+  std::atomic<std::size_t> PendingSettlements{0};
 };
 
 /// @brief Settles a granted claim when it goes out of scope unsettled: as "may
@@ -95,23 +95,23 @@
   /// @brief Watches a granted claim.
   /// @param Desk The desk; must outlive the guard.
   /// @param Granted The claim.
-  ClaimGuard(ClaimDesk &Desk, ClaimId Granted) : Home(&Desk), Id(Granted) {}
+  ClaimGuard(ClaimDriver &Desk, ClaimId Granted) : Driver(&Desk), Id(Granted) {}
   ClaimGuard(const ClaimGuard &) = delete;
   ClaimGuard &operator=(const ClaimGuard &) = delete;
   ~ClaimGuard();
 
   /// @brief From now on the request may have run.
-  void mayHaveLeft() noexcept { Left = true; }
-  /// @brief Takes back mayHaveLeft(): it is proved that nothing ran.
-  void provedNotRun() noexcept { Left = false; }
+  void markSent() noexcept { Sent = true; }
+  /// @brief Takes back markSent(): it is proved that nothing ran.
+  void markNotRun() noexcept { Sent = false; }
   /// @brief Settles with the outcome.
   void settle(StoredOutcome Outcome);
 
 private:
-  ClaimDesk *Home;
+  ClaimDriver *Driver;
   ClaimId Id;
-  bool Left = false;
-  bool Done = false;
+  bool Sent = false;
+  bool Settled = false;
 };
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/followwire.cpp
+++ b/packages/process/src/coltsfoottrail/server/followwire.cpp
@@ -63,10 +63,10 @@
   Json Out = std::visit(
       Overloaded{
           [](const FollowRecords &Records) { return writeRecords(Records); },
-          [](const FollowAsk &Ask) {
+          [](const FollowRequest &Ask) {
             return Json{{"from", Ask.From}};
           },
-          [](const FollowGone &Gone) {
+          [](const FollowUnavailable &Gone) {
             return Json{{"from", Gone.From}};
           },
           [](const FollowQuery &Query) {
@@ -85,9 +85,9 @@
   case 0:
     return readRecords(Reader);
   case 1:
-    return FollowAsk{Reader.number("from")};
+    return FollowRequest{Reader.number("from")};
   case 2:
-    return FollowGone{Reader.number("from")};
+    return FollowUnavailable{Reader.number("from")};
   case 3: {
     FollowQuery Query;
     Query.Stamp = Reader.number("stamp");
--- a/packages/process/src/coltsfoottrail/server/followwire.hpp
+++ b/packages/process/src/coltsfoottrail/server/followwire.hpp
@@ -17,17 +17,18 @@
   std::vector<RecordPtr> Records;
 };
 /// Asks for records from an offset on.
-struct FollowAsk {
+struct FollowRequest {
   Offset From = 0;
 };
 /// Says that records from an offset on are not kept.
-struct FollowGone {
+struct FollowUnavailable {
   Offset From = 0;
 };
 
 /// What entry hosts tell each other of the agreed stream.
-using FollowMessage = std::variant<FollowRecords, FollowAsk, FollowGone,
-                                   FollowQuery, FollowAnswer>;
+using FollowMessage =
+    std::variant<FollowRecords, FollowRequest, FollowUnavailable, FollowQuery,
+                 FollowAnswer>;
 
 /// @brief Writes a message. Thread-safe.
 [[nodiscard]] Json writeFollowMessage(const FollowMessage &Message);
--- a/packages/process/src/coltsfoottrail/server/fwd.hpp
+++ b/packages/process/src/coltsfoottrail/server/fwd.hpp
@@ -9,10 +9,10 @@
 struct Assignment;
 struct RouterOptions;
 class Router;
-class Place;
+class DispatchHandle;
 class Relay;
 class AgreedStream;
-class Operators;
+class OperatorApi;
 class EntryHostProcess;
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/groupdriver.cpp
+++ b/packages/process/src/coltsfoottrail/server/groupdriver.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-struct GroupDesk::Inner {
+struct GroupDriver::Inner {
   Inner(asio::io_context &Where, AgreedStream &Stream, Engines &Ordered,
         const HostName &Self, Incarnation Run, Sender Send, ReportListener Told)
       : Control(Where), Agreed(Stream), Orders(Ordered),
@@ -37,17 +37,17 @@
   bool Stopped = false;
 };
 
-GroupDesk::GroupDesk(asio::io_context &Where, AgreedStream &Stream,
-                     Engines &Ordered, const HostName &Self, Incarnation Run,
-                     Sender Send, ReportListener Told)
+GroupDriver::GroupDriver(asio::io_context &Where, AgreedStream &Stream,
+                         Engines &Ordered, const HostName &Self,
+                         Incarnation Run, Sender Send, ReportListener Told)
     : Own(std::make_unique<Inner>(Where, Stream, Ordered, Self, Run,
                                   std::move(Send), std::move(Told))) {}
 
-GroupDesk::~GroupDesk() = default;
+GroupDriver::~GroupDriver() = default;
 
-void GroupDesk::stop() { Own->Stopped = true; }
+void GroupDriver::stop() { Own->Stopped = true; }
 
-void GroupDesk::poll() {
+void GroupDriver::poll() {
   if (Own->Stopped)
     return;
   GroupDecisions Due = Own->Agent.poll(*Own->Agreed.state(), BootClock::now());
@@ -58,7 +58,7 @@
     Own->ToPeer(Beat.To, writeBeat(Beat.Beat));
 }
 
-void GroupDesk::received(const HostName &From, const Json &Message) {
+void GroupDriver::receive(const HostName &From, const Json &Message) {
   if (Own->Stopped)
     return;
   try {
@@ -70,22 +70,22 @@
   }
 }
 
-void GroupDesk::suspect(const GroupId &Group) {
+void GroupDriver::suspect(const GroupId &Group) {
   Own->Agent.suspect(Group, BootClock::now());
 }
 
-std::map<GroupId, TimePoint> GroupDesk::usableUntil() const {
+std::map<GroupId, TimePoint> GroupDriver::usableUntil() const {
   return Own->Agent.usableUntil();
 }
 
-void GroupDesk::Inner::perform(AppendRecord Command) {
+void GroupDriver::Inner::perform(AppendRecord Command) {
   Agreed.append(std::move(Command.Body), AppendWait,
                 [this, Id = Command.Id](const AppendOutcome &Got) {
                   if (Stopped)
                     return;
                   const AppendResult Result =
-                      Got.OnLog ? AppendResult(Got.At)
-                                : AppendResult(LogFailure::Unknown);
+                      Got.Appended ? AppendResult(Got.RecordOffset)
+                                   : AppendResult(LogFailure::Unknown);
                   Agent.recordAppend(Id, Result, BootClock::now());
                 });
 }
@@ -93,7 +93,7 @@
 // Failure guarded against: this host was paused between the decision and the
 // order, and its lease has lapsed. The clock, which counts the pause, is read
 // last of all.
-void GroupDesk::Inner::perform(OrderEngine Command) {
+void GroupDriver::Inner::perform(OrderEngine Command) {
   const TimePoint Now = BootClock::now();
   if (Now > Command.NotAfter) {
     Agent.recordOrder(Command.Id, OrderResult::NotDone, Now);
@@ -113,7 +113,7 @@
       });
 }
 
-void GroupDesk::Inner::perform(AskEngine Command) {
+void GroupDriver::Inner::perform(AskEngine Command) {
   Orders.ask(Command.Address, Command.Timeout,
              [this, Id = Command.Id,
               Host = Command.Host](std::optional<EngineReport> Report) {
--- a/packages/process/src/coltsfoottrail/server/groupdriver.hpp
+++ b/packages/process/src/coltsfoottrail/server/groupdriver.hpp
@@ -16,7 +16,7 @@
 namespace coltsfoottrail {
 
 /// @brief The asio side of the group agent. On the control thread.
-class GroupDesk {
+class GroupDriver {
 public:
   using Sender = std::function<void(const HostName &, Json)>;
   /// Hears of each report of an engine.
@@ -31,17 +31,17 @@
   /// @param Run This run of it.
   /// @param ToPeer Sends a beat to a peer.
   /// @param OnReport Hears of reports.
-  GroupDesk(boost::asio::io_context &Control, AgreedStream &Agreed,
-            Engines &Orders, const HostName &Self, Incarnation Run,
-            Sender ToPeer, ReportListener OnReport);
-  GroupDesk(const GroupDesk &) = delete;
-  GroupDesk &operator=(const GroupDesk &) = delete;
-  ~GroupDesk();
+  GroupDriver(boost::asio::io_context &Control, AgreedStream &Agreed,
+              Engines &Orders, const HostName &Self, Incarnation Run,
+              Sender ToPeer, ReportListener OnReport);
+  GroupDriver(const GroupDriver &) = delete;
+  GroupDriver &operator=(const GroupDriver &) = delete;
+  ~GroupDriver();
 
   /// @brief Decides on the newest state; called often.
   void poll();
   /// @brief Takes a peer's beat; anything may stand there.
-  void received(const HostName &From, const Json &Message);
+  void receive(const HostName &From, const Json &Message);
   /// @brief Has a group asked at once, since a request to it failed.
   void suspect(const GroupId &Group);
   /// @brief Until when each group may be used.
--- a/packages/process/src/coltsfoottrail/server/membershipdriver.cpp
+++ b/packages/process/src/coltsfoottrail/server/membershipdriver.cpp
@@ -37,8 +37,9 @@
 
 } // namespace
 
-struct MemberDesk::Inner {
-  Inner(const EntryHostJoined &Name, milliseconds MaxWork, MemberHooks Wanted)
+struct MembershipDriver::Inner {
+  Inner(const EntryHostJoined &Name, milliseconds MaxWork,
+        MembershipHooks Wanted)
       : Self(Name), Hooks(std::move(Wanted)), Members(memberOptions(Name)),
         Proof(memberOptions(Name)), Shares(shareOptions(Name, MaxWork)) {}
 
@@ -58,7 +59,7 @@
   }
 
   EntryHostJoined Self;
-  MemberHooks Hooks;
+  MembershipHooks Hooks;
   Membership Members;
   StateProof Proof;
   ShareManager Shares;
@@ -67,24 +68,24 @@
   mutable std::mutex Lock;
 };
 
-MemberDesk::MemberDesk(const EntryHostJoined &Self, milliseconds MaxWork,
-                       MemberHooks Hooks)
+MembershipDriver::MembershipDriver(const EntryHostJoined &Self,
+                                   milliseconds MaxWork, MembershipHooks Hooks)
     : Own(std::make_unique<Inner>(Self, MaxWork, std::move(Hooks))) {}
 
-MemberDesk::~MemberDesk() = default;
+MembershipDriver::~MembershipDriver() = default;
 
-void MemberDesk::Inner::perform(const MembershipCommands &Due) {
+void MembershipDriver::Inner::perform(const MembershipCommands &Due) {
   for (const MembershipCommand &One : Due) {
     if (const auto *const Send = std::get_if<MembershipSend>(&One))
       Hooks.SendMembership(Send->To, writeMembershipMessage(Send->Payload));
     else if (const auto *const Append = std::get_if<MembershipAppend>(&One))
       append(*Append);
     else
-      Hooks.OnEnded();
+      Hooks.OnRunRemoved();
   }
 }
 
-void MemberDesk::Inner::append(const MembershipAppend &Due) {
+void MembershipDriver::Inner::append(const MembershipAppend &Due) {
   const auto *const Gone = std::get_if<EntryHostLeft>(&Due.Payload);
   if (Gone != nullptr && Due.Basis)
     logEvent(
@@ -99,7 +100,7 @@
   Hooks.Append(Due.Payload);
 }
 
-void MemberDesk::Inner::perform(const ShareCommands &Due) {
+void MembershipDriver::Inner::perform(const ShareCommands &Due) {
   std::map<std::string, std::uint32_t> Changed;
   for (const ShareCommand &One : Due) {
     if (const auto *const Send = std::get_if<ShareSend>(&One)) {
@@ -113,7 +114,7 @@
     Hooks.OnShares(Changed);
 }
 
-void MemberDesk::Inner::prove() {
+void MembershipDriver::Inner::prove() {
   const std::optional<TimePoint> At = Proof.provenAt();
   if (!At)
     return;
@@ -121,7 +122,7 @@
   Shares.confirmMembership(*At);
 }
 
-void MemberDesk::onState(const State &Now, const RouteTable &Routes) {
+void MembershipDriver::onState(const State &Now, const RouteTable &Routes) {
   const TimePoint At = BootClock::now();
   std::vector<ShareMember> Joined;
   std::vector<HostName> Others;
@@ -147,18 +148,19 @@
   Own->perform(MemberDue);
 }
 
-void MemberDesk::logAnswered(TimePoint Left) {
+void MembershipDriver::recordLogRead(TimePoint Left) {
   Own->Proof.recordLogRead(Left);
   Own->prove();
 }
 
-void MemberDesk::logFailed() { Own->Proof.recordLogFailure(); }
+void MembershipDriver::recordLogFailure() { Own->Proof.recordLogFailure(); }
 
-void MemberDesk::listed(const std::vector<ListedHost> &Hosts) {
+void MembershipDriver::applyHostList(const std::vector<ListedHost> &Hosts) {
   Own->Members.applyHostList(Hosts);
 }
 
-void MemberDesk::receivedMembership(const HostName &From, const Json &Message) {
+void MembershipDriver::receiveMembership(const HostName &From,
+                                         const Json &Message) {
   try {
     const MembershipMessage Read = readMembershipMessage(Message, MemberSource);
     const TimePoint Now = BootClock::now();
@@ -180,7 +182,8 @@
   }
 }
 
-void MemberDesk::receivedShares(const HostName &From, const Json &Message) {
+void MembershipDriver::receiveShares(const HostName &From,
+                                     const Json &Message) {
   try {
     const ShareMessage Read = readShareMessage(Message, ShareSource);
     Own->withShares([&](ShareCommands &Due) {
@@ -191,31 +194,32 @@
   }
 }
 
-void MemberDesk::observe(const LoadReport &Report) {
+void MembershipDriver::observe(const LoadReport &Report) {
   Own->withShares([&](ShareCommands &Due) {
     Own->Shares.observe(Report, BootClock::now(), Due);
   });
 }
 
-void MemberDesk::demand(std::string_view PoolName, std::uint32_t Waiting) {
+void MembershipDriver::setPoolDemand(std::string_view PoolName,
+                                     std::uint32_t Waiting) {
   Own->withShares([&](ShareCommands &Due) {
     Own->Shares.setPoolDemand(PoolName, Waiting, BootClock::now(), Due);
   });
 }
 
-void MemberDesk::finished(std::string_view EndpointKey, bool Succeeded,
-                          Duration Latency) {
+void MembershipDriver::finish(std::string_view EndpointKey, bool Succeeded,
+                              Duration Latency) {
   Own->withShares([&](ShareCommands &Due) {
     Own->Shares.finish(EndpointKey, Succeeded, Latency, BootClock::now(), Due);
   });
 }
 
-bool MemberDesk::start(std::string_view EndpointKey) {
+bool MembershipDriver::tryStart(std::string_view EndpointKey) {
   const std::lock_guard Hold(Own->Lock);
   return Own->Shares.tryStart(EndpointKey, BootClock::now());
 }
 
-void MemberDesk::tick() {
+void MembershipDriver::tick() {
   const TimePoint Now = BootClock::now();
   if (Own->Members.nextWake() <= Now) {
     MembershipCommands Due;
@@ -234,7 +238,7 @@
   });
 }
 
-void MemberDesk::leave() {
+void MembershipDriver::leave() {
   const TimePoint Now = BootClock::now();
   Own->withShares([&](ShareCommands &Due) { Own->Shares.release(Now, Due); });
   MembershipCommands Due;
@@ -242,14 +246,14 @@
   Own->perform(Due);
 }
 
-bool MemberDesk::joined() const { return Own->Members.joined(); }
+bool MembershipDriver::joined() const { return Own->Members.joined(); }
 
-std::uint32_t MemberDesk::share(std::string_view EndpointKey) const {
+std::uint32_t MembershipDriver::share(std::string_view EndpointKey) const {
   const std::lock_guard Hold(Own->Lock);
   return Own->Shares.share(EndpointKey, BootClock::now());
 }
 
-bool MemberDesk::isSteward(std::string_view EndpointKey) const {
+bool MembershipDriver::isSteward(std::string_view EndpointKey) const {
   const std::lock_guard Hold(Own->Lock);
   return Own->Shares.stewardOf(EndpointKey) == Own->Self.Host;
 }
--- a/packages/process/src/coltsfoottrail/server/membershipdriver.hpp
+++ b/packages/process/src/coltsfoottrail/server/membershipdriver.hpp
@@ -20,7 +20,7 @@
 namespace coltsfoottrail {
 
 /// @brief What the desk wants of the process.
-struct MemberHooks {
+struct MembershipHooks {
   /// Sends a message about members to a peer.
   std::function<void(const HostName &, Json)> SendMembership;
   /// Sends a message about shares to a peer. Called on any thread.
@@ -28,48 +28,48 @@
   /// Appends a record to the agreed stream.
   std::function<void(Record)> Append;
   /// This run has been found gone by its peers.
-  std::function<void()> OnEnded;
+  std::function<void()> OnRunRemoved;
   /// Shares have changed. Called on any thread.
   std::function<void(const std::map<std::string, std::uint32_t> &)> OnShares;
 };
 
 /// @brief The asio side of Membership and ShareManager. On the control thread
 /// unless a call says otherwise.
-class MemberDesk {
+class MembershipDriver {
 public:
   /// @brief Makes a desk.
   /// @param Self What this run says of itself when it joins.
   /// @param MaxWork Longest that any request is in progress; equal on all
   /// hosts.
   /// @param Hooks What it wants of the process.
-  MemberDesk(const EntryHostJoined &Self, milliseconds MaxWork,
-             MemberHooks Hooks);
-  MemberDesk(const MemberDesk &) = delete;
-  MemberDesk &operator=(const MemberDesk &) = delete;
-  ~MemberDesk();
+  MembershipDriver(const EntryHostJoined &Self, milliseconds MaxWork,
+                   MembershipHooks Hooks);
+  MembershipDriver(const MembershipDriver &) = delete;
+  MembershipDriver &operator=(const MembershipDriver &) = delete;
+  ~MembershipDriver();
 
   /// @brief Takes a state and its routes.
   void onState(const State &Now, const RouteTable &Routes);
   /// @brief A read of the log was answered and all it showed is folded.
-  void logAnswered(TimePoint Left);
+  void recordLogRead(TimePoint Left);
   /// @brief A read of the log failed.
-  void logFailed();
+  void recordLogFailure();
   /// @brief Takes the platform's list of hosts.
-  void listed(const std::vector<ListedHost> &Hosts);
+  void applyHostList(const std::vector<ListedHost> &Hosts);
   /// @brief Takes a message about members.
-  void receivedMembership(const HostName &From, const Json &Message);
+  void receiveMembership(const HostName &From, const Json &Message);
   /// @brief Takes a message about shares.
-  void receivedShares(const HostName &From, const Json &Message);
+  void receiveShares(const HostName &From, const Json &Message);
   /// @brief Takes a load report.
   void observe(const LoadReport &Report);
   /// @brief Says how many requests wait for a pool. Thread-safe.
-  void demand(std::string_view PoolName, std::uint32_t Waiting);
+  void setPoolDemand(std::string_view PoolName, std::uint32_t Waiting);
   /// @brief Asks for leave to send one request, at the act itself. Thread-safe.
   /// @return False when the share is used up or has lapsed; after true,
   /// finished() must follow.
-  [[nodiscard]] bool start(std::string_view EndpointKey);
+  [[nodiscard]] bool tryStart(std::string_view EndpointKey);
   /// @brief A request at an endpoint has ended. Thread-safe.
-  void finished(std::string_view EndpointKey, bool Succeeded, Duration Latency);
+  void finish(std::string_view EndpointKey, bool Succeeded, Duration Latency);
   /// @brief Lets time pass; called every few milliseconds.
   void tick();
   /// @brief This host stops as planned.
--- a/packages/process/src/coltsfoottrail/server/noticewire.cpp
+++ b/packages/process/src/coltsfoottrail/server/noticewire.cpp
@@ -46,8 +46,8 @@
                        return Json{{"fingerprint", Clear.Fingerprint}};
                      },
                  },
-                 Told.What);
-  Out["kind"] = Kinds.at(Told.What.index());
+                 Told.Notice);
+  Out["kind"] = Kinds.at(Told.Notice.index());
   Out["pool"] = Told.PoolName;
   return Out;
 }
@@ -58,13 +58,13 @@
   Out.PoolName = Reader.text("pool");
   switch (Reader.word("kind", Kinds)) {
   case 0:
-    Out.What = readCrash(Reader);
+    Out.Notice = readCrash(Reader);
     break;
   case 1:
-    Out.What = DismissNotice{Reader.text("endpoint")};
+    Out.Notice = DismissNotice{Reader.text("endpoint")};
     break;
   default:
-    Out.What = ClearNotice{Reader.number("fingerprint")};
+    Out.Notice = ClearNotice{Reader.number("fingerprint")};
     break;
   }
   return Out;
--- a/packages/process/src/coltsfoottrail/server/noticewire.hpp
+++ b/packages/process/src/coltsfoottrail/server/noticewire.hpp
@@ -13,7 +13,7 @@
 /// @brief A notice and the pool that it is about.
 struct PoolNotice {
   std::string PoolName;
-  QuarantineNotice What;
+  QuarantineNotice Notice;
 };
 
 /// @brief Writes a notice. Thread-safe.
--- a/packages/process/src/coltsfoottrail/server/operatorapi.cpp
+++ b/packages/process/src/coltsfoottrail/server/operatorapi.cpp
@@ -83,9 +83,9 @@
 }
 
 HttpResponse beaten(const AppendOutcome &Outcome) {
-  Json Body{{"error", "conflict"}, {"detail", Outcome.Effect.Why}};
-  if (Outcome.Effect.BeatenBy)
-    Body["beaten_by"] = *Outcome.Effect.BeatenBy;
+  Json Body{{"error", "conflict"}, {"detail", Outcome.FoldOutcome.Why}};
+  if (Outcome.FoldOutcome.BeatenBy)
+    Body["beaten_by"] = *Outcome.FoldOutcome.BeatenBy;
   return jsonResponse(
       409, Body.dump(-1, ' ', false, Json::error_handler_t::replace));
 }
@@ -177,12 +177,12 @@
   return Out;
 }
 
-Operators::Operators(AgreedStream &Stream, std::string CredentialSha256,
-                     MetricsText Text)
+OperatorApi::OperatorApi(AgreedStream &Stream, std::string CredentialSha256,
+                         MetricsText Text)
     : Agreed(Stream), CredentialDigest(std::move(CredentialSha256)),
       Metrics(std::move(Text)) {}
 
-std::optional<HttpResponse> Operators::check(const HttpRequest &Head) const {
+std::optional<HttpResponse> OperatorApi::check(const HttpRequest &Head) const {
   if (Head.Target == MetricsPath)
     return std::nullopt;
   const std::string_view Given = fieldOf(Head.Fields, "Authorization");
@@ -193,7 +193,7 @@
                  "the operators' credential is missing or wrong");
 }
 
-Awaitable<void> Operators::serve(Exchange &Call) {
+Awaitable<void> OperatorApi::serve(Exchange &Call) {
   const HttpRequest &Asked = Call.request();
   const std::string_view Path =
       std::string_view(Asked.Target).substr(0, Asked.Target.find('?'));
@@ -224,15 +224,15 @@
   co_await Call.respond(std::move(Out));
 }
 
-Awaitable<AppendOutcome> Operators::append(const Record &Body) {
+Awaitable<AppendOutcome> OperatorApi::append(const Record &Body) {
   const auto Answer = std::make_shared<Reply<AppendOutcome>>(
       co_await boost::asio::this_coro::executor);
   Agreed.append(Body, AppendWait,
-                [Answer](const AppendOutcome &Got) { Answer->give(Got); });
+                [Answer](const AppendOutcome &Got) { Answer->set(Got); });
   co_return co_await Answer->wait();
 }
 
-Awaitable<HttpResponse> Operators::propose(Exchange &Call) {
+Awaitable<HttpResponse> OperatorApi::propose(Exchange &Call) {
   PlanProposed Proposed;
   std::string Problem;
   try {
@@ -249,23 +249,23 @@
     co_return problem(422, "cannot-plan", Problem);
   const Record Said = std::move(Proposed);
   const AppendOutcome Got = co_await append(Said);
-  if (!Got.OnLog)
+  if (!Got.Appended)
     co_return logDown();
-  if (Got.Effect.Effect != FoldEffect::Applied)
+  if (Got.FoldOutcome.Effect != FoldEffect::Applied)
     co_return beaten(Got);
   const StatePtr Now = Agreed.state();
-  const auto Found = Now->Plans.find(Got.At);
+  const auto Found = Now->Plans.find(Got.RecordOffset);
   co_return Found == Now->Plans.end()
-      ? planNotFound(Got.At)
-      : answer(describeProgress(Got.At, Found->second));
+      ? planNotFound(Got.RecordOffset)
+      : answer(describeProgress(Got.RecordOffset, Found->second));
 }
 
-Awaitable<HttpResponse> Operators::confirm(Exchange &Call, Offset Plan) {
+Awaitable<HttpResponse> OperatorApi::confirm(Exchange &Call, Offset Plan) {
   const Record Said = confirmed(Plan, Call.request());
   const AppendOutcome Got = co_await append(Said);
-  if (!Got.OnLog)
+  if (!Got.Appended)
     co_return logDown();
-  if (Got.Effect.Effect != FoldEffect::Applied)
+  if (Got.FoldOutcome.Effect != FoldEffect::Applied)
     co_return beaten(Got);
   const StatePtr Now = Agreed.state();
   const auto Found = Now->Plans.find(Plan);
@@ -274,12 +274,12 @@
       : answer(describeProgress(Plan, Found->second));
 }
 
-Awaitable<HttpResponse> Operators::abandon(Exchange &Call, Offset Plan) {
+Awaitable<HttpResponse> OperatorApi::abandon(Exchange &Call, Offset Plan) {
   const Record Said = abandoned(Plan, Call.request());
   const AppendOutcome Got = co_await append(Said);
-  if (!Got.OnLog)
+  if (!Got.Appended)
     co_return logDown();
-  if (Got.Effect.Effect != FoldEffect::Applied)
+  if (Got.FoldOutcome.Effect != FoldEffect::Applied)
     co_return beaten(Got);
   const StatePtr Now = Agreed.state();
   const auto Found = Now->Plans.find(Plan);
--- a/packages/process/src/coltsfoottrail/server/operatorapi.hpp
+++ b/packages/process/src/coltsfoottrail/server/operatorapi.hpp
@@ -14,7 +14,7 @@
 
 /// @brief Takes intents and confirmations and tells how things stand.
 /// Thread-safe.
-class Operators {
+class OperatorApi {
 public:
   /// Makes the text that /metrics answers.
   using MetricsText = std::function<std::string()>;
@@ -24,8 +24,8 @@
   /// @param CredentialSha256 SHA-256 of the operators' credential, in
   /// hexadecimal digits.
   /// @param Metrics Makes the answer to /metrics.
-  Operators(AgreedStream &Agreed, std::string CredentialSha256,
-            MetricsText Metrics);
+  OperatorApi(AgreedStream &Agreed, std::string CredentialSha256,
+              MetricsText Metrics);
 
   /// @brief Refuses a head without the operators' credential.
   [[nodiscard]] std::optional<HttpResponse>
--- a/packages/process/src/coltsfoottrail/server/process.cpp
+++ b/packages/process/src/coltsfoottrail/server/process.cpp
@@ -102,39 +102,41 @@
 EntryHostProcess::EntryHostProcess(Settings Wanted)
     : Options(std::move(Wanted)), Run(drawRun()), Control(1),
       ControlGuard(asio::make_work_guard(Control)), Threads(Options.Threads),
-      Platform(Control, logAddress(Options)), Orders(Control),
-      Peers(meshConfig()), Agreed(Control, Platform, agreedOptions()),
-      Claims(Control, Platform, claimOptions(Options, Run),
+      LogClient(Control, logAddress(Options)), EngineClients(Control),
+      Peers(meshConfig()), Agreed(Control, LogClient, agreedOptions()),
+      Claims(Control, LogClient, claimOptions(Options, Run),
              [this](const HostName &To, const ClaimMessage &Message) {
                send(To, Channel::Claims, writeClaimMessage(Message));
              }),
       Groups(
-          Control, Agreed, Orders, Options.Host, Run,
+          Control, Agreed, EngineClients, Options.Host, Run,
           [this](const HostName &To, Json Beat) {
             send(To, Channel::Sightings, std::move(Beat));
           },
           [](const HostName &, const EngineReport &) {}),
       Routing([this] {
         RouterOptions Limits = routerOptions(Options);
-        Limits.OnWaiting = [this](std::string_view Pool, std::size_t Waiting) {
-          Members->demand(Pool, static_cast<std::uint32_t>(Waiting));
+        Limits.OnDemandChanged = [this](std::string_view Pool,
+                                        std::size_t Waiting) {
+          Members->setPoolDemand(Pool, static_cast<std::uint32_t>(Waiting));
         };
         return Limits;
       }()),
       Spans(Options.Telemetry.TraceFile, Options.Host, Run),
-      Callers(
+      CallerRelay(
           Threads, Routing, Claims,
           CallerLimits{Options.Callers.DefaultDeadline,
                        Options.Callers.MaxDeadline},
-          SendGate{[this](const EndpointSpec &To) { return admit(To); },
-                   [this](const EndpointSpec &To, const AttemptResult &Result) {
-                     ended(To, Result);
-                   }},
+          AdmissionHooks{
+              [this](const EndpointSpec &To) { return admit(To); },
+              [this](const EndpointSpec &To, const AttemptResult &Result) {
+                attemptEnded(To, Result);
+              }},
           Spans),
-      ForOperators(
+      OperatorInterface(
           Agreed, sha256Hex(std::string(Options.Operators.Credential.reveal())),
           [this] { return Registry.prometheusText(BootClock::now()); }),
-      Tick(Control), SlowTick(Control),
+      TickTimer(Control), SlowTickTimer(Control),
       Routes(std::make_shared<const RouteTable>()),
       Usable(std::make_shared<const UsableEndpoints>()) {
   CallerServer = std::make_unique<HttpServer>(
@@ -147,8 +149,10 @@
       Threads, Options.Operators.Listen.Address, Options.Operators.Listen.Port,
       ServerLimits{.MaxBodyBytes = std::uint64_t{64} << 20U},
       ServerHooks{
-          [this](Exchange &Call) { return ForOperators.serve(Call); },
-          [this](const HttpRequest &Head) { return ForOperators.check(Head); },
+          [this](Exchange &Call) { return OperatorInterface.serve(Call); },
+          [this](const HttpRequest &Head) {
+            return OperatorInterface.check(Head);
+          },
           serverRefusal});
   setUpMetrics();
   listenToPeers();
@@ -156,7 +160,7 @@
     HostListing = std::make_unique<HttpHostList>(
         Control, EngineAddress{Options.Platform.HostList->Address,
                                Options.Platform.HostList->Port});
-  Members = std::make_unique<MemberDesk>(
+  Members = std::make_unique<MembershipDriver>(
       joinRecord(startPeers()), Options.Callers.MaxDeadline, memberHooks());
   asio::post(Control, [this] {
     Agreed.start(agreedListener());
@@ -167,7 +171,7 @@
 }
 
 EntryHostProcess::~EntryHostProcess() {
-  StoppedAlready = true;
+  StopRequested = true;
   CallerServer->stopAccepting();
   CallerServer->cutAll();
   OperatorServer->cutAll();
@@ -177,7 +181,7 @@
     ControlThread.join();
   Threads.stop();
   dropControlWork();
-  Callers.closeClients();
+  CallerRelay.closeClients();
   CallerServer.reset();
   OperatorServer.reset();
   Threads.clear();
@@ -190,8 +194,8 @@
   Agreed.stop();
   Claims.stop();
   Groups.stop();
-  Tick.cancel();
-  SlowTick.cancel();
+  TickTimer.cancel();
+  SlowTickTimer.cancel();
   Control.restart();
   Control.poll();
 }
@@ -204,9 +208,9 @@
   return OperatorServer->port();
 }
 
-void EntryHostProcess::onEnded(std::function<void()> Told) {
+void EntryHostProcess::onRunRemoved(std::function<void()> Told) {
   asio::post(Control, [this, Then = std::move(Told)]() mutable {
-    Ended = std::move(Then);
+    RunRemovedCallback = std::move(Then);
   });
 }
 
@@ -259,8 +263,8 @@
   return Out;
 }
 
-MemberHooks EntryHostProcess::memberHooks() {
-  MemberHooks Out;
+MembershipHooks EntryHostProcess::memberHooks() {
+  MembershipHooks Out;
   Out.SendMembership = [this](const HostName &To, Json Message) {
     send(To, Channel::Heartbeat, std::move(Message));
   };
@@ -270,11 +274,11 @@
   Out.Append = [this](Record Said) {
     Agreed.append(std::move(Said), RecordTimeout, [](const AppendOutcome &) {});
   };
-  Out.OnEnded = [this] {
+  Out.OnRunRemoved = [this] {
     Unready = true;
     logEvent(Event::Unready, {{"why", "its peers have found this run gone"}});
-    if (Ended)
-      Ended();
+    if (RunRemovedCallback)
+      RunRemovedCallback();
   };
   Out.OnShares = [this](const std::map<std::string, std::uint32_t> &Shares) {
     Routing.setShares(Shares);
@@ -285,9 +289,9 @@
 AgreedListener EntryHostProcess::agreedListener() {
   AgreedListener Out;
   Out.OnState = [this](const StatePtr &Now) { onState(Now); };
-  Out.OnProof = [this](TimePoint Left) { Members->logAnswered(Left); };
-  Out.OnLogFailure = [this] { Members->logFailed(); };
-  Out.ToPeer = [this](const HostName &To, Json Message) {
+  Out.OnLogRead = [this](TimePoint Left) { Members->recordLogRead(Left); };
+  Out.OnLogFailure = [this] { Members->recordLogFailure(); };
+  Out.SendToPeer = [this](const HostName &To, Json Message) {
     send(To, Channel::Records, std::move(Message));
   };
   return Out;
@@ -297,25 +301,25 @@
   (void)Peers.send(To, Which, std::move(Body));
 }
 
-void EntryHostProcess::take(Channel Which,
-                            void (EntryHostProcess::*Take)(const HostName &,
-                                                           const Json &)) {
+void EntryHostProcess::subscribe(
+    Channel Which,
+    void (EntryHostProcess::*Take)(const HostName &, const Json &)) {
   Peers.onMessage(Which, [this, Take](const HostName &From, Incarnation,
                                       const Json &Message) {
     asio::post(Control, [this, Take, From, Message] {
-      if (!StoppedAlready || ControlThread.joinable())
+      if (!StopRequested || ControlThread.joinable())
         (this->*Take)(From, Message);
     });
   });
 }
 
 void EntryHostProcess::listenToPeers() {
-  take(Channel::Heartbeat, &EntryHostProcess::takeMembership);
-  take(Channel::Credits, &EntryHostProcess::takeShares);
-  take(Channel::Claims, &EntryHostProcess::takeClaims);
-  take(Channel::Sightings, &EntryHostProcess::takeBeat);
-  take(Channel::Records, &EntryHostProcess::takeRecords);
-  take(Channel::Notices, &EntryHostProcess::takeNotice);
+  subscribe(Channel::Heartbeat, &EntryHostProcess::handleMembership);
+  subscribe(Channel::Credits, &EntryHostProcess::handleShares);
+  subscribe(Channel::Claims, &EntryHostProcess::handleClaims);
+  subscribe(Channel::Sightings, &EntryHostProcess::handleBeat);
+  subscribe(Channel::Records, &EntryHostProcess::handleRecords);
+  subscribe(Channel::Notices, &EntryHostProcess::handleNotice);
   Peers.onPeer([](const PeerEvent &What) {
     if (const auto *const Up = std::get_if<PeerUp>(&What))
       logEvent(Event::PeerConnected, {{"peer", Up->Host}});
@@ -331,36 +335,37 @@
   Peers.setSeeds(Seeds);
 }
 
-void EntryHostProcess::takeMembership(const HostName &From,
-                                      const Json &Message) {
-  Members->receivedMembership(From, Message);
+void EntryHostProcess::handleMembership(const HostName &From,
+                                        const Json &Message) {
+  Members->receiveMembership(From, Message);
 }
 
-void EntryHostProcess::takeShares(const HostName &From, const Json &Message) {
-  Members->receivedShares(From, Message);
+void EntryHostProcess::handleShares(const HostName &From, const Json &Message) {
+  Members->receiveShares(From, Message);
 }
 
-void EntryHostProcess::takeClaims(const HostName &From, const Json &Message) {
+void EntryHostProcess::handleClaims(const HostName &From, const Json &Message) {
   try {
-    Claims.received(From, readClaimMessage(Message, "message about claims"));
+    Claims.receive(From, readClaimMessage(Message, "message about claims"));
   } catch (const InputError &Problem) {
     logEvent(Event::InternalError, {{"peer", From}, {"why", Problem.what()}});
   }
 }
 
-void EntryHostProcess::takeBeat(const HostName &From, const Json &Message) {
-  Groups.received(From, Message);
+void EntryHostProcess::handleBeat(const HostName &From, const Json &Message) {
+  Groups.receive(From, Message);
 }
 
-void EntryHostProcess::takeRecords(const HostName &From, const Json &Message) {
-  Agreed.received(From, Message);
+void EntryHostProcess::handleRecords(const HostName &From,
+                                     const Json &Message) {
+  Agreed.receive(From, Message);
 }
 
-void EntryHostProcess::takeNotice(const HostName &From, const Json &Message) {
+void EntryHostProcess::handleNotice(const HostName &From, const Json &Message) {
   try {
     const PoolNotice Told = readNotice(Message);
     // Broadcasts reach neighbours only: hosts pass on what is news to them.
-    if (Routing.observeNotice(Told.PoolName, Told.What) && !AllAreNeighbours)
+    if (Routing.observeNotice(Told.PoolName, Told.Notice) && !AllAreNeighbours)
       Peers.broadcast(Channel::Notices, Message);
   } catch (const InputError &Problem) {
     logEvent(Event::InternalError, {{"peer", From}, {"why", Problem.what()}});
@@ -375,19 +380,19 @@
   logChanges(*Now);
   Routes = Built;
   Members->onState(*Now, *Built);
-  Claims.members(Claimants);
+  Claims.setMembers(Claimants);
   setPeers(*Now);
   Groups.poll();
-  refreshUsable();
+  refreshUsableEndpoints();
   applyRoutes();
-  Callers.setRoutes(Built);
+  CallerRelay.setRoutes(Built);
   if (Members->joined() && !Joined.exchange(true))
     logEvent(Event::Joined, {{"host", Options.Host}, {"next", Now->Next}});
 }
 
 void EntryHostProcess::logChanges(const State &Now) {
   for (const auto &[Id, Grouped] : Now.Groups) {
-    const auto [Known, New] = SeenGroups.try_emplace(Id, GroupPhase::Forming);
+    const auto [Known, New] = LoggedGroups.try_emplace(Id, GroupPhase::Forming);
     if (Known->second == Grouped.Phase)
       continue;
     Known->second = Grouped.Phase;
@@ -396,11 +401,11 @@
     if (Grouped.Phase == GroupPhase::Serving)
       logEvent(Event::GroupConfirmed, {{"group", textOf(Id)}});
   }
-  std::erase_if(SeenGroups, [&](const auto &Entry) {
+  std::erase_if(LoggedGroups, [&](const auto &Entry) {
     return !Now.Groups.contains(Entry.first);
   });
   for (const auto &[Id, Progress] : Now.Plans) {
-    const auto [Known, New] = SeenPlans.try_emplace(Id, PlanPhase::Proposed);
+    const auto [Known, New] = LoggedPlans.try_emplace(Id, PlanPhase::Proposed);
     if (Known->second == Progress.Phase)
       continue;
     Known->second = Progress.Phase;
@@ -411,15 +416,15 @@
     if (Progress.Phase == PlanPhase::Running)
       logEvent(Event::PlanTaken, {{"plan", Id}});
   }
-  std::erase_if(SeenPlans, [&](const auto &Entry) {
+  std::erase_if(LoggedPlans, [&](const auto &Entry) {
     return !Now.Plans.contains(Entry.first);
   });
 }
 
 void EntryHostProcess::setPeers(const State &Now) {
-  if (PeersChange == Now.EntryHostsChange)
+  if (AppliedPeersChange == Now.EntryHostsChange)
     return;
-  PeersChange = Now.EntryHostsChange;
+  AppliedPeersChange = Now.EntryHostsChange;
   const std::vector<MeshPeer> All = meshPeers(Options.Host, Now);
   AllAreNeighbours =
       std::all_of(All.begin(), All.end(),
@@ -427,7 +432,7 @@
   Peers.setPeers(All);
 }
 
-void EntryHostProcess::refreshUsable() {
+void EntryHostProcess::refreshUsableEndpoints() {
   const std::map<GroupId, TimePoint> Live = Groups.usableUntil();
   auto Next = std::make_shared<UsableEndpoints>();
   for (const auto &[Name, Pooled] : Routes->Pools)
@@ -457,9 +462,9 @@
       Shares[Spec.Key] = Members->share(Spec.Key);
     }
   }
-  if (Keys == Applied && AppliedVersion == Filtered.Version)
+  if (Keys == AppliedKeys && AppliedVersion == Filtered.Version)
     return;
-  Applied = std::move(Keys);
+  AppliedKeys = std::move(Keys);
   AppliedVersion = Filtered.Version;
   Routing.setRoutes(Filtered, Shares, Agreed.state()->EntryHosts.size());
 }
@@ -478,14 +483,14 @@
   const auto Found = Now->find(To.Key);
   if (Found == Now->end() || Found->second <= BootClock::now())
     return false;
-  return Members->start(To.Key);
+  return Members->tryStart(To.Key);
 }
 
-void EntryHostProcess::ended(const EndpointSpec &To,
-                             const AttemptResult &Result) {
+void EntryHostProcess::attemptEnded(const EndpointSpec &To,
+                                    const AttemptResult &Result) {
   const bool Blameless =
       Result.Answered || Result.FailureReason == Reason::Cancelled;
-  Members->finished(To.Key, Blameless, Result.Total);
+  Members->finish(To.Key, Blameless, Result.Total);
   const std::optional<GroupId> Group = groupOfKey(To.Key);
   if (Group && Result.ConnectionLost)
     asio::post(Control, [this, Lost = *Group] { Groups.suspect(Lost); });
@@ -496,23 +501,24 @@
     for (const EndpointSpec &Spec : Pooled.Endpoints) {
       if (Members->share(Spec.Key) == 0 && !Members->isSteward(Spec.Key))
         continue;
-      Orders.ask(Spec.Address, AskTimeout,
-                 [this, Key = Spec.Key](std::optional<EngineReport> Report) {
-                   if (Report)
-                     loadReported(Key, *Report);
-                 });
+      EngineClients.ask(
+          Spec.Address, AskTimeout,
+          [this, Key = Spec.Key](std::optional<EngineReport> Report) {
+            if (Report)
+              recordLoad(Key, *Report);
+          });
     }
 }
 
-void EntryHostProcess::loadReported(const std::string &Key,
-                                    const EngineReport &Report) {
+void EntryHostProcess::recordLoad(const std::string &Key,
+                                  const EngineReport &Report) {
   const LoadReport Load{Key, Report.Run, Report.Running, Report.Queued};
   Members->observe(Load);
   Routing.observe(Load);
 }
 
 void EntryHostProcess::sendNotices() {
-  for (const auto &[Pool, Told] : Routing.noticesOut())
+  for (const auto &[Pool, Told] : Routing.takeNotices())
     Peers.broadcast(Channel::Notices, writeNotice(PoolNotice{Pool, Told}));
 }
 
@@ -520,8 +526,8 @@
   Routing.advance();
   Members->tick();
   sendNotices();
-  Tick.expires_after(TickEvery);
-  Tick.async_wait([this](const boost::system::error_code &Problem) {
+  TickTimer.expires_after(TickEvery);
+  TickTimer.async_wait([this](const boost::system::error_code &Problem) {
     if (!Problem)
       tick();
   });
@@ -531,17 +537,17 @@
   ++SlowTicks;
   Routing.repeatDemand();
   Groups.poll();
-  refreshUsable();
+  refreshUsableEndpoints();
   applyRoutes();
   if (SlowTicks % LoadEverySlowTicks == 0)
     pollLoad();
   if (HostListing && SlowTicks % HostListEverySlowTicks == 0)
     HostListing->list(AskTimeout, [this](const auto &Hosts) {
       if (Hosts)
-        Members->listed(*Hosts);
+        Members->applyHostList(*Hosts);
     });
-  SlowTick.expires_after(SlowTickEvery);
-  SlowTick.async_wait([this](const boost::system::error_code &Problem) {
+  SlowTickTimer.expires_after(SlowTickEvery);
+  SlowTickTimer.async_wait([this](const boost::system::error_code &Problem) {
     if (!Problem)
       tickSlow();
   });
@@ -555,7 +561,7 @@
     return refusalOf(
         Verdict{RunState::NotRun, Reason::Stale, StaleRetryAfter},
         "this entry host cannot prove that its configuration is current");
-  return Callers.check(Head);
+  return CallerRelay.check(Head);
 }
 
 Awaitable<void> EntryHostProcess::serveCaller(Exchange &Call) {
@@ -565,17 +571,17 @@
   else if (Target == "/readyz")
     co_await Call.respond(readiness(ready()));
   else
-    co_await Callers.serve(Call);
+    co_await CallerRelay.serve(Call);
 }
 
 std::size_t EntryHostProcess::stop() {
-  if (StoppedAlready.exchange(true))
+  if (StopRequested.exchange(true))
     return 0;
   Unready = true;
   logEvent(Event::Unready, {{"why", "planned stop"}});
   logEvent(Event::Stopping, {{"in_progress", CallerServer->inProgress()}});
   std::this_thread::sleep_for(Options.Stop.Grace);
-  Callers.stopTaking();
+  CallerRelay.stopAccepting();
   CallerServer->stopAccepting();
   const TimePoint Limit = BootClock::now() + Options.Stop.StreamLimit;
   while (CallerServer->inProgress() > 0 && BootClock::now() < Limit)
--- a/packages/process/src/coltsfoottrail/server/process.hpp
+++ b/packages/process/src/coltsfoottrail/server/process.hpp
@@ -54,14 +54,14 @@
   }
   /// @brief What callers got. Thread-safe.
   [[nodiscard]] const RelayCounters &counters() const noexcept {
-    return Callers.counters();
+    return CallerRelay.counters();
   }
   /// @brief Peers that are connected now. Thread-safe.
   [[nodiscard]] std::size_t peers() const { return Peers.connected().size(); }
   /// @brief Sets who hears that this run has been found gone by its peers: it
   /// has to be stopped and started again. Thread-safe.
   /// @param Told Called once, on the control thread.
-  void onEnded(std::function<void()> Told);
+  void onRunRemoved(std::function<void()> Told);
 
   /// @brief Stops as planned: unready at once, no new requests after the grace,
   /// requests in progress run out up to the limit. Blocks until all has ended.
@@ -78,32 +78,32 @@
   checkCaller(const HttpRequest &Head);
   [[nodiscard]] bool mayStartWork() const;
   [[nodiscard]] bool admit(const EndpointSpec &To);
-  void ended(const EndpointSpec &To, const AttemptResult &Result);
+  void attemptEnded(const EndpointSpec &To, const AttemptResult &Result);
 
   [[nodiscard]] MeshConfig meshConfig() const;
   [[nodiscard]] AgreedOptions agreedOptions() const;
   [[nodiscard]] EntryHostJoined joinRecord(std::uint16_t MeshPort) const;
-  [[nodiscard]] MemberHooks memberHooks();
+  [[nodiscard]] MembershipHooks memberHooks();
   [[nodiscard]] AgreedListener agreedListener();
   [[nodiscard]] std::uint16_t startPeers();
   void listenToPeers();
   void logChanges(const State &Now);
-  void take(Channel Which,
-            void (EntryHostProcess::*Take)(const HostName &, const Json &));
-  void takeMembership(const HostName &From, const Json &Message);
-  void takeShares(const HostName &From, const Json &Message);
-  void takeClaims(const HostName &From, const Json &Message);
-  void takeBeat(const HostName &From, const Json &Message);
-  void takeRecords(const HostName &From, const Json &Message);
-  void takeNotice(const HostName &From, const Json &Message);
+  void subscribe(Channel Which, void (EntryHostProcess::*Take)(const HostName &,
+                                                               const Json &));
+  void handleMembership(const HostName &From, const Json &Message);
+  void handleShares(const HostName &From, const Json &Message);
+  void handleClaims(const HostName &From, const Json &Message);
+  void handleBeat(const HostName &From, const Json &Message);
+  void handleRecords(const HostName &From, const Json &Message);
+  void handleNotice(const HostName &From, const Json &Message);
   void send(const HostName &To, Channel Which, Json Body);
 
   void onState(const StatePtr &Now);
   void setPeers(const State &Now);
-  void refreshUsable();
+  void refreshUsableEndpoints();
   void applyRoutes();
   void pollLoad();
-  void loadReported(const std::string &Key, const EngineReport &Report);
+  void recordLoad(const std::string &Key, const EngineReport &Report);
   void sendNotices();
   void tick();
   void tickSlow();
@@ -116,37 +116,37 @@
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
       ControlGuard;
   IoPool Threads;
-  HttpLog Platform;
-  HttpEngines Orders;
+  HttpLog LogClient;
+  HttpEngines EngineClients;
   Mesh Peers;
   AgreedStream Agreed;
-  ClaimDesk Claims;
-  GroupDesk Groups;
+  ClaimDriver Claims;
+  GroupDriver Groups;
   Router Routing;
-  SpanMaker Spans;
-  Relay Callers;
+  SpanFactory Spans;
+  Relay CallerRelay;
   Metrics Registry;
-  Operators ForOperators;
-  boost::asio::steady_timer Tick;
-  boost::asio::steady_timer SlowTick;
-  std::unique_ptr<MemberDesk> Members;
+  OperatorApi OperatorInterface;
+  boost::asio::steady_timer TickTimer;
+  boost::asio::steady_timer SlowTickTimer;
+  std::unique_ptr<MembershipDriver> Members;
   std::unique_ptr<HttpHostList> HostListing;
   RouteTablePtr Routes;
-  std::set<std::string> Applied;
+  std::set<std::string> AppliedKeys;
   Offset AppliedVersion = 0;
   /// Phases that have been logged.
-  std::map<GroupId, GroupPhase> SeenGroups;
-  std::map<Offset, PlanPhase> SeenPlans;
+  std::map<GroupId, GroupPhase> LoggedGroups;
+  std::map<Offset, PlanPhase> LoggedPlans;
   std::uint64_t SlowTicks = 0;
   /// The change of the entry hosts that the mesh goes by.
-  std::optional<Offset> PeersChange;
+  std::optional<Offset> AppliedPeersChange;
   bool AllAreNeighbours = true;
   mutable std::mutex UsableLock;
   std::shared_ptr<const UsableEndpoints> Usable;
-  std::function<void()> Ended;
+  std::function<void()> RunRemovedCallback;
   std::atomic<bool> Joined{false};
   std::atomic<bool> Unready{false};
-  std::atomic<bool> StoppedAlready{false};
+  std::atomic<bool> StopRequested{false};
   std::unique_ptr<HttpServer> CallerServer;
   std::unique_ptr<HttpServer> OperatorServer;
   std::thread ControlThread;
--- a/packages/process/src/coltsfoottrail/server/processmetrics.cpp
+++ b/packages/process/src/coltsfoottrail/server/processmetrics.cpp
@@ -27,7 +27,7 @@
 } // namespace
 
 void EntryHostProcess::setUpMetrics() {
-  const RelayCounters &From = Callers.counters();
+  const RelayCounters &From = CallerRelay.counters();
   auto Counters = std::make_shared<std::vector<Carried>>();
   Counters->emplace_back(Registry, "coltsfoottrail_answered_total",
                          "Requests answered whole", From.Answered);
--- a/packages/process/src/coltsfoottrail/server/relay.cpp
+++ b/packages/process/src/coltsfoottrail/server/relay.cpp
@@ -167,10 +167,10 @@
   TraceContext Trace;
 };
 
-Relay::Relay(IoPool &Threads, Router &Where, ClaimDesk &Desk,
-             CallerLimits Bounds, SendGate Asked, SpanMaker &Traces)
-    : Routing(Where), Claims(Desk), Limits(Bounds), Gate(std::move(Asked)),
-      Spans(Traces), Routes(std::make_shared<const RouteTable>()) {
+Relay::Relay(IoPool &Threads, Router &Where, ClaimDriver &Desk,
+             CallerLimits Bounds, AdmissionHooks Asked, SpanFactory &Traces)
+    : Routing(Where), Claims(Desk), Limits(Bounds), Hooks(std::move(Asked)),
+      SpanSource(Traces), Routes(std::make_shared<const RouteTable>()) {
   for (std::size_t Index = 0; Index < Threads.size(); ++Index)
     Clients.push_back(
         std::make_unique<HttpClient>(Threads.context(Index), ClientOptions{}));
@@ -217,7 +217,7 @@
 
 Awaitable<void> Relay::serve(Exchange &Call) {
   if (std::string_view(Call.request().Target).starts_with(OutcomesPrefix)) {
-    co_await answerQuery(Call);
+    co_await serveOutcomeQuery(Call);
     co_return;
   }
   std::optional<CallerRequest> Asked;
@@ -235,9 +235,9 @@
     co_return;
   }
   const TraceContext From =
-      Spans.accept(fieldOf(Call.request().Fields, "traceparent"));
-  Hop Server = Spans.begin("request", SpanKind::Server, From);
-  Server.note(SpanKey::Target, Asked->PoolName);
+      SpanSource.accept(fieldOf(Call.request().Fields, "traceparent"));
+  ScopedSpan Server = SpanSource.begin("request", SpanKind::Server, From);
+  Server.setAttribute(SpanKey::Target, Asked->PoolName);
   Asked->Trace = Server.context();
   if (!Asked->Item.Repeatable && !Asked->IdempotencyKey.empty())
     co_await serveClaimed(Call, std::move(*Asked));
@@ -245,7 +245,7 @@
     co_await serveRouted(Call, std::move(*Asked), nullptr);
 }
 
-Awaitable<void> Relay::answerQuery(Exchange &Call) {
+Awaitable<void> Relay::serveOutcomeQuery(Exchange &Call) {
   const auto Now = routes();
   std::optional<TeamName> Team;
   try {
@@ -278,7 +278,7 @@
     const ClaimRequest Wanted = claimOf(Asked);
     DeliverDecision Told = co_await Claims.claim(Wanted, Asked.Item.Deadline);
     const bool Open = std::holds_alternative<ClaimInProgress>(Told.Decision);
-    if (!Open || BootClock::now() + Wait >= Asked.AnswerBy)
+    if (!Open || BootClock::now() + Wait >= Asked.AnswerDeadline)
       co_return Told;
     Pause.expires_after(Wait);
     co_await Pause.async_wait(boost::asio::use_awaitable);
@@ -325,7 +325,7 @@
 
 Awaitable<void> Relay::serveRouted(Exchange &Call, CallerRequest Asked,
                                    ClaimGuard *Guard) {
-  std::optional<Place> Mine = Routing.submit(
+  std::optional<DispatchHandle> Mine = Routing.submit(
       Asked.PoolName, Asked.Item, co_await boost::asio::this_coro::executor);
   if (!Mine) {
     co_await refuse(Call, notRun(Reason::UnknownTarget));
@@ -346,7 +346,7 @@
     ++Counts.Attempts;
     const auto To = std::get<Assignment>(Next).Endpoint;
     const AttemptResult Result =
-        co_await gatedAttempt(Call, Asked, *To, Progress, Guard);
+        co_await admittedAttempt(Call, Asked, *To, Progress, Guard);
     Mine->report(Result);
     if (Result.Answered) {
       ++Counts.Answered;
@@ -360,35 +360,38 @@
 /// Gives a leave back however the attempt ends, also when its caller goes away.
 class Leave {
 public:
-  Leave(const SendGate &Gate, const EndpointSpec &To) : Home(Gate), Where(To) {
+  Leave(const AdmissionHooks &Gate, const EndpointSpec &To)
+      : Home(Gate), Where(To) {
     Result.FailureReason = Reason::Cancelled;
   }
   Leave(const Leave &) = delete;
   Leave &operator=(const Leave &) = delete;
-  ~Leave() { Home.Ended(Where, Result); }
+  ~Leave() { Home.OnAttemptEnded(Where, Result); }
 
   AttemptResult Result;
 
 private:
-  const SendGate &Home;
+  const AdmissionHooks &Home;
   const EndpointSpec &Where;
 };
 
 } // namespace
 
-Awaitable<AttemptResult> Relay::gatedAttempt(Exchange &Call,
-                                             const CallerRequest &Asked,
-                                             const EndpointSpec &To,
-                                             StreamProgress &Progress,
-                                             ClaimGuard *Guard) {
-  if (!Gate.Admit(To))
-    co_return failed(RunState::NotRun, Reason::NoEndpoint, BootClock::now());
-  Leave Given(Gate, To);
-  Hop Client = Spans.begin("attempt", SpanKind::Client, Asked.Trace);
-  Client.note(SpanKey::Endpoint, To.Key);
+Awaitable<AttemptResult> Relay::admittedAttempt(Exchange &Call,
+                                                const CallerRequest &Asked,
+                                                const EndpointSpec &To,
+                                                StreamProgress &Progress,
+                                                ClaimGuard *Guard) {
+  if (!Hooks.Admit(To))
+    co_return failedAttempt(RunState::NotRun, Reason::NoEndpoint,
+                            BootClock::now());
+  Leave Given(Hooks, To);
+  ScopedSpan Client =
+      SpanSource.begin("attempt", SpanKind::Client, Asked.Trace);
+  Client.setAttribute(SpanKey::Endpoint, To.Key);
   Progress.Trace = Client.context();
   Given.Result = co_await attempt(Call, Asked, To, Progress, Guard);
-  Client.end(Given.Result);
+  Client.recordResult(Given.Result);
   co_return Given.Result;
 }
 
@@ -404,14 +407,14 @@
   const TimePoint Start = BootClock::now();
   HttpRequest Sent = Asked.Forwarded;
   setField(Sent.Fields, "traceparent", formatTraceparent(Progress.Trace));
-  if (Asked.ToModel)
+  if (Asked.IsModelCall)
     addField(Sent.Fields, "Coltsfoottrail-Group", groupOf(To));
   if (Call.hasBegun()) {
     const std::optional<std::string> Text = Progress.Events.text();
     Progress.Events.dropPartial();
     if (!Text) {
       AttemptResult Lost =
-          failed(RunState::MayHaveRun, Reason::EndpointCut, Start);
+          failedAttempt(RunState::MayHaveRun, Reason::EndpointCut, Start);
       Lost.CallerSawBytes = true;
       co_return Lost;
     }
@@ -420,30 +423,31 @@
   }
   if (Guard != nullptr) {
     if (BootClock::now() >= Asked.Item.Deadline)
-      co_return failed(RunState::NotRun, Reason::DeadlinePassed, Start);
-    Guard->mayHaveLeft();
+      co_return failedAttempt(RunState::NotRun, Reason::DeadlinePassed, Start);
+    Guard->markSent();
   }
   auto Started =
       co_await client(Call.thread())
-          .start(To.Address, std::move(Sent), Asked.AnswerBy,
+          .start(To.Address, std::move(Sent), Asked.AnswerDeadline,
                  ConnectionUse{Asked.Item.Repeatable ? Reuse::Allowed
                                                      : Reuse::Never});
   if (const auto *const Failure = std::get_if<CallFailure>(&Started)) {
     if (Guard != nullptr && Failure->State == RunState::NotRun)
-      Guard->provedNotRun();
-    co_return failed(*Failure, Start);
+      Guard->markNotRun();
+    co_return failedAttempt(*Failure, Start);
   }
   HttpCall Answer = std::move(std::get<HttpCall>(Started));
   const unsigned Status = Answer.head().Status;
   const bool NotRun = fieldOf(Answer.head().Fields, VerdictField) == "not-run";
   if (NotRun && Guard != nullptr)
-    Guard->provedNotRun();
+    Guard->markNotRun();
   if (NotRun && (isWorthAnother(Status) || Call.hasBegun()))
-    co_return failed(RunState::NotRun, Reason::EndpointRefused, Start);
+    co_return failedAttempt(RunState::NotRun, Reason::EndpointRefused, Start);
   const bool Broken = Call.hasBegun() && Status != StatusOk;
-  if (Broken || (Asked.ToModel && Status >= FirstErrorStatus))
-    co_return failed(RunState::MayHaveRun, Reason::EndpointFailed, Start);
-  if (Asked.Streams && Status == StatusOk)
+  if (Broken || (Asked.IsModelCall && Status >= FirstErrorStatus))
+    co_return failedAttempt(RunState::MayHaveRun, Reason::EndpointFailed,
+                            Start);
+  if (Asked.IsStreaming && Status == StatusOk)
     co_return co_await relayStream(Call, Asked, std::move(Answer), Start,
                                    Progress);
   co_return co_await relayWhole(Call, Asked, std::move(Answer), Start, Guard);
@@ -458,9 +462,9 @@
   Whole.Status = Answer.head().Status;
   Whole.Fields = answerFields(Answer.head());
   while (true) {
-    auto Next = co_await Answer.next(Asked.AnswerBy);
+    auto Next = co_await Answer.next(Asked.AnswerDeadline);
     if (const auto *const Failure = std::get_if<CallFailure>(&Next))
-      co_return failed(*Failure, Start);
+      co_return failedAttempt(*Failure, Start);
     auto &Part = std::get<std::optional<std::string>>(Next);
     if (!Part)
       break;
@@ -478,7 +482,7 @@
   }
   addField(Whole.Fields, VerdictField, NotRun ? "not-run" : "ran");
   co_await Call.respond(std::move(Whole));
-  co_return answered(Start, FirstByte);
+  co_return answeredAttempt(Start, FirstByte);
 }
 
 // Failure guarded against: an endpoint dies in the middle of a stream and the
@@ -496,9 +500,9 @@
     co_await Call.begin(std::move(Head));
   }
   while (true) {
-    auto Next = co_await Answer.next(Asked.AnswerBy);
+    auto Next = co_await Answer.next(Asked.AnswerDeadline);
     if (const auto *const Failure = std::get_if<CallFailure>(&Next)) {
-      AttemptResult Result = failed(*Failure, Start);
+      AttemptResult Result = failedAttempt(*Failure, Start);
       Result.CallerSawBytes = !Progress.Events.resumable();
       Result.Resumable = Progress.Events.resumable();
       Result.FirstByte = FirstByte - Start;
@@ -511,13 +515,13 @@
   }
   if (!Progress.Events.sawEnd()) {
     AttemptResult Result =
-        failed(RunState::MayHaveRun, Reason::EndpointCut, Start);
+        failedAttempt(RunState::MayHaveRun, Reason::EndpointCut, Start);
     Result.CallerSawBytes = !Progress.Events.resumable();
     Result.Resumable = Progress.Events.resumable();
     co_return Result;
   }
   co_await Call.end();
-  co_return answered(Start, FirstByte);
+  co_return answeredAttempt(Start, FirstByte);
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/relay.hpp
+++ b/packages/process/src/coltsfoottrail/server/relay.hpp
@@ -24,17 +24,18 @@
   std::atomic<std::uint64_t> RefusedNotRun{0};
   std::atomic<std::uint64_t> RefusedMayHaveRun{0};
   std::atomic<std::uint64_t> Cut{0};
-  std::atomic<std::uint64_t> CallerGone{0};
+  std::atomic<std::uint64_t> CallersGone{0};
   std::atomic<std::uint64_t> Attempts{0};
   std::atomic<std::uint64_t> Resumed{0};
 };
 
 /// @brief What is asked at the act of sending, after the decision: a host that
 /// was paused in between must find out. Called on callers' threads.
-struct SendGate {
+struct AdmissionHooks {
   /// Leave to send one request; Ended follows each leave that was given.
   std::function<bool(const EndpointSpec &)> Admit;
-  std::function<void(const EndpointSpec &, const AttemptResult &)> Ended;
+  std::function<void(const EndpointSpec &, const AttemptResult &)>
+      OnAttemptEnded;
 };
 
 /// @brief Relays callers' requests to endpoints. Thread-safe.
@@ -47,13 +48,13 @@
   /// @param Limits Limits of callers.
   /// @param Gate What is asked at the act of sending.
   /// @param Traces Where spans are made.
-  Relay(IoPool &Threads, Router &Routing, ClaimDesk &Claims,
-        CallerLimits Limits, SendGate Gate, SpanMaker &Traces);
+  Relay(IoPool &Threads, Router &Routing, ClaimDriver &Claims,
+        CallerLimits Limits, AdmissionHooks Gate, SpanFactory &Traces);
 
   /// @brief Puts routes in force for reading requests.
   void setRoutes(RouteTablePtr Wanted);
   /// @brief From now on new requests are refused as "stopping".
-  void stopTaking() noexcept { Stopping = true; }
+  void stopAccepting() noexcept { Stopping = true; }
   /// @brief Closes the connections to endpoints. Precondition: the threads have
   /// stopped.
   void closeClients() { Clients.clear(); }
@@ -75,7 +76,7 @@
 private:
   struct StreamProgress;
   /// Most lines of one kind in a second.
-  static constexpr std::uint32_t MostLines = 10;
+  static constexpr std::uint32_t MaxLogLinesPerSecond = 10;
 
   [[nodiscard]] RouteTablePtr routes() const;
   [[nodiscard]] Awaitable<void> refuse(Exchange &Call, Verdict Final);
@@ -88,9 +89,9 @@
   [[nodiscard]] Awaitable<void> serveRouted(Exchange &Call, CallerRequest Asked,
                                             ClaimGuard *Guard);
   [[nodiscard]] Awaitable<AttemptResult>
-  gatedAttempt(Exchange &Call, const CallerRequest &Asked,
-               const EndpointSpec &To, StreamProgress &Progress,
-               ClaimGuard *Guard);
+  admittedAttempt(Exchange &Call, const CallerRequest &Asked,
+                  const EndpointSpec &To, StreamProgress &Progress,
+                  ClaimGuard *Guard);
   [[nodiscard]] Awaitable<AttemptResult>
   attempt(Exchange &Call, const CallerRequest &Asked, const EndpointSpec &To,
           StreamProgress &Progress, ClaimGuard *Guard);
@@ -100,21 +101,21 @@
   [[nodiscard]] Awaitable<AttemptResult>
   relayStream(Exchange &Call, const CallerRequest &Asked, HttpCall Answer,
               TimePoint Start, StreamProgress &Progress);
-  [[nodiscard]] Awaitable<void> answerQuery(Exchange &Call);
+  [[nodiscard]] Awaitable<void> serveOutcomeQuery(Exchange &Call);
   void logKeyInUse(const CallerRequest &Asked, const ClaimInProgress &Held);
   [[nodiscard]] HttpClient &client(std::size_t Thread);
 
   Router &Routing;
-  ClaimDesk &Claims;
+  ClaimDriver &Claims;
   CallerLimits Limits;
-  SendGate Gate;
-  SpanMaker &Spans;
+  AdmissionHooks Hooks;
+  SpanFactory &SpanSource;
   std::vector<std::unique_ptr<HttpClient>> Clients;
   mutable std::mutex Lock;
   RouteTablePtr Routes;
   std::atomic<bool> Stopping{false};
   RelayCounters Counts;
-  EventSampler Sampler{MostLines, seconds(1)};
+  EventSampler Sampler{MaxLogLinesPerSecond, seconds(1)};
 };
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/reply.hpp
+++ b/packages/process/src/coltsfoottrail/server/reply.hpp
@@ -31,7 +31,7 @@
 
   /// @brief Gives the value. Thread-safe; only the first one counts.
   /// @param Given The value.
-  void give(Value Given) {
+  void set(Value Given) {
     boost::asio::post(Wake.get_executor(), [Self = this->shared_from_this(),
                                             What = std::move(Given)]() mutable {
       if (!Self->Ready)
--- a/packages/process/src/coltsfoottrail/server/router.cpp
+++ b/packages/process/src/coltsfoottrail/server/router.cpp
@@ -27,7 +27,7 @@
 
 /// The coroutine's side of a ticket. Touched on the coroutine's thread only,
 /// but for its creation.
-struct Place::Waiter {
+struct DispatchHandle::Waiter {
   explicit Waiter(const asio::any_io_executor &Executor)
       : Wake(Executor, asio::steady_timer::time_point::max()) {}
 
@@ -38,7 +38,7 @@
 };
 
 /// One pool: its dispatcher and who waits for its commands.
-struct Place::Shard {
+struct DispatchHandle::Shard {
   Shard(std::string Pool, DispatcherOptions Limits)
       : Name(std::move(Pool)), Decides(std::move(Limits)) {}
 
@@ -63,7 +63,7 @@
   std::string Name;
   std::mutex Lock;
   Dispatcher Decides;
-  /// What OnWaiting was told last.
+  /// What OnDemandChanged was told last.
   std::size_t ToldWaiting = 0;
   TimePoint LastSubmit{};
   std::map<std::string, std::shared_ptr<const EndpointSpec>, std::less<>>
@@ -71,8 +71,9 @@
   std::map<Ticket, std::shared_ptr<Waiter>> Waiters;
 };
 
-void Place::Shard::configure(const Pool &Wanted, std::size_t JoinedHosts,
-                             Commands &Given) {
+void DispatchHandle::Shard::configure(const Pool &Wanted,
+                                      std::size_t JoinedHosts,
+                                      Commands &Given) {
   Endpoints.clear();
   double Places = 0;
   for (const EndpointSpec &Spec : Wanted.Endpoints) {
@@ -84,27 +85,29 @@
   Decides.configure(Wanted, BootClock::now(), Given);
 }
 
-void Place::Shard::setTeams(const RouteTable &Routes, Commands &Given) {
+void DispatchHandle::Shard::setTeams(const RouteTable &Routes,
+                                     Commands &Given) {
   for (const auto &[Credential, Team] : Routes.TeamsByCredential)
     Decides.setTeam(Team.Name, TeamShare{Team.Weight, Team.MaxInFlight},
                     BootClock::now(), Given);
 }
 
-void Place::Shard::setShares(const std::map<std::string, std::uint32_t> &Shares,
-                             Commands &Given) {
+void DispatchHandle::Shard::setShares(
+    const std::map<std::string, std::uint32_t> &Shares, Commands &Given) {
   for (const auto &[Key, Spec] : Endpoints)
     if (const auto Share = Shares.find(Key); Share != Shares.end())
       Decides.setShare(Key, Share->second, BootClock::now(), Given);
 }
 
-Decision Place::Shard::decisionOf(const SendCommand &Send) const {
+Decision DispatchHandle::Shard::decisionOf(const SendCommand &Send) const {
   const auto Found = Endpoints.find(Send.EndpointKey);
   if (Found == Endpoints.end())
     return Refusal{{RunState::NotRun, Reason::Internal, std::nullopt}, {}};
   return Assignment{Found->second};
 }
 
-Place::Shard::Deliveries Place::Shard::translate(const Commands &Given) {
+DispatchHandle::Shard::Deliveries
+DispatchHandle::Shard::translate(const Commands &Given) {
   Deliveries Out;
   for (const Command &One : Given) {
     const auto *const Refused = std::get_if<RefuseCommand>(&One);
@@ -124,7 +127,7 @@
   return Out;
 }
 
-void Place::Shard::deliver(Deliveries Due, const Waiter *OnOwnThread) {
+void DispatchHandle::Shard::deliver(Deliveries Due, const Waiter *OnOwnThread) {
   for (Delivery &One : Due) {
     if (One.To.get() == OnOwnThread) {
       One.To->Ready = std::move(One.What);
@@ -138,91 +141,95 @@
   }
 }
 
-Place::Place(std::shared_ptr<Shard> Where, std::shared_ptr<Waiter> Who)
-    : Home(std::move(Where)), Own(std::move(Who)) {}
+DispatchHandle::DispatchHandle(std::shared_ptr<Shard> Where,
+                               std::shared_ptr<Waiter> Who)
+    : PoolShard(std::move(Where)), OwnWaiter(std::move(Who)) {}
 
-Place::Place(Place &&) noexcept = default;
+DispatchHandle::DispatchHandle(DispatchHandle &&) noexcept = default;
 
-Place::~Place() {
-  if (!Own || Own->Ended)
+DispatchHandle::~DispatchHandle() {
+  if (!OwnWaiter || OwnWaiter->Ended)
     return;
   Shard::Deliveries Due;
   {
-    const std::lock_guard Hold(Home->Lock);
+    const std::lock_guard Hold(PoolShard->Lock);
     Commands Given;
-    Home->Waiters.erase(Own->Which);
-    Home->Decides.cancel(Own->Which, BootClock::now(), Given);
-    Due = Home->translate(Given);
+    PoolShard->Waiters.erase(OwnWaiter->Which);
+    PoolShard->Decides.cancel(OwnWaiter->Which, BootClock::now(), Given);
+    Due = PoolShard->translate(Given);
   }
   Shard::deliver(std::move(Due), nullptr);
 }
 
-Awaitable<Decision> Place::next() {
-  while (!Own->Ready) {
+Awaitable<Decision> DispatchHandle::next() {
+  while (!OwnWaiter->Ready) {
     boost::system::error_code Woken;
-    co_await Own->Wake.async_wait(
+    co_await OwnWaiter->Wake.async_wait(
         asio::redirect_error(asio::use_awaitable, Woken));
     const asio::cancellation_state Cancelled =
         co_await asio::this_coro::cancellation_state;
     if (Cancelled.cancelled() != asio::cancellation_type::none)
       throw boost::system::system_error(asio::error::operation_aborted);
   }
-  Decision Given = std::move(*Own->Ready);
-  Own->Ready.reset();
+  Decision Given = std::move(*OwnWaiter->Ready);
+  OwnWaiter->Ready.reset();
   if (std::holds_alternative<Refusal>(Given))
-    Own->Ended = true;
+    OwnWaiter->Ended = true;
   co_return Given;
 }
 
-void Place::begun() {
-  const std::lock_guard Hold(Home->Lock);
-  Home->Decides.responseStarted(Own->Which);
+void DispatchHandle::responseStarted() {
+  const std::lock_guard Hold(PoolShard->Lock);
+  PoolShard->Decides.responseStarted(OwnWaiter->Which);
 }
 
-void Place::report(const AttemptResult &Result) {
+void DispatchHandle::report(const AttemptResult &Result) {
   Shard::Deliveries Due;
   {
-    const std::lock_guard Hold(Home->Lock);
+    const std::lock_guard Hold(PoolShard->Lock);
     Commands Given;
     if (Result.Answered) {
-      Home->Waiters.erase(Own->Which);
-      Own->Ended = true;
+      PoolShard->Waiters.erase(OwnWaiter->Which);
+      OwnWaiter->Ended = true;
     }
-    Home->Decides.attemptEnded(Own->Which, Result, BootClock::now(), Given);
-    Due = Home->translate(Given);
+    PoolShard->Decides.attemptEnded(OwnWaiter->Which, Result, BootClock::now(),
+                                    Given);
+    Due = PoolShard->translate(Given);
   }
-  Shard::deliver(std::move(Due), Own.get());
+  Shard::deliver(std::move(Due), OwnWaiter.get());
 }
 
 Router::Router(RouterOptions Limits) : Options(std::move(Limits)) {}
 
 Router::~Router() = default;
 
-std::shared_ptr<Place::Shard> Router::find(std::string_view Name) const {
+std::shared_ptr<DispatchHandle::Shard>
+Router::findShard(std::string_view Name) const {
   const std::lock_guard Hold(Lock);
   const auto Found = Shards.find(Name);
   return Found == Shards.end() ? nullptr : Found->second;
 }
 
-std::vector<std::shared_ptr<Place::Shard>> Router::all() const {
+std::vector<std::shared_ptr<DispatchHandle::Shard>> Router::allShards() const {
   const std::lock_guard Hold(Lock);
-  std::vector<std::shared_ptr<Place::Shard>> Out;
-  for (const auto &[Name, Home] : Shards)
-    Out.push_back(Home);
+  std::vector<std::shared_ptr<DispatchHandle::Shard>> Out;
+  for (const auto &[Name, PoolShard] : Shards)
+    Out.push_back(PoolShard);
   return Out;
 }
 
 void Router::openShards(const RouteTable &Routes) {
   const std::lock_guard Hold(Lock);
   for (const auto &[Name, Wanted] : Routes.Pools) {
-    std::shared_ptr<Place::Shard> &Home = Shards[Name];
-    if (Home)
+    std::shared_ptr<DispatchHandle::Shard> &PoolShard = Shards[Name];
+    if (PoolShard)
       continue;
     DispatcherOptions Limits = Options.Dispatch;
     Limits.Seed = hashText(Name, hashText(Options.Self.Text));
     if (!Wanted.RetryGroup.empty())
       Limits.RetryTokens = retryTokens(Wanted.RetryGroup);
-    Home = std::make_shared<Place::Shard>(Name, std::move(Limits));
+    PoolShard =
+        std::make_shared<DispatchHandle::Shard>(Name, std::move(Limits));
   }
 }
 
@@ -240,182 +247,185 @@
                        std::size_t JoinedHosts) {
   static const Pool Nothing;
   openShards(Routes);
-  for (const auto &Home : all()) {
-    const auto Found = Routes.Pools.find(Home->Name);
+  for (const auto &PoolShard : allShards()) {
+    const auto Found = Routes.Pools.find(PoolShard->Name);
     const Pool &Wanted = Found == Routes.Pools.end() ? Nothing : Found->second;
-    Place::Shard::Deliveries Due;
+    DispatchHandle::Shard::Deliveries Due;
     {
-      const std::lock_guard Hold(Home->Lock);
+      const std::lock_guard Hold(PoolShard->Lock);
       Commands Given;
-      Home->configure(Wanted, JoinedHosts, Given);
-      Home->setTeams(Routes, Given);
-      Home->setShares(Shares, Given);
-      Due = Home->translate(Given);
+      PoolShard->configure(Wanted, JoinedHosts, Given);
+      PoolShard->setTeams(Routes, Given);
+      PoolShard->setShares(Shares, Given);
+      Due = PoolShard->translate(Given);
     }
-    Place::Shard::deliver(std::move(Due), nullptr);
+    DispatchHandle::Shard::deliver(std::move(Due), nullptr);
   }
 }
 
 void Router::setShares(const std::map<std::string, std::uint32_t> &Shares) {
-  for (const auto &Home : all()) {
-    Place::Shard::Deliveries Due;
+  for (const auto &PoolShard : allShards()) {
+    DispatchHandle::Shard::Deliveries Due;
     {
-      const std::lock_guard Hold(Home->Lock);
+      const std::lock_guard Hold(PoolShard->Lock);
       Commands Given;
-      Home->setShares(Shares, Given);
-      Due = Home->translate(Given);
+      PoolShard->setShares(Shares, Given);
+      Due = PoolShard->translate(Given);
     }
-    Place::Shard::deliver(std::move(Due), nullptr);
+    DispatchHandle::Shard::deliver(std::move(Due), nullptr);
   }
 }
 
 std::vector<EndpointLoad> Router::ownLoads() const {
   std::vector<EndpointLoad> Out;
-  for (const auto &Home : all()) {
-    const std::lock_guard Hold(Home->Lock);
-    const std::vector<EndpointLoad> Its = Home->Decides.ownLoads();
+  for (const auto &PoolShard : allShards()) {
+    const std::lock_guard Hold(PoolShard->Lock);
+    const std::vector<EndpointLoad> Its = PoolShard->Decides.ownLoads();
     Out.insert(Out.end(), Its.begin(), Its.end());
   }
   return Out;
 }
 
-void Router::shareLoads(std::span<const EndpointLoad> Others) {
-  for (const auto &Home : all()) {
-    Place::Shard::Deliveries Due;
+void Router::setRemoteLoads(std::span<const EndpointLoad> Others) {
+  for (const auto &PoolShard : allShards()) {
+    DispatchHandle::Shard::Deliveries Due;
     {
-      const std::lock_guard Hold(Home->Lock);
+      const std::lock_guard Hold(PoolShard->Lock);
       Commands Given;
-      Home->Decides.setRemoteLoads(Others, BootClock::now(), Given);
-      Due = Home->translate(Given);
+      PoolShard->Decides.setRemoteLoads(Others, BootClock::now(), Given);
+      Due = PoolShard->translate(Given);
     }
-    Place::Shard::deliver(std::move(Due), nullptr);
+    DispatchHandle::Shard::deliver(std::move(Due), nullptr);
   }
 }
 
 void Router::setRetryBurst(std::string_view PoolName, double Most) {
-  const std::shared_ptr<Place::Shard> Home = find(PoolName);
-  if (!Home)
+  const std::shared_ptr<DispatchHandle::Shard> PoolShard = findShard(PoolName);
+  if (!PoolShard)
     return;
-  const std::lock_guard Hold(Home->Lock);
-  Home->Decides.setRetryBurst(Most);
+  const std::lock_guard Hold(PoolShard->Lock);
+  PoolShard->Decides.setRetryBurst(Most);
 }
 
 void Router::observe(const LoadReport &Report) {
-  for (const auto &Home : all()) {
-    Place::Shard::Deliveries Due;
+  for (const auto &PoolShard : allShards()) {
+    DispatchHandle::Shard::Deliveries Due;
     {
-      const std::lock_guard Hold(Home->Lock);
-      if (!Home->Endpoints.contains(Report.EndpointKey))
+      const std::lock_guard Hold(PoolShard->Lock);
+      if (!PoolShard->Endpoints.contains(Report.EndpointKey))
         continue;
       Commands Given;
-      Home->Decides.observe(Report, BootClock::now(), Given);
-      Due = Home->translate(Given);
+      PoolShard->Decides.observe(Report, BootClock::now(), Given);
+      Due = PoolShard->translate(Given);
     }
-    Place::Shard::deliver(std::move(Due), nullptr);
+    DispatchHandle::Shard::deliver(std::move(Due), nullptr);
   }
 }
 
-std::optional<Place> Router::submit(std::string_view PoolName, WorkItem Item,
-                                    const asio::any_io_executor &Executor) {
-  std::shared_ptr<Place::Shard> Home = find(PoolName);
-  if (!Home)
+std::optional<DispatchHandle>
+Router::submit(std::string_view PoolName, WorkItem Item,
+               const asio::any_io_executor &Executor) {
+  std::shared_ptr<DispatchHandle::Shard> PoolShard = findShard(PoolName);
+  if (!PoolShard)
     return std::nullopt;
-  auto Own = std::make_shared<Place::Waiter>(Executor);
-  Place::Shard::Deliveries Due;
+  auto Own = std::make_shared<DispatchHandle::Waiter>(Executor);
+  DispatchHandle::Shard::Deliveries Due;
   {
-    const std::lock_guard Hold(Home->Lock);
+    const std::lock_guard Hold(PoolShard->Lock);
     Commands Given;
-    Home->LastSubmit = BootClock::now();
-    Own->Which = Home->Decides.submit(std::move(Item), BootClock::now(), Given);
-    Home->Waiters[Own->Which] = Own;
-    Due = Home->translate(Given);
+    PoolShard->LastSubmit = BootClock::now();
+    Own->Which =
+        PoolShard->Decides.submit(std::move(Item), BootClock::now(), Given);
+    PoolShard->Waiters[Own->Which] = Own;
+    Due = PoolShard->translate(Given);
   }
-  Place::Shard::deliver(std::move(Due), Own.get());
-  tellWaiting(*Home);
-  return Place(std::move(Home), std::move(Own));
+  DispatchHandle::Shard::deliver(std::move(Due), Own.get());
+  notifyDemand(*PoolShard);
+  return DispatchHandle(std::move(PoolShard), std::move(Own));
 }
 
 // Shares are given to hosts that have work: whoever gives them hears at once
 // when requests begin to wait. While a pool is in use, room for one request
 // more is wanted at each endpoint, so that the choice has something to choose
 // from and endpoints that come back get work again.
-void Router::tellWaiting(Place::Shard &Home) {
-  if (!Options.OnWaiting)
+void Router::notifyDemand(DispatchHandle::Shard &PoolShard) {
+  if (!Options.OnDemandChanged)
     return;
   std::size_t Wanted = 0;
   {
-    const std::lock_guard Hold(Home.Lock);
-    const bool InUse = BootClock::now() - Home.LastSubmit < InUseFor;
-    Wanted = std::max(Home.Decides.waiting(),
-                      InUse ? Home.Endpoints.size() : std::size_t{0});
-    if (Wanted == Home.ToldWaiting)
+    const std::lock_guard Hold(PoolShard.Lock);
+    const bool InUse = BootClock::now() - PoolShard.LastSubmit < InUseFor;
+    Wanted = std::max(PoolShard.Decides.waiting(),
+                      InUse ? PoolShard.Endpoints.size() : std::size_t{0});
+    if (Wanted == PoolShard.ToldWaiting)
       return;
-    Home.ToldWaiting = Wanted;
+    PoolShard.ToldWaiting = Wanted;
   }
-  Options.OnWaiting(Home.Name, Wanted);
+  Options.OnDemandChanged(PoolShard.Name, Wanted);
 }
 
 void Router::repeatDemand() {
-  for (const auto &Home : all()) {
+  for (const auto &PoolShard : allShards()) {
     {
-      const std::lock_guard Hold(Home->Lock);
-      Home->ToldWaiting = NeverTold;
+      const std::lock_guard Hold(PoolShard->Lock);
+      PoolShard->ToldWaiting = NeverTold;
     }
-    tellWaiting(*Home);
+    notifyDemand(*PoolShard);
   }
 }
 
 bool Router::observeNotice(std::string_view PoolName,
                            const QuarantineNotice &Told) {
-  const std::shared_ptr<Place::Shard> Home = find(PoolName);
-  if (!Home)
+  const std::shared_ptr<DispatchHandle::Shard> PoolShard = findShard(PoolName);
+  if (!PoolShard)
     return false;
-  const std::lock_guard Hold(Home->Lock);
-  return Home->Decides.observeNotice(Told, BootClock::now());
+  const std::lock_guard Hold(PoolShard->Lock);
+  return PoolShard->Decides.observeNotice(Told, BootClock::now());
 }
 
 void Router::observeClosed(std::string_view PoolName,
                            std::string_view EndpointKey) {
-  const std::shared_ptr<Place::Shard> Home = find(PoolName);
-  if (!Home)
+  const std::shared_ptr<DispatchHandle::Shard> PoolShard = findShard(PoolName);
+  if (!PoolShard)
     return;
-  const std::lock_guard Hold(Home->Lock);
-  Home->Decides.observeClosed(EndpointKey, BootClock::now());
+  const std::lock_guard Hold(PoolShard->Lock);
+  PoolShard->Decides.observeClosed(EndpointKey, BootClock::now());
 }
 
-std::vector<std::pair<std::string, QuarantineNotice>> Router::noticesOut() {
+std::vector<std::pair<std::string, QuarantineNotice>> Router::takeNotices() {
   std::vector<std::pair<std::string, QuarantineNotice>> Out;
-  for (const auto &Home : all()) {
-    const std::lock_guard Hold(Home->Lock);
-    for (QuarantineNotice &Told : Home->Decides.takeNotices(BootClock::now()))
-      Out.emplace_back(Home->Name, std::move(Told));
+  for (const auto &PoolShard : allShards()) {
+    const std::lock_guard Hold(PoolShard->Lock);
+    for (QuarantineNotice &Told :
+         PoolShard->Decides.takeNotices(BootClock::now()))
+      Out.emplace_back(PoolShard->Name, std::move(Told));
   }
   return Out;
 }
 
 void Router::advance() {
-  for (const auto &Home : all()) {
-    tellWaiting(*Home);
-    Place::Shard::Deliveries Due;
+  for (const auto &PoolShard : allShards()) {
+    notifyDemand(*PoolShard);
+    DispatchHandle::Shard::Deliveries Due;
     {
-      const std::lock_guard Hold(Home->Lock);
+      const std::lock_guard Hold(PoolShard->Lock);
       const TimePoint Now = BootClock::now();
-      const std::optional<TimePoint> Wake = Home->Decides.nextWake();
+      const std::optional<TimePoint> Wake = PoolShard->Decides.nextWake();
       if (!Wake || *Wake > Now)
         continue;
       Commands Given;
-      Home->Decides.advance(Now, Given);
-      Due = Home->translate(Given);
+      PoolShard->Decides.advance(Now, Given);
+      Due = PoolShard->translate(Given);
     }
-    Place::Shard::deliver(std::move(Due), nullptr);
+    DispatchHandle::Shard::deliver(std::move(Due), nullptr);
   }
 }
 
 std::size_t Router::waiting() const {
   std::size_t All = 0;
-  for (const auto &Home : all()) {
-    const std::lock_guard Hold(Home->Lock);
-    All += Home->Decides.waiting();
+  for (const auto &PoolShard : allShards()) {
+    const std::lock_guard Hold(PoolShard->Lock);
+    All += PoolShard->Decides.waiting();
   }
   return All;
 }
--- a/packages/process/src/coltsfoottrail/server/router.hpp
+++ b/packages/process/src/coltsfoottrail/server/router.hpp
@@ -28,7 +28,7 @@
 /// @brief A final refusal and what it rests on.
 struct Refusal {
   Verdict Final;
-  RefusalDetails Basis;
+  RefusalDetails Details;
 };
 
 /// What is decided for a request: where to send it, or its final refusal.
@@ -38,13 +38,13 @@
 ///
 /// Belongs to one coroutine. Destroying it before an answer was reported gives
 /// the place up, as when the caller goes away.
-class Place {
+class DispatchHandle {
 public:
-  Place(Place &&) noexcept;
-  Place &operator=(Place &&) = delete;
-  Place(const Place &) = delete;
-  Place &operator=(const Place &) = delete;
-  ~Place();
+  DispatchHandle(DispatchHandle &&) noexcept;
+  DispatchHandle &operator=(DispatchHandle &&) = delete;
+  DispatchHandle(const DispatchHandle &) = delete;
+  DispatchHandle &operator=(const DispatchHandle &) = delete;
+  ~DispatchHandle();
 
   /// @brief Waits for the next decision.
   /// @return Where to send the request, or its final refusal.
@@ -52,7 +52,7 @@
   [[nodiscard]] Awaitable<Decision> next();
 
   /// @brief Tells that the answer of the attempt has begun.
-  void begun();
+  void responseStarted();
 
   /// @brief Tells how an attempt ended; next() tells what follows unless it was
   /// answered.
@@ -64,10 +64,10 @@
   struct Waiter;
   struct Shard;
 
-  Place(std::shared_ptr<Shard> Where, std::shared_ptr<Waiter> Who);
+  DispatchHandle(std::shared_ptr<Shard> Where, std::shared_ptr<Waiter> Who);
 
-  std::shared_ptr<Shard> Home;
-  std::shared_ptr<Waiter> Own;
+  std::shared_ptr<Shard> PoolShard;
+  std::shared_ptr<Waiter> OwnWaiter;
 };
 
 /// @brief Options of a router.
@@ -76,7 +76,8 @@
   DispatcherOptions Dispatch;
   /// Hears for how many more requests a pool wants room, when that changes;
   /// called on any thread, without a lock held. May be empty.
-  std::function<void(std::string_view Pool, std::size_t Wanted)> OnWaiting;
+  std::function<void(std::string_view Pool, std::size_t Wanted)>
+      OnDemandChanged;
 };
 
 /// @brief Routes requests by the dispatcher of their pool. Thread-safe.
@@ -109,7 +110,7 @@
 
   /// @brief Notices for peers that have come up since the last call.
   [[nodiscard]] std::vector<std::pair<std::string, QuarantineNotice>>
-  noticesOut();
+  takeNotices();
 
   /// @brief Sets this host's share of endpoints' bounds.
   void setShares(const std::map<std::string, std::uint32_t> &Shares);
@@ -117,7 +118,7 @@
   /// @brief Own requests at each endpoint that has any.
   [[nodiscard]] std::vector<EndpointLoad> ownLoads() const;
   /// @brief Takes what the other entry hosts have at all endpoints.
-  void shareLoads(std::span<const EndpointLoad> Others);
+  void setRemoteLoads(std::span<const EndpointLoad> Others);
 
   /// @brief Sets how many retries a pool, and those that share its bound, save
   /// up at most.
@@ -131,7 +132,7 @@
   /// @param Item The request.
   /// @param Executor Where the coroutine that waits runs.
   /// @return Its place, or nothing when there is no such pool.
-  [[nodiscard]] std::optional<Place>
+  [[nodiscard]] std::optional<DispatchHandle>
   submit(std::string_view PoolName, WorkItem Item,
          const boost::asio::any_io_executor &Executor);
 
@@ -148,13 +149,16 @@
   void openShards(const RouteTable &Routes);
   [[nodiscard]] std::shared_ptr<SharedTokenBucket>
   retryTokens(const std::string &RetryGroup);
-  void tellWaiting(Place::Shard &Home);
-  [[nodiscard]] std::shared_ptr<Place::Shard> find(std::string_view Name) const;
-  [[nodiscard]] std::vector<std::shared_ptr<Place::Shard>> all() const;
+  void notifyDemand(DispatchHandle::Shard &PoolShard);
+  [[nodiscard]] std::shared_ptr<DispatchHandle::Shard>
+  findShard(std::string_view Name) const;
+  [[nodiscard]] std::vector<std::shared_ptr<DispatchHandle::Shard>>
+  allShards() const;
 
   RouterOptions Options;
   mutable std::mutex Lock;
-  std::map<std::string, std::shared_ptr<Place::Shard>, std::less<>> Shards;
+  std::map<std::string, std::shared_ptr<DispatchHandle::Shard>, std::less<>>
+      Shards;
   std::map<std::string, std::shared_ptr<SharedTokenBucket>> RetryTokens;
 };
 
--- a/packages/process/src/coltsfoottrail/server/spans.cpp
+++ b/packages/process/src/coltsfoottrail/server/spans.cpp
@@ -11,52 +11,52 @@
 
 } // namespace
 
-Hop::Hop(SpanWriter *Writer, Span Begun)
-    : Home(Writer), Under(std::move(Begun)) {
-  Under.Begin = std::chrono::system_clock::now();
+ScopedSpan::ScopedSpan(SpanWriter *Writer, Span Begun)
+    : Destination(Writer), Current(std::move(Begun)) {
+  Current.Begin = std::chrono::system_clock::now();
 }
 
-Hop::~Hop() {
-  if (Home == nullptr || !Under.Context.Sampled)
+ScopedSpan::~ScopedSpan() {
+  if (Destination == nullptr || !Current.Context.Sampled)
     return;
-  Under.End = std::chrono::system_clock::now();
-  (void)Home->write(std::move(Under));
+  Current.End = std::chrono::system_clock::now();
+  (void)Destination->write(std::move(Current));
 }
 
-void Hop::note(SpanKey Key, std::string_view Value) {
-  if (Home != nullptr)
-    Under.Attributes.push_back({Key, std::string(Value)});
+void ScopedSpan::setAttribute(SpanKey Key, std::string_view Value) {
+  if (Destination != nullptr)
+    Current.Attributes.push_back({Key, std::string(Value)});
 }
 
-void Hop::end(const AttemptResult &Result) {
-  Under.Failed = !Result.Answered;
-  note(SpanKey::RunState, runStateCode(Result.State));
+void ScopedSpan::recordResult(const AttemptResult &Result) {
+  Current.Failed = !Result.Answered;
+  setAttribute(SpanKey::RunState, runStateCode(Result.State));
   if (!Result.Answered)
-    note(SpanKey::Reason, reasonCode(Result.FailureReason));
+    setAttribute(SpanKey::Reason, reasonCode(Result.FailureReason));
 }
 
-SpanMaker::SpanMaker(const std::filesystem::path &File, const HostName &Host,
-                     std::uint64_t Seed)
+SpanFactory::SpanFactory(const std::filesystem::path &File,
+                         const HostName &Host, std::uint64_t Seed)
     : Ids(Seed, File.empty() ? 0.0 : SampledShare) {
   if (!File.empty())
     Writer = std::make_unique<SpanWriter>(File, Host);
 }
 
-TraceContext SpanMaker::accept(std::string_view Traceparent) {
+TraceContext SpanFactory::accept(std::string_view Traceparent) {
   return Ids.accept(Traceparent);
 }
 
-Hop SpanMaker::begin(std::string_view Name, SpanKind Kind,
-                     const TraceContext &Parent) {
+ScopedSpan SpanFactory::begin(std::string_view Name, SpanKind Kind,
+                              const TraceContext &Parent) {
   Span Begun;
   Begun.Name = Name;
   Begun.Kind = Kind;
   Begun.Context = Ids.child(Parent);
   Begun.Parent = Parent.SpanId;
-  return Hop(Writer.get(), std::move(Begun));
+  return ScopedSpan(Writer.get(), std::move(Begun));
 }
 
-std::uint64_t SpanMaker::dropped() const noexcept {
+std::uint64_t SpanFactory::dropped() const noexcept {
   return Writer ? Writer->dropped() : 0;
 }
 
--- a/packages/process/src/coltsfoottrail/server/spans.hpp
+++ b/packages/process/src/coltsfoottrail/server/spans.hpp
@@ -15,32 +15,32 @@
 namespace coltsfoottrail {
 
 /// @brief One hop under way; its span is written when it goes out of scope.
-class Hop {
+class ScopedSpan {
 public:
   /// @brief Begins a hop.
   /// @param Writer Where its span goes; null for nowhere.
   /// @param Begun What is known of it at the start.
-  Hop(SpanWriter *Writer, Span Begun);
-  Hop(const Hop &) = delete;
-  Hop &operator=(const Hop &) = delete;
-  ~Hop();
+  ScopedSpan(SpanWriter *Writer, Span Begun);
+  ScopedSpan(const ScopedSpan &) = delete;
+  ScopedSpan &operator=(const ScopedSpan &) = delete;
+  ~ScopedSpan();
 
   /// @brief The hop's own context, for what it causes.
   [[nodiscard]] const TraceContext &context() const noexcept {
-    return Under.Context;
+    return Current.Context;
   }
   /// @brief Notes text.
-  void note(SpanKey Key, std::string_view Value);
+  void setAttribute(SpanKey Key, std::string_view Value);
   /// @brief Notes how an attempt ended.
-  void end(const AttemptResult &Result);
+  void recordResult(const AttemptResult &Result);
 
 private:
-  SpanWriter *Home;
-  Span Under;
+  SpanWriter *Destination;
+  Span Current;
 };
 
 /// @brief Makes the hops of this process. Thread-safe.
-class SpanMaker {
+class SpanFactory {
 public:
   /// @brief Makes a maker.
   /// @param File Where spans go; empty for nowhere. Contexts are passed on all
@@ -48,14 +48,14 @@
   /// @param Host This entry host.
   /// @param Seed Seeds the identifiers.
   /// @throws Error The file cannot be opened.
-  SpanMaker(const std::filesystem::path &File, const HostName &Host,
-            std::uint64_t Seed);
+  SpanFactory(const std::filesystem::path &File, const HostName &Host,
+              std::uint64_t Seed);
 
   /// @brief Continues the trace that a caller named, or begins one.
   [[nodiscard]] TraceContext accept(std::string_view Traceparent);
   /// @brief Begins a hop below a context.
-  [[nodiscard]] Hop begin(std::string_view Name, SpanKind Kind,
-                          const TraceContext &Parent);
+  [[nodiscard]] ScopedSpan begin(std::string_view Name, SpanKind Kind,
+                                 const TraceContext &Parent);
   /// @brief Spans that were dropped.
   [[nodiscard]] std::uint64_t dropped() const noexcept;
 
--- a/packages/process/test/coltsfoottrail/cli/run.cpp
+++ b/packages/process/test/coltsfoottrail/cli/run.cpp
@@ -21,7 +21,7 @@
   std::string Problems;
 };
 
-class Cli : public Bench {
+class Cli : public ClusterFixture {
 protected:
   void SetUp() override {
     fs::create_directories(Folder);
--- a/packages/process/test/coltsfoottrail/faults/matrix.cpp
+++ b/packages/process/test/coltsfoottrail/faults/matrix.cpp
@@ -103,7 +103,8 @@
     Call.Reason = Body.value("reason", "");
 }
 
-class Matrix : public Bench, public ::testing::WithParamInterface<Cell> {
+class Matrix : public ClusterFixture,
+               public ::testing::WithParamInterface<Cell> {
 protected:
   void SetUp() override {
     for (int Index = 0; Index < 4; ++Index)
@@ -116,12 +117,12 @@
     Json Declared = declaration();
     Declared["models"][0]["warm_bound"] = WarmBound;
     Declared["models"][0]["cold_bound"] = WarmBound;
-    apply({{"kind", "apply_declaration"}, {"declaration", Declared}});
+    applyIntent({{"kind", "apply_declaration"}, {"declaration", Declared}});
     for (const auto &Host : Hosts)
       Ports.push_back(Host->callerPort());
     ASSERT_TRUE(eventually([&] {
       for (const std::uint16_t Port : Ports)
-        if (call(Port, draft("warm up", false, 1)).Status != 200)
+        if (call(Port, draftRequest("warm up", false, 1)).Status != 200)
           return false;
       return true;
     }));
@@ -181,7 +182,7 @@
   void sendOrder(std::uint64_t Wanted, const std::string &Key,
                  const std::string &Body) {
     const std::size_t Host = pick(Wanted);
-    HttpRequest Asked = order(Key, Body);
+    HttpRequest Asked = orderRequest(Key, Body);
     const std::string Patience = wrong() == Fault::LogDown ? "200" : "3000";
     Asked.Fields.push_back({"Coltsfoottrail-Deadline-Ms", Patience});
     CallEnded Call;
@@ -202,7 +203,7 @@
 
   void sendDraft(std::uint64_t Wanted, const std::string &Prompt, bool Stream) {
     const std::size_t Host = pick(Wanted);
-    HttpRequest Asked = draft(Prompt, Stream, DraftTokens);
+    HttpRequest Asked = draftRequest(Prompt, Stream, DraftTokens);
     Asked.Fields.push_back({"Coltsfoottrail-Deadline-Ms", "5000"});
     CallEnded Call;
     Call.Kind = CallKind::Draft;
@@ -277,7 +278,7 @@
       Engines[0]->setFaults({.CrashOn = {}, .CutAfterTokens = 5});
       break;
     case Fault::ServiceLosesAnswers:
-      Orders.setLoseAnswers(true);
+      OrderService.setLoseAnswers(true);
       break;
     case Fault::None:
     case Fault::EntryHostDies:
@@ -296,7 +297,7 @@
 
   void clearLastingFaults() {
     LogService.setFaults({});
-    Orders.setLoseAnswers(false);
+    OrderService.setLoseAnswers(false);
   }
 
   [[nodiscard]] bool alive(std::size_t Index) const {
@@ -308,12 +309,12 @@
   /// plan whose answer was lost may have been confirmed; then nothing is left
   /// to plan or to confirm.
   [[nodiscard]] bool accept(std::size_t Host, const Json &Intent) const {
-    const HttpResponse Planned = operate(Host, "/v1/plans", Intent.dump());
+    const HttpResponse Planned = callOperator(Host, "/v1/plans", Intent.dump());
     if (Planned.Status != 200)
       return false;
     const Offset Id = Json::parse(Planned.Body).at("id").get<Offset>();
     const std::string At = "/v1/plans/" + std::to_string(Id) + "/confirm";
-    return operate(Host, At, "{}").Status == 200;
+    return callOperator(Host, At, "{}").Status == 200;
   }
 
   [[nodiscard]] bool inForceEverywhere() const {
@@ -401,7 +402,7 @@
 
   void recordCounts() {
     for (const std::string &Body : Bodies)
-      Past.record(OrderRuns{Body, Orders.runsOf(Body)});
+      Past.record(OrderRuns{Body, OrderService.runsOf(Body)});
     for (std::size_t Index = 0; Index < Engines.size(); ++Index)
       Past.record(EnginePeak{"engine-" + std::to_string(Index),
                              Engines[Index]->mostAtOnce(), WarmBound});
--- a/packages/process/test/coltsfoottrail/server/answers.cpp
+++ b/packages/process/test/coltsfoottrail/server/answers.cpp
@@ -50,10 +50,10 @@
 }
 
 /// An endpoint that answers a service's calls as it is told.
-class Answers : public Bench {
+class Answers : public ClusterFixture {
 protected:
   Answers()
-      : Endpoint(Pool, std::string(Loopback), 0, ServerLimits{},
+      : Endpoint(IoThreads, std::string(Loopback), 0, ServerLimits{},
                  ServerHooks{
                      [this](Exchange &Call) { return answer(Call); }, {}, {}}) {
   }
@@ -63,7 +63,7 @@
     ASSERT_TRUE(allReady());
     Json Declared = declaration();
     Declared["services"][0]["instances"][0]["port"] = Endpoint.port();
-    apply({{"kind", "apply_declaration"}, {"declaration", Declared}});
+    applyIntent({{"kind", "apply_declaration"}, {"declaration", Declared}});
   }
 
   Awaitable<void> answer(Exchange &Call) {
@@ -87,12 +87,12 @@
   Told = jsonResponse(400, R"({"error":"no such sign"})");
   Told.Fields.push_back({"Coltsfoottrail-Verdict", "not-run"});
   const HttpResponse First =
-      call(Hosts[0]->callerPort(), order("k", "sign 999"));
+      call(Hosts[0]->callerPort(), orderRequest("k", "sign 999"));
   EXPECT_EQ(First.Status, 400U) << First.Body;
   EXPECT_EQ(fieldOf(First.Fields, "Coltsfoottrail-Verdict"), "not-run");
   Told = jsonResponse(200, "{}");
   const HttpResponse Again =
-      call(Hosts[0]->callerPort(), order("k", "sign 999"));
+      call(Hosts[0]->callerPort(), orderRequest("k", "sign 999"));
   EXPECT_EQ(Again.Status, 200U) << Again.Body;
   EXPECT_EQ(Calls, 2U);
 }
@@ -100,7 +100,7 @@
 TEST_F(Answers, FieldsComeBackWhateverTheirCase) {
   Told.Fields = {{"content-type", "text/plain"}, {"x-park", "7"}};
   Told.Body = "ok";
-  const HttpResponse Got = call(Hosts[0]->callerPort(), order("", "a"));
+  const HttpResponse Got = call(Hosts[0]->callerPort(), orderRequest("", "a"));
   EXPECT_EQ(fieldOf(Got.Fields, "Content-Type"), "text/plain");
   EXPECT_EQ(fieldOf(Got.Fields, "X-Park"), "7");
 }
--- a/packages/process/test/coltsfoottrail/server/drafts.cpp
+++ b/packages/process/test/coltsfoottrail/server/drafts.cpp
@@ -13,7 +13,7 @@
   std::string Raw;
 };
 
-class Drafts : public Bench {
+class Drafts : public ClusterFixture {
 protected:
   void SetUp() override {
     for (int Index = 0; Index < 4; ++Index)
@@ -23,10 +23,10 @@
     addHost("entry-2", "north");
     addHost("entry-3", "west");
     ASSERT_TRUE(allReady());
-    declare();
+    applyDeclaration();
     ASSERT_TRUE(eventually([&] {
       for (std::size_t Index = 0; Index < Hosts.size(); ++Index)
-        if (call(Hosts[Index]->callerPort(), draft("warm up", false, 1))
+        if (call(Hosts[Index]->callerPort(), draftRequest("warm up", false, 1))
                 .Status != 200)
           return false;
       return true;
@@ -38,7 +38,7 @@
     Drafted Out;
     const auto Got =
         streamBlocking({std::string(Loopback), Hosts.at(Host)->callerPort()},
-                       draft(Prompt, true, Tokens), CallTimeout,
+                       draftRequest(Prompt, true, Tokens), CallTimeout,
                        [&Out](std::string_view Part) { Out.Raw += Part; });
     if (const auto *const Head = std::get_if<HttpResponse>(&Got)) {
       Out.Whole = Out.Raw.ends_with("data: [DONE]\n\n");
@@ -59,7 +59,7 @@
 
 TEST_F(Drafts, WholeAndStreamedAnswersCarryTheSameText) {
   const HttpResponse Whole =
-      call(Hosts[0]->callerPort(), draft("detour plan", false));
+      call(Hosts[0]->callerPort(), draftRequest("detour plan", false));
   ASSERT_EQ(Whole.Status, 200U) << Whole.Body;
   const Drafted Streamed = stream(1, "detour plan", 12);
   ASSERT_TRUE(Streamed.Whole) << Streamed.Raw;
@@ -88,7 +88,7 @@
 TEST_F(Drafts, TeamsLimitIsKept) {
   Json Declared = declaration();
   Declared["teams"][0]["max_in_flight"] = 1;
-  apply({{"kind", "apply_declaration"}, {"declaration", Declared}});
+  applyIntent({{"kind", "apply_declaration"}, {"declaration", Declared}});
   ASSERT_TRUE(eventually([&] {
     const auto &Teams = Hosts[0]->state()->Declared.Teams;
     return !Teams.empty() && Teams.front().MaxInFlight == 1U;
@@ -127,8 +127,8 @@
   const auto HangUp = [](std::string_view) { throw HungUp{}; };
   EXPECT_THROW(
       (void)streamBlocking({std::string(Loopback), Hosts[0]->callerPort()},
-                           draft("a very long plan", true, 50'000), CallTimeout,
-                           HangUp),
+                           draftRequest("a very long plan", true, 50'000),
+                           CallTimeout, HangUp),
       HungUp);
   EXPECT_TRUE(eventually([&] {
     for (const auto &Engine : Engines)
@@ -168,7 +168,7 @@
       }
     });
   ASSERT_TRUE(eventually([&] { return Good > 12; }));
-  apply({{"kind", "drain_data_centre"}, {"data_centre", "west"}}, 1);
+  applyIntent({{"kind", "drain_data_centre"}, {"data_centre", "west"}}, 1);
   ASSERT_TRUE(eventually([&] {
     for (const auto &Host : Hosts)
       if (!Host->state()->DrainedDataCentres.contains(DataCentreName("west")))
@@ -179,7 +179,7 @@
   const unsigned Before = Good;
   EXPECT_TRUE(eventually([&] { return Good > Before + 12; }));
   EXPECT_EQ(Engines[1]->started() + Engines[3]->started(), West);
-  apply({{"kind", "return_data_centre"}, {"data_centre", "west"}}, 2);
+  applyIntent({{"kind", "return_data_centre"}, {"data_centre", "west"}}, 2);
   EXPECT_TRUE(eventually(
       [&] { return Engines[1]->started() + Engines[3]->started() > West; }));
   Done = true;
@@ -201,14 +201,14 @@
   std::string Reason;
   EXPECT_TRUE(eventually([&] {
     const HttpResponse Got =
-        call(Hosts[0]->callerPort(), draft("poison", false));
+        call(Hosts[0]->callerPort(), draftRequest("poison", false));
     const Json Body = Json::parse(Got.Body, nullptr, false);
     Reason = Body.is_object() ? Body.value("reason", "") : "";
     return Reason == "quarantined";
   })) << Reason;
   EXPECT_TRUE(eventually([&] {
     const HttpResponse Other =
-        call(Hosts[2]->callerPort(), draft("poison", false));
+        call(Hosts[2]->callerPort(), draftRequest("poison", false));
     const Json Body = Json::parse(Other.Body, nullptr, false);
     return Body.is_object() && Body.value("reason", "") == "quarantined";
   }));
--- a/packages/process/test/coltsfoottrail/server/fixture.hpp
+++ b/packages/process/test/coltsfoottrail/server/fixture.hpp
@@ -35,15 +35,15 @@
   return Holds();
 }
 
-class Bench : public ::testing::Test {
+class ClusterFixture : public ::testing::Test {
 protected:
-  Bench()
-      : Pool(2), LogService(Pool, std::string(Loopback), 0),
-        Orders(Pool, std::string(Loopback), 0) {}
+  ClusterFixture()
+      : IoThreads(2), LogService(IoThreads, std::string(Loopback), 0),
+        OrderService(IoThreads, std::string(Loopback), 0) {}
 
   void addEngine(EngineTraits Traits = {}) {
     Engines.push_back(std::make_unique<EngineStandin>(
-        Pool, std::string(Loopback), 0, Traits));
+        IoThreads, std::string(Loopback), 0, Traits));
   }
 
   [[nodiscard]] Settings settingsOf(const std::string &Name,
@@ -80,7 +80,7 @@
                  {{{"host", "order-1"},
                    {"data_centre", "east"},
                    {"address", Loopback},
-                   {"port", Orders.port()}}}}}}}};
+                   {"port", OrderService.port()}}}}}}}};
     if (Engines.empty())
       return Out;
     Json Machines = Json::array();
@@ -113,8 +113,8 @@
     return std::get<HttpResponse>(Got);
   }
 
-  [[nodiscard]] HttpResponse operate(std::size_t Host, std::string Target,
-                                     std::string Body = {}) const {
+  [[nodiscard]] HttpResponse callOperator(std::size_t Host, std::string Target,
+                                          std::string Body = {}) const {
     HttpRequest Asked;
     Asked.Method = Body.empty() ? "GET" : "POST";
     Asked.Target = std::move(Target);
@@ -125,19 +125,19 @@
   }
 
   /// Plans and confirms an intent; the id of its plan.
-  Offset apply(const Json &Intent, std::size_t Host = 0) const {
-    const HttpResponse Planned = operate(Host, "/v1/plans", Intent.dump());
+  Offset applyIntent(const Json &Intent, std::size_t Host = 0) const {
+    const HttpResponse Planned = callOperator(Host, "/v1/plans", Intent.dump());
     EXPECT_EQ(Planned.Status, 200U) << Planned.Body;
     const Offset Id = Json::parse(Planned.Body).at("id").get<Offset>();
-    const HttpResponse Confirmed =
-        operate(Host, "/v1/plans/" + std::to_string(Id) + "/confirm", "{}");
+    const HttpResponse Confirmed = callOperator(
+        Host, "/v1/plans/" + std::to_string(Id) + "/confirm", "{}");
     EXPECT_EQ(Confirmed.Status, 200U) << Confirmed.Body;
     return Id;
   }
 
-  void declare() const {
-    const Offset Id =
-        apply({{"kind", "apply_declaration"}, {"declaration", declaration()}});
+  void applyDeclaration() const {
+    const Offset Id = applyIntent(
+        {{"kind", "apply_declaration"}, {"declaration", declaration()}});
     EXPECT_TRUE(eventually([&] {
       for (const auto &Host : Hosts) {
         const StatePtr Now = Host->state();
@@ -146,10 +146,11 @@
           return false;
       }
       return true;
-    })) << operate(0, "/v1/plans/" + std::to_string(Id)).Body;
+    })) << callOperator(0, "/v1/plans/" + std::to_string(Id)).Body;
   }
 
-  [[nodiscard]] HttpRequest order(std::string Key, std::string Body) const {
+  [[nodiscard]] HttpRequest orderRequest(std::string Key,
+                                         std::string Body) const {
     HttpRequest Asked;
     Asked.Method = "POST";
     Asked.Target = "/services/orders/sign";
@@ -160,8 +161,8 @@
     return Asked;
   }
 
-  [[nodiscard]] HttpRequest draft(const std::string &Prompt, bool Stream,
-                                  unsigned Tokens = 12) const {
+  [[nodiscard]] HttpRequest draftRequest(const std::string &Prompt, bool Stream,
+                                         unsigned Tokens = 12) const {
     HttpRequest Asked;
     Asked.Method = "POST";
     Asked.Target = "/v1/completions";
@@ -184,9 +185,9 @@
     });
   }
 
-  IoPool Pool;
+  IoPool IoThreads;
   LogStandin LogService;
-  ServiceStandin Orders;
+  ServiceStandin OrderService;
   std::vector<std::unique_ptr<EngineStandin>> Engines;
   std::vector<std::unique_ptr<EntryHostProcess>> Hosts;
 };
--- a/packages/process/test/coltsfoottrail/server/sparsemesh.cpp
+++ b/packages/process/test/coltsfoottrail/server/sparsemesh.cpp
@@ -36,7 +36,7 @@
 TEST(SparseMesh, IdleHostsKeepFewConnections) {
   SparseMesh Fleet(150);
   Fleet.run(seconds(120));
-  EXPECT_LT(Fleet.mostLinks(), 50U);
+  EXPECT_LT(Fleet.maxLinks(), 50U);
 }
 
 // Guards against notices of crashes that reach only the neighbours of a host.
--- a/packages/process/test/coltsfoottrail/server/sparsemesh.hpp
+++ b/packages/process/test/coltsfoottrail/server/sparsemesh.hpp
@@ -60,7 +60,7 @@
   [[nodiscard]] static std::string nameOf(std::size_t Index) {
     return "entry-" + std::to_string(Index);
   }
-  [[nodiscard]] std::size_t mostLinks() const {
+  [[nodiscard]] std::size_t maxLinks() const {
     std::size_t Most = 0;
     for (const auto &Member : Hosts)
       Most = std::max(Most, Member->Links.size());
