--- a/packages/process/src/coltsfoottrail/server/agreedstream.cpp
+++ b/packages/process/src/coltsfoottrail/server/agreedstream.cpp
@@ -18,20 +18,20 @@
 
 constexpr milliseconds RetryDelay{100};
 constexpr milliseconds StartRetryDelay{500};
-constexpr milliseconds TickEvery{20};
+constexpr milliseconds TickInterval{20};
 
 } // namespace
 
-AgreedStream::AgreedStream(asio::io_context &Where, Log &Platform,
-                           AgreedOptions Wanted)
-    : Control(Where), LogService(Platform), Options(std::move(Wanted)),
+AgreedStream::AgreedStream(asio::io_context &Context, Log &Platform,
+                           AgreedOptions StreamOptions)
+    : Control(Context), LogService(Platform), Options(std::move(StreamOptions)),
       CheckpointStream(Options.Stream.Text + "-checkpoints"),
-      Schedule(Options.Host, Options.Checkpoints), StartRetryTimer(Where),
-      AppendRetryTimer(Where), TickTimer(Where),
+      Schedule(Options.Host, Options.Checkpoints), StartRetryTimer(Context),
+      AppendRetryTimer(Context), TickTimer(Context),
       Published(std::make_shared<const State>()) {}
 
-void AgreedStream::start(AgreedListener Told) {
-  Listener = std::move(Told);
+void AgreedStream::start(AgreedListener NewListener) {
+  Listener = std::move(NewListener);
   findStart();
 }
 
@@ -44,12 +44,12 @@
 }
 
 StatePtr AgreedStream::state() const {
-  const std::lock_guard Hold(Lock);
+  const std::lock_guard Guard(Lock);
   return Published;
 }
 
 Freshness AgreedStream::freshness(TimePoint Now) const {
-  const std::lock_guard Hold(Lock);
+  const std::lock_guard Guard(Lock);
   if (!StreamFollower)
     return Freshness::Starting;
   return DiffersFromCheckpoint ? Freshness::LeftBehind
@@ -61,27 +61,27 @@
   perform(CheckpointStarter.start());
 }
 
-void AgreedStream::perform(StartCommand Next) {
+void AgreedStream::perform(StartCommand NextCommand) {
   if (Stopped)
     return;
-  if (const auto *const Read = std::get_if<StartRead>(&Next)) {
+  if (const auto *const Read = std::get_if<StartRead>(&NextCommand)) {
     LogService.read(Read->Checkpoints ? CheckpointStream : Options.Stream,
                     Read->From, Read->MaxEntries, milliseconds(0),
                     [this](ReadResult Result) {
-                      asio::post(Control, [this, Got = std::move(Result)] {
+                      asio::post(Control, [this, Outcome = std::move(Result)] {
                         if (!Stopped)
-                          perform(CheckpointStarter.onRead(Got));
+                          perform(CheckpointStarter.onRead(Outcome));
                       });
                     });
     return;
   }
-  if (auto *const From = std::get_if<StartFrom>(&Next)) {
+  if (auto *const From = std::get_if<StartFrom>(&NextCommand)) {
     for (const std::string &Problem : CheckpointStarter.problems())
       logEvent(Event::CheckpointRefused, {{"why", Problem}});
     followFrom(std::move(From->Found));
     return;
   }
-  if (const auto *const Lost = std::get_if<HistoryLost>(&Next))
+  if (const auto *const Lost = std::get_if<HistoryLost>(&NextCommand))
     logEvent(Event::Trimmed, {{"horizon", Lost->Horizon}});
   else if (!std::exchange(LogUnreachable, true))
     logEvent(Event::LogUnreachable, {{"stream", Options.Stream}});
@@ -96,19 +96,19 @@
   });
 }
 
-void AgreedStream::followFrom(State Found) {
+void AgreedStream::followFrom(State InitialState) {
   if (std::exchange(LogUnreachable, false))
     logEvent(Event::LogBack, {{"stream", Options.Stream}});
-  FoldedState = std::move(Found);
+  FoldedState = std::move(InitialState);
   {
-    const std::lock_guard Hold(Lock);
+    const std::lock_guard Guard(Lock);
     if (StreamFollower) {
       StreamFollower->restart(FoldedState.Next);
     } else {
-      FollowerOptions Wanted;
-      Wanted.Self = Member{Options.Host, Options.DataCentre};
-      Wanted.Seed = Options.Run;
-      StreamFollower.emplace(Wanted, FoldedState.Next, BootClock::now());
+      FollowerOptions StreamOptions;
+      StreamOptions.Self = Member{Options.Host, Options.DataCentre};
+      StreamOptions.Seed = Options.Run;
+      StreamFollower.emplace(StreamOptions, FoldedState.Next, BootClock::now());
     }
   }
   publish();
@@ -119,39 +119,40 @@
 void AgreedStream::tick() {
   const TimePoint Now = BootClock::now();
   expire(Now);
-  FollowCommands Due;
+  FollowCommands Commands;
   {
-    const std::lock_guard Hold(Lock);
+    const std::lock_guard Guard(Lock);
     if (StreamFollower->nextWake() <= Now)
-      StreamFollower->advance(Now, Due);
+      StreamFollower->advance(Now, Commands);
   }
-  perform(std::move(Due));
+  perform(std::move(Commands));
   checkpointIfDue(Now);
-  TickTimer.expires_after(TickEvery);
+  TickTimer.expires_after(TickInterval);
   TickTimer.async_wait([this](const boost::system::error_code &Problem) {
     if (!Problem)
       tick();
   });
 }
 
-void AgreedStream::perform(FollowCommands Due) {
-  for (const FollowCommand &One : Due)
-    std::visit([this](const auto &Command) { perform(Command); }, One);
+void AgreedStream::perform(FollowCommands Commands) {
+  for (const FollowCommand &Next : Commands)
+    std::visit([this](const auto &Command) { perform(Command); }, Next);
 }
 
 void AgreedStream::perform(const ReadAgreed &Command) {
-  const TimePoint Left = BootClock::now();
-  LogService.read(
-      Options.Stream, Command.From, Command.MaxEntries, Command.Wait,
-      [this, Left, Number = Command.Number](ReadResult Result) {
-        asio::post(Control, [this, Left, Number, Got = std::move(Result)] {
-          handleRead(Number, Got, Left);
-        });
-      });
+  const TimePoint SentAt = BootClock::now();
+  LogService.read(Options.Stream, Command.From, Command.MaxEntries,
+                  Command.Wait,
+                  [this, SentAt, Number = Command.Number](ReadResult Result) {
+                    asio::post(Control, [this, SentAt, Number,
+                                         Outcome = std::move(Result)] {
+                      handleRead(Number, Outcome, SentAt);
+                    });
+                  });
 }
 
 void AgreedStream::handleRead(std::uint64_t Number, const ReadResult &Result,
-                              TimePoint Left) {
+                              TimePoint SentAt) {
   if (Stopped)
     return;
   const auto *const Batch = std::get_if<LogBatch>(&Result);
@@ -161,16 +162,16 @@
   if (Failed != std::exchange(LogUnreachable, Failed))
     logEvent(Failed ? Event::LogUnreachable : Event::LogBack,
              {{"stream", Options.Stream}});
-  FollowCommands Due;
+  FollowCommands Commands;
   {
-    const std::lock_guard Hold(Lock);
-    StreamFollower->onRead(Number, Result, BootClock::now(), Due);
+    const std::lock_guard Guard(Lock);
+    StreamFollower->onRead(Number, Result, BootClock::now(), Commands);
   }
-  perform(std::move(Due));
+  perform(std::move(Commands));
   if (Failed)
     Listener.OnLogFailure();
   else if (FoldedState.Next >= Batch->End)
-    Listener.OnLogRead(Left);
+    Listener.OnLogRead(SentAt);
 }
 
 void AgreedStream::perform(const FoldNow &Command) {
@@ -229,21 +230,22 @@
 void AgreedStream::dispatch(const HostName &From, const Json &Message) {
   const FollowMessage Read = readFollowMessage(Message);
   const TimePoint Now = BootClock::now();
-  FollowCommands Due;
+  FollowCommands Commands;
   {
-    const std::lock_guard Hold(Lock);
+    const std::lock_guard Guard(Lock);
     if (const auto *const Given = std::get_if<FollowRecords>(&Read))
-      StreamFollower->onRecords(From, Given->Records, Now, Due);
+      StreamFollower->onRecords(From, Given->Records, Now, Commands);
     else if (const auto *const Ask = std::get_if<FollowRequest>(&Read))
-      StreamFollower->onAsked(From, Ask->From, Now, Due);
+      StreamFollower->onAsked(From, Ask->From, Now, Commands);
     else if (const auto *const Gone = std::get_if<FollowUnavailable>(&Read))
-      StreamFollower->onGone(From, Gone->From, Now, Due);
+      StreamFollower->onGone(From, Gone->From, Now, Commands);
     else if (const auto *const Query = std::get_if<FollowQuery>(&Read))
-      StreamFollower->onQuery(From, *Query, Now, Due);
+      StreamFollower->onQuery(From, *Query, Now, Commands);
     else
-      StreamFollower->onAnswer(From, std::get<FollowAnswer>(Read), Now, Due);
+      StreamFollower->onAnswer(From, std::get<FollowAnswer>(Read), Now,
+                               Commands);
   }
-  perform(std::move(Due));
+  perform(std::move(Commands));
 }
 
 void AgreedStream::fold(const LogEntry &Entry) {
@@ -260,9 +262,9 @@
   Digests.note(FoldedState.Next, digestOf(FoldedState));
 }
 
-// Failure guarded against: two hosts fold the same records into different
-// states. The digest that comes with a checkpoint differs from that of the own
-// state at the same offset, and this host then starts no work.
+// Guards against hosts that fold the same records into different states: if the
+// digest in a checkpoint differs from the digest of the own state at the same
+// offset, this host starts no work.
 void AgreedStream::compareCheckpoint() {
   if (FoldedState.Checkpoint.AnnouncedAt == ComparedCheckpoint)
     return;
@@ -272,7 +274,7 @@
   logEvent(Event::CheckpointRefused,
            {{"why", "the own state differs from the checkpoint"},
             {"offset", ComparedCheckpoint}});
-  const std::lock_guard Hold(Lock);
+  const std::lock_guard Guard(Lock);
   DiffersFromCheckpoint = true;
 }
 
@@ -290,12 +292,12 @@
     return;
   if (Effect.Effect == FoldEffect::Void)
     logEvent(Event::RecordVoid, {{"offset", Entry.At}, {"why", Effect.Why}});
-  const AppendCallback Done = std::move(PendingAppends.front().Done);
+  const AppendCallback Callback = std::move(PendingAppends.front().Callback);
   PendingAppends.pop_front();
   Appending = false;
   AppendRetryTimer.cancel();
   publish();
-  Done(AppendOutcome{true, Entry.At, Effect});
+  Callback(AppendOutcome{true, Entry.At, Effect});
   appendNext();
 }
 
@@ -305,7 +307,7 @@
   for (const auto &[Name, Host] : FoldedState.EntryHosts)
     Members.push_back({Name, Host.Joined.DataCentre});
   {
-    const std::lock_guard Hold(Lock);
+    const std::lock_guard Guard(Lock);
     if (Started && Published->Next >= Copy->Next)
       return;
     Published = Copy;
@@ -319,23 +321,23 @@
 }
 
 void AgreedStream::append(Record Body, milliseconds Timeout,
-                          AppendCallback Done) {
-  asio::post(Control, [this, Said = std::move(Body),
+                          AppendCallback Callback) {
+  asio::post(Control, [this, NewRecord = std::move(Body),
                        Deadline = BootClock::now() + Timeout,
-                       Then = std::move(Done)]() mutable {
+                       OnDone = std::move(Callback)]() mutable {
     if (Stopped)
       return;
     const WriterId Writer{Options.Run, NextSequence++};
     std::vector<std::byte> Bytes;
     try {
-      Bytes = encode(std::move(Said), Writer);
+      Bytes = encode(std::move(NewRecord), Writer);
     } catch (const Error &Problem) {
-      Then(AppendOutcome{
+      OnDone(AppendOutcome{
           true, 0, FoldResult{FoldEffect::Unreadable, Problem.what(), {}}});
       return;
     }
     PendingAppends.push_back(
-        {Writer, std::move(Bytes), Deadline, std::move(Then)});
+        {Writer, std::move(Bytes), Deadline, std::move(OnDone)});
     appendNext();
   });
 }
@@ -353,9 +355,9 @@
                     });
 }
 
-// Failure guarded against: the answer to an append is lost after it took
-// effect. It is appended again under the same writer id; whichever comes first
-// counts and the fold drops the twin, so the record takes effect once.
+// Guards against the loss of the response to an append that took effect. The
+// record is appended again under the same writer id; the fold applies the first
+// copy and drops the duplicate, so the record takes effect once.
 void AgreedStream::handleAppendResult(const WriterId &Writer,
                                       const AppendResult &Result) {
   if (PendingAppends.empty() || PendingAppends.front().Writer != Writer ||
@@ -373,10 +375,10 @@
 
 void AgreedStream::expire(TimePoint Now) {
   while (!PendingAppends.empty() && PendingAppends.front().Deadline <= Now) {
-    const AppendCallback Done = std::move(PendingAppends.front().Done);
+    const AppendCallback Callback = std::move(PendingAppends.front().Callback);
     PendingAppends.pop_front();
     Appending = false;
-    Done(AppendOutcome{});
+    Callback(AppendOutcome{});
   }
   appendNext();
 }
@@ -396,9 +398,9 @@
                              std::size_t Index) {
   if (Index == Parts->size()) {
     append(announcementOf(Parts->front()), Options.AppendTimeout,
-           [this, At = Parts->front().At](const AppendOutcome &Got) {
+           [this, At = Parts->front().At](const AppendOutcome &Outcome) {
              WritingCheckpoint = false;
-             if (Got.Appended)
+             if (Outcome.Appended)
                logEvent(Event::CheckpointWritten, {{"at", At}});
            });
     return;
--- a/packages/process/src/coltsfoottrail/server/agreedstream.hpp
+++ b/packages/process/src/coltsfoottrail/server/agreedstream.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The agreed stream as one entry host follows it and appends to it.
+/// Reads, folds and appends to the agreed stream on one entry host.
 #ifndef COLTSFOOTTRAIL_SERVER_AGREEDSTREAM_HPP
 #define COLTSFOOTTRAIL_SERVER_AGREEDSTREAM_HPP
 
@@ -21,76 +21,80 @@
 
 namespace coltsfoottrail {
 
-/// @brief What became of an append.
+/// @brief The result of an append.
 struct AppendOutcome {
-  /// False: the log did not take it within the time; it may still appear.
+  /// False: the log did not acknowledge the record before the deadline; it may
+  /// still appear on the log.
   bool Appended = false;
   Offset RecordOffset = 0;
   FoldResult FoldOutcome;
 };
 
-/// @brief What an agreed stream is made with.
+/// @brief Options of an agreed stream.
 struct AgreedOptions {
   StreamName Stream;
   HostName Host;
   DataCentreName DataCentre;
-  /// This process's run.
+  /// Incarnation of this process.
   Incarnation Run = 0;
   CheckpointPolicy Checkpoints;
-  /// Longest that one append may take.
+  /// Time limit of one append call to the log.
   milliseconds AppendTimeout{2'000};
 };
 
-/// @brief What an agreed stream tells the process; called on the control
-/// thread.
+/// @brief Callbacks of an agreed stream; called on the control thread.
 struct AgreedListener {
-  /// A new state is in force.
+  /// Called when a newer state has been published.
   std::function<void(const StatePtr &)> OnState;
-  /// A read of the log was answered; it left then and all it showed is folded.
-  std::function<void(TimePoint Left)> OnLogRead;
-  /// A read of the log failed.
+  /// Called when a read of the log, sent at SentAt, was answered and every
+  /// record up to the end of the log that it showed is folded.
+  std::function<void(TimePoint SentAt)> OnLogRead;
+  /// Called when a read of the log failed.
   std::function<void()> OnLogFailure;
-  /// Sends a message to a peer, which gives it to received().
+  /// Sends a message to a peer, which passes it to receive().
   std::function<void(const HostName &, Json)> SendToPeer;
 };
 
-/// @brief Follows, folds, appends and writes checkpoints. Its calls run on the
-/// control thread unless they say otherwise.
+/// @brief Follows the agreed stream of records, folds them into the state,
+/// appends records and writes checkpoints. Call its methods on the control
+/// thread unless they say otherwise.
 class AgreedStream {
 public:
   using AppendCallback = std::function<void(const AppendOutcome &)>;
 
-  /// @brief Makes a stream that does nothing until start().
-  /// @param Control Context of the control thread; must outlive the stream.
+  /// @brief Creates a stream that does nothing until start().
+  /// @param Control I/O context of the control thread; must outlive the stream.
   /// @param Service The log; must outlive the stream.
-  /// @param Wanted Its options.
+  /// @param Options Options of the stream.
   AgreedStream(boost::asio::io_context &Control, Log &Service,
-               AgreedOptions Wanted);
+               AgreedOptions StreamOptions);
   AgreedStream(const AgreedStream &) = delete;
   AgreedStream &operator=(const AgreedStream &) = delete;
 
-  /// @brief Starts from the newest checkpoint and follows.
-  /// @param Told Who hears of it.
-  void start(AgreedListener Told);
-  /// @brief Stops to follow; open appends are not answered.
+  /// @brief Loads the newest checkpoint and follows the stream from there.
+  /// @param NewListener Callbacks.
+  void start(AgreedListener NewListener);
+  /// @brief Stops following; callbacks of pending appends are not called.
   void stop();
-  /// @brief Takes a message from a peer; anything may stand there.
+  /// @brief Handles a message from a peer. The message is not trusted:
+  /// malformed ones are logged and dropped.
   void receive(const HostName &From, const Json &Message);
 
-  /// @brief Appends a record and waits until it is folded. Thread-safe.
+  /// @brief Appends a record and calls back once it is folded. Thread-safe.
   ///
-  /// One append is under way at a time: a record that came late with a lower
-  /// sequence than one already folded would be taken for a twin.
-  /// @param Body What to append.
-  /// @param Timeout After this the outcome is "not on the log".
+  /// Only one append is in flight at a time: the fold takes a record whose
+  /// sequence number is lower than one already folded for a duplicate and drops
+  /// it.
+  /// @param Body The record to append.
+  /// @param Timeout After this time the outcome is "not appended".
   /// @param Done Called once, on the control thread.
-  void append(Record Body, milliseconds Timeout, AppendCallback Done);
+  void append(Record Body, milliseconds Timeout, AppendCallback Callback);
 
-  /// @brief The newest state. Thread-safe; never null.
+  /// @brief The newest published state. Thread-safe; never null.
   [[nodiscard]] StatePtr state() const;
 
-  /// @brief Whether this host may start work on its state, at this moment.
-  /// Thread-safe.
+  /// @brief Whether the state of this host is fresh enough to start work on at
+  /// time Now. Thread-safe.
   [[nodiscard]] Freshness freshness(TimePoint Now) const;
 
 private:
@@ -98,15 +102,15 @@
     WriterId Writer;
     std::vector<std::byte> Bytes;
     TimePoint Deadline;
-    AppendCallback Done;
+    AppendCallback Callback;
   };
 
   void findStart();
-  void perform(StartCommand Next);
-  void followFrom(State Found);
+  void perform(StartCommand NextCommand);
+  void followFrom(State InitialState);
   void retryStart();
 
-  void perform(FollowCommands Due);
+  void perform(FollowCommands Commands);
   void perform(const ReadAgreed &Command);
   void perform(const FoldNow &Command);
   void perform(const RelayRecords &Command);
@@ -117,7 +121,7 @@
   void perform(const FreshnessChanged &Command);
   void perform(const StartOver &Command);
   void handleRead(std::uint64_t Number, const ReadResult &Result,
-                  TimePoint Left);
+                  TimePoint SentAt);
   void dispatch(const HostName &From, const Json &Message);
   void tick();
 
@@ -160,7 +164,7 @@
   boost::asio::steady_timer TickTimer;
   mutable std::mutex Lock;
   StatePtr Published;
-  /// Under the lock: callers' threads ask it for the freshness.
+  /// Guarded by Lock: the callers' threads query it through freshness().
   std::optional<Follower> StreamFollower;
   bool DiffersFromCheckpoint = false;
   bool WasStale = false;
--- a/packages/process/src/coltsfoottrail/server/attempts.hpp
+++ b/packages/process/src/coltsfoottrail/server/attempts.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// How attempts at endpoints ended, as the relays tell the dispatcher.
+/// Results of attempts at endpoints, as the relays report them to the
+/// dispatcher.
 #ifndef COLTSFOOTTRAIL_SERVER_ATTEMPTS_HPP
 #define COLTSFOOTTRAIL_SERVER_ATTEMPTS_HPP
 
@@ -8,10 +9,11 @@
 
 namespace coltsfoottrail {
 
-/// @brief An attempt that gave no whole answer. Thread-safe.
-/// @param State Whether it may have run.
-/// @param Why Why there is no answer.
-/// @param Start When it was sent.
+/// @brief Creates the result of an attempt without a complete response.
+/// Thread-safe.
+/// @param State Whether the request may have run.
+/// @param Why Reason of the failure.
+/// @param Start Time at which the request was sent.
 [[nodiscard]] inline AttemptResult failedAttempt(RunState State, Reason Why,
                                                  TimePoint Start) {
   AttemptResult Out;
@@ -21,9 +23,9 @@
   return Out;
 }
 
-/// @brief The same for a call that failed. Thread-safe.
-/// @param Failure How it failed.
-/// @param Start When it was sent.
+/// @brief Creates the result of an attempt whose HTTP call failed. Thread-safe.
+/// @param Failure The failure of the call.
+/// @param Start Time at which the request was sent.
 [[nodiscard]] inline AttemptResult failedAttempt(const CallFailure &Failure,
                                                  TimePoint Start) {
   AttemptResult Out = failedAttempt(Failure.State, Failure.Why, Start);
@@ -31,9 +33,10 @@
   return Out;
 }
 
-/// @brief An attempt that was answered whole. Thread-safe.
-/// @param Start When it was sent.
-/// @param FirstByte When the first byte of the answer came.
+/// @brief Creates the result of an attempt with a complete response.
+/// Thread-safe.
+/// @param Start Time at which the request was sent.
+/// @param FirstByte Time at which the first byte of the response arrived.
 [[nodiscard]] inline AttemptResult answeredAttempt(TimePoint Start,
                                                    TimePoint FirstByte) {
   AttemptResult Out;
--- a/packages/process/src/coltsfoottrail/server/callerrequest.cpp
+++ b/packages/process/src/coltsfoottrail/server/callerrequest.cpp
@@ -16,47 +16,49 @@
 
 constexpr std::string_view BearerPrefix = "Bearer ";
 constexpr std::string_view ServicesPrefix = "/services/";
-constexpr std::size_t PrefixBytes = 256;
+constexpr std::size_t PromptPrefixBytes = 256;
 constexpr double BytesPerToken = 4.0;
-constexpr std::array<std::string_view, 3> PriorityWords{"batch", "normal",
+constexpr std::array<std::string_view, 3> PriorityNames{"batch", "normal",
                                                         "urgent"};
 
-/// Fields that belong to one connection or to us and are not passed on.
-constexpr std::array<std::string_view, 11> OwnFields{"Authorization",
-                                                     "Connection",
-                                                     "Content-Length",
-                                                     "Host",
-                                                     "Keep-Alive",
-                                                     "Proxy-Authorization",
-                                                     "Transfer-Encoding",
-                                                     "TE",
-                                                     "Trailer",
-                                                     "Upgrade",
-                                                     "Expect"};
+/// Hop-by-hop fields and fields meant for this server; not forwarded to
+/// endpoints.
+constexpr std::array<std::string_view, 11> NotForwardedFields{
+    "Authorization",
+    "Connection",
+    "Content-Length",
+    "Host",
+    "Keep-Alive",
+    "Proxy-Authorization",
+    "Transfer-Encoding",
+    "TE",
+    "Trailer",
+    "Upgrade",
+    "Expect"};
 
 [[noreturn]] void refuse(Reason Why, const std::string &Detail) {
   throw RequestRefused(Verdict{RunState::NotRun, Why, std::nullopt}, Detail);
 }
 
-bool isOwn(std::string_view Name) {
-  return std::any_of(OwnFields.begin(), OwnFields.end(),
+bool isNotForwarded(std::string_view Name) {
+  return std::any_of(NotForwardedFields.begin(), NotForwardedFields.end(),
                      [Name](std::string_view Own) {
                        return boost::beast::iequals(Own, Name);
                      });
 }
 
-std::vector<HttpField> passedOn(const std::vector<HttpField> &Fields) {
+std::vector<HttpField> forwardedFields(const std::vector<HttpField> &Fields) {
   std::vector<HttpField> Out;
   for (const HttpField &Field : Fields)
-    if (!isOwn(Field.Name))
+    if (!isNotForwarded(Field.Name))
       Out.push_back(Field);
   return Out;
 }
 
-TimePoint deadlineOf(const HttpRequest &Asked, const CallerLimits &Limits,
+TimePoint deadlineOf(const HttpRequest &Request, const CallerLimits &Limits,
                      TimePoint Now) {
   const std::string_view Text =
-      fieldOf(Asked.Fields, "Coltsfoottrail-Deadline-Ms");
+      fieldOf(Request.Fields, "Coltsfoottrail-Deadline-Ms");
   if (Text.empty())
     return Now + Limits.DefaultDeadline;
   std::int64_t Given = 0;
@@ -71,22 +73,22 @@
   return Now + milliseconds(Given);
 }
 
-Priority priorityOf(const HttpRequest &Asked) {
+Priority priorityOf(const HttpRequest &Request) {
   const std::string_view Text =
-      fieldOf(Asked.Fields, "Coltsfoottrail-Priority");
+      fieldOf(Request.Fields, "Coltsfoottrail-Priority");
   if (Text.empty())
     return Priority::Normal;
   const auto *const Found =
-      std::find(PriorityWords.begin(), PriorityWords.end(), Text);
-  if (Found == PriorityWords.end())
+      std::find(PriorityNames.begin(), PriorityNames.end(), Text);
+  if (Found == PriorityNames.end())
     refuse(Reason::BadRequest, "Coltsfoottrail-Priority: found \"" +
                                    std::string(Text) +
                                    "\"; allowed: batch, normal, urgent");
-  return static_cast<Priority>(Found - PriorityWords.begin());
+  return static_cast<Priority>(Found - PriorityNames.begin());
 }
 
-std::string keyOf(const HttpRequest &Asked) {
-  const std::string_view Key = fieldOf(Asked.Fields, "Idempotency-Key");
+std::string keyOf(const HttpRequest &Request) {
+  const std::string_view Key = fieldOf(Request.Fields, "Idempotency-Key");
   const bool Printable = std::all_of(Key.begin(), Key.end(), [](char Letter) {
     return Letter >= ' ' && Letter <= '~';
   });
@@ -99,18 +101,18 @@
 std::string headOfPrompt(const Json &Body) {
   if (const auto Prompt = Body.find("prompt");
       Prompt != Body.end() && Prompt->is_string())
-    return Prompt->get_ref<const std::string &>().substr(0, PrefixBytes);
+    return Prompt->get_ref<const std::string &>().substr(0, PromptPrefixBytes);
   if (const auto Messages = Body.find("messages");
       Messages != Body.end() && Messages->is_array() && !Messages->empty())
     return Messages->front()
         .dump(-1, ' ', false, Json::error_handler_t::replace)
-        .substr(0, PrefixBytes);
+        .substr(0, PromptPrefixBytes);
   return {};
 }
 
-void readModelCall(const HttpRequest &Asked, bool Chat, CallerRequest &Out) {
+void readModelCall(const HttpRequest &Request, bool Chat, CallerRequest &Out) {
   try {
-    const Json Body = parseJson(Asked.Body, "request body");
+    const Json Body = parseJson(Request.Body, "request body");
     ObjectReader Reader(Body, "request body", "", UnknownKeys::Ignore);
     Out.PoolName = modelPoolName(Reader.text("model", 256));
     Out.IsStreaming = Reader.flagOr("stream", false);
@@ -119,13 +121,13 @@
          Reader.raw("messages").empty()))
       Reader.refuse("messages", "a list of at least one message");
     if (!Chat)
-      (void)Reader.text("prompt", Asked.Body.size());
+      (void)Reader.text("prompt", Request.Body.size());
     const std::uint64_t Tokens =
         Reader.numberOr("max_tokens", 256, 1, 1'000'000);
     const std::string Head = headOfPrompt(Body);
     Out.Item.PrefixHash = Head.empty() ? 0 : hashText(Head);
     Out.Item.Cost = static_cast<double>(Tokens) +
-                    static_cast<double>(Asked.Body.size()) / BytesPerToken;
+                    static_cast<double>(Request.Body.size()) / BytesPerToken;
   } catch (const InputError &Problem) {
     refuse(Reason::BadRequest, Problem.what());
   }
@@ -138,9 +140,9 @@
                    Path) != Target.RepeatablePaths.end();
 }
 
-void readServiceCall(const HttpRequest &Asked, const RouteTable &Routes,
+void readServiceCall(const HttpRequest &Request, const RouteTable &Routes,
                      CallerRequest &Out) {
-  std::string_view Rest = Asked.Target;
+  std::string_view Rest = Request.Target;
   Rest.remove_prefix(ServicesPrefix.size());
   const std::string_view Name = Rest.substr(0, Rest.find_first_of("/?"));
   Rest.remove_prefix(Name.size());
@@ -151,15 +153,15 @@
                                     .substr(0, Out.Forwarded.Target.find('?'));
   const auto Found = Routes.Pools.find(Out.PoolName);
   Out.Item.Repeatable =
-      Asked.Method == "GET" || Asked.Method == "HEAD" ||
+      Request.Method == "GET" || Request.Method == "HEAD" ||
       (Found != Routes.Pools.end() && isRepeatablePath(Found->second, Path));
 }
 
 } // namespace
 
-const TeamSpec &authenticate(const HttpRequest &Asked,
+const TeamSpec &authenticate(const HttpRequest &Request,
                              const RouteTable &Routes) {
-  const std::string_view Given = fieldOf(Asked.Fields, "Authorization");
+  const std::string_view Given = fieldOf(Request.Fields, "Authorization");
   if (!Given.starts_with(BearerPrefix))
     refuse(Reason::Unauthenticated,
            "Authorization: allowed: \"Bearer\" and the team's credential");
@@ -170,39 +172,39 @@
   return Found->second;
 }
 
-CallerRequest readCallerRequest(const HttpRequest &Asked,
+CallerRequest readCallerRequest(const HttpRequest &Request,
                                 const RouteTable &Routes,
                                 const CallerLimits &Limits, TimePoint Now) {
   CallerRequest Out;
-  Out.Team = authenticate(Asked, Routes);
-  Out.Forwarded.Method = Asked.Method;
-  Out.Forwarded.Target = Asked.Target;
+  Out.Team = authenticate(Request, Routes);
+  Out.Forwarded.Method = Request.Method;
+  Out.Forwarded.Target = Request.Target;
   const std::string_view Path =
-      std::string_view(Asked.Target).substr(0, Asked.Target.find('?'));
+      std::string_view(Request.Target).substr(0, Request.Target.find('?'));
   const bool Chat = Path == "/v1/chat/completions";
   if (Path.starts_with(ServicesPrefix))
-    readServiceCall(Asked, Routes, Out);
+    readServiceCall(Request, Routes, Out);
   else if (!Chat && Path != "/v1/completions")
     refuse(Reason::UnknownTarget,
            "allowed: /v1/completions, /v1/chat/completions, /services/NAME/");
-  else if (Asked.Method != "POST")
+  else if (Request.Method != "POST")
     refuse(Reason::BadRequest, "allowed: POST");
   else
-    readModelCall(Asked, Chat, Out);
+    readModelCall(Request, Chat, Out);
   if (!Routes.Pools.contains(Out.PoolName))
     refuse(Reason::UnknownTarget, "there is no " + Out.PoolName);
 
-  Out.IdempotencyKey = keyOf(Asked);
+  Out.IdempotencyKey = keyOf(Request);
   Out.Item.Team = Out.Team.Name;
-  Out.Item.Urgency = priorityOf(Asked);
-  Out.Item.Deadline = deadlineOf(Asked, Limits, Now);
+  Out.Item.Urgency = priorityOf(Request);
+  Out.Item.Deadline = deadlineOf(Request, Limits, Now);
   Out.AnswerDeadline = Out.Item.Deadline;
-  Out.Item.Bytes = Asked.Body.size() + Asked.Target.size();
+  Out.Item.Bytes = Request.Body.size() + Request.Target.size();
   Out.Item.Fingerprint =
-      hashText(Asked.Body, hashText(Out.PoolName + Out.Forwarded.Target,
-                                    hashText(Out.Team.Name.Text)));
-  Out.Forwarded.Fields = passedOn(Asked.Fields);
-  Out.Forwarded.Body = Asked.Body;
+      hashText(Request.Body, hashText(Out.PoolName + Out.Forwarded.Target,
+                                      hashText(Out.Team.Name.Text)));
+  Out.Forwarded.Fields = forwardedFields(Request.Fields);
+  Out.Forwarded.Body = Request.Body;
   return Out;
 }
 
--- a/packages/process/src/coltsfoottrail/server/callerrequest.hpp
+++ b/packages/process/src/coltsfoottrail/server/callerrequest.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A caller's request, read and checked.
+/// Parsing and validation of callers' requests.
 #ifndef COLTSFOOTTRAIL_SERVER_CALLERREQUEST_HPP
 #define COLTSFOOTTRAIL_SERVER_CALLERREQUEST_HPP
 
@@ -14,16 +14,16 @@
 
 namespace coltsfoottrail {
 
-/// @brief A request that is refused before it is queued.
+/// @brief Thrown for a request that is refused before it is queued.
 class RequestRefused : public Error {
 public:
-  /// @brief Refuses.
+  /// @brief Creates the refusal.
   /// @param Final The verdict; always NotRun.
-  /// @param Detail For people.
+  /// @param Detail Explanation for human readers.
   RequestRefused(Verdict Final, const std::string &Detail)
       : Error(Detail), RefusalVerdict(Final) {}
 
-  /// @brief The verdict.
+  /// @brief The verdict to answer with.
   [[nodiscard]] const Verdict &verdict() const noexcept {
     return RefusalVerdict;
   }
@@ -32,51 +32,53 @@
   Verdict RefusalVerdict;
 };
 
-/// @brief Limits on what a caller may ask for.
+/// @brief Limits on the deadlines that callers may set.
 struct CallerLimits {
   milliseconds DefaultDeadline{30'000};
   milliseconds MaxDeadline{600'000};
 };
 
-/// @brief What a caller asks for.
+/// @brief A parsed request of a caller.
 struct CallerRequest {
   TeamSpec Team;
-  /// Name of the pool that can answer.
+  /// Name of the pool of endpoints that serves the request.
   std::string PoolName;
-  /// Its deadline is when the request must have been sent.
+  /// The request as the dispatcher sees it; its deadline is the latest time to
+  /// send the request to an endpoint.
   WorkItem Item;
-  /// When the answer must be there.
+  /// Time by which the response must be complete.
   TimePoint AnswerDeadline;
-  /// Empty when none was given.
+  /// Idempotency key; empty if the caller gave none.
   std::string IdempotencyKey;
-  /// Whether the answer comes as server-sent events.
+  /// Whether the response is a stream of server-sent events.
   bool IsStreaming = false;
-  /// Whether it goes to a model, whose work may be repeated and resumed.
+  /// Whether the request goes to a model; such requests may be repeated and
+  /// resumed.
   bool IsModelCall = false;
-  /// The span that this host serves it under.
+  /// Trace context of the span in which this host serves the request.
   TraceContext Trace;
-  /// What the endpoint is sent.
+  /// The request to send to the endpoint.
   HttpRequest Forwarded;
 };
 
-/// @brief Finds the caller's team by its credential.
-/// @param Asked Head of the request.
-/// @param Routes The routes in force.
+/// @brief Looks up the caller's team by the credential of the request.
+/// @param Request Head of the request.
+/// @param Routes The current routes.
 /// @return The team.
-/// @throws RequestRefused There is no credential, or nobody has it.
+/// @throws RequestRefused The request has no credential, or no team has it.
 /// Thread-safe.
-[[nodiscard]] const TeamSpec &authenticate(const HttpRequest &Asked,
+[[nodiscard]] const TeamSpec &authenticate(const HttpRequest &Request,
                                            const RouteTable &Routes);
 
-/// @brief Reads a request whole.
-/// @param Asked The request.
-/// @param Routes The routes in force.
-/// @param Limits Limits.
-/// @param Now The time that the deadline counts from.
-/// @return What is asked for.
-/// @throws RequestRefused It cannot be served as it stands; says why.
+/// @brief Parses and validates a complete request.
+/// @param Request The request.
+/// @param Routes The current routes.
+/// @param Limits Limits on deadlines.
+/// @param Now The time from which the deadline counts.
+/// @return The parsed request.
+/// @throws RequestRefused The request is invalid; the exception states why.
 /// Thread-safe.
-[[nodiscard]] CallerRequest readCallerRequest(const HttpRequest &Asked,
+[[nodiscard]] CallerRequest readCallerRequest(const HttpRequest &Request,
                                               const RouteTable &Routes,
                                               const CallerLimits &Limits,
                                               TimePoint Now);
--- a/packages/process/src/coltsfoottrail/server/claimdriver.cpp
+++ b/packages/process/src/coltsfoottrail/server/claimdriver.cpp
@@ -13,10 +13,11 @@
 
 constexpr milliseconds LogTimeout{2'000};
 constexpr std::size_t MaxEntriesPerRead = 1024;
-/// A wake that lies in the past must not turn into a busy loop.
-constexpr milliseconds LeastWake{1};
+/// Keeps a wake time in the past from turning into a busy loop.
+constexpr milliseconds MinWakeDelay{1};
 
-/// A decision that nobody waits for any more.
+/// Decision for claims and queries that are open when the driver stops, or come
+/// after.
 DeliverDecision unavailable() { return {{}, ClaimUnavailable{}, {}}; }
 
 } // namespace
@@ -32,8 +33,8 @@
   return {BootClock::now(), static_cast<std::uint64_t>(Wall.count())};
 }
 
-struct ClaimDriver::Asked {
-  explicit Asked(const asio::any_io_executor &Executor)
+struct ClaimDriver::PendingDecision {
+  explicit PendingDecision(const asio::any_io_executor &Executor)
       : Answer(std::make_shared<Reply<DeliverDecision>>(Executor)) {}
 
   std::shared_ptr<Reply<DeliverDecision>> Answer;
@@ -41,112 +42,114 @@
   bool Granted = false;
 };
 
-// Failure guarded against: the caller goes away while its claim is decided, the
-// claim is granted, and nobody holds it: the key would be "in progress" until
-// its life ends. The abandoned claim is given up, or released when the grant
-// came first; the coroutine has not seen the grant, so nothing was sent.
+// Guards against a granted claim that nobody holds: the caller disconnects
+// while its claim is being decided, and the key would stay "in progress" until
+// it expires. An undecided claim is given up; a granted one is released, which
+// is safe because the coroutine never saw the grant and so sent nothing.
 Awaitable<DeliverDecision> ClaimDriver::awaitDecision(Starter Start) {
-  const auto Mine = std::make_shared<Asked>(co_await asio::this_coro::executor);
-  asio::post(Control, [this, Mine, Begin = std::move(Start)] {
+  const auto Pending =
+      std::make_shared<PendingDecision>(co_await asio::this_coro::executor);
+  asio::post(Control, [this, Pending, Begin = std::move(Start)] {
     if (Stopped) {
-      Mine->Answer->set(unavailable());
+      Pending->Answer->set(unavailable());
       return;
     }
-    ClaimCommands Due;
-    Mine->Id = Begin(Due);
-    OpenRequests[Mine->Id] = Mine;
-    perform(std::move(Due));
+    ClaimCommands Commands;
+    Pending->Id = Begin(Commands);
+    OpenRequests[Pending->Id] = Pending;
+    perform(std::move(Commands));
   });
   bool Abandoned = false;
   DeliverDecision Decided;
   try {
-    Decided = co_await Mine->Answer->wait();
+    Decided = co_await Pending->Answer->wait();
   } catch (const boost::system::system_error &) {
     Abandoned = true;
   }
   if (Abandoned) {
-    asio::post(Control, [this, Mine] { abandon(Mine); });
+    asio::post(Control, [this, Pending] { abandon(Pending); });
     throw boost::system::system_error(asio::error::operation_aborted);
   }
   co_return Decided;
 }
 
-void ClaimDriver::abandon(const AskedPtr &Gone) {
+void ClaimDriver::abandon(const PendingDecisionPtr &Pending) {
   if (Stopped)
     return;
-  ClaimCommands Due;
-  if (OpenRequests.erase(Gone->Id) > 0)
-    Claims.giveUp(Gone->Id, now(), Due);
-  else if (Gone->Granted)
-    Claims.settle(Gone->Id, ReleaseClaim{}, now(), Due);
-  perform(std::move(Due));
+  ClaimCommands Commands;
+  if (OpenRequests.erase(Pending->Id) > 0)
+    Claims.giveUp(Pending->Id, now(), Commands);
+  else if (Pending->Granted)
+    Claims.settle(Pending->Id, ReleaseClaim{}, now(), Commands);
+  perform(std::move(Commands));
 }
 
 Awaitable<DeliverDecision> ClaimDriver::claim(const ClaimRequest &Request,
                                               TimePoint Deadline) {
-  return awaitDecision([this, Deadline, What = Request](ClaimCommands &Due) {
-    return Claims.claim(What, Deadline, now(), Due);
-  });
+  return awaitDecision(
+      [this, Deadline, What = Request](ClaimCommands &Commands) {
+        return Claims.claim(What, Deadline, now(), Commands);
+      });
 }
 
 Awaitable<DeliverDecision> ClaimDriver::query(const ClaimKey &What,
                                               TimePoint Deadline) {
-  return awaitDecision([this, Deadline, Key = What](ClaimCommands &Due) {
-    return Claims.query(Key, Deadline, now(), Due);
+  return awaitDecision([this, Deadline, Key = What](ClaimCommands &Commands) {
+    return Claims.query(Key, Deadline, now(), Commands);
   });
 }
 
-void ClaimDriver::settle(ClaimId Id, Settlement How) {
+void ClaimDriver::settle(ClaimId Id, Settlement Result) {
   ++PostedSettlements;
-  asio::post(Control, [this, Id, Ended = std::move(How)] {
+  asio::post(Control, [this, Id, Ended = std::move(Result)] {
     if (Stopped)
       return;
-    ClaimCommands Due;
-    Claims.settle(Id, Ended, now(), Due);
-    perform(std::move(Due));
+    ClaimCommands Commands;
+    Claims.settle(Id, Ended, now(), Commands);
+    perform(std::move(Commands));
     --PostedSettlements;
   });
 }
 
 void ClaimDriver::receive(const HostName &From, const ClaimMessage &Message) {
-  ClaimCommands Due;
-  Claims.received(From, Message, now(), Due);
-  perform(std::move(Due));
+  ClaimCommands Commands;
+  Claims.received(From, Message, now(), Commands);
+  perform(std::move(Commands));
 }
 
 void ClaimDriver::setMembers(const std::vector<ClaimMember> &Joined) {
-  ClaimCommands Due;
-  Claims.setMembers(Joined, now(), Due);
-  perform(std::move(Due));
+  ClaimCommands Commands;
+  Claims.setMembers(Joined, now(), Commands);
+  perform(std::move(Commands));
 }
 
 void ClaimDriver::stop() {
   Stopped = true;
   WakeTimer.cancel();
-  for (auto &[Id, Waits] : OpenRequests)
-    Waits->Answer->set(unavailable());
+  for (auto &[Id, Pending] : OpenRequests)
+    Pending->Answer->set(unavailable());
   OpenRequests.clear();
 }
 
-void ClaimDriver::perform(ClaimCommands Due) {
-  for (ClaimCommand &One : Due)
-    std::visit([this](auto &Command) { perform(std::move(Command)); }, One);
+void ClaimDriver::perform(ClaimCommands Commands) {
+  for (ClaimCommand &Next : Commands)
+    std::visit([this](auto &Command) { perform(std::move(Command)); }, Next);
   armTimer();
 }
 
 void ClaimDriver::perform(ClaimAppend Command) {
-  LogService.append(claimStream(Command.Partition), std::move(Command.Payload),
-                    LogTimeout,
-                    [this, Partition = Command.Partition,
-                     Token = Command.Token](AppendResult Result) {
-                      asio::post(Control, [this, Partition, Token, Result] {
-                        if (Stopped)
-                          return;
-                        ClaimCommands Next;
-                        Claims.appended(Partition, Token, Result, now(), Next);
-                        perform(std::move(Next));
-                      });
-                    });
+  LogService.append(
+      claimStream(Command.Partition), std::move(Command.Payload), LogTimeout,
+      [this, Partition = Command.Partition,
+       Token = Command.Token](AppendResult Result) {
+        asio::post(Control, [this, Partition, Token, Result] {
+          if (Stopped)
+            return;
+          ClaimCommands Commands;
+          Claims.appended(Partition, Token, Result, now(), Commands);
+          perform(std::move(Commands));
+        });
+      });
 }
 
 void ClaimDriver::perform(ClaimRead Command) {
@@ -158,9 +161,9 @@
         asio::post(Control, [this, Partition, Token, Got = std::move(Result)] {
           if (Stopped)
             return;
-          ClaimCommands Next;
-          Claims.read(Partition, Token, Got, now(), Next);
-          perform(std::move(Next));
+          ClaimCommands Commands;
+          Claims.read(Partition, Token, Got, now(), Commands);
+          perform(std::move(Commands));
         });
       });
 }
@@ -173,10 +176,10 @@
   const auto Found = OpenRequests.find(Command.Id);
   if (Found == OpenRequests.end())
     return;
-  const AskedPtr Waits = std::move(Found->second);
+  const PendingDecisionPtr Pending = std::move(Found->second);
   OpenRequests.erase(Found);
-  Waits->Granted = std::holds_alternative<ClaimGranted>(Command.Decision);
-  Waits->Answer->set(std::move(Command));
+  Pending->Granted = std::holds_alternative<ClaimGranted>(Command.Decision);
+  Pending->Answer->set(std::move(Command));
 }
 
 void ClaimDriver::armTimer() {
@@ -185,13 +188,13 @@
   if (!At || Stopped)
     return;
   WakeTimer.expires_after(
-      std::max<Duration>(*At - BootClock::now(), LeastWake));
+      std::max<Duration>(*At - BootClock::now(), MinWakeDelay));
   WakeTimer.async_wait([this](const boost::system::error_code &Problem) {
     if (Problem)
       return;
-    ClaimCommands Due;
-    Claims.advance(now(), Due);
-    perform(std::move(Due));
+    ClaimCommands Commands;
+    Claims.advance(now(), Commands);
+    perform(std::move(Commands));
   });
 }
 
--- a/packages/process/src/coltsfoottrail/server/claimdriver.hpp
+++ b/packages/process/src/coltsfoottrail/server/claimdriver.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Carries the claims of this host between coroutines, log and peers.
+/// Connects the claim service to coroutines, the log and peers.
 #ifndef COLTSFOOTTRAIL_SERVER_CLAIMDRIVER_HPP
 #define COLTSFOOTTRAIL_SERVER_CLAIMDRIVER_HPP
 
@@ -18,14 +18,15 @@
 
 namespace coltsfoottrail {
 
-/// @brief The asio side of ClaimService, which stands on the control thread.
+/// @brief Runs a ClaimService on the control thread and offers it to coroutines
+/// of all threads.
 class ClaimDriver {
 public:
   using Sender = std::function<void(const HostName &, const ClaimMessage &)>;
 
-  /// @brief Makes a desk.
-  /// @param Control Context of the control thread; must outlive the desk.
-  /// @param Service The log; must outlive the desk.
+  /// @brief Creates a driver.
+  /// @param Control I/O context of the control thread; must outlive the driver.
+  /// @param Service The log; must outlive the driver.
   /// @param Limits Limits of the claims.
   /// @param ToPeer Sends a message to a peer; called on the control thread.
   ClaimDriver(boost::asio::io_context &Control, Log &Service,
@@ -33,41 +34,45 @@
   ClaimDriver(const ClaimDriver &) = delete;
   ClaimDriver &operator=(const ClaimDriver &) = delete;
 
-  /// @brief Claims a key. Called from any thread's coroutine.
-  /// @param Request What is claimed.
-  /// @param Deadline The decision comes by then.
-  /// @return The decision, and until when a granted request must have left.
+  /// @brief Claims an idempotency key. Called from a coroutine on any thread.
+  /// @param Request Key and request digest to claim.
+  /// @param Deadline Time by which the claim is decided.
+  /// @return The decision, and for a granted claim the latest time to send the
+  /// request.
   [[nodiscard]] Awaitable<DeliverDecision> claim(const ClaimRequest &Request,
                                                  TimePoint Deadline);
-  /// @brief Asks for a key's outcome. Called from any thread's coroutine.
+  /// @brief Queries the outcome recorded for a key. Called from a coroutine on
+  /// any thread.
   [[nodiscard]] Awaitable<DeliverDecision> query(const ClaimKey &What,
                                                  TimePoint Deadline);
-  /// @brief Tells how a granted claim ended. Thread-safe.
-  void settle(ClaimId Id, Settlement How);
+  /// @brief Records how a granted claim ended. Thread-safe.
+  void settle(ClaimId Id, Settlement Result);
 
-  /// @brief Takes a message from a peer. On the control thread.
+  /// @brief Handles a message from a peer. Call on the control thread.
   void receive(const HostName &From, const ClaimMessage &Message);
-  /// @brief Takes the entry hosts of the agreed state. On the control thread.
+  /// @brief Sets the entry hosts of the agreed state. Call on the control
+  /// thread.
   void setMembers(const std::vector<ClaimMember> &Joined);
-  /// @brief Settlements that are not on the log yet. Thread-safe.
+  /// @brief Number of settlements that are not on the log yet. Thread-safe.
   [[nodiscard]] std::size_t unsettled() const noexcept {
     return PostedSettlements + PendingSettlements;
   }
 
-  /// @brief Stops. On the control thread.
+  /// @brief Stops; open claims are answered as unavailable. Call on the control
+  /// thread.
   void stop();
 
 private:
-  /// One coroutine's claim or query; touched on the control thread, but for its
-  /// Answer.
-  struct Asked;
-  using AskedPtr = std::shared_ptr<Asked>;
+  /// Next coroutine's claim or query; touched on the control thread, but for
+  /// its Answer.
+  struct PendingDecision;
+  using PendingDecisionPtr = std::shared_ptr<PendingDecision>;
   using Starter = std::function<ClaimId(ClaimCommands &)>;
 
   [[nodiscard]] Awaitable<DeliverDecision> awaitDecision(Starter Start);
-  void abandon(const AskedPtr &Gone);
+  void abandon(const PendingDecisionPtr &Pending);
 
-  void perform(ClaimCommands Due);
+  void perform(ClaimCommands Commands);
   void perform(ClaimAppend Command);
   void perform(ClaimRead Command);
   void perform(ClaimSend Command);
@@ -79,32 +84,32 @@
   Log &LogService;
   ClaimService Claims;
   Sender SendToPeer;
-  std::map<ClaimId, AskedPtr> OpenRequests;
+  std::map<ClaimId, PendingDecisionPtr> OpenRequests;
   boost::asio::steady_timer WakeTimer;
   bool Stopped = false;
-  /// Settlements on their way to the control thread, and those that are not
-  /// on the log yet.
+  /// Settlements posted to the control thread, and settlements that are not on
+  /// the log yet.
   std::atomic<std::size_t> PostedSettlements{0};
   std::atomic<std::size_t> PendingSettlements{0};
 };
 
-/// @brief Settles a granted claim when it goes out of scope unsettled: as "may
-/// have run" once the request may have left, as released before.
+/// @brief Settles a granted claim on destruction unless settle() was called: as
+/// outcome unknown if the request may have been sent, otherwise as released.
 class ClaimGuard {
 public:
-  /// @brief Watches a granted claim.
-  /// @param Desk The desk; must outlive the guard.
+  /// @brief Creates a guard for a granted claim.
+  /// @param Desk The driver; must outlive the guard.
   /// @param Granted The claim.
   ClaimGuard(ClaimDriver &Desk, ClaimId Granted) : Driver(&Desk), Id(Granted) {}
   ClaimGuard(const ClaimGuard &) = delete;
   ClaimGuard &operator=(const ClaimGuard &) = delete;
   ~ClaimGuard();
 
-  /// @brief From now on the request may have run.
+  /// @brief Marks the request as sent: from now on it may have run.
   void markSent() noexcept { Sent = true; }
-  /// @brief Takes back markSent(): it is proved that nothing ran.
+  /// @brief Reverts markSent() after proof that the request did not run.
   void markNotRun() noexcept { Sent = false; }
-  /// @brief Settles with the outcome.
+  /// @brief Settles the claim with the outcome.
   void settle(StoredOutcome Outcome);
 
 private:
--- a/packages/process/src/coltsfoottrail/server/events.cpp
+++ b/packages/process/src/coltsfoottrail/server/events.cpp
@@ -10,15 +10,15 @@
 
 constexpr std::string_view EventEnd = "\n\n";
 constexpr std::string_view DataPrefix = "data: ";
-constexpr std::string_view EndMark = "[DONE]";
+constexpr std::string_view EndOfStream = "[DONE]";
 
-std::string_view dataOf(std::string_view Event) {
+std::string_view eventData(std::string_view Event) {
   return Event.starts_with(DataPrefix) ? Event.substr(DataPrefix.size())
                                        : std::string_view{};
 }
 
 template <class Function>
-void eachEvent(std::string_view Events, Function Visit) {
+void forEachEvent(std::string_view Events, Function Visit) {
   while (!Events.empty()) {
     const std::size_t End = Events.find(EventEnd);
     Visit(Events.substr(0, End));
@@ -28,7 +28,7 @@
   }
 }
 
-const std::string *textOf(const Json &Choice) {
+const std::string *choiceText(const Json &Choice) {
   if (const auto Text = Choice.find("text");
       Text != Choice.end() && Text->is_string())
     return &Text->get_ref<const std::string &>();
@@ -55,9 +55,9 @@
 }
 
 void EventSplitter::note(std::string_view Events) {
-  eachEvent(Events, [this](std::string_view Event) {
-    const std::string_view Data = dataOf(Event);
-    if (Data == EndMark)
+  forEachEvent(Events, [this](std::string_view Event) {
+    const std::string_view Data = eventData(Event);
+    if (Data == EndOfStream)
       Ended = true;
     else if (!Data.empty())
       ++Count;
@@ -75,9 +75,9 @@
     return std::nullopt;
   std::string Out;
   bool Understood = true;
-  eachEvent(Kept, [&](std::string_view Event) {
-    const std::string_view Data = dataOf(Event);
-    if (Data.empty() || Data == EndMark)
+  forEachEvent(Kept, [&](std::string_view Event) {
+    const std::string_view Data = eventData(Event);
+    if (Data.empty() || Data == EndOfStream)
       return;
     const Json Parsed = Json::parse(Data, nullptr, false);
     const auto Choices =
@@ -86,7 +86,7 @@
                            Choices->is_array() && !Choices->empty() &&
                            Choices->front().is_object();
     const std::string *const Text =
-        HasChoice ? textOf(Choices->front()) : nullptr;
+        HasChoice ? choiceText(Choices->front()) : nullptr;
     if (Text == nullptr)
       Understood = false;
     else
--- a/packages/process/src/coltsfoottrail/server/events.hpp
+++ b/packages/process/src/coltsfoottrail/server/events.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Splits a stream of server-sent events at their ends.
+/// Splits a stream of server-sent events at event boundaries.
 #ifndef COLTSFOOTTRAIL_SERVER_EVENTS_HPP
 #define COLTSFOOTTRAIL_SERVER_EVENTS_HPP
 
@@ -11,32 +11,35 @@
 
 namespace coltsfoottrail {
 
-/// @brief Passes on whole events only and knows what has been passed on, so
-/// that a broken stream can be resumed behind the last whole token. Not
+/// @brief Passes on complete events only and records what was passed on, so
+/// that a broken stream can be resumed after the last complete token. Not
 /// thread-safe.
 class EventSplitter {
 public:
   /// @brief Sets how much text is kept for resuming.
-  /// @param MaxKeptBytes Beyond this the stream cannot be resumed.
+  /// @param MaxKeptBytes Once more has been passed on, the stream cannot be
+  /// resumed.
   explicit EventSplitter(std::size_t MaxKeptBytes) : MaxKept(MaxKeptBytes) {}
 
-  /// @brief Takes bytes as they came.
-  /// @param Part Any part of the stream.
-  /// @return Whole events to pass on; valid until the next call.
+  /// @brief Consumes bytes as they arrive.
+  /// @param Part The next bytes of the stream; may end anywhere in an event.
+  /// @return Complete events to pass on; valid until the next call.
   [[nodiscard]] std::string_view take(std::string_view Part);
 
-  /// @brief Drops a part of an event that a broken stream left.
+  /// @brief Discards the incomplete event at the end of a broken stream.
   void dropPartial() { Pending.clear(); }
 
-  /// @brief Whether the event that ends a stream has been seen.
+  /// @brief Whether the "[DONE]" event has been seen.
   [[nodiscard]] bool sawEnd() const noexcept { return Ended; }
-  /// @brief Events passed on, the end not counted: one token each.
+  /// @brief Number of events passed on, without the "[DONE]" event; each
+  /// carries one token.
   [[nodiscard]] std::uint64_t tokens() const noexcept { return Count; }
   /// @brief Whether the stream can still be resumed.
   [[nodiscard]] bool resumable() const noexcept { return !Overflowed; }
 
-  /// @brief The text of all tokens passed on.
-  /// @return Nothing where it is not kept or an event is not understood.
+  /// @brief The concatenated text of all tokens passed on.
+  /// @return Empty if the text exceeded the limit or an event could not be
+  /// parsed.
   [[nodiscard]] std::optional<std::string> text() const;
 
 private:
--- a/packages/process/src/coltsfoottrail/server/followwire.hpp
+++ b/packages/process/src/coltsfoottrail/server/followwire.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Messages on the agreed stream between entry hosts, as CBOR carries them.
+/// CBOR encoding of the messages that entry hosts exchange about the agreed
+/// stream.
 #ifndef COLTSFOOTTRAIL_SERVER_FOLLOWWIRE_HPP
 #define COLTSFOOTTRAIL_SERVER_FOLLOWWIRE_HPP
 
@@ -16,24 +17,24 @@
 struct FollowRecords {
   std::vector<RecordPtr> Records;
 };
-/// Asks for records from an offset on.
+/// Requests the records from an offset on.
 struct FollowRequest {
   Offset From = 0;
 };
-/// Says that records from an offset on are not kept.
+/// Reports that the sender no longer has the records from an offset on.
 struct FollowUnavailable {
   Offset From = 0;
 };
 
-/// What entry hosts tell each other of the agreed stream.
+/// A message between entry hosts about the agreed stream.
 using FollowMessage =
     std::variant<FollowRecords, FollowRequest, FollowUnavailable, FollowQuery,
                  FollowAnswer>;
 
-/// @brief Writes a message. Thread-safe.
+/// @brief Encodes a message. Thread-safe.
 [[nodiscard]] Json writeFollowMessage(const FollowMessage &Message);
-/// @brief Reads a message; unknown fields are passed over. Thread-safe.
-/// @throws InputError It is not such a message.
+/// @brief Decodes a message; unknown fields are ignored. Thread-safe.
+/// @throws InputError The value is not a valid message.
 [[nodiscard]] FollowMessage readFollowMessage(const Json &Value);
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/groupdriver.cpp
+++ b/packages/process/src/coltsfoottrail/server/groupdriver.cpp
@@ -13,16 +13,17 @@
 
 namespace {
 
-constexpr milliseconds AppendWait{3'000};
+constexpr milliseconds AppendTimeout{3'000};
 
 } // namespace
 
-struct GroupDriver::Inner {
-  Inner(asio::io_context &Where, AgreedStream &Stream, Engines &Ordered,
-        const HostName &Self, Incarnation Run, Sender Send, ReportListener Told)
-      : Control(Where), Agreed(Stream), Orders(Ordered),
+struct GroupDriver::Impl {
+  Impl(asio::io_context &Context, AgreedStream &Stream, Engines &EngineClients,
+       const HostName &Self, Incarnation Run, Sender Send,
+       ReportListener OnReportCallback)
+      : Control(Context), Agreed(Stream), Clients(EngineClients),
         Agent(GroupTimes{}, WatchTimes{}, Self, Run), ToPeer(std::move(Send)),
-        OnReport(std::move(Told)) {}
+        OnReport(std::move(OnReportCallback)) {}
 
   void perform(AppendRecord Command);
   void perform(OrderEngine Command);
@@ -30,76 +31,79 @@
 
   asio::io_context &Control;
   AgreedStream &Agreed;
-  Engines &Orders;
+  Engines &Clients;
   GroupAgent Agent;
   Sender ToPeer;
   ReportListener OnReport;
   bool Stopped = false;
 };
 
-GroupDriver::GroupDriver(asio::io_context &Where, AgreedStream &Stream,
-                         Engines &Ordered, const HostName &Self,
-                         Incarnation Run, Sender Send, ReportListener Told)
-    : Own(std::make_unique<Inner>(Where, Stream, Ordered, Self, Run,
-                                  std::move(Send), std::move(Told))) {}
+GroupDriver::GroupDriver(asio::io_context &Context, AgreedStream &Stream,
+                         Engines &EngineClients, const HostName &Self,
+                         Incarnation Run, Sender Send,
+                         ReportListener OnReportCallback)
+    : Pimpl(std::make_unique<Impl>(Context, Stream, EngineClients, Self, Run,
+                                   std::move(Send),
+                                   std::move(OnReportCallback))) {}
 
 GroupDriver::~GroupDriver() = default;
 
-void GroupDriver::stop() { Own->Stopped = true; }
+void GroupDriver::stop() { Pimpl->Stopped = true; }
 
 void GroupDriver::poll() {
-  if (Own->Stopped)
+  if (Pimpl->Stopped)
     return;
-  GroupDecisions Due = Own->Agent.poll(*Own->Agreed.state(), BootClock::now());
-  for (GroupCommand &One : Due.Commands)
-    std::visit([this](auto &Command) { Own->perform(std::move(Command)); },
-               One);
-  for (const BeatToSend &Beat : Due.Beats)
-    Own->ToPeer(Beat.To, writeBeat(Beat.Beat));
+  GroupDecisions Decisions =
+      Pimpl->Agent.poll(*Pimpl->Agreed.state(), BootClock::now());
+  for (GroupCommand &Next : Decisions.Commands)
+    std::visit([this](auto &Command) { Pimpl->perform(std::move(Command)); },
+               Next);
+  for (const BeatToSend &Beat : Decisions.Beats)
+    Pimpl->ToPeer(Beat.To, writeBeat(Beat.Beat));
 }
 
 void GroupDriver::receive(const HostName &From, const Json &Message) {
-  if (Own->Stopped)
+  if (Pimpl->Stopped)
     return;
   try {
     const LivenessBeat Beat = readBeat(Message);
     if (Beat.From == From)
-      Own->Agent.receiveBeat(Beat, BootClock::now());
+      Pimpl->Agent.receiveBeat(Beat, BootClock::now());
   } catch (const InputError &Problem) {
     logEvent(Event::InternalError, {{"peer", From}, {"why", Problem.what()}});
   }
 }
 
 void GroupDriver::suspect(const GroupId &Group) {
-  Own->Agent.suspect(Group, BootClock::now());
+  Pimpl->Agent.suspect(Group, BootClock::now());
 }
 
 std::map<GroupId, TimePoint> GroupDriver::usableUntil() const {
-  return Own->Agent.usableUntil();
+  return Pimpl->Agent.usableUntil();
 }
 
-void GroupDriver::Inner::perform(AppendRecord Command) {
-  Agreed.append(std::move(Command.Body), AppendWait,
-                [this, Id = Command.Id](const AppendOutcome &Got) {
+void GroupDriver::Impl::perform(AppendRecord Command) {
+  Agreed.append(std::move(Command.Body), AppendTimeout,
+                [this, Id = Command.Id](const AppendOutcome &Outcome) {
                   if (Stopped)
                     return;
                   const AppendResult Result =
-                      Got.Appended ? AppendResult(Got.RecordOffset)
-                                   : AppendResult(LogFailure::Unknown);
+                      Outcome.Appended ? AppendResult(Outcome.RecordOffset)
+                                       : AppendResult(LogFailure::Unknown);
                   Agent.recordAppend(Id, Result, BootClock::now());
                 });
 }
 
-// Failure guarded against: this host was paused between the decision and the
-// order, and its lease has lapsed. The clock, which counts the pause, is read
-// last of all.
-void GroupDriver::Inner::perform(OrderEngine Command) {
+// Guards against sending an order after the lease lapsed while this host was
+// paused between the decision and this call. The clock counts the time of a
+// pause and is read as late as possible.
+void GroupDriver::Impl::perform(OrderEngine Command) {
   const TimePoint Now = BootClock::now();
   if (Now > Command.NotAfter) {
     Agent.recordOrder(Command.Id, OrderResult::NotDone, Now);
     return;
   }
-  Orders.order(
+  Clients.order(
       Command.Address, Command.Order, Command.Timeout,
       [this, Id = Command.Id, Host = Command.Host](OrderResult Result) {
         asio::post(Control, [this, Id, Host, Result] {
@@ -113,18 +117,19 @@
       });
 }
 
-void GroupDriver::Inner::perform(AskEngine Command) {
-  Orders.ask(Command.Address, Command.Timeout,
-             [this, Id = Command.Id,
-              Host = Command.Host](std::optional<EngineReport> Report) {
-               asio::post(Control, [this, Id, Host, Got = std::move(Report)] {
-                 if (Stopped)
-                   return;
-                 if (Got)
-                   OnReport(Host, *Got);
-                 Agent.recordReport(Id, Got, BootClock::now());
-               });
-             });
+void GroupDriver::Impl::perform(AskEngine Command) {
+  Clients.ask(Command.Address, Command.Timeout,
+              [this, Id = Command.Id,
+               Host = Command.Host](std::optional<EngineReport> Report) {
+                asio::post(Control,
+                           [this, Id, Host, Outcome = std::move(Report)] {
+                             if (Stopped)
+                               return;
+                             if (Outcome)
+                               OnReport(Host, *Outcome);
+                             Agent.recordReport(Id, Outcome, BootClock::now());
+                           });
+              });
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/groupdriver.hpp
+++ b/packages/process/src/coltsfoottrail/server/groupdriver.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Carries the decisions on groups between agreed stream, engines and peers.
+/// Connects the group agent to the agreed stream, engines and peers.
 #ifndef COLTSFOOTTRAIL_SERVER_GROUPDRIVER_HPP
 #define COLTSFOOTTRAIL_SERVER_GROUPDRIVER_HPP
 
@@ -15,43 +15,46 @@
 
 namespace coltsfoottrail {
 
-/// @brief The asio side of the group agent. On the control thread.
+/// @brief Carries out the commands of a group agent. Call its methods on the
+/// control thread.
 class GroupDriver {
 public:
   using Sender = std::function<void(const HostName &, Json)>;
-  /// Hears of each report of an engine.
+  /// Called with each report of an engine.
   using ReportListener =
       std::function<void(const HostName &, const EngineReport &)>;
 
-  /// @brief Makes a desk. All arguments must outlive it.
-  /// @param Control Context of the control thread.
-  /// @param Agreed Where records are appended.
-  /// @param Orders Where engines are ordered and asked.
-  /// @param Self This entry host.
-  /// @param Run This run of it.
-  /// @param ToPeer Sends a beat to a peer.
-  /// @param OnReport Hears of reports.
+  /// @brief Creates a driver. All arguments must outlive it.
+  /// @param Control I/O context of the control thread.
+  /// @param Agreed The stream to append records to.
+  /// @param Orders Client that sends orders and queries to engines.
+  /// @param Self Name of this entry host.
+  /// @param Run Incarnation of this process.
+  /// @param ToPeer Sends a liveness beat to a peer.
+  /// @param OnReport Called with each report of an engine.
   GroupDriver(boost::asio::io_context &Control, AgreedStream &Agreed,
-              Engines &Orders, const HostName &Self, Incarnation Run,
+              Engines &Clients, const HostName &Self, Incarnation Run,
               Sender ToPeer, ReportListener OnReport);
   GroupDriver(const GroupDriver &) = delete;
   GroupDriver &operator=(const GroupDriver &) = delete;
   ~GroupDriver();
 
-  /// @brief Decides on the newest state; called often.
+  /// @brief Lets the agent decide on the newest state; call it regularly.
   void poll();
-  /// @brief Takes a peer's beat; anything may stand there.
+  /// @brief Handles a liveness beat of a peer. The message is not trusted:
+  /// malformed ones are logged and dropped.
   void receive(const HostName &From, const Json &Message);
-  /// @brief Has a group asked at once, since a request to it failed.
+  /// @brief Has the members of a group queried at once after a request to it
+  /// failed.
   void suspect(const GroupId &Group);
-  /// @brief Until when each group may be used.
+  /// @brief The time until which each group may be used.
   [[nodiscard]] std::map<GroupId, TimePoint> usableUntil() const;
-  /// @brief Stops.
+  /// @brief Stops; later results and messages are ignored.
   void stop();
 
 private:
-  struct Inner;
-  std::unique_ptr<Inner> Own;
+  struct Impl;
+  std::unique_ptr<Impl> Pimpl;
 };
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/membershipdriver.cpp
+++ b/packages/process/src/coltsfoottrail/server/membershipdriver.cpp
@@ -37,25 +37,26 @@
 
 } // namespace
 
-struct MembershipDriver::Inner {
-  Inner(const EntryHostJoined &Name, milliseconds MaxWork,
-        MembershipHooks Wanted)
+struct MembershipDriver::Impl {
+  Impl(const EntryHostJoined &Name, milliseconds MaxWork,
+       MembershipHooks Wanted)
       : Self(Name), Hooks(std::move(Wanted)), Members(memberOptions(Name)),
         Proof(memberOptions(Name)), Shares(shareOptions(Name, MaxWork)) {}
 
-  void perform(const MembershipCommands &Due);
-  void append(const MembershipAppend &Due);
-  void perform(const ShareCommands &Due);
-  void prove();
+  void perform(const MembershipCommands &Commands);
+  void append(const MembershipAppend &Commands);
+  void perform(const ShareCommands &Commands);
+  void confirmProvenMembership();
 
-  /// Calls the shares under their lock and carries commands out after it.
+  /// Calls Call with the lock held and carries out the resulting commands after
+  /// releasing it.
   template <class Function> void withShares(Function Call) {
-    ShareCommands Due;
+    ShareCommands Commands;
     {
       const std::lock_guard Hold(Lock);
-      Call(Due);
+      Call(Commands);
     }
-    perform(Due);
+    perform(Commands);
   }
 
   EntryHostJoined Self;
@@ -64,49 +65,49 @@
   StateProof Proof;
   ShareManager Shares;
   Offset MembersChange = 0;
-  /// Guards the shares, which callers' threads ask at the act of sending.
+  /// Guards Shares, which callers' threads use immediately before sending.
   mutable std::mutex Lock;
 };
 
 MembershipDriver::MembershipDriver(const EntryHostJoined &Self,
                                    milliseconds MaxWork, MembershipHooks Hooks)
-    : Own(std::make_unique<Inner>(Self, MaxWork, std::move(Hooks))) {}
+    : Pimpl(std::make_unique<Impl>(Self, MaxWork, std::move(Hooks))) {}
 
 MembershipDriver::~MembershipDriver() = default;
 
-void MembershipDriver::Inner::perform(const MembershipCommands &Due) {
-  for (const MembershipCommand &One : Due) {
-    if (const auto *const Send = std::get_if<MembershipSend>(&One))
+void MembershipDriver::Impl::perform(const MembershipCommands &Commands) {
+  for (const MembershipCommand &Command : Commands) {
+    if (const auto *const Send = std::get_if<MembershipSend>(&Command))
       Hooks.SendMembership(Send->To, writeMembershipMessage(Send->Payload));
-    else if (const auto *const Append = std::get_if<MembershipAppend>(&One))
+    else if (const auto *const Append = std::get_if<MembershipAppend>(&Command))
       append(*Append);
     else
       Hooks.OnRunRemoved();
   }
 }
 
-void MembershipDriver::Inner::append(const MembershipAppend &Due) {
-  const auto *const Gone = std::get_if<EntryHostLeft>(&Due.Payload);
-  if (Gone != nullptr && Due.Basis)
-    logEvent(
-        Event::PeerRemoved,
-        {{"host", Gone->Host},
-         {"run", Gone->Run},
-         {"silent_ms",
-          std::chrono::duration_cast<milliseconds>(Due.Basis->Silence).count()},
-         {"heard", Due.Basis->Heard},
-         {"agreeing", Due.Basis->Agreeing},
-         {"watchers", Due.Basis->Watchers}});
-  Hooks.Append(Due.Payload);
+void MembershipDriver::Impl::append(const MembershipAppend &Commands) {
+  const auto *const Departed = std::get_if<EntryHostLeft>(&Commands.Payload);
+  if (Departed != nullptr && Commands.Basis)
+    logEvent(Event::PeerRemoved,
+             {{"host", Departed->Host},
+              {"run", Departed->Run},
+              {"silent_ms",
+               std::chrono::duration_cast<milliseconds>(Commands.Basis->Silence)
+                   .count()},
+              {"heard", Commands.Basis->Heard},
+              {"agreeing", Commands.Basis->Agreeing},
+              {"watchers", Commands.Basis->Watchers}});
+  Hooks.Append(Commands.Payload);
 }
 
-void MembershipDriver::Inner::perform(const ShareCommands &Due) {
+void MembershipDriver::Impl::perform(const ShareCommands &Commands) {
   std::map<std::string, std::uint32_t> Changed;
-  for (const ShareCommand &One : Due) {
-    if (const auto *const Send = std::get_if<ShareSend>(&One)) {
+  for (const ShareCommand &Command : Commands) {
+    if (const auto *const Send = std::get_if<ShareSend>(&Command)) {
       Hooks.SendShares(Send->To, writeShareMessage(Send->Message));
     } else {
-      const auto &Set = std::get<SetShare>(One);
+      const auto &Set = std::get<SetShare>(Command);
       Changed[Set.EndpointKey] = Set.Share;
     }
   }
@@ -114,7 +115,7 @@
     Hooks.OnShares(Changed);
 }
 
-void MembershipDriver::Inner::prove() {
+void MembershipDriver::Impl::confirmProvenMembership() {
   const std::optional<TimePoint> At = Proof.provenAt();
   if (!At)
     return;
@@ -128,35 +129,35 @@
   std::vector<HostName> Others;
   for (const auto &[Name, Host] : Now.EntryHosts) {
     Joined.push_back({Name, Host.Joined.Run});
-    if (Name != Own->Self.Host)
+    if (Name != Pimpl->Self.Host)
       Others.push_back(Name);
   }
-  ShareCommands ShareDue;
-  Own->Proof.setMembers(Others);
-  Own->Proof.setVersion(Now.Next);
+  ShareCommands ShareUpdates;
+  Pimpl->Proof.setMembers(Others);
+  Pimpl->Proof.setVersion(Now.Next);
   {
-    const std::lock_guard Hold(Own->Lock);
-    if (Now.EntryHostsChange != Own->MembersChange) {
-      Own->MembersChange = Now.EntryHostsChange;
-      Own->Shares.setMembers(Own->MembersChange, Joined, At, ShareDue);
+    const std::lock_guard Hold(Pimpl->Lock);
+    if (Now.EntryHostsChange != Pimpl->MembersChange) {
+      Pimpl->MembersChange = Now.EntryHostsChange;
+      Pimpl->Shares.setMembers(Pimpl->MembersChange, Joined, At, ShareUpdates);
     }
-    Own->Shares.configure(Routes, At, ShareDue);
+    Pimpl->Shares.configure(Routes, At, ShareUpdates);
   }
-  MembershipCommands MemberDue;
-  Own->Members.applyState(Now, At, MemberDue);
-  Own->perform(ShareDue);
-  Own->perform(MemberDue);
+  MembershipCommands MemberUpdates;
+  Pimpl->Members.applyState(Now, At, MemberUpdates);
+  Pimpl->perform(ShareUpdates);
+  Pimpl->perform(MemberUpdates);
 }
 
 void MembershipDriver::recordLogRead(TimePoint Left) {
-  Own->Proof.recordLogRead(Left);
-  Own->prove();
+  Pimpl->Proof.recordLogRead(Left);
+  Pimpl->confirmProvenMembership();
 }
 
-void MembershipDriver::recordLogFailure() { Own->Proof.recordLogFailure(); }
+void MembershipDriver::recordLogFailure() { Pimpl->Proof.recordLogFailure(); }
 
 void MembershipDriver::applyHostList(const std::vector<ListedHost> &Hosts) {
-  Own->Members.applyHostList(Hosts);
+  Pimpl->Members.applyHostList(Hosts);
 }
 
 void MembershipDriver::receiveMembership(const HostName &From,
@@ -165,18 +166,18 @@
     const MembershipMessage Read = readMembershipMessage(Message, MemberSource);
     const TimePoint Now = BootClock::now();
     if (const auto *const Ask = std::get_if<FreshnessQuery>(&Read)) {
-      Own->Hooks.SendMembership(
-          From, writeMembershipMessage(Own->Proof.answer(*Ask, Now)));
+      Pimpl->Hooks.SendMembership(
+          From, writeMembershipMessage(Pimpl->Proof.answer(*Ask, Now)));
       return;
     }
     if (isFreshMessage(Read)) {
-      Own->Proof.recordReply(From, std::get<FreshnessReply>(Read), Now);
-      Own->prove();
+      Pimpl->Proof.recordReply(From, std::get<FreshnessReply>(Read), Now);
+      Pimpl->confirmProvenMembership();
       return;
     }
-    MembershipCommands Due;
-    Own->Members.receive(From, Read, Now, Due);
-    Own->perform(Due);
+    MembershipCommands Commands;
+    Pimpl->Members.receive(From, Read, Now, Commands);
+    Pimpl->perform(Commands);
   } catch (const InputError &Problem) {
     logEvent(Event::InternalError, {{"peer", From}, {"why", Problem.what()}});
   }
@@ -186,8 +187,8 @@
                                      const Json &Message) {
   try {
     const ShareMessage Read = readShareMessage(Message, ShareSource);
-    Own->withShares([&](ShareCommands &Due) {
-      Own->Shares.received(From, Read, BootClock::now(), Due);
+    Pimpl->withShares([&](ShareCommands &Commands) {
+      Pimpl->Shares.received(From, Read, BootClock::now(), Commands);
     });
   } catch (const InputError &Problem) {
     logEvent(Event::InternalError, {{"peer", From}, {"why", Problem.what()}});
@@ -195,67 +196,69 @@
 }
 
 void MembershipDriver::observe(const LoadReport &Report) {
-  Own->withShares([&](ShareCommands &Due) {
-    Own->Shares.observe(Report, BootClock::now(), Due);
+  Pimpl->withShares([&](ShareCommands &Commands) {
+    Pimpl->Shares.observe(Report, BootClock::now(), Commands);
   });
 }
 
 void MembershipDriver::setPoolDemand(std::string_view PoolName,
                                      std::uint32_t Waiting) {
-  Own->withShares([&](ShareCommands &Due) {
-    Own->Shares.setPoolDemand(PoolName, Waiting, BootClock::now(), Due);
+  Pimpl->withShares([&](ShareCommands &Commands) {
+    Pimpl->Shares.setPoolDemand(PoolName, Waiting, BootClock::now(), Commands);
   });
 }
 
 void MembershipDriver::finish(std::string_view EndpointKey, bool Succeeded,
                               Duration Latency) {
-  Own->withShares([&](ShareCommands &Due) {
-    Own->Shares.finish(EndpointKey, Succeeded, Latency, BootClock::now(), Due);
+  Pimpl->withShares([&](ShareCommands &Commands) {
+    Pimpl->Shares.finish(EndpointKey, Succeeded, Latency, BootClock::now(),
+                         Commands);
   });
 }
 
 bool MembershipDriver::tryStart(std::string_view EndpointKey) {
-  const std::lock_guard Hold(Own->Lock);
-  return Own->Shares.tryStart(EndpointKey, BootClock::now());
+  const std::lock_guard Hold(Pimpl->Lock);
+  return Pimpl->Shares.tryStart(EndpointKey, BootClock::now());
 }
 
 void MembershipDriver::tick() {
   const TimePoint Now = BootClock::now();
-  if (Own->Members.nextWake() <= Now) {
-    MembershipCommands Due;
-    Own->Members.advance(Now, Due);
-    Own->perform(Due);
+  if (Pimpl->Members.nextWake() <= Now) {
+    MembershipCommands Commands;
+    Pimpl->Members.advance(Now, Commands);
+    Pimpl->perform(Commands);
   }
-  if (const auto Wake = Own->Proof.nextWake(); Wake && *Wake <= Now) {
-    MembershipCommands Due;
-    Own->Proof.advance(Now, Due);
-    Own->perform(Due);
-    Own->prove();
+  if (const auto Wake = Pimpl->Proof.nextWake(); Wake && *Wake <= Now) {
+    MembershipCommands Commands;
+    Pimpl->Proof.advance(Now, Commands);
+    Pimpl->perform(Commands);
+    Pimpl->confirmProvenMembership();
   }
-  Own->withShares([&](ShareCommands &Due) {
-    if (const auto Wake = Own->Shares.nextWake(); Wake && *Wake <= Now)
-      Own->Shares.advance(Now, Due);
+  Pimpl->withShares([&](ShareCommands &Commands) {
+    if (const auto Wake = Pimpl->Shares.nextWake(); Wake && *Wake <= Now)
+      Pimpl->Shares.advance(Now, Commands);
   });
 }
 
 void MembershipDriver::leave() {
   const TimePoint Now = BootClock::now();
-  Own->withShares([&](ShareCommands &Due) { Own->Shares.release(Now, Due); });
-  MembershipCommands Due;
-  Own->Members.leave(Now, Due);
-  Own->perform(Due);
+  Pimpl->withShares(
+      [&](ShareCommands &Commands) { Pimpl->Shares.release(Now, Commands); });
+  MembershipCommands Commands;
+  Pimpl->Members.leave(Now, Commands);
+  Pimpl->perform(Commands);
 }
 
-bool MembershipDriver::joined() const { return Own->Members.joined(); }
+bool MembershipDriver::joined() const { return Pimpl->Members.joined(); }
 
 std::uint32_t MembershipDriver::share(std::string_view EndpointKey) const {
-  const std::lock_guard Hold(Own->Lock);
-  return Own->Shares.share(EndpointKey, BootClock::now());
+  const std::lock_guard Hold(Pimpl->Lock);
+  return Pimpl->Shares.share(EndpointKey, BootClock::now());
 }
 
 bool MembershipDriver::isSteward(std::string_view EndpointKey) const {
-  const std::lock_guard Hold(Own->Lock);
-  return Own->Shares.stewardOf(EndpointKey) == Own->Self.Host;
+  const std::lock_guard Hold(Pimpl->Lock);
+  return Pimpl->Shares.stewardOf(EndpointKey) == Pimpl->Self.Host;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/membershipdriver.hpp
+++ b/packages/process/src/coltsfoottrail/server/membershipdriver.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Carries membership and shares of endpoints' bounds between the agreed stream
-/// and peers.
+/// Connects membership and the distribution of endpoints' capacity bounds to
+/// the agreed stream and peers.
 #ifndef COLTSFOOTTRAIL_SERVER_MEMBERSHIPDRIVER_HPP
 #define COLTSFOOTTRAIL_SERVER_MEMBERSHIPDRIVER_HPP
 
@@ -19,71 +19,76 @@
 
 namespace coltsfoottrail {
 
-/// @brief What the desk wants of the process.
+/// @brief Callbacks of the driver into the process.
 struct MembershipHooks {
-  /// Sends a message about members to a peer.
+  /// Sends a membership message to a peer.
   std::function<void(const HostName &, Json)> SendMembership;
-  /// Sends a message about shares to a peer. Called on any thread.
+  /// Sends a message about shares of endpoints' bounds to a peer. Called on any
+  /// thread.
   std::function<void(const HostName &, Json)> SendShares;
   /// Appends a record to the agreed stream.
   std::function<void(Record)> Append;
-  /// This run has been found gone by its peers.
+  /// Called when the peers have removed this run from the members.
   std::function<void()> OnRunRemoved;
-  /// Shares have changed. Called on any thread.
+  /// Called with the shares that changed, by endpoint key. Called on any
+  /// thread.
   std::function<void(const std::map<std::string, std::uint32_t> &)> OnShares;
 };
 
-/// @brief The asio side of Membership and ShareManager. On the control thread
-/// unless a call says otherwise.
+/// @brief Runs Membership, StateProof and ShareManager. Call its methods on the
+/// control thread unless they say otherwise.
 class MembershipDriver {
 public:
-  /// @brief Makes a desk.
-  /// @param Self What this run says of itself when it joins.
-  /// @param MaxWork Longest that any request is in progress; equal on all
-  /// hosts.
-  /// @param Hooks What it wants of the process.
+  /// @brief Creates a driver.
+  /// @param Self The record with which this run joins.
+  /// @param MaxWork Upper bound of the duration of a request; must be equal on
+  /// all hosts.
+  /// @param Hooks Callbacks into the process.
   MembershipDriver(const EntryHostJoined &Self, milliseconds MaxWork,
                    MembershipHooks Hooks);
   MembershipDriver(const MembershipDriver &) = delete;
   MembershipDriver &operator=(const MembershipDriver &) = delete;
   ~MembershipDriver();
 
-  /// @brief Takes a state and its routes.
+  /// @brief Applies a new agreed state and the routes built from it.
   void onState(const State &Now, const RouteTable &Routes);
-  /// @brief A read of the log was answered and all it showed is folded.
+  /// @brief Records that a read of the log, sent at Left, was answered and all
+  /// records it showed are folded.
   void recordLogRead(TimePoint Left);
-  /// @brief A read of the log failed.
+  /// @brief Records that a read of the log failed.
   void recordLogFailure();
-  /// @brief Takes the platform's list of hosts.
+  /// @brief Applies the platform's list of hosts.
   void applyHostList(const std::vector<ListedHost> &Hosts);
-  /// @brief Takes a message about members.
+  /// @brief Handles a membership message from a peer.
   void receiveMembership(const HostName &From, const Json &Message);
-  /// @brief Takes a message about shares.
+  /// @brief Handles a message about shares from a peer.
   void receiveShares(const HostName &From, const Json &Message);
-  /// @brief Takes a load report.
+  /// @brief Records a load report of an endpoint.
   void observe(const LoadReport &Report);
-  /// @brief Says how many requests wait for a pool. Thread-safe.
+  /// @brief Sets how many requests wait for a pool. Thread-safe.
   void setPoolDemand(std::string_view PoolName, std::uint32_t Waiting);
-  /// @brief Asks for leave to send one request, at the act itself. Thread-safe.
-  /// @return False when the share is used up or has lapsed; after true,
-  /// finished() must follow.
+  /// @brief Tries to reserve one request of this host's share, immediately
+  /// before the request is sent. Thread-safe.
+  /// @return False if the share is used up or has lapsed; after true, finish()
+  /// must be called.
   [[nodiscard]] bool tryStart(std::string_view EndpointKey);
-  /// @brief A request at an endpoint has ended. Thread-safe.
+  /// @brief Records the end of a request at an endpoint. Thread-safe.
   void finish(std::string_view EndpointKey, bool Succeeded, Duration Latency);
-  /// @brief Lets time pass; called every few milliseconds.
+  /// @brief Runs due timers; call it every few milliseconds.
   void tick();
-  /// @brief This host stops as planned.
+  /// @brief Releases all shares and leaves the members, for a planned stop.
   void leave();
   /// @brief Whether this run is among the agreed members.
   [[nodiscard]] bool joined() const;
-  /// @brief This host's share of an endpoint.
+  /// @brief This host's share of an endpoint's bound, in requests at once.
   [[nodiscard]] std::uint32_t share(std::string_view EndpointKey) const;
-  /// @brief Whether this host finds and shares out an endpoint's bound.
+  /// @brief Whether this host determines an endpoint's bound and distributes
+  /// shares of it.
   [[nodiscard]] bool isSteward(std::string_view EndpointKey) const;
 
 private:
-  struct Inner;
-  std::unique_ptr<Inner> Own;
+  struct Impl;
+  std::unique_ptr<Impl> Pimpl;
 };
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/meshpeers.hpp
+++ b/packages/process/src/coltsfoottrail/server/meshpeers.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The peers of an entry host by the agreed state.
+/// Derives the mesh peers of an entry host from the agreed state.
 #ifndef COLTSFOOTTRAIL_SERVER_MESHPEERS_HPP
 #define COLTSFOOTTRAIL_SERVER_MESHPEERS_HPP
 
@@ -10,9 +10,9 @@
 
 namespace coltsfoottrail {
 
-/// @brief All entry hosts of the agreed state but one, with its neighbours
-/// marked. Pure; thread-safe.
-/// @param Self The host that asks.
+/// @brief All entry hosts of the agreed state except Self, with the neighbours
+/// of Self marked. Pure; thread-safe.
+/// @param Self The host whose peers are returned.
 /// @param Now The agreed state.
 [[nodiscard]] std::vector<MeshPeer> meshPeers(const HostName &Self,
                                               const State &Now);
--- a/packages/process/src/coltsfoottrail/server/noticewire.cpp
+++ b/packages/process/src/coltsfoottrail/server/noticewire.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-Json writeNotice(const PoolNotice &Told) {
+Json writeNotice(const PoolNotice &Notification) {
   Json Out =
       std::visit(Overloaded{
                      [](const CrashNotice &Crash) {
@@ -46,9 +46,9 @@
                        return Json{{"fingerprint", Clear.Fingerprint}};
                      },
                  },
-                 Told.Notice);
-  Out["kind"] = Kinds.at(Told.Notice.index());
-  Out["pool"] = Told.PoolName;
+                 Notification.Notice);
+  Out["kind"] = Kinds.at(Notification.Notice.index());
+  Out["pool"] = Notification.PoolName;
   return Out;
 }
 
--- a/packages/process/src/coltsfoottrail/server/noticewire.hpp
+++ b/packages/process/src/coltsfoottrail/server/noticewire.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Notices about requests that crash endpoints, as CBOR carries them.
+/// CBOR encoding of notices about requests that crash endpoints.
 #ifndef COLTSFOOTTRAIL_SERVER_NOTICEWIRE_HPP
 #define COLTSFOOTTRAIL_SERVER_NOTICEWIRE_HPP
 
@@ -10,16 +10,16 @@
 
 namespace coltsfoottrail {
 
-/// @brief A notice and the pool that it is about.
+/// @brief A quarantine notice and the pool it concerns.
 struct PoolNotice {
   std::string PoolName;
   QuarantineNotice Notice;
 };
 
-/// @brief Writes a notice. Thread-safe.
-[[nodiscard]] Json writeNotice(const PoolNotice &Told);
-/// @brief Reads a notice; unknown fields are passed over. Thread-safe.
-/// @throws InputError It is not a notice.
+/// @brief Encodes a notice. Thread-safe.
+[[nodiscard]] Json writeNotice(const PoolNotice &Notification);
+/// @brief Decodes a notice; unknown fields are ignored. Thread-safe.
+/// @throws InputError The value is not a valid notice.
 [[nodiscard]] PoolNotice readNotice(const Json &Value);
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/operatorapi.cpp
+++ b/packages/process/src/coltsfoottrail/server/operatorapi.cpp
@@ -22,11 +22,11 @@
 constexpr std::string_view StatePath = "/v1/state";
 constexpr std::string_view DeclarationPath = "/v1/declaration";
 constexpr std::string_view MetricsPath = "/metrics";
-constexpr milliseconds AppendWait{5'000};
-constexpr std::array<std::string_view, 4> PlanWords{"proposed", "running",
-                                                    "done", "abandoned"};
-constexpr std::array<std::string_view, 4> GroupWords{"forming", "serving",
-                                                     "stopping", "broken"};
+constexpr milliseconds AppendTimeout{5'000};
+constexpr std::array<std::string_view, 4> PlanPhaseNames{"proposed", "running",
+                                                         "done", "abandoned"};
+constexpr std::array<std::string_view, 4> GroupPhaseNames{"forming", "serving",
+                                                          "stopping", "broken"};
 
 HttpResponse problem(unsigned Status, std::string_view Code,
                      const std::string &Detail) {
@@ -35,12 +35,12 @@
                   -1, ' ', false, Json::error_handler_t::replace));
 }
 
-HttpResponse answer(const Json &Body) {
+HttpResponse jsonAnswer(const Json &Body) {
   return jsonResponse(
       200, Body.dump(-1, ' ', false, Json::error_handler_t::replace));
 }
 
-/// The part of "/v1/plans/ID/verb" behind the prefix.
+/// The plan id and verb of a path "/v1/plans/ID/verb".
 struct PlanPath {
   Offset Id = 0;
   std::string_view Verb;
@@ -62,27 +62,27 @@
   return Out;
 }
 
-std::string operatorOf(const HttpRequest &Asked) {
+std::string operatorOf(const HttpRequest &Request) {
   const std::string_view Name =
-      fieldOf(Asked.Fields, "Coltsfoottrail-Operator");
+      fieldOf(Request.Fields, "Coltsfoottrail-Operator");
   return Name.empty() ? "unnamed" : std::string(Name.substr(0, 128));
 }
 
-Record confirmed(Offset Plan, const HttpRequest &Asked) {
-  return PlanConfirmed{Plan, operatorOf(Asked)};
+Record confirmed(Offset Plan, const HttpRequest &Request) {
+  return PlanConfirmed{Plan, operatorOf(Request)};
 }
 
-Record abandoned(Offset Plan, const HttpRequest &Asked) {
-  return PlanAbandoned{Plan, "by " + operatorOf(Asked)};
+Record abandoned(Offset Plan, const HttpRequest &Request) {
+  return PlanAbandoned{Plan, "by " + operatorOf(Request)};
 }
 
-HttpResponse logDown() {
+HttpResponse logUnavailable() {
   return problem(503, "log-unavailable",
                  "the platform's log did not take the record in time; look at "
                  "the plan's status before you ask again");
 }
 
-HttpResponse beaten(const AppendOutcome &Outcome) {
+HttpResponse conflict(const AppendOutcome &Outcome) {
   Json Body{{"error", "conflict"}, {"detail", Outcome.FoldOutcome.Why}};
   if (Outcome.FoldOutcome.BeatenBy)
     Body["beaten_by"] = *Outcome.FoldOutcome.BeatenBy;
@@ -98,15 +98,15 @@
   std::uint32_t Wanted = 0;
   for (const auto &[Place, Count] : Model.Groups)
     Wanted += Count;
-  std::array<std::uint32_t, GroupWords.size()> ByPhase{};
+  std::array<std::uint32_t, GroupPhaseNames.size()> ByPhase{};
   for (const auto &[Id, Grouped] : Shown.Groups)
     if (Grouped.Formed.Model == Model.Name)
       ++ByPhase.at(static_cast<std::size_t>(Grouped.Phase));
   Json Out{{"name", Model.Name.Text},
            {"version", Model.Version.Text},
            {"wanted", Wanted}};
-  for (std::size_t Index = 0; Index < GroupWords.size(); ++Index)
-    Out[std::string(GroupWords[Index])] = ByPhase[Index];
+  for (std::size_t Index = 0; Index < GroupPhaseNames.size(); ++Index)
+    Out[std::string(GroupPhaseNames[Index])] = ByPhase[Index];
   return Out;
 }
 
@@ -118,7 +118,7 @@
           {"model", Shown.Formed.Model.Text},
           {"version", Shown.Formed.Version.Text},
           {"data_centre", Shown.Formed.DataCentre.Text},
-          {"phase", GroupWords.at(static_cast<std::size_t>(Shown.Phase))},
+          {"phase", GroupPhaseNames.at(static_cast<std::size_t>(Shown.Phase))},
           {"members", std::move(Members)}};
 }
 
@@ -129,7 +129,7 @@
   for (std::string &Line : describePlan(Shown.Proposed.Proposal))
     Lines.push_back(std::move(Line));
   Json Out{{"id", Id},
-           {"phase", PlanWords.at(static_cast<std::size_t>(Shown.Phase))},
+           {"phase", PlanPhaseNames.at(static_cast<std::size_t>(Shown.Phase))},
            {"operator", Shown.Proposed.Operator},
            {"steps", Shown.Proposed.Proposal.Steps.size()},
            {"steps_done", Shown.StepsDone},
@@ -170,7 +170,7 @@
   for (const auto &[Id, Progress] : Shown.Plans)
     Out["plans"].push_back(
         {{"id", Id},
-         {"phase", PlanWords.at(static_cast<std::size_t>(Progress.Phase))},
+         {"phase", PlanPhaseNames.at(static_cast<std::size_t>(Progress.Phase))},
          {"steps", Progress.Proposed.Proposal.Steps.size()},
          {"steps_done", Progress.StepsDone},
          {"asked", describeIntent(Progress.Proposed.Proposal.Asked)}});
@@ -194,10 +194,10 @@
 }
 
 Awaitable<void> OperatorApi::serve(Exchange &Call) {
-  const HttpRequest &Asked = Call.request();
+  const HttpRequest &Request = Call.request();
   const std::string_view Path =
-      std::string_view(Asked.Target).substr(0, Asked.Target.find('?'));
-  const bool Posts = Asked.Method == "POST";
+      std::string_view(Request.Target).substr(0, Request.Target.find('?'));
+  const bool IsPost = Request.Method == "POST";
   const std::optional<PlanPath> Plan = planPathOf(Path);
   HttpResponse Out = problem(404, "unknown-path", std::string(Path));
   if (Path == MetricsPath) {
@@ -205,21 +205,21 @@
     Out.Fields.front().Value = "text/plain; version=0.0.4";
     Out.Body = Metrics();
   } else if (Path == StatePath) {
-    Out = answer(describeState(*Agreed.state()));
+    Out = jsonAnswer(describeState(*Agreed.state()));
   } else if (Path == DeclarationPath) {
-    Out = answer(writeDeclaration(Agreed.state()->Declared));
-  } else if (Path == PlansPath && Posts) {
+    Out = jsonAnswer(writeDeclaration(Agreed.state()->Declared));
+  } else if (Path == PlansPath && IsPost) {
     Out = co_await propose(Call);
-  } else if (Plan && Plan->Verb == "confirm" && Posts) {
+  } else if (Plan && Plan->Verb == "confirm" && IsPost) {
     Out = co_await confirm(Call, Plan->Id);
-  } else if (Plan && Plan->Verb == "abandon" && Posts) {
+  } else if (Plan && Plan->Verb == "abandon" && IsPost) {
     Out = co_await abandon(Call, Plan->Id);
   } else if (Plan && Plan->Verb.empty()) {
     const StatePtr Now = Agreed.state();
     const auto Found = Now->Plans.find(Plan->Id);
     Out = Found == Now->Plans.end()
               ? planNotFound(Plan->Id)
-              : answer(describeProgress(Plan->Id, Found->second));
+              : jsonAnswer(describeProgress(Plan->Id, Found->second));
   }
   co_await Call.respond(std::move(Out));
 }
@@ -227,8 +227,8 @@
 Awaitable<AppendOutcome> OperatorApi::append(const Record &Body) {
   const auto Answer = std::make_shared<Reply<AppendOutcome>>(
       co_await boost::asio::this_coro::executor);
-  Agreed.append(Body, AppendWait,
-                [Answer](const AppendOutcome &Got) { Answer->set(Got); });
+  Agreed.append(Body, AppendTimeout,
+                [Answer](const AppendOutcome &Result) { Answer->set(Result); });
   co_return co_await Answer->wait();
 }
 
@@ -237,55 +237,55 @@
   std::string Problem;
   try {
     const Json Body = parseJson(Call.request().Body, "intent");
-    const Intent Asked = readIntent(Body, "intent", UnknownKeys::Refuse);
+    const Intent NewIntent = readIntent(Body, "intent", UnknownKeys::Refuse);
     const StatePtr Now = Agreed.state();
-    Proposed.Proposal = planIntent(*Now, Asked);
+    Proposed.Proposal = planIntent(*Now, NewIntent);
     shortenPlan(Proposed.Proposal, *Now);
     Proposed.Operator = operatorOf(Call.request());
-  } catch (const Error &Wrong) {
-    Problem = Wrong.what();
+  } catch (const Error &Failure) {
+    Problem = Failure.what();
   }
   if (!Problem.empty())
     co_return problem(422, "cannot-plan", Problem);
-  const Record Said = std::move(Proposed);
-  const AppendOutcome Got = co_await append(Said);
-  if (!Got.Appended)
-    co_return logDown();
-  if (Got.FoldOutcome.Effect != FoldEffect::Applied)
-    co_return beaten(Got);
+  const Record NewRecord = std::move(Proposed);
+  const AppendOutcome Result = co_await append(NewRecord);
+  if (!Result.Appended)
+    co_return logUnavailable();
+  if (Result.FoldOutcome.Effect != FoldEffect::Applied)
+    co_return conflict(Result);
   const StatePtr Now = Agreed.state();
-  const auto Found = Now->Plans.find(Got.RecordOffset);
+  const auto Found = Now->Plans.find(Result.RecordOffset);
   co_return Found == Now->Plans.end()
-      ? planNotFound(Got.RecordOffset)
-      : answer(describeProgress(Got.RecordOffset, Found->second));
+      ? planNotFound(Result.RecordOffset)
+      : jsonAnswer(describeProgress(Result.RecordOffset, Found->second));
 }
 
 Awaitable<HttpResponse> OperatorApi::confirm(Exchange &Call, Offset Plan) {
-  const Record Said = confirmed(Plan, Call.request());
-  const AppendOutcome Got = co_await append(Said);
-  if (!Got.Appended)
-    co_return logDown();
-  if (Got.FoldOutcome.Effect != FoldEffect::Applied)
-    co_return beaten(Got);
+  const Record NewRecord = confirmed(Plan, Call.request());
+  const AppendOutcome Result = co_await append(NewRecord);
+  if (!Result.Appended)
+    co_return logUnavailable();
+  if (Result.FoldOutcome.Effect != FoldEffect::Applied)
+    co_return conflict(Result);
   const StatePtr Now = Agreed.state();
   const auto Found = Now->Plans.find(Plan);
   co_return Found == Now->Plans.end()
       ? planNotFound(Plan)
-      : answer(describeProgress(Plan, Found->second));
+      : jsonAnswer(describeProgress(Plan, Found->second));
 }
 
 Awaitable<HttpResponse> OperatorApi::abandon(Exchange &Call, Offset Plan) {
-  const Record Said = abandoned(Plan, Call.request());
-  const AppendOutcome Got = co_await append(Said);
-  if (!Got.Appended)
-    co_return logDown();
-  if (Got.FoldOutcome.Effect != FoldEffect::Applied)
-    co_return beaten(Got);
+  const Record NewRecord = abandoned(Plan, Call.request());
+  const AppendOutcome Result = co_await append(NewRecord);
+  if (!Result.Appended)
+    co_return logUnavailable();
+  if (Result.FoldOutcome.Effect != FoldEffect::Applied)
+    co_return conflict(Result);
   const StatePtr Now = Agreed.state();
   const auto Found = Now->Plans.find(Plan);
   co_return Found == Now->Plans.end()
       ? planNotFound(Plan)
-      : answer(describeProgress(Plan, Found->second));
+      : jsonAnswer(describeProgress(Plan, Found->second));
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/operatorapi.hpp
+++ b/packages/process/src/coltsfoottrail/server/operatorapi.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The interface that operators' tools talk to; docs/OPERATIONS.md explains it.
+/// HTTP interface for operators' tools; docs/OPERATIONS.md describes it.
 #ifndef COLTSFOOTTRAIL_SERVER_OPERATORAPI_HPP
 #define COLTSFOOTTRAIL_SERVER_OPERATORAPI_HPP
 
@@ -12,22 +12,23 @@
 
 namespace coltsfoottrail {
 
-/// @brief Takes intents and confirmations and tells how things stand.
-/// Thread-safe.
+/// @brief Accepts intents and confirmations and reports the state. Thread-safe.
 class OperatorApi {
 public:
-  /// Makes the text that /metrics answers.
+  /// Produces the response body of /metrics.
   using MetricsText = std::function<std::string()>;
 
-  /// @brief Makes the interface. The stream must outlive it.
-  /// @param Agreed Where plans are proposed and confirmed.
+  /// @brief Creates the interface. The stream must outlive it.
+  /// @param Agreed The stream to which proposals and confirmations are
+  /// appended.
   /// @param CredentialSha256 SHA-256 of the operators' credential, in
   /// hexadecimal digits.
-  /// @param Metrics Makes the answer to /metrics.
+  /// @param Metrics Produces the response body of /metrics.
   OperatorApi(AgreedStream &Agreed, std::string CredentialSha256,
               MetricsText Metrics);
 
-  /// @brief Refuses a head without the operators' credential.
+  /// @brief Refuses requests without the operators' credential; /metrics needs
+  /// none.
   [[nodiscard]] std::optional<HttpResponse>
   check(const HttpRequest &Head) const;
 
@@ -45,13 +46,14 @@
   MetricsText Metrics;
 };
 
-/// @brief Summary of a state as operators see it. Thread-safe.
-/// @param Shown The state.
+/// @brief Summary of a state as the operator interface returns it. Thread-safe.
+/// @param Shown The state to describe.
 [[nodiscard]] Json describeState(const State &Shown);
 
-/// @brief A plan and how far it has come, as operators see it. Thread-safe.
-/// @param Id Offset of its proposal.
-/// @param Shown The plan.
+/// @brief A plan and its progress as the operator interface returns it.
+/// Thread-safe.
+/// @param Id Offset of the proposal of the plan.
+/// @param Shown The plan to describe.
 [[nodiscard]] Json describeProgress(Offset Id, const PlanProgress &Shown);
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/process.cpp
+++ b/packages/process/src/coltsfoottrail/server/process.cpp
@@ -21,15 +21,15 @@
 
 namespace {
 
-constexpr milliseconds TickEvery{5};
-constexpr milliseconds SlowTickEvery{100};
-constexpr std::uint64_t LoadEverySlowTicks = 5;
-constexpr std::uint64_t HostListEverySlowTicks = 20;
-constexpr milliseconds AskTimeout{400};
+constexpr milliseconds TickInterval{5};
+constexpr milliseconds SlowTickInterval{100};
+constexpr std::uint64_t LoadPollIntervalTicks = 5;
+constexpr std::uint64_t HostListIntervalTicks = 20;
+constexpr milliseconds QueryTimeout{400};
 constexpr milliseconds RecordTimeout{5'000};
 constexpr milliseconds StaleRetryAfter{500};
-constexpr milliseconds PollWhileStopping{10};
-constexpr milliseconds LeavePatience{3'000};
+constexpr milliseconds StopPollInterval{10};
+constexpr milliseconds LeaveTimeout{3'000};
 
 Incarnation drawRun() {
   std::random_device Source;
@@ -59,7 +59,8 @@
   return Out;
 }
 
-/// The group that the key of a model's endpoint names; nothing for a service.
+/// Parses the group id from the key of a model's endpoint (PLAN.NUMBER@...);
+/// empty for a service's endpoint.
 std::optional<GroupId> groupOfKey(std::string_view Key) {
   GroupId Out;
   const char *const End = Key.data() + Key.size();
@@ -187,9 +188,9 @@
   Threads.clear();
 }
 
-// Failure guarded against: work that still waits on the control thread holds
-// timers of the callers' threads, and would outlive them. With everything
-// stopped, running it once lets go of them.
+// Guards against a use after destruction: handlers still queued on the control
+// thread hold timers of the callers' threads and would outlive them. With
+// everything stopped, polling the context once destroys them.
 void EntryHostProcess::dropControlWork() {
   Agreed.stop();
   Claims.stop();
@@ -208,8 +209,8 @@
   return OperatorServer->port();
 }
 
-void EntryHostProcess::onRunRemoved(std::function<void()> Told) {
-  asio::post(Control, [this, Then = std::move(Told)]() mutable {
+void EntryHostProcess::onRunRemoved(std::function<void()> Received) {
+  asio::post(Control, [this, Then = std::move(Received)]() mutable {
     RunRemovedCallback = std::move(Then);
   });
 }
@@ -271,8 +272,9 @@
   Out.SendShares = [this](const HostName &To, Json Message) {
     send(To, Channel::Credits, std::move(Message));
   };
-  Out.Append = [this](Record Said) {
-    Agreed.append(std::move(Said), RecordTimeout, [](const AppendOutcome &) {});
+  Out.Append = [this](Record NewRecord) {
+    Agreed.append(std::move(NewRecord), RecordTimeout,
+                  [](const AppendOutcome &) {});
   };
   Out.OnRunRemoved = [this] {
     Unready = true;
@@ -289,7 +291,9 @@
 AgreedListener EntryHostProcess::agreedListener() {
   AgreedListener Out;
   Out.OnState = [this](const StatePtr &Now) { onState(Now); };
-  Out.OnLogRead = [this](TimePoint Left) { Members->recordLogRead(Left); };
+  Out.OnLogRead = [this](TimePoint CutRequests) {
+    Members->recordLogRead(CutRequests);
+  };
   Out.OnLogFailure = [this] { Members->recordLogFailure(); };
   Out.SendToPeer = [this](const HostName &To, Json Message) {
     send(To, Channel::Records, std::move(Message));
@@ -297,20 +301,22 @@
   return Out;
 }
 
-void EntryHostProcess::send(const HostName &To, Channel Which, Json Body) {
-  (void)Peers.send(To, Which, std::move(Body));
+void EntryHostProcess::send(const HostName &To, Channel MessageChannel,
+                            Json Body) {
+  (void)Peers.send(To, MessageChannel, std::move(Body));
 }
 
 void EntryHostProcess::subscribe(
-    Channel Which,
+    Channel MessageChannel,
     void (EntryHostProcess::*Take)(const HostName &, const Json &)) {
-  Peers.onMessage(Which, [this, Take](const HostName &From, Incarnation,
-                                      const Json &Message) {
-    asio::post(Control, [this, Take, From, Message] {
-      if (!StopRequested || ControlThread.joinable())
-        (this->*Take)(From, Message);
-    });
-  });
+  Peers.onMessage(
+      MessageChannel,
+      [this, Take](const HostName &From, Incarnation, const Json &Message) {
+        asio::post(Control, [this, Take, From, Message] {
+          if (!StopRequested || ControlThread.joinable())
+            (this->*Take)(From, Message);
+        });
+      });
 }
 
 void EntryHostProcess::listenToPeers() {
@@ -363,9 +369,11 @@
 
 void EntryHostProcess::handleNotice(const HostName &From, const Json &Message) {
   try {
-    const PoolNotice Told = readNotice(Message);
-    // Broadcasts reach neighbours only: hosts pass on what is news to them.
-    if (Routing.observeNotice(Told.PoolName, Told.Notice) && !AllAreNeighbours)
+    const PoolNotice Received = readNotice(Message);
+    // Broadcasts reach neighbours only, so hosts forward notices that are new
+    // to them.
+    if (Routing.observeNotice(Received.PoolName, Received.Notice) &&
+        !AllAreNeighbours)
       Peers.broadcast(Channel::Notices, Message);
   } catch (const InputError &Problem) {
     logEvent(Event::InternalError, {{"peer", From}, {"why", Problem.what()}});
@@ -391,14 +399,14 @@
 }
 
 void EntryHostProcess::logChanges(const State &Now) {
-  for (const auto &[Id, Grouped] : Now.Groups) {
+  for (const auto &[Id, GroupState] : Now.Groups) {
     const auto [Known, New] = LoggedGroups.try_emplace(Id, GroupPhase::Forming);
-    if (Known->second == Grouped.Phase)
+    if (Known->second == GroupState.Phase)
       continue;
-    Known->second = Grouped.Phase;
-    if (Grouped.Phase == GroupPhase::Broken)
+    Known->second = GroupState.Phase;
+    if (GroupState.Phase == GroupPhase::Broken)
       logEvent(Event::GroupBroken, {{"group", textOf(Id)}});
-    if (Grouped.Phase == GroupPhase::Serving)
+    if (GroupState.Phase == GroupPhase::Serving)
       logEvent(Event::GroupConfirmed, {{"group", textOf(Id)}});
   }
   std::erase_if(LoggedGroups, [&](const auto &Entry) {
@@ -435,8 +443,8 @@
 void EntryHostProcess::refreshUsableEndpoints() {
   const std::map<GroupId, TimePoint> Live = Groups.usableUntil();
   auto Next = std::make_shared<UsableEndpoints>();
-  for (const auto &[Name, Pooled] : Routes->Pools)
-    for (const EndpointSpec &Spec : Pooled.Endpoints) {
+  for (const auto &[Name, RoutedPool] : Routes->Pools)
+    for (const EndpointSpec &Spec : RoutedPool.Endpoints) {
       const std::optional<GroupId> Group = groupOfKey(Spec.Key);
       if (!Group)
         (*Next)[Spec.Key] = TimePoint::max();
@@ -452,12 +460,12 @@
   RouteTable Filtered = *Routes;
   std::set<std::string> Keys;
   std::map<std::string, std::uint32_t> Shares;
-  for (auto &[Name, Pooled] : Filtered.Pools) {
-    std::erase_if(Pooled.Endpoints, [&](const EndpointSpec &Spec) {
+  for (auto &[Name, RoutedPool] : Filtered.Pools) {
+    std::erase_if(RoutedPool.Endpoints, [&](const EndpointSpec &Spec) {
       const auto Found = Usable->find(Spec.Key);
       return Found == Usable->end() || Found->second <= Now;
     });
-    for (const EndpointSpec &Spec : Pooled.Endpoints) {
+    for (const EndpointSpec &Spec : RoutedPool.Endpoints) {
       Keys.insert(Spec.Key);
       Shares[Spec.Key] = Members->share(Spec.Key);
     }
@@ -469,9 +477,10 @@
   Routing.setRoutes(Filtered, Shares, Agreed.state()->EntryHosts.size());
 }
 
-// Failure guarded against: between the decision and this moment the host was
-// paused, or a drain, the loss of a member, or the end of a credit came into
-// force. Each is looked at again with the clock read now.
+// Guards against stale decisions: between the dispatcher's decision and this
+// call, the host may have been paused, or a drain, the loss of a member or the
+// end of a share may have taken effect. Each is checked again with the clock
+// read now.
 bool EntryHostProcess::admit(const EndpointSpec &To) {
   if (!mayStartWork())
     return false;
@@ -497,12 +506,12 @@
 }
 
 void EntryHostProcess::pollLoad() {
-  for (const auto &[Name, Pooled] : Routes->Pools)
-    for (const EndpointSpec &Spec : Pooled.Endpoints) {
+  for (const auto &[Name, RoutedPool] : Routes->Pools)
+    for (const EndpointSpec &Spec : RoutedPool.Endpoints) {
       if (Members->share(Spec.Key) == 0 && !Members->isSteward(Spec.Key))
         continue;
       EngineClients.ask(
-          Spec.Address, AskTimeout,
+          Spec.Address, QueryTimeout,
           [this, Key = Spec.Key](std::optional<EngineReport> Report) {
             if (Report)
               recordLoad(Key, *Report);
@@ -518,15 +527,15 @@
 }
 
 void EntryHostProcess::sendNotices() {
-  for (const auto &[Pool, Told] : Routing.takeNotices())
-    Peers.broadcast(Channel::Notices, writeNotice(PoolNotice{Pool, Told}));
+  for (const auto &[Pool, Received] : Routing.takeNotices())
+    Peers.broadcast(Channel::Notices, writeNotice(PoolNotice{Pool, Received}));
 }
 
 void EntryHostProcess::tick() {
   Routing.advance();
   Members->tick();
   sendNotices();
-  TickTimer.expires_after(TickEvery);
+  TickTimer.expires_after(TickInterval);
   TickTimer.async_wait([this](const boost::system::error_code &Problem) {
     if (!Problem)
       tick();
@@ -539,14 +548,14 @@
   Groups.poll();
   refreshUsableEndpoints();
   applyRoutes();
-  if (SlowTicks % LoadEverySlowTicks == 0)
+  if (SlowTicks % LoadPollIntervalTicks == 0)
     pollLoad();
-  if (HostListing && SlowTicks % HostListEverySlowTicks == 0)
-    HostListing->list(AskTimeout, [this](const auto &Hosts) {
+  if (HostListing && SlowTicks % HostListIntervalTicks == 0)
+    HostListing->list(QueryTimeout, [this](const auto &Hosts) {
       if (Hosts)
         Members->applyHostList(*Hosts);
     });
-  SlowTickTimer.expires_after(SlowTickEvery);
+  SlowTickTimer.expires_after(SlowTickInterval);
   SlowTickTimer.async_wait([this](const boost::system::error_code &Problem) {
     if (!Problem)
       tickSlow();
@@ -585,31 +594,31 @@
   CallerServer->stopAccepting();
   const TimePoint Limit = BootClock::now() + Options.Stop.StreamLimit;
   while (CallerServer->inProgress() > 0 && BootClock::now() < Limit)
-    std::this_thread::sleep_for(PollWhileStopping);
-  const std::size_t Left = CallerServer->inProgress();
-  if (Left > 0)
-    logEvent(Event::StreamCut, {{"requests", Left}});
+    std::this_thread::sleep_for(StopPollInterval);
+  const std::size_t CutRequests = CallerServer->inProgress();
+  if (CutRequests > 0)
+    logEvent(Event::StreamCut, {{"requests", CutRequests}});
   CallerServer->cutAll();
-  // Failure guarded against: an order was answered here, its settlement is not
-  // on the log yet, and this host is gone: its repeat at another host would be
-  // told that it may have run, in place of the answer.
-  const TimePoint SettleLimit = BootClock::now() + LeavePatience;
+  // Guards against losing an outcome: if this host left before the settlement
+  // of an answered request is on the log, a repeat of that request at another
+  // host would get "may have run" instead of the stored response.
+  const TimePoint SettleLimit = BootClock::now() + LeaveTimeout;
   while (Claims.unsettled() > 0 && BootClock::now() < SettleLimit)
-    std::this_thread::sleep_for(PollWhileStopping);
+    std::this_thread::sleep_for(StopPollInterval);
   asio::post(Control, [this] { Members->leave(); });
-  const TimePoint GiveUp = BootClock::now() + LeavePatience;
+  const TimePoint LeaveLimit = BootClock::now() + LeaveTimeout;
   const auto IsMember = [this] {
     const StatePtr Now = Agreed.state();
     const auto Found = Now->EntryHosts.find(Options.Host);
     return Found != Now->EntryHosts.end() && Found->second.Joined.Run == Run;
   };
-  while (IsMember() && BootClock::now() < GiveUp)
-    std::this_thread::sleep_for(PollWhileStopping);
+  while (IsMember() && BootClock::now() < LeaveLimit)
+    std::this_thread::sleep_for(StopPollInterval);
   Peers.stop();
   Control.stop();
   ControlThread.join();
-  logEvent(Event::Stopped, {{"cut", Left}});
-  return Left;
+  logEvent(Event::Stopped, {{"cut", CutRequests}});
+  return CutRequests;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/process.hpp
+++ b/packages/process/src/coltsfoottrail/server/process.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One entry host: everything that lives as long as the process.
+/// The entry host process: owns all of its parts.
 #ifndef COLTSFOOTTRAIL_SERVER_PROCESS_HPP
 #define COLTSFOOTTRAIL_SERVER_PROCESS_HPP
 
@@ -20,7 +20,7 @@
 
 namespace coltsfoottrail {
 
-/// @brief A port cannot be listened on.
+/// @brief Thrown if the port for peers cannot be opened.
 class PortError : public Error {
 public:
   using Error::Error;
@@ -29,48 +29,51 @@
 /// @brief An entry host.
 class EntryHostProcess {
 public:
-  /// @brief Listens and starts to follow the log.
-  /// @param Wanted Checked settings.
+  /// @brief Opens the ports and starts to follow the log.
+  /// @param Wanted Validated settings.
   /// @throws boost::system::system_error A port for callers or operators is
-  /// taken.
-  /// @throws PortError The port for peers is taken.
+  /// already in use.
+  /// @throws PortError The port for peers is already in use.
   explicit EntryHostProcess(Settings Wanted);
   EntryHostProcess(const EntryHostProcess &) = delete;
   EntryHostProcess &operator=(const EntryHostProcess &) = delete;
-  /// @brief Stops at once what is still running.
+  /// @brief Stops immediately and cuts requests that are still in progress.
   ~EntryHostProcess();
 
   /// @brief Port for callers. Thread-safe.
   [[nodiscard]] std::uint16_t callerPort() const noexcept;
   /// @brief Port for operators. Thread-safe.
   [[nodiscard]] std::uint16_t operatorPort() const noexcept;
-  /// @brief Whether the balancer may send callers here. Thread-safe.
+  /// @brief Whether the load balancer may send requests to this host.
+  /// Thread-safe.
   [[nodiscard]] bool ready() const;
   /// @brief The newest agreed state. Thread-safe.
   [[nodiscard]] StatePtr state() const { return Agreed.state(); }
-  /// @brief Whether this host may start work on its state. Thread-safe.
+  /// @brief Whether the state of this host is fresh enough to start work.
+  /// Thread-safe.
   [[nodiscard]] Freshness freshness() const {
     return Agreed.freshness(BootClock::now());
   }
-  /// @brief What callers got. Thread-safe.
+  /// @brief Counts of responses by outcome. Thread-safe.
   [[nodiscard]] const RelayCounters &counters() const noexcept {
     return CallerRelay.counters();
   }
-  /// @brief Peers that are connected now. Thread-safe.
+  /// @brief Number of connected peers. Thread-safe.
   [[nodiscard]] std::size_t peers() const { return Peers.connected().size(); }
-  /// @brief Sets who hears that this run has been found gone by its peers: it
-  /// has to be stopped and started again. Thread-safe.
-  /// @param Told Called once, on the control thread.
-  void onRunRemoved(std::function<void()> Told);
+  /// @brief Sets the callback for the removal of this run from the members by
+  /// its peers; the process must then be stopped and restarted. Thread-safe.
+  /// @param Received Called once, on the control thread.
+  void onRunRemoved(std::function<void()> Received);
 
-  /// @brief Stops as planned: unready at once, no new requests after the grace,
-  /// requests in progress run out up to the limit. Blocks until all has ended.
-  /// Not from one of the process's threads; a second call does nothing.
-  /// @return Requests that were cut at the limit.
+  /// @brief Performs a planned stop: the host becomes unready at once, refuses
+  /// new requests after the grace period, and lets requests in progress finish
+  /// until the time limit. Blocks until all parts have stopped. Must not be
+  /// called on one of the process's threads; a second call does nothing.
+  /// @return Number of requests that were cut at the time limit.
   std::size_t stop();
 
 private:
-  /// Until when each endpoint may be sent requests.
+  /// The time until which each endpoint may be sent requests, by endpoint key.
   using UsableEndpoints = std::map<std::string, TimePoint, std::less<>>;
 
   [[nodiscard]] Awaitable<void> serveCaller(Exchange &Call);
@@ -88,15 +91,16 @@
   [[nodiscard]] std::uint16_t startPeers();
   void listenToPeers();
   void logChanges(const State &Now);
-  void subscribe(Channel Which, void (EntryHostProcess::*Take)(const HostName &,
-                                                               const Json &));
+  void subscribe(Channel MessageChannel,
+                 void (EntryHostProcess::*Take)(const HostName &,
+                                                const Json &));
   void handleMembership(const HostName &From, const Json &Message);
   void handleShares(const HostName &From, const Json &Message);
   void handleClaims(const HostName &From, const Json &Message);
   void handleBeat(const HostName &From, const Json &Message);
   void handleRecords(const HostName &From, const Json &Message);
   void handleNotice(const HostName &From, const Json &Message);
-  void send(const HostName &To, Channel Which, Json Body);
+  void send(const HostName &To, Channel MessageChannel, Json Body);
 
   void onState(const StatePtr &Now);
   void setPeers(const State &Now);
@@ -134,11 +138,11 @@
   RouteTablePtr Routes;
   std::set<std::string> AppliedKeys;
   Offset AppliedVersion = 0;
-  /// Phases that have been logged.
+  /// Phases of groups and plans that have been logged already.
   std::map<GroupId, GroupPhase> LoggedGroups;
   std::map<Offset, PlanPhase> LoggedPlans;
   std::uint64_t SlowTicks = 0;
-  /// The change of the entry hosts that the mesh goes by.
+  /// Offset of the entry host change that the mesh peers were last set from.
   std::optional<Offset> AppliedPeersChange;
   bool AllAreNeighbours = true;
   mutable std::mutex UsableLock;
--- a/packages/process/src/coltsfoottrail/server/processmetrics.cpp
+++ b/packages/process/src/coltsfoottrail/server/processmetrics.cpp
@@ -4,21 +4,23 @@
 
 namespace {
 
-/// Carries a counter that stands elsewhere over into the registry.
-class Carried {
+/// Copies the increments of an atomic counter to a counter of the registry.
+class MirroredCounter {
 public:
-  Carried(Metrics &Registry, std::string_view Name, std::string_view Help,
-          const std::atomic<std::uint64_t> &From)
-      : Home(Registry), Id(Registry.counter(Name, Help, {})), Source(From) {}
+  MirroredCounter(Metrics &Registry, std::string_view Name,
+                  std::string_view Help,
+                  const std::atomic<std::uint64_t> &Counter)
+      : Target(Registry), Id(Registry.counter(Name, Help, {})),
+        Source(Counter) {}
 
-  void carry() {
+  void update() {
     const std::uint64_t Now = Source;
-    Home.add(Id, Now - Last);
+    Target.add(Id, Now - Last);
     Last = Now;
   }
 
 private:
-  Metrics &Home;
+  Metrics &Target;
   CounterId Id;
   const std::atomic<std::uint64_t> &Source;
   std::uint64_t Last = 0;
@@ -27,22 +29,23 @@
 } // namespace
 
 void EntryHostProcess::setUpMetrics() {
-  const RelayCounters &From = CallerRelay.counters();
-  auto Counters = std::make_shared<std::vector<Carried>>();
+  const RelayCounters &RelayCounts = CallerRelay.counters();
+  auto Counters = std::make_shared<std::vector<MirroredCounter>>();
   Counters->emplace_back(Registry, "coltsfoottrail_answered_total",
-                         "Requests answered whole", From.Answered);
+                         "Requests answered whole", RelayCounts.Answered);
   Counters->emplace_back(Registry, "coltsfoottrail_refused_not_run_total",
                          "Requests refused that have not run",
-                         From.RefusedNotRun);
+                         RelayCounts.RefusedNotRun);
   Counters->emplace_back(Registry, "coltsfoottrail_refused_may_have_run_total",
                          "Requests refused that may have run",
-                         From.RefusedMayHaveRun);
+                         RelayCounts.RefusedMayHaveRun);
   Counters->emplace_back(Registry, "coltsfoottrail_cut_total",
-                         "Streams broken off", From.Cut);
+                         "Streams broken off", RelayCounts.Cut);
   Counters->emplace_back(Registry, "coltsfoottrail_attempts_total",
-                         "Sends to endpoints", From.Attempts);
+                         "Sends to endpoints", RelayCounts.Attempts);
   Counters->emplace_back(Registry, "coltsfoottrail_resumed_total",
-                         "Streams resumed on another endpoint", From.Resumed);
+                         "Streams resumed on another endpoint",
+                         RelayCounts.Resumed);
   const GaugeId Ready = Registry.gauge(
       "coltsfoottrail_ready", "Whether the balancer may send callers here", {});
   const GaugeId Next = Registry.gauge("coltsfoottrail_agreed_next",
@@ -55,8 +58,8 @@
                                          "Requests waiting for endpoints", {});
   Registry.onScrape([this, Counters, Ready, Next, Connected, InProgress,
                      Waiting] {
-    for (Carried &One : *Counters)
-      One.carry();
+    for (MirroredCounter &One : *Counters)
+      One.update();
     Registry.set(Ready, ready() ? 1.0 : 0.0);
     Registry.set(Next, static_cast<double>(state()->Next));
     Registry.set(Connected, static_cast<double>(peers()));
--- a/packages/process/src/coltsfoottrail/server/refusal.hpp
+++ b/packages/process/src/coltsfoottrail/server/refusal.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Verdicts as callers read them.
+/// HTTP responses that tell callers why a request was refused.
 #ifndef COLTSFOOTTRAIL_SERVER_REFUSAL_HPP
 #define COLTSFOOTTRAIL_SERVER_REFUSAL_HPP
 
@@ -10,17 +10,18 @@
 
 namespace coltsfoottrail {
 
-/// @brief Makes the problem+json answer (RFC 9457) for a verdict. Thread-safe.
+/// @brief Creates the problem+json response (RFC 9457) for a verdict.
+/// Thread-safe.
 /// @param Final The verdict.
-/// @param Detail More for people; may be empty.
+/// @param Detail Further explanation for human readers; may be empty.
 [[nodiscard]] HttpResponse refusalOf(const Verdict &Final,
                                      std::string_view Detail = {});
 
-/// @brief Makes the answer for what the HTTP server itself refuses: before a
-/// request is read whole it has not run; after an unexpected exception, status
-/// 500, it may have. Thread-safe.
+/// @brief Creates the response for requests that the HTTP server itself
+/// refuses. A request that was not read completely has not run; after an
+/// unexpected exception (status 500) it may have run. Thread-safe.
 /// @param Status HTTP status.
-/// @param Why Stable code.
+/// @param Why Reason code, stable across versions.
 [[nodiscard]] HttpResponse serverRefusal(unsigned Status, std::string_view Why);
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/relay.cpp
+++ b/packages/process/src/coltsfoottrail/server/relay.cpp
@@ -22,8 +22,8 @@
 constexpr std::size_t MaxResumeBytes = std::size_t{256} << 10U;
 constexpr milliseconds StoppingRetryAfter{200};
 constexpr milliseconds InProgressRetryAfter{500};
-constexpr milliseconds FirstJoinPause{25};
-constexpr milliseconds LongestJoinPause{400};
+constexpr milliseconds InitialJoinDelay{25};
+constexpr milliseconds MaxJoinDelay{400};
 constexpr std::string_view OutcomesPrefix = "/outcomes/";
 constexpr std::string_view VerdictField = "Coltsfoottrail-Verdict";
 constexpr unsigned StatusOk = 200;
@@ -35,14 +35,15 @@
   return {RunState::NotRun, Why, RetryAfter};
 }
 
-/// The key of a group's endpoint names its generation; the engine wants the
-/// group alone and refuses when it serves another one.
+/// The Coltsfoottrail-Group value for an endpoint: its key up to the '@',
+/// without the generation. The engine refuses the request if it serves another
+/// group.
 std::string groupOf(const EndpointSpec &To) {
   return To.Key.substr(0, To.Key.find('@'));
 }
 
-/// Whether another endpoint may answer where this one refused.
-bool isWorthAnother(unsigned Status) {
+/// Whether a request refused with this status may be tried at another endpoint.
+bool isRetryableStatus(unsigned Status) {
   return Status == StatusConflict || Status == StatusTooMany ||
          Status >= FirstErrorStatus;
 }
@@ -54,7 +55,7 @@
   return Resumed.dump();
 }
 
-bool isPassedBack(std::string_view Name) {
+bool isForwardedBack(std::string_view Name) {
   constexpr std::array<std::string_view, 5> Known{
       "Content-Type", "Content-Encoding", "Cache-Control", "ETag", "Location"};
   constexpr std::string_view OwnPrefix = "X-";
@@ -68,7 +69,7 @@
 std::vector<HttpField> answerFields(const HttpResponse &Head) {
   std::vector<HttpField> Out;
   for (const HttpField &Field : Head.Fields)
-    if (isPassedBack(Field.Name))
+    if (isForwardedBack(Field.Name))
       Out.push_back(Field);
   return Out;
 }
@@ -83,7 +84,7 @@
   return Out;
 }
 
-/// Answer for a request that ran while its answer is not kept.
+/// Response for a request that ran but whose response body was not kept.
 HttpResponse ranWithoutBody(const StoredOutcome &Outcome) {
   const Json Body{{"verdict", "ran"},
                   {"status", Outcome.Status},
@@ -98,7 +99,7 @@
   return Outcome.BodyKept ? replayedAnswer(Outcome) : ranWithoutBody(Outcome);
 }
 
-/// What a query for an outcome is told.
+/// Response to a query for the outcome of a key.
 HttpResponse outcomeAnswer(const ClaimDecision &Decision) {
   Json Body;
   unsigned Status = StatusOk;
@@ -148,28 +149,28 @@
   addField(Fields, Name, Value);
 }
 
-ClaimRequest claimOf(const CallerRequest &Asked) {
+ClaimRequest claimOf(const CallerRequest &Request) {
   ClaimRequest Out;
-  Out.ScopedKey = ClaimKey{Asked.Team.Name, Asked.IdempotencyKey};
+  Out.ScopedKey = ClaimKey{Request.Team.Name, Request.IdempotencyKey};
   Out.BodyDigest =
-      sha256Hex(Asked.PoolName + "\n" + Asked.Forwarded.Method + "\n" +
-                Asked.Forwarded.Target + "\n" + Asked.Forwarded.Body);
-  Out.Birth = birthOfKey(Asked.IdempotencyKey);
+      sha256Hex(Request.PoolName + "\n" + Request.Forwarded.Method + "\n" +
+                Request.Forwarded.Target + "\n" + Request.Forwarded.Body);
+  Out.Birth = birthOfKey(Request.IdempotencyKey);
   return Out;
 }
 
 } // namespace
 
-/// What of a streamed answer the caller has.
+/// The part of a streamed response that the caller has received.
 struct Relay::StreamProgress {
   EventSplitter Events{MaxResumeBytes};
-  /// Context of the attempt under way.
+  /// Trace context of the current attempt.
   TraceContext Trace;
 };
 
 Relay::Relay(IoPool &Threads, Router &Where, ClaimDriver &Desk,
-             CallerLimits Bounds, AdmissionHooks Asked, SpanFactory &Traces)
-    : Routing(Where), Claims(Desk), Limits(Bounds), Hooks(std::move(Asked)),
+             CallerLimits Bounds, AdmissionHooks Request, SpanFactory &Traces)
+    : Routing(Where), Claims(Desk), Limits(Bounds), Hooks(std::move(Request)),
       SpanSource(Traces), Routes(std::make_shared<const RouteTable>()) {
   for (std::size_t Index = 0; Index < Threads.size(); ++Index)
     Clients.push_back(
@@ -220,29 +221,29 @@
     co_await serveOutcomeQuery(Call);
     co_return;
   }
-  std::optional<CallerRequest> Asked;
+  std::optional<CallerRequest> Request;
   Verdict Refused;
   std::string Detail;
   try {
-    Asked =
+    Request =
         readCallerRequest(Call.request(), *routes(), Limits, BootClock::now());
   } catch (const RequestRefused &Problem) {
     Refused = Problem.verdict();
     Detail = Problem.what();
   }
-  if (!Asked) {
+  if (!Request) {
     co_await refuseWith(Call, Refused, std::move(Detail));
     co_return;
   }
   const TraceContext From =
       SpanSource.accept(fieldOf(Call.request().Fields, "traceparent"));
   ScopedSpan Server = SpanSource.begin("request", SpanKind::Server, From);
-  Server.setAttribute(SpanKey::Target, Asked->PoolName);
-  Asked->Trace = Server.context();
-  if (!Asked->Item.Repeatable && !Asked->IdempotencyKey.empty())
-    co_await serveClaimed(Call, std::move(*Asked));
+  Server.setAttribute(SpanKey::Target, Request->PoolName);
+  Request->Trace = Server.context();
+  if (!Request->Item.Repeatable && !Request->IdempotencyKey.empty())
+    co_await serveClaimed(Call, std::move(*Request));
   else
-    co_await serveRouted(Call, std::move(*Asked), nullptr);
+    co_await serveRouted(Call, std::move(*Request), nullptr);
 }
 
 Awaitable<void> Relay::serveOutcomeQuery(Exchange &Call) {
@@ -263,77 +264,81 @@
     co_return;
   }
   const ClaimKey Wanted = keyOf(*Team, Key);
-  const DeliverDecision Told =
+  const DeliverDecision Decided =
       co_await Claims.query(Wanted, BootClock::now() + Limits.DefaultDeadline);
-  co_await Call.respond(outcomeAnswer(Told.Decision));
+  co_await Call.respond(outcomeAnswer(Decided.Decision));
 }
 
-// A repeated request often comes while the first one is still under way. It
-// waits for the first one's outcome rather than be refused: only while that
-// stays open up to the deadline it hears "key-in-use".
-Awaitable<DeliverDecision> Relay::claimOrJoin(const CallerRequest &Asked) {
+// A repeated request often arrives while the first one is still in progress. It
+// waits for the outcome of the first one instead of being refused; only if that
+// is still open at the deadline is the response "key-in-use".
+Awaitable<DeliverDecision> Relay::claimOrJoin(const CallerRequest &Request) {
   boost::asio::steady_timer Pause(co_await boost::asio::this_coro::executor);
-  milliseconds Wait = FirstJoinPause;
+  milliseconds Wait = InitialJoinDelay;
   while (true) {
-    const ClaimRequest Wanted = claimOf(Asked);
-    DeliverDecision Told = co_await Claims.claim(Wanted, Asked.Item.Deadline);
-    const bool Open = std::holds_alternative<ClaimInProgress>(Told.Decision);
-    if (!Open || BootClock::now() + Wait >= Asked.AnswerDeadline)
-      co_return Told;
+    const ClaimRequest Wanted = claimOf(Request);
+    DeliverDecision Decided =
+        co_await Claims.claim(Wanted, Request.Item.Deadline);
+    const bool Open = std::holds_alternative<ClaimInProgress>(Decided.Decision);
+    if (!Open || BootClock::now() + Wait >= Request.AnswerDeadline)
+      co_return Decided;
     Pause.expires_after(Wait);
     co_await Pause.async_wait(boost::asio::use_awaitable);
-    Wait = std::min(Wait * 2, LongestJoinPause);
+    Wait = std::min(Wait * 2, MaxJoinDelay);
   }
 }
 
-void Relay::logKeyInUse(const CallerRequest &Asked,
+void Relay::logKeyInUse(const CallerRequest &Request,
                         const ClaimInProgress &Held) {
   const std::optional<std::uint64_t> HeldBack =
       Sampler.admit(Event::KeyInUse, BootClock::now());
   if (!HeldBack)
     return;
-  logEvent(
-      Event::KeyInUse,
-      {{"team", Asked.Team.Name},
-       {"key", Asked.IdempotencyKey},
-       {"partition", partitionOf(keyOf(Asked.Team.Name, Asked.IdempotencyKey))},
-       {"claimant", Held.Claimant},
-       {"fence", Held.Fence},
-       {"read_up_to", Held.ReadUpTo},
-       {"held_back", *HeldBack}});
+  logEvent(Event::KeyInUse,
+           {{"team", Request.Team.Name},
+            {"key", Request.IdempotencyKey},
+            {"partition",
+             partitionOf(keyOf(Request.Team.Name, Request.IdempotencyKey))},
+            {"claimant", Held.Claimant},
+            {"fence", Held.Fence},
+            {"read_up_to", Held.ReadUpTo},
+            {"held_back", *HeldBack}});
 }
 
-Awaitable<void> Relay::serveClaimed(Exchange &Call, CallerRequest Asked) {
-  const DeliverDecision Told = co_await claimOrJoin(Asked);
-  if (const auto *const Replay = std::get_if<ClaimReplay>(&Told.Decision)) {
+Awaitable<void> Relay::serveClaimed(Exchange &Call, CallerRequest Request) {
+  const DeliverDecision Decided = co_await claimOrJoin(Request);
+  if (const auto *const Replay = std::get_if<ClaimReplay>(&Decided.Decision)) {
     ++Counts.Answered;
     co_await Call.respond(replayOf(Replay->Outcome));
     co_return;
   }
-  if (std::optional<Verdict> Refused = verdictOf(Told.Decision)) {
-    if (const auto *const Held = std::get_if<ClaimInProgress>(&Told.Decision)) {
+  if (std::optional<Verdict> Refused = verdictOf(Decided.Decision)) {
+    if (const auto *const Held =
+            std::get_if<ClaimInProgress>(&Decided.Decision)) {
       Refused->RetryAfter = InProgressRetryAfter;
-      logKeyInUse(Asked, *Held);
+      logKeyInUse(Request, *Held);
     }
     co_await refuse(Call, *Refused);
     co_return;
   }
-  ClaimGuard Guard(Claims, Told.Id);
-  Asked.Item.Deadline = std::min(Asked.Item.Deadline, Told.DispatchBefore);
-  co_await serveRouted(Call, std::move(Asked), &Guard);
+  ClaimGuard Guard(Claims, Decided.Id);
+  Request.Item.Deadline =
+      std::min(Request.Item.Deadline, Decided.DispatchBefore);
+  co_await serveRouted(Call, std::move(Request), &Guard);
 }
 
-Awaitable<void> Relay::serveRouted(Exchange &Call, CallerRequest Asked,
+Awaitable<void> Relay::serveRouted(Exchange &Call, CallerRequest Request,
                                    ClaimGuard *Guard) {
-  std::optional<DispatchHandle> Mine = Routing.submit(
-      Asked.PoolName, Asked.Item, co_await boost::asio::this_coro::executor);
-  if (!Mine) {
+  std::optional<DispatchHandle> Handle =
+      Routing.submit(Request.PoolName, Request.Item,
+                     co_await boost::asio::this_coro::executor);
+  if (!Handle) {
     co_await refuse(Call, notRun(Reason::UnknownTarget));
     co_return;
   }
   StreamProgress Progress;
   while (true) {
-    const Decision Next = co_await Mine->next();
+    const Decision Next = co_await Handle->next();
     if (const auto *const Refused = std::get_if<Refusal>(&Next)) {
       if (!Call.hasBegun()) {
         co_await refuse(Call, Refused->Final);
@@ -346,8 +351,8 @@
     ++Counts.Attempts;
     const auto To = std::get<Assignment>(Next).Endpoint;
     const AttemptResult Result =
-        co_await admittedAttempt(Call, Asked, *To, Progress, Guard);
-    Mine->report(Result);
+        co_await admittedAttempt(Call, Request, *To, Progress, Guard);
+    Handle->report(Result);
     if (Result.Answered) {
       ++Counts.Answered;
       co_return;
@@ -357,16 +362,17 @@
 
 namespace {
 
-/// Gives a leave back however the attempt ends, also when its caller goes away.
-class Leave {
+/// Reports the end of an admitted attempt on destruction, also if the caller
+/// disconnects.
+class AdmissionGuard {
 public:
-  Leave(const AdmissionHooks &Gate, const EndpointSpec &To)
+  AdmissionGuard(const AdmissionHooks &Gate, const EndpointSpec &To)
       : Home(Gate), Where(To) {
     Result.FailureReason = Reason::Cancelled;
   }
-  Leave(const Leave &) = delete;
-  Leave &operator=(const Leave &) = delete;
-  ~Leave() { Home.OnAttemptEnded(Where, Result); }
+  AdmissionGuard(const AdmissionGuard &) = delete;
+  AdmissionGuard &operator=(const AdmissionGuard &) = delete;
+  ~AdmissionGuard() { Home.OnAttemptEnded(Where, Result); }
 
   AttemptResult Result;
 
@@ -378,36 +384,36 @@
 } // namespace
 
 Awaitable<AttemptResult> Relay::admittedAttempt(Exchange &Call,
-                                                const CallerRequest &Asked,
+                                                const CallerRequest &Request,
                                                 const EndpointSpec &To,
                                                 StreamProgress &Progress,
                                                 ClaimGuard *Guard) {
   if (!Hooks.Admit(To))
     co_return failedAttempt(RunState::NotRun, Reason::NoEndpoint,
                             BootClock::now());
-  Leave Given(Hooks, To);
+  AdmissionGuard Admission(Hooks, To);
   ScopedSpan Client =
-      SpanSource.begin("attempt", SpanKind::Client, Asked.Trace);
+      SpanSource.begin("attempt", SpanKind::Client, Request.Trace);
   Client.setAttribute(SpanKey::Endpoint, To.Key);
   Progress.Trace = Client.context();
-  Given.Result = co_await attempt(Call, Asked, To, Progress, Guard);
-  Client.recordResult(Given.Result);
-  co_return Given.Result;
+  Admission.Result = co_await attempt(Call, Request, To, Progress, Guard);
+  Client.recordResult(Admission.Result);
+  co_return Admission.Result;
 }
 
-// Failure guarded against: a request that must not run twice is written to a
-// connection that the endpoint is just closing, and nobody can tell whether it
-// ran. Such requests get a connection of their own, so that "not run" and "may
-// have run" stay apart.
+// Guards against a request of unknown fate: written to a pooled connection that
+// the endpoint is just closing, a request that must not run twice may or may
+// not have run. Such requests use a new connection each, so that "not run" and
+// "may have run" can be told apart.
 Awaitable<AttemptResult> Relay::attempt(Exchange &Call,
-                                        const CallerRequest &Asked,
+                                        const CallerRequest &Request,
                                         const EndpointSpec &To,
                                         StreamProgress &Progress,
                                         ClaimGuard *Guard) {
   const TimePoint Start = BootClock::now();
-  HttpRequest Sent = Asked.Forwarded;
+  HttpRequest Sent = Request.Forwarded;
   setField(Sent.Fields, "traceparent", formatTraceparent(Progress.Trace));
-  if (Asked.IsModelCall)
+  if (Request.IsModelCall)
     addField(Sent.Fields, "Coltsfoottrail-Group", groupOf(To));
   if (Call.hasBegun()) {
     const std::optional<std::string> Text = Progress.Events.text();
@@ -422,15 +428,15 @@
     Sent.Body = resumedBody(Sent.Body, *Text, Progress.Events.tokens());
   }
   if (Guard != nullptr) {
-    if (BootClock::now() >= Asked.Item.Deadline)
+    if (BootClock::now() >= Request.Item.Deadline)
       co_return failedAttempt(RunState::NotRun, Reason::DeadlinePassed, Start);
     Guard->markSent();
   }
   auto Started =
       co_await client(Call.thread())
-          .start(To.Address, std::move(Sent), Asked.AnswerDeadline,
-                 ConnectionUse{Asked.Item.Repeatable ? Reuse::Allowed
-                                                     : Reuse::Never});
+          .start(To.Address, std::move(Sent), Request.AnswerDeadline,
+                 ConnectionUse{Request.Item.Repeatable ? Reuse::Allowed
+                                                       : Reuse::Never});
   if (const auto *const Failure = std::get_if<CallFailure>(&Started)) {
     if (Guard != nullptr && Failure->State == RunState::NotRun)
       Guard->markNotRun();
@@ -441,20 +447,20 @@
   const bool NotRun = fieldOf(Answer.head().Fields, VerdictField) == "not-run";
   if (NotRun && Guard != nullptr)
     Guard->markNotRun();
-  if (NotRun && (isWorthAnother(Status) || Call.hasBegun()))
+  if (NotRun && (isRetryableStatus(Status) || Call.hasBegun()))
     co_return failedAttempt(RunState::NotRun, Reason::EndpointRefused, Start);
   const bool Broken = Call.hasBegun() && Status != StatusOk;
-  if (Broken || (Asked.IsModelCall && Status >= FirstErrorStatus))
+  if (Broken || (Request.IsModelCall && Status >= FirstErrorStatus))
     co_return failedAttempt(RunState::MayHaveRun, Reason::EndpointFailed,
                             Start);
-  if (Asked.IsStreaming && Status == StatusOk)
-    co_return co_await relayStream(Call, Asked, std::move(Answer), Start,
+  if (Request.IsStreaming && Status == StatusOk)
+    co_return co_await relayStream(Call, Request, std::move(Answer), Start,
                                    Progress);
-  co_return co_await relayWhole(Call, Asked, std::move(Answer), Start, Guard);
+  co_return co_await relayWhole(Call, Request, std::move(Answer), Start, Guard);
 }
 
 Awaitable<AttemptResult> Relay::relayWhole(Exchange &Call,
-                                           const CallerRequest &Asked,
+                                           const CallerRequest &Request,
                                            HttpCall Answer, TimePoint Start,
                                            ClaimGuard *Guard) {
   const TimePoint FirstByte = BootClock::now();
@@ -462,7 +468,7 @@
   Whole.Status = Answer.head().Status;
   Whole.Fields = answerFields(Answer.head());
   while (true) {
-    auto Next = co_await Answer.next(Asked.AnswerDeadline);
+    auto Next = co_await Answer.next(Request.AnswerDeadline);
     if (const auto *const Failure = std::get_if<CallFailure>(&Next))
       co_return failedAttempt(*Failure, Start);
     auto &Part = std::get<std::optional<std::string>>(Next);
@@ -485,12 +491,12 @@
   co_return answeredAttempt(Start, FirstByte);
 }
 
-// Failure guarded against: an endpoint dies in the middle of a stream and the
-// caller takes the part for the whole. Only whole events are passed on, the
-// answer ends only behind the event that ends a stream, and otherwise it goes
-// on at the next token from another endpoint or is visibly cut.
+// Guards against a truncated stream that looks complete when an endpoint dies
+// in the middle. Only complete events are passed on and the response ends
+// normally only after the "[DONE]" event; otherwise another endpoint resumes it
+// at the next token, or the connection is visibly cut.
 Awaitable<AttemptResult> Relay::relayStream(Exchange &Call,
-                                            const CallerRequest &Asked,
+                                            const CallerRequest &Request,
                                             HttpCall Answer, TimePoint Start,
                                             StreamProgress &Progress) {
   const TimePoint FirstByte = BootClock::now();
@@ -500,7 +506,7 @@
     co_await Call.begin(std::move(Head));
   }
   while (true) {
-    auto Next = co_await Answer.next(Asked.AnswerDeadline);
+    auto Next = co_await Answer.next(Request.AnswerDeadline);
     if (const auto *const Failure = std::get_if<CallFailure>(&Next)) {
       AttemptResult Result = failedAttempt(*Failure, Start);
       Result.CallerSawBytes = !Progress.Events.resumable();
--- a/packages/process/src/coltsfoottrail/server/relay.hpp
+++ b/packages/process/src/coltsfoottrail/server/relay.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Serves callers: from the request's head to the last byte of its answer.
+/// Serves callers' requests from the request head to the last byte of the
+/// response.
 #ifndef COLTSFOOTTRAIL_SERVER_RELAY_HPP
 #define COLTSFOOTTRAIL_SERVER_RELAY_HPP
 
@@ -18,7 +19,7 @@
 
 namespace coltsfoottrail {
 
-/// Counts of what callers got.
+/// Counts of responses to callers by outcome.
 struct RelayCounters {
   std::atomic<std::uint64_t> Answered{0};
   std::atomic<std::uint64_t> RefusedNotRun{0};
@@ -29,10 +30,12 @@
   std::atomic<std::uint64_t> Resumed{0};
 };
 
-/// @brief What is asked at the act of sending, after the decision: a host that
-/// was paused in between must find out. Called on callers' threads.
+/// @brief Checks made immediately before a request is sent, after the
+/// dispatcher's decision, so that a host that was paused in between notices
+/// that the decision is stale. Called on callers' threads.
 struct AdmissionHooks {
-  /// Leave to send one request; Ended follows each leave that was given.
+  /// Whether one request may be sent to the endpoint; after true,
+  /// OnAttemptEnded is called once.
   std::function<bool(const EndpointSpec &)> Admit;
   std::function<void(const EndpointSpec &, const AttemptResult &)>
       OnAttemptEnded;
@@ -41,41 +44,42 @@
 /// @brief Relays callers' requests to endpoints. Thread-safe.
 class Relay {
 public:
-  /// @brief Makes a relay without routes. All arguments must outlive it.
-  /// @param Threads The threads that carry callers' connections.
-  /// @param Routing Where endpoints are chosen.
-  /// @param Claims Where keys are claimed.
-  /// @param Limits Limits of callers.
-  /// @param Gate What is asked at the act of sending.
-  /// @param Traces Where spans are made.
+  /// @brief Creates a relay without routes. Arguments passed by reference must
+  /// outlive it.
+  /// @param Threads The threads that serve callers' connections.
+  /// @param Routing Chooses endpoints.
+  /// @param Claims Claims idempotency keys.
+  /// @param Limits Limits on callers' deadlines.
+  /// @param Gate Checks made immediately before sending.
+  /// @param Traces Creates spans.
   Relay(IoPool &Threads, Router &Routing, ClaimDriver &Claims,
         CallerLimits Limits, AdmissionHooks Gate, SpanFactory &Traces);
 
-  /// @brief Puts routes in force for reading requests.
+  /// @brief Sets the routes used to parse requests.
   void setRoutes(RouteTablePtr Wanted);
-  /// @brief From now on new requests are refused as "stopping".
+  /// @brief Refuses new requests as "stopping" from now on.
   void stopAccepting() noexcept { Stopping = true; }
   /// @brief Closes the connections to endpoints. Precondition: the threads have
   /// stopped.
   void closeClients() { Clients.clear(); }
 
-  /// @brief Looks at a request's head before its body is read.
+  /// @brief Checks a request's head before its body is read.
   /// @param Head The head.
-  /// @return A refusal, or nothing.
+  /// @return A refusal, or empty if the request may proceed.
   [[nodiscard]] std::optional<HttpResponse> check(const HttpRequest &Head);
 
   /// @brief Serves a request.
   /// @param Call The exchange with the caller.
   [[nodiscard]] Awaitable<void> serve(Exchange &Call);
 
-  /// @brief What callers got.
+  /// @brief Counts of responses by outcome.
   [[nodiscard]] const RelayCounters &counters() const noexcept {
     return Counts;
   }
 
 private:
   struct StreamProgress;
-  /// Most lines of one kind in a second.
+  /// Log lines above this rate per event are dropped and counted.
   static constexpr std::uint32_t MaxLogLinesPerSecond = 10;
 
   [[nodiscard]] RouteTablePtr routes() const;
@@ -83,26 +87,26 @@
   [[nodiscard]] Awaitable<void> refuseWith(Exchange &Call, Verdict Final,
                                            std::string Detail);
   [[nodiscard]] Awaitable<DeliverDecision>
-  claimOrJoin(const CallerRequest &Asked);
+  claimOrJoin(const CallerRequest &Request);
   [[nodiscard]] Awaitable<void> serveClaimed(Exchange &Call,
-                                             CallerRequest Asked);
-  [[nodiscard]] Awaitable<void> serveRouted(Exchange &Call, CallerRequest Asked,
-                                            ClaimGuard *Guard);
+                                             CallerRequest Request);
+  [[nodiscard]] Awaitable<void>
+  serveRouted(Exchange &Call, CallerRequest Request, ClaimGuard *Guard);
   [[nodiscard]] Awaitable<AttemptResult>
-  admittedAttempt(Exchange &Call, const CallerRequest &Asked,
+  admittedAttempt(Exchange &Call, const CallerRequest &Request,
                   const EndpointSpec &To, StreamProgress &Progress,
                   ClaimGuard *Guard);
   [[nodiscard]] Awaitable<AttemptResult>
-  attempt(Exchange &Call, const CallerRequest &Asked, const EndpointSpec &To,
+  attempt(Exchange &Call, const CallerRequest &Request, const EndpointSpec &To,
           StreamProgress &Progress, ClaimGuard *Guard);
   [[nodiscard]] Awaitable<AttemptResult>
-  relayWhole(Exchange &Call, const CallerRequest &Asked, HttpCall Answer,
+  relayWhole(Exchange &Call, const CallerRequest &Request, HttpCall Answer,
              TimePoint Start, ClaimGuard *Guard);
   [[nodiscard]] Awaitable<AttemptResult>
-  relayStream(Exchange &Call, const CallerRequest &Asked, HttpCall Answer,
+  relayStream(Exchange &Call, const CallerRequest &Request, HttpCall Answer,
               TimePoint Start, StreamProgress &Progress);
   [[nodiscard]] Awaitable<void> serveOutcomeQuery(Exchange &Call);
-  void logKeyInUse(const CallerRequest &Asked, const ClaimInProgress &Held);
+  void logKeyInUse(const CallerRequest &Request, const ClaimInProgress &Held);
   [[nodiscard]] HttpClient &client(std::size_t Thread);
 
   Router &Routing;
--- a/packages/process/src/coltsfoottrail/server/reply.hpp
+++ b/packages/process/src/coltsfoottrail/server/reply.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Hands one value from any thread to a coroutine that waits for it.
+/// Passes one value from any thread to a waiting coroutine.
 #ifndef COLTSFOOTTRAIL_SERVER_REPLY_HPP
 #define COLTSFOOTTRAIL_SERVER_REPLY_HPP
 
@@ -19,37 +19,38 @@
 
 namespace coltsfoottrail {
 
-/// @brief A value that comes later, for one coroutine.
-/// @tparam Value What comes.
+/// @brief A one-shot channel to one coroutine.
+/// @tparam Value Type of the value.
 template <class Value>
 class Reply : public std::enable_shared_from_this<Reply<Value>> {
 public:
-  /// @brief Makes an open reply.
-  /// @param Executor Where the coroutine that waits runs.
+  /// @brief Creates a reply without a value.
+  /// @param Executor Executor of the waiting coroutine.
   explicit Reply(const boost::asio::any_io_executor &Executor)
       : Wake(Executor, boost::asio::steady_timer::time_point::max()) {}
 
-  /// @brief Gives the value. Thread-safe; only the first one counts.
-  /// @param Given The value.
-  void set(Value Given) {
-    boost::asio::post(Wake.get_executor(), [Self = this->shared_from_this(),
-                                            What = std::move(Given)]() mutable {
-      if (!Self->Ready)
-        Self->Ready.emplace(std::move(What));
-      Self->Wake.cancel();
-    });
+  /// @brief Sets the value. Thread-safe; calls after the first have no effect.
+  /// @param NewValue The value.
+  void set(Value NewValue) {
+    boost::asio::post(Wake.get_executor(),
+                      [Self = this->shared_from_this(),
+                       Stored = std::move(NewValue)]() mutable {
+                        if (!Self->Ready)
+                          Self->Ready.emplace(std::move(Stored));
+                        Self->Wake.cancel();
+                      });
   }
 
-  /// @brief Waits for the value. Called once, by the coroutine.
+  /// @brief Waits for the value. Called once, by the waiting coroutine.
   /// @return The value.
   /// @throws boost::system::system_error The coroutine was cancelled.
   [[nodiscard]] Awaitable<Value> wait() {
     namespace asio = boost::asio;
     const auto Self = this->shared_from_this();
     while (!Ready) {
-      boost::system::error_code Woken;
+      boost::system::error_code WaitError;
       co_await Wake.async_wait(
-          asio::redirect_error(asio::use_awaitable, Woken));
+          asio::redirect_error(asio::use_awaitable, WaitError));
       const asio::cancellation_state State =
           co_await asio::this_coro::cancellation_state;
       if (State.cancelled() != asio::cancellation_type::none)
--- a/packages/process/src/coltsfoottrail/server/router.cpp
+++ b/packages/process/src/coltsfoottrail/server/router.cpp
@@ -19,28 +19,28 @@
 
 namespace {
 
-/// A pool counts as in use for so long after a request to it.
-constexpr seconds InUseFor{5};
-constexpr std::size_t NeverTold = std::numeric_limits<std::size_t>::max();
+/// A pool counts as in use for this time after a request to it.
+constexpr seconds InUsePeriod{5};
+constexpr std::size_t NotReported = std::numeric_limits<std::size_t>::max();
 
 } // namespace
 
-/// The coroutine's side of a ticket. Touched on the coroutine's thread only,
-/// but for its creation.
+/// The coroutine's side of a dispatcher ticket. Used on the coroutine's thread
+/// only, once it is created.
 struct DispatchHandle::Waiter {
   explicit Waiter(const asio::any_io_executor &Executor)
       : Wake(Executor, asio::steady_timer::time_point::max()) {}
 
   asio::steady_timer Wake;
   std::optional<Decision> Ready;
-  Ticket Which;
+  Ticket RequestTicket;
   bool Ended = false;
 };
 
-/// One pool: its dispatcher and who waits for its commands.
+/// One pool: its dispatcher and the coroutines that wait for its commands.
 struct DispatchHandle::Shard {
   Shard(std::string Pool, DispatcherOptions Limits)
-      : Name(std::move(Pool)), Decides(std::move(Limits)) {}
+      : Name(std::move(Pool)), PoolDispatcher(std::move(Limits)) {}
 
   struct Delivery {
     std::shared_ptr<Waiter> To;
@@ -48,23 +48,24 @@
   };
   using Deliveries = std::vector<Delivery>;
 
-  /// Take over a version of the pool, of the teams and of the shares, while the
-  /// lock is held.
-  void configure(const Pool &Wanted, std::size_t JoinedHosts, Commands &Given);
-  void setTeams(const RouteTable &Routes, Commands &Given);
+  /// Apply a version of the pool, of the teams and of the shares. The lock must
+  /// be held.
+  void configure(const Pool &Wanted, std::size_t JoinedHosts, Commands &Issued);
+  void setTeams(const RouteTable &Routes, Commands &Issued);
   void setShares(const std::map<std::string, std::uint32_t> &Shares,
-                 Commands &Given);
-  /// Translates commands while the lock is held.
-  [[nodiscard]] Deliveries translate(const Commands &Given);
+                 Commands &Issued);
+  /// Translates dispatcher commands to decisions for waiters. The lock must be
+  /// held.
+  [[nodiscard]] Deliveries translate(const Commands &Issued);
   [[nodiscard]] Decision decisionOf(const SendCommand &Send) const;
-  /// Hands decisions over after the lock is released.
-  static void deliver(Deliveries Due, const Waiter *OnOwnThread);
+  /// Delivers decisions to their waiters. The lock must not be held.
+  static void deliver(Deliveries Decisions, const Waiter *OnOwnThread);
 
   std::string Name;
   std::mutex Lock;
-  Dispatcher Decides;
-  /// What OnDemandChanged was told last.
-  std::size_t ToldWaiting = 0;
+  Dispatcher PoolDispatcher;
+  /// The demand last passed to OnDemandChanged.
+  std::size_t ReportedDemand = 0;
   TimePoint LastSubmit{};
   std::map<std::string, std::shared_ptr<const EndpointSpec>, std::less<>>
       Endpoints;
@@ -73,7 +74,7 @@
 
 void DispatchHandle::Shard::configure(const Pool &Wanted,
                                       std::size_t JoinedHosts,
-                                      Commands &Given) {
+                                      Commands &Issued) {
   Endpoints.clear();
   double Places = 0;
   for (const EndpointSpec &Spec : Wanted.Endpoints) {
@@ -81,22 +82,22 @@
     Places += Spec.WarmBound;
   }
   const std::size_t Hosts = std::max<std::size_t>(JoinedHosts, 1);
-  Decides.expectSlots(Places / static_cast<double>(Hosts));
-  Decides.configure(Wanted, BootClock::now(), Given);
+  PoolDispatcher.expectSlots(Places / static_cast<double>(Hosts));
+  PoolDispatcher.configure(Wanted, BootClock::now(), Issued);
 }
 
 void DispatchHandle::Shard::setTeams(const RouteTable &Routes,
-                                     Commands &Given) {
+                                     Commands &Issued) {
   for (const auto &[Credential, Team] : Routes.TeamsByCredential)
-    Decides.setTeam(Team.Name, TeamShare{Team.Weight, Team.MaxInFlight},
-                    BootClock::now(), Given);
+    PoolDispatcher.setTeam(Team.Name, TeamShare{Team.Weight, Team.MaxInFlight},
+                           BootClock::now(), Issued);
 }
 
 void DispatchHandle::Shard::setShares(
-    const std::map<std::string, std::uint32_t> &Shares, Commands &Given) {
+    const std::map<std::string, std::uint32_t> &Shares, Commands &Issued) {
   for (const auto &[Key, Spec] : Endpoints)
     if (const auto Share = Shares.find(Key); Share != Shares.end())
-      Decides.setShare(Key, Share->second, BootClock::now(), Given);
+      PoolDispatcher.setShare(Key, Share->second, BootClock::now(), Issued);
 }
 
 Decision DispatchHandle::Shard::decisionOf(const SendCommand &Send) const {
@@ -107,17 +108,19 @@
 }
 
 DispatchHandle::Shard::Deliveries
-DispatchHandle::Shard::translate(const Commands &Given) {
+DispatchHandle::Shard::translate(const Commands &Issued) {
   Deliveries Out;
-  for (const Command &One : Given) {
-    const auto *const Refused = std::get_if<RefuseCommand>(&One);
-    const Ticket Which =
-        Refused != nullptr ? Refused->Id : std::get<SendCommand>(One).Id;
-    const auto Found = Waiters.find(Which);
+  for (const Command &NextCommand : Issued) {
+    const auto *const Refused = std::get_if<RefuseCommand>(&NextCommand);
+    const Ticket RequestTicket = Refused != nullptr
+                                     ? Refused->Id
+                                     : std::get<SendCommand>(NextCommand).Id;
+    const auto Found = Waiters.find(RequestTicket);
     if (Found == Waiters.end())
       continue;
     if (Refused == nullptr) {
-      Out.push_back({Found->second, decisionOf(std::get<SendCommand>(One))});
+      Out.push_back(
+          {Found->second, decisionOf(std::get<SendCommand>(NextCommand))});
     } else {
       Out.push_back(
           {Found->second, Refusal{Refused->FinalVerdict, Refused->Details}});
@@ -127,17 +130,19 @@
   return Out;
 }
 
-void DispatchHandle::Shard::deliver(Deliveries Due, const Waiter *OnOwnThread) {
-  for (Delivery &One : Due) {
-    if (One.To.get() == OnOwnThread) {
-      One.To->Ready = std::move(One.What);
+void DispatchHandle::Shard::deliver(Deliveries Decisions,
+                                    const Waiter *OnOwnThread) {
+  for (Delivery &NextCommand : Decisions) {
+    if (NextCommand.To.get() == OnOwnThread) {
+      NextCommand.To->Ready = std::move(NextCommand.What);
       continue;
     }
-    asio::post(One.To->Wake.get_executor(),
-               [To = One.To, What = std::move(One.What)]() mutable {
-                 To->Ready = std::move(What);
-                 To->Wake.cancel();
-               });
+    asio::post(
+        NextCommand.To->Wake.get_executor(),
+        [To = NextCommand.To, What = std::move(NextCommand.What)]() mutable {
+          To->Ready = std::move(What);
+          To->Wake.cancel();
+        });
   }
 }
 
@@ -150,15 +155,16 @@
 DispatchHandle::~DispatchHandle() {
   if (!OwnWaiter || OwnWaiter->Ended)
     return;
-  Shard::Deliveries Due;
+  Shard::Deliveries Decisions;
   {
     const std::lock_guard Hold(PoolShard->Lock);
-    Commands Given;
-    PoolShard->Waiters.erase(OwnWaiter->Which);
-    PoolShard->Decides.cancel(OwnWaiter->Which, BootClock::now(), Given);
-    Due = PoolShard->translate(Given);
+    Commands Issued;
+    PoolShard->Waiters.erase(OwnWaiter->RequestTicket);
+    PoolShard->PoolDispatcher.cancel(OwnWaiter->RequestTicket, BootClock::now(),
+                                     Issued);
+    Decisions = PoolShard->translate(Issued);
   }
-  Shard::deliver(std::move(Due), nullptr);
+  Shard::deliver(std::move(Decisions), nullptr);
 }
 
 Awaitable<Decision> DispatchHandle::next() {
@@ -171,32 +177,32 @@
     if (Cancelled.cancelled() != asio::cancellation_type::none)
       throw boost::system::system_error(asio::error::operation_aborted);
   }
-  Decision Given = std::move(*OwnWaiter->Ready);
+  Decision Issued = std::move(*OwnWaiter->Ready);
   OwnWaiter->Ready.reset();
-  if (std::holds_alternative<Refusal>(Given))
+  if (std::holds_alternative<Refusal>(Issued))
     OwnWaiter->Ended = true;
-  co_return Given;
+  co_return Issued;
 }
 
 void DispatchHandle::responseStarted() {
   const std::lock_guard Hold(PoolShard->Lock);
-  PoolShard->Decides.responseStarted(OwnWaiter->Which);
+  PoolShard->PoolDispatcher.responseStarted(OwnWaiter->RequestTicket);
 }
 
 void DispatchHandle::report(const AttemptResult &Result) {
-  Shard::Deliveries Due;
+  Shard::Deliveries Decisions;
   {
     const std::lock_guard Hold(PoolShard->Lock);
-    Commands Given;
+    Commands Issued;
     if (Result.Answered) {
-      PoolShard->Waiters.erase(OwnWaiter->Which);
+      PoolShard->Waiters.erase(OwnWaiter->RequestTicket);
       OwnWaiter->Ended = true;
     }
-    PoolShard->Decides.attemptEnded(OwnWaiter->Which, Result, BootClock::now(),
-                                    Given);
-    Due = PoolShard->translate(Given);
+    PoolShard->PoolDispatcher.attemptEnded(OwnWaiter->RequestTicket, Result,
+                                           BootClock::now(), Issued);
+    Decisions = PoolShard->translate(Issued);
   }
-  Shard::deliver(std::move(Due), OwnWaiter.get());
+  Shard::deliver(std::move(Decisions), OwnWaiter.get());
 }
 
 Router::Router(RouterOptions Limits) : Options(std::move(Limits)) {}
@@ -250,29 +256,29 @@
   for (const auto &PoolShard : allShards()) {
     const auto Found = Routes.Pools.find(PoolShard->Name);
     const Pool &Wanted = Found == Routes.Pools.end() ? Nothing : Found->second;
-    DispatchHandle::Shard::Deliveries Due;
+    DispatchHandle::Shard::Deliveries Decisions;
     {
       const std::lock_guard Hold(PoolShard->Lock);
-      Commands Given;
-      PoolShard->configure(Wanted, JoinedHosts, Given);
-      PoolShard->setTeams(Routes, Given);
-      PoolShard->setShares(Shares, Given);
-      Due = PoolShard->translate(Given);
+      Commands Issued;
+      PoolShard->configure(Wanted, JoinedHosts, Issued);
+      PoolShard->setTeams(Routes, Issued);
+      PoolShard->setShares(Shares, Issued);
+      Decisions = PoolShard->translate(Issued);
     }
-    DispatchHandle::Shard::deliver(std::move(Due), nullptr);
+    DispatchHandle::Shard::deliver(std::move(Decisions), nullptr);
   }
 }
 
 void Router::setShares(const std::map<std::string, std::uint32_t> &Shares) {
   for (const auto &PoolShard : allShards()) {
-    DispatchHandle::Shard::Deliveries Due;
+    DispatchHandle::Shard::Deliveries Decisions;
     {
       const std::lock_guard Hold(PoolShard->Lock);
-      Commands Given;
-      PoolShard->setShares(Shares, Given);
-      Due = PoolShard->translate(Given);
+      Commands Issued;
+      PoolShard->setShares(Shares, Issued);
+      Decisions = PoolShard->translate(Issued);
     }
-    DispatchHandle::Shard::deliver(std::move(Due), nullptr);
+    DispatchHandle::Shard::deliver(std::move(Decisions), nullptr);
   }
 }
 
@@ -280,45 +286,47 @@
   std::vector<EndpointLoad> Out;
   for (const auto &PoolShard : allShards()) {
     const std::lock_guard Hold(PoolShard->Lock);
-    const std::vector<EndpointLoad> Its = PoolShard->Decides.ownLoads();
-    Out.insert(Out.end(), Its.begin(), Its.end());
+    const std::vector<EndpointLoad> PoolLoads =
+        PoolShard->PoolDispatcher.ownLoads();
+    Out.insert(Out.end(), PoolLoads.begin(), PoolLoads.end());
   }
   return Out;
 }
 
 void Router::setRemoteLoads(std::span<const EndpointLoad> Others) {
   for (const auto &PoolShard : allShards()) {
-    DispatchHandle::Shard::Deliveries Due;
+    DispatchHandle::Shard::Deliveries Decisions;
     {
       const std::lock_guard Hold(PoolShard->Lock);
-      Commands Given;
-      PoolShard->Decides.setRemoteLoads(Others, BootClock::now(), Given);
-      Due = PoolShard->translate(Given);
+      Commands Issued;
+      PoolShard->PoolDispatcher.setRemoteLoads(Others, BootClock::now(),
+                                               Issued);
+      Decisions = PoolShard->translate(Issued);
     }
-    DispatchHandle::Shard::deliver(std::move(Due), nullptr);
+    DispatchHandle::Shard::deliver(std::move(Decisions), nullptr);
   }
 }
 
-void Router::setRetryBurst(std::string_view PoolName, double Most) {
+void Router::setRetryBurst(std::string_view PoolName, double MaxTokens) {
   const std::shared_ptr<DispatchHandle::Shard> PoolShard = findShard(PoolName);
   if (!PoolShard)
     return;
   const std::lock_guard Hold(PoolShard->Lock);
-  PoolShard->Decides.setRetryBurst(Most);
+  PoolShard->PoolDispatcher.setRetryBurst(MaxTokens);
 }
 
 void Router::observe(const LoadReport &Report) {
   for (const auto &PoolShard : allShards()) {
-    DispatchHandle::Shard::Deliveries Due;
+    DispatchHandle::Shard::Deliveries Decisions;
     {
       const std::lock_guard Hold(PoolShard->Lock);
       if (!PoolShard->Endpoints.contains(Report.EndpointKey))
         continue;
-      Commands Given;
-      PoolShard->Decides.observe(Report, BootClock::now(), Given);
-      Due = PoolShard->translate(Given);
+      Commands Issued;
+      PoolShard->PoolDispatcher.observe(Report, BootClock::now(), Issued);
+      Decisions = PoolShard->translate(Issued);
     }
-    DispatchHandle::Shard::deliver(std::move(Due), nullptr);
+    DispatchHandle::Shard::deliver(std::move(Decisions), nullptr);
   }
 }
 
@@ -329,37 +337,37 @@
   if (!PoolShard)
     return std::nullopt;
   auto Own = std::make_shared<DispatchHandle::Waiter>(Executor);
-  DispatchHandle::Shard::Deliveries Due;
+  DispatchHandle::Shard::Deliveries Decisions;
   {
     const std::lock_guard Hold(PoolShard->Lock);
-    Commands Given;
+    Commands Issued;
     PoolShard->LastSubmit = BootClock::now();
-    Own->Which =
-        PoolShard->Decides.submit(std::move(Item), BootClock::now(), Given);
-    PoolShard->Waiters[Own->Which] = Own;
-    Due = PoolShard->translate(Given);
+    Own->RequestTicket = PoolShard->PoolDispatcher.submit(
+        std::move(Item), BootClock::now(), Issued);
+    PoolShard->Waiters[Own->RequestTicket] = Own;
+    Decisions = PoolShard->translate(Issued);
   }
-  DispatchHandle::Shard::deliver(std::move(Due), Own.get());
+  DispatchHandle::Shard::deliver(std::move(Decisions), Own.get());
   notifyDemand(*PoolShard);
   return DispatchHandle(std::move(PoolShard), std::move(Own));
 }
 
-// Shares are given to hosts that have work: whoever gives them hears at once
-// when requests begin to wait. While a pool is in use, room for one request
-// more is wanted at each endpoint, so that the choice has something to choose
-// from and endpoints that come back get work again.
+// Shares are granted to hosts that have work, so demand is reported as soon as
+// requests begin to wait. While a pool is in use, capacity for one more request
+// is requested at each endpoint, so that the dispatcher has endpoints to choose
+// from and recovered endpoints get work again.
 void Router::notifyDemand(DispatchHandle::Shard &PoolShard) {
   if (!Options.OnDemandChanged)
     return;
   std::size_t Wanted = 0;
   {
     const std::lock_guard Hold(PoolShard.Lock);
-    const bool InUse = BootClock::now() - PoolShard.LastSubmit < InUseFor;
-    Wanted = std::max(PoolShard.Decides.waiting(),
+    const bool InUse = BootClock::now() - PoolShard.LastSubmit < InUsePeriod;
+    Wanted = std::max(PoolShard.PoolDispatcher.waiting(),
                       InUse ? PoolShard.Endpoints.size() : std::size_t{0});
-    if (Wanted == PoolShard.ToldWaiting)
+    if (Wanted == PoolShard.ReportedDemand)
       return;
-    PoolShard.ToldWaiting = Wanted;
+    PoolShard.ReportedDemand = Wanted;
   }
   Options.OnDemandChanged(PoolShard.Name, Wanted);
 }
@@ -368,19 +376,19 @@
   for (const auto &PoolShard : allShards()) {
     {
       const std::lock_guard Hold(PoolShard->Lock);
-      PoolShard->ToldWaiting = NeverTold;
+      PoolShard->ReportedDemand = NotReported;
     }
     notifyDemand(*PoolShard);
   }
 }
 
 bool Router::observeNotice(std::string_view PoolName,
-                           const QuarantineNotice &Told) {
+                           const QuarantineNotice &Notice) {
   const std::shared_ptr<DispatchHandle::Shard> PoolShard = findShard(PoolName);
   if (!PoolShard)
     return false;
   const std::lock_guard Hold(PoolShard->Lock);
-  return PoolShard->Decides.observeNotice(Told, BootClock::now());
+  return PoolShard->PoolDispatcher.observeNotice(Notice, BootClock::now());
 }
 
 void Router::observeClosed(std::string_view PoolName,
@@ -389,16 +397,16 @@
   if (!PoolShard)
     return;
   const std::lock_guard Hold(PoolShard->Lock);
-  PoolShard->Decides.observeClosed(EndpointKey, BootClock::now());
+  PoolShard->PoolDispatcher.observeClosed(EndpointKey, BootClock::now());
 }
 
 std::vector<std::pair<std::string, QuarantineNotice>> Router::takeNotices() {
   std::vector<std::pair<std::string, QuarantineNotice>> Out;
   for (const auto &PoolShard : allShards()) {
     const std::lock_guard Hold(PoolShard->Lock);
-    for (QuarantineNotice &Told :
-         PoolShard->Decides.takeNotices(BootClock::now()))
-      Out.emplace_back(PoolShard->Name, std::move(Told));
+    for (QuarantineNotice &Notice :
+         PoolShard->PoolDispatcher.takeNotices(BootClock::now()))
+      Out.emplace_back(PoolShard->Name, std::move(Notice));
   }
   return Out;
 }
@@ -406,18 +414,19 @@
 void Router::advance() {
   for (const auto &PoolShard : allShards()) {
     notifyDemand(*PoolShard);
-    DispatchHandle::Shard::Deliveries Due;
+    DispatchHandle::Shard::Deliveries Decisions;
     {
       const std::lock_guard Hold(PoolShard->Lock);
       const TimePoint Now = BootClock::now();
-      const std::optional<TimePoint> Wake = PoolShard->Decides.nextWake();
+      const std::optional<TimePoint> Wake =
+          PoolShard->PoolDispatcher.nextWake();
       if (!Wake || *Wake > Now)
         continue;
-      Commands Given;
-      PoolShard->Decides.advance(Now, Given);
-      Due = PoolShard->translate(Given);
+      Commands Issued;
+      PoolShard->PoolDispatcher.advance(Now, Issued);
+      Decisions = PoolShard->translate(Issued);
     }
-    DispatchHandle::Shard::deliver(std::move(Due), nullptr);
+    DispatchHandle::Shard::deliver(std::move(Decisions), nullptr);
   }
 }
 
@@ -425,7 +434,7 @@
   std::size_t All = 0;
   for (const auto &PoolShard : allShards()) {
     const std::lock_guard Hold(PoolShard->Lock);
-    All += PoolShard->Decides.waiting();
+    All += PoolShard->PoolDispatcher.waiting();
   }
   return All;
 }
--- a/packages/process/src/coltsfoottrail/server/router.hpp
+++ b/packages/process/src/coltsfoottrail/server/router.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The dispatchers of all pools, each under its own lock, for coroutines.
+/// The dispatchers of all pools, each with its own lock, as an interface for
+/// coroutines.
 #ifndef COLTSFOOTTRAIL_SERVER_ROUTER_HPP
 #define COLTSFOOTTRAIL_SERVER_ROUTER_HPP
 
@@ -20,24 +21,24 @@
 
 namespace coltsfoottrail {
 
-/// @brief An endpoint that a request is to be sent to.
+/// @brief The endpoint to which a request is to be sent.
 struct Assignment {
   std::shared_ptr<const EndpointSpec> Endpoint;
 };
 
-/// @brief A final refusal and what it rests on.
+/// @brief A final refusal and the facts it is based on.
 struct Refusal {
   Verdict Final;
   RefusalDetails Details;
 };
 
-/// What is decided for a request: where to send it, or its final refusal.
+/// Decision on a request: where to send it, or its final refusal.
 using Decision = std::variant<Assignment, Refusal>;
 
-/// @brief A request's place in a dispatcher, from its taking to its end.
+/// @brief Handle of a request in a dispatcher, from submission to its end.
 ///
-/// Belongs to one coroutine. Destroying it before an answer was reported gives
-/// the place up, as when the caller goes away.
+/// Used by one coroutine. Destroying it before a successful attempt was
+/// reported cancels the request, as when the caller disconnects.
 class DispatchHandle {
 public:
   DispatchHandle(DispatchHandle &&) noexcept;
@@ -51,12 +52,12 @@
   /// @throws boost::system::system_error The coroutine was cancelled.
   [[nodiscard]] Awaitable<Decision> next();
 
-  /// @brief Tells that the answer of the attempt has begun.
+  /// @brief Reports that the response of the attempt has begun.
   void responseStarted();
 
-  /// @brief Tells how an attempt ended; next() tells what follows unless it was
-  /// answered.
-  /// @param Result How it ended.
+  /// @brief Reports the result of an attempt; unless it was answered, next()
+  /// returns what to do next.
+  /// @param Result The result.
   void report(const AttemptResult &Result);
 
 private:
@@ -74,8 +75,9 @@
 struct RouterOptions {
   HostName Self;
   DispatcherOptions Dispatch;
-  /// Hears for how many more requests a pool wants room, when that changes;
-  /// called on any thread, without a lock held. May be empty.
+  /// Called with the number of further requests for which a pool needs capacity
+  /// whenever that number changes; on any thread, with no lock held. May be
+  /// empty.
   std::function<void(std::string_view Pool, std::size_t Wanted)>
       OnDemandChanged;
 };
@@ -83,66 +85,68 @@
 /// @brief Routes requests by the dispatcher of their pool. Thread-safe.
 class Router {
 public:
-  /// @brief Makes a router without routes.
-  /// @param Limits Its options.
+  /// @brief Creates a router without routes.
+  /// @param Limits Options of the router.
   explicit Router(RouterOptions Limits);
   Router(const Router &) = delete;
   Router &operator=(const Router &) = delete;
   ~Router();
 
-  /// @brief Puts routes in force.
+  /// @brief Sets the current routes.
   /// @param Routes The routes.
-  /// @param Shares For each endpoint key, how many requests this entry host may
-  /// have there at once.
-  /// @param JoinedHosts How many entry hosts share the endpoints.
+  /// @param Shares By endpoint key, how many requests this entry host may have
+  /// there at once.
+  /// @param JoinedHosts Number of entry hosts that share the endpoints.
   void setRoutes(const RouteTable &Routes,
                  const std::map<std::string, std::uint32_t> &Shares,
                  std::size_t JoinedHosts);
 
-  /// @brief Takes notices from peers about requests that crash endpoints.
-  /// @param PoolName The pool that they are about.
-  /// @return Whether it was news here.
-  bool observeNotice(std::string_view PoolName, const QuarantineNotice &Told);
+  /// @brief Handles a peer's notice about requests that crash endpoints.
+  /// @param PoolName The pool that the notice concerns.
+  /// @return Whether the notice was new to this host.
+  bool observeNotice(std::string_view PoolName, const QuarantineNotice &Notice);
 
-  /// @brief Notes that an endpoint of a pool stopped serving under a key and
-  /// lives on.
+  /// @brief Records that an endpoint of a pool stopped serving under a key
+  /// without having crashed.
   void observeClosed(std::string_view PoolName, std::string_view EndpointKey);
 
-  /// @brief Notices for peers that have come up since the last call.
+  /// @brief Returns and clears the notices for peers that arose since the last
+  /// call.
   [[nodiscard]] std::vector<std::pair<std::string, QuarantineNotice>>
   takeNotices();
 
   /// @brief Sets this host's share of endpoints' bounds.
   void setShares(const std::map<std::string, std::uint32_t> &Shares);
 
-  /// @brief Own requests at each endpoint that has any.
+  /// @brief Requests of this host at each endpoint that has any.
   [[nodiscard]] std::vector<EndpointLoad> ownLoads() const;
-  /// @brief Takes what the other entry hosts have at all endpoints.
+  /// @brief Sets the load that the other entry hosts put on all endpoints.
   void setRemoteLoads(std::span<const EndpointLoad> Others);
 
-  /// @brief Sets how many retries a pool, and those that share its bound, save
-  /// up at most.
-  void setRetryBurst(std::string_view PoolName, double Most);
+  /// @brief Sets the burst limit of the retry budget of a pool and of the pools
+  /// that share its budget.
+  void setRetryBurst(std::string_view PoolName, double MaxTokens);
 
-  /// @brief Takes a load report of an endpoint.
+  /// @brief Records a load report of an endpoint.
   void observe(const LoadReport &Report);
 
-  /// @brief Puts a request to the dispatcher of its pool.
+  /// @brief Submits a request to the dispatcher of its pool.
   /// @param PoolName The pool.
   /// @param Item The request.
-  /// @param Executor Where the coroutine that waits runs.
-  /// @return Its place, or nothing when there is no such pool.
+  /// @param Executor Executor of the waiting coroutine.
+  /// @return The handle of the request, or empty if there is no such pool.
   [[nodiscard]] std::optional<DispatchHandle>
   submit(std::string_view PoolName, WorkItem Item,
          const boost::asio::any_io_executor &Executor);
 
-  /// @brief Says again what all pools want; called some times a second.
+  /// @brief Reports the demand of all pools again even if unchanged; called
+  /// several times a second.
   void repeatDemand();
 
-  /// @brief Lets time pass in all dispatchers; called every few milliseconds.
+  /// @brief Runs due timers of all dispatchers; called every few milliseconds.
   void advance();
 
-  /// @brief Requests that wait in all pools.
+  /// @brief Number of requests that wait in all pools.
   [[nodiscard]] std::size_t waiting() const;
 
 private:
--- a/packages/process/src/coltsfoottrail/server/spans.cpp
+++ b/packages/process/src/coltsfoottrail/server/spans.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-/// Share of the traces that begin here and are written.
+/// Sampled fraction of the traces that start on this host.
 constexpr double SampledShare = 0.01;
 
 } // namespace
 
-ScopedSpan::ScopedSpan(SpanWriter *Writer, Span Begun)
-    : Destination(Writer), Current(std::move(Begun)) {
+ScopedSpan::ScopedSpan(SpanWriter *Writer, Span Started)
+    : Destination(Writer), Current(std::move(Started)) {
   Current.Begin = std::chrono::system_clock::now();
 }
 
@@ -48,12 +48,12 @@
 
 ScopedSpan SpanFactory::begin(std::string_view Name, SpanKind Kind,
                               const TraceContext &Parent) {
-  Span Begun;
-  Begun.Name = Name;
-  Begun.Kind = Kind;
-  Begun.Context = Ids.child(Parent);
-  Begun.Parent = Parent.SpanId;
-  return ScopedSpan(Writer.get(), std::move(Begun));
+  Span Started;
+  Started.Name = Name;
+  Started.Kind = Kind;
+  Started.Context = Ids.child(Parent);
+  Started.Parent = Parent.SpanId;
+  return ScopedSpan(Writer.get(), std::move(Started));
 }
 
 std::uint64_t SpanFactory::dropped() const noexcept {
--- a/packages/process/src/coltsfoottrail/server/spans.hpp
+++ b/packages/process/src/coltsfoottrail/server/spans.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Spans of the hops of a request.
+/// Trace spans of requests.
 #ifndef COLTSFOOTTRAIL_SERVER_SPANS_HPP
 #define COLTSFOOTTRAIL_SERVER_SPANS_HPP
 
@@ -14,24 +14,25 @@
 
 namespace coltsfoottrail {
 
-/// @brief One hop under way; its span is written when it goes out of scope.
+/// @brief An open span; it is written on destruction if its trace is sampled.
 class ScopedSpan {
 public:
-  /// @brief Begins a hop.
-  /// @param Writer Where its span goes; null for nowhere.
-  /// @param Begun What is known of it at the start.
-  ScopedSpan(SpanWriter *Writer, Span Begun);
+  /// @brief Begins a span.
+  /// @param Writer Writes the span; null discards it.
+  /// @param Started Name, kind and context of the span.
+  ScopedSpan(SpanWriter *Writer, Span Started);
   ScopedSpan(const ScopedSpan &) = delete;
   ScopedSpan &operator=(const ScopedSpan &) = delete;
   ~ScopedSpan();
 
-  /// @brief The hop's own context, for what it causes.
+  /// @brief Context of this span, the parent of spans and requests that it
+  /// causes.
   [[nodiscard]] const TraceContext &context() const noexcept {
     return Current.Context;
   }
-  /// @brief Notes text.
+  /// @brief Adds a text attribute.
   void setAttribute(SpanKey Key, std::string_view Value);
-  /// @brief Notes how an attempt ended.
+  /// @brief Records the result of an attempt.
   void recordResult(const AttemptResult &Result);
 
 private:
@@ -39,24 +40,25 @@
   Span Current;
 };
 
-/// @brief Makes the hops of this process. Thread-safe.
+/// @brief Creates the spans of this process. Thread-safe.
 class SpanFactory {
 public:
-  /// @brief Makes a maker.
-  /// @param File Where spans go; empty for nowhere. Contexts are passed on all
-  /// the same.
-  /// @param Host This entry host.
-  /// @param Seed Seeds the identifiers.
+  /// @brief Creates a factory.
+  /// @param File File that spans are written to; if empty, none are written,
+  /// but trace contexts are still propagated.
+  /// @param Host Name of this entry host.
+  /// @param Seed Seed for the span and trace identifiers.
   /// @throws Error The file cannot be opened.
   SpanFactory(const std::filesystem::path &File, const HostName &Host,
               std::uint64_t Seed);
 
-  /// @brief Continues the trace that a caller named, or begins one.
+  /// @brief Continues the trace named by the traceparent field of a request, or
+  /// starts a new one.
   [[nodiscard]] TraceContext accept(std::string_view Traceparent);
-  /// @brief Begins a hop below a context.
+  /// @brief Begins a child span of a context.
   [[nodiscard]] ScopedSpan begin(std::string_view Name, SpanKind Kind,
                                  const TraceContext &Parent);
-  /// @brief Spans that were dropped.
+  /// @brief Number of spans that were dropped.
   [[nodiscard]] std::uint64_t dropped() const noexcept;
 
 private:
--- a/packages/process/test/coltsfoottrail/server/answers.cpp
+++ b/packages/process/test/coltsfoottrail/server/answers.cpp
@@ -6,8 +6,8 @@
 namespace coltsfoottrail::testing {
 namespace {
 
-// An unexpected exception comes while a request is already at its endpoint. The
-// caller must not be told that it has not run.
+// Guards against answering "not run" when an unexpected exception occurs while
+// the request is already at its endpoint.
 TEST(Refusal, UnexpectedFailureMayHaveRun) {
   EXPECT_EQ(Json::parse(serverRefusal(500, "internal").Body).at("verdict"),
             "may-have-run");
@@ -17,15 +17,15 @@
 }
 
 TEST(Refusal, TellsVerdictReasonAndWhenToComeBack) {
-  const HttpResponse Got = refusalOf(
+  const HttpResponse Response = refusalOf(
       Verdict{RunState::NotRun, Reason::Overloaded, milliseconds(1'200)});
-  EXPECT_EQ(Got.Status, 503U);
-  EXPECT_EQ(fieldOf(Got.Fields, "Retry-After"), "2");
-  EXPECT_EQ(Json::parse(Got.Body).at("reason"), "overloaded");
+  EXPECT_EQ(Response.Status, 503U);
+  EXPECT_EQ(fieldOf(Response.Fields, "Retry-After"), "2");
+  EXPECT_EQ(Json::parse(Response.Body).at("reason"), "overloaded");
 }
 
-// An endpoint dies in the middle of an event. The half event must not reach the
-// caller, or the resumed stream would repeat its token.
+// Guards against passing on an incomplete event when an endpoint dies in the
+// middle of one: the resumed stream would repeat its token.
 TEST(EventSplitter, PassesOnWholeEventsAndResumesBehindThem) {
   const std::string First = R"(data: {"choices":[{"text":"close "}]})"
                             "\n\n";
@@ -49,10 +49,10 @@
   EXPECT_FALSE(Events.text());
 }
 
-/// An endpoint that answers a service's calls as it is told.
-class Answers : public ClusterFixture {
+/// An endpoint that answers service calls with ServiceResponse.
+class ServiceResponses : public ClusterFixture {
 protected:
-  Answers()
+  ServiceResponses()
       : Endpoint(IoThreads, std::string(Loopback), 0, ServerLimits{},
                  ServerHooks{
                      [this](Exchange &Call) { return answer(Call); }, {}, {}}) {
@@ -67,7 +67,7 @@
   }
 
   Awaitable<void> answer(Exchange &Call) {
-    HttpResponse Out = Told;
+    HttpResponse Out = ServiceResponse;
     if (Call.request().Target == "/report")
       Out = jsonResponse(200, R"({"run":1})");
     else
@@ -75,34 +75,36 @@
     co_await Call.respond(std::move(Out));
   }
 
-  HttpResponse Told;
+  HttpResponse ServiceResponse;
   std::atomic<unsigned> Calls{0};
   HttpServer Endpoint;
 };
 
-// A service refuses an order before it runs it, says so, and gives status 400.
-// The caller must hear "not run", and its corrected order under the same key
-// must not be taken for a repeat of one that ran.
-TEST_F(Answers, RefusalOfAServiceIsNotStoredAsAnOutcome) {
-  Told = jsonResponse(400, R"({"error":"no such sign"})");
-  Told.Fields.push_back({"Coltsfoottrail-Verdict", "not-run"});
+// Guards against storing a refusal as an outcome: a service refuses an order
+// with status 400 and verdict "not-run" before running it. The caller must get
+// that verdict, and a repeat under the same key must be run instead of
+// replayed.
+TEST_F(ServiceResponses, RefusalOfAServiceIsNotStoredAsAnOutcome) {
+  ServiceResponse = jsonResponse(400, R"({"error":"no such sign"})");
+  ServiceResponse.Fields.push_back({"Coltsfoottrail-Verdict", "not-run"});
   const HttpResponse First =
       call(Hosts[0]->callerPort(), orderRequest("k", "sign 999"));
   EXPECT_EQ(First.Status, 400U) << First.Body;
   EXPECT_EQ(fieldOf(First.Fields, "Coltsfoottrail-Verdict"), "not-run");
-  Told = jsonResponse(200, "{}");
+  ServiceResponse = jsonResponse(200, "{}");
   const HttpResponse Again =
       call(Hosts[0]->callerPort(), orderRequest("k", "sign 999"));
   EXPECT_EQ(Again.Status, 200U) << Again.Body;
   EXPECT_EQ(Calls, 2U);
 }
 
-TEST_F(Answers, FieldsComeBackWhateverTheirCase) {
-  Told.Fields = {{"content-type", "text/plain"}, {"x-park", "7"}};
-  Told.Body = "ok";
-  const HttpResponse Got = call(Hosts[0]->callerPort(), orderRequest("", "a"));
-  EXPECT_EQ(fieldOf(Got.Fields, "Content-Type"), "text/plain");
-  EXPECT_EQ(fieldOf(Got.Fields, "X-Park"), "7");
+TEST_F(ServiceResponses, FieldsComeBackWhateverTheirCase) {
+  ServiceResponse.Fields = {{"content-type", "text/plain"}, {"x-park", "7"}};
+  ServiceResponse.Body = "ok";
+  const HttpResponse Response =
+      call(Hosts[0]->callerPort(), orderRequest("", "a"));
+  EXPECT_EQ(fieldOf(Response.Fields, "Content-Type"), "text/plain");
+  EXPECT_EQ(fieldOf(Response.Fields, "X-Park"), "7");
 }
 
 } // namespace
--- a/packages/process/test/coltsfoottrail/server/drafts.cpp
+++ b/packages/process/test/coltsfoottrail/server/drafts.cpp
@@ -5,15 +5,15 @@
 namespace coltsfoottrail::testing {
 namespace {
 
-/// The text that a streamed answer carries, and whether it came whole.
-struct Drafted {
+/// The text of a streamed response, and whether the stream is complete.
+struct StreamedCompletion {
   std::string Text;
-  bool Whole = false;
+  bool IsComplete = false;
   unsigned Status = 0;
   std::string Raw;
 };
 
-class Drafts : public ClusterFixture {
+class Completions : public ClusterFixture {
 protected:
   void SetUp() override {
     for (int Index = 0; Index < 4; ++Index)
@@ -33,15 +33,15 @@
     }));
   }
 
-  [[nodiscard]] Drafted stream(std::size_t Host, const std::string &Prompt,
-                               unsigned Tokens) const {
-    Drafted Out;
-    const auto Got =
+  [[nodiscard]] StreamedCompletion
+  stream(std::size_t Host, const std::string &Prompt, unsigned Tokens) const {
+    StreamedCompletion Out;
+    const auto Response =
         streamBlocking({std::string(Loopback), Hosts.at(Host)->callerPort()},
                        draftRequest(Prompt, true, Tokens), CallTimeout,
                        [&Out](std::string_view Part) { Out.Raw += Part; });
-    if (const auto *const Head = std::get_if<HttpResponse>(&Got)) {
-      Out.Whole = Out.Raw.ends_with("data: [DONE]\n\n");
+    if (const auto *const Head = std::get_if<HttpResponse>(&Response)) {
+      Out.IsComplete = Out.Raw.ends_with("data: [DONE]\n\n");
       Out.Status = Head->Status;
     }
     std::string_view Rest = Out.Raw;
@@ -57,35 +57,36 @@
   }
 };
 
-TEST_F(Drafts, WholeAndStreamedAnswersCarryTheSameText) {
-  const HttpResponse Whole =
+TEST_F(Completions, WholeAndStreamedAnswersCarryTheSameText) {
+  const HttpResponse IsComplete =
       call(Hosts[0]->callerPort(), draftRequest("detour plan", false));
-  ASSERT_EQ(Whole.Status, 200U) << Whole.Body;
-  const Drafted Streamed = stream(1, "detour plan", 12);
-  ASSERT_TRUE(Streamed.Whole) << Streamed.Raw;
-  EXPECT_EQ(Json::parse(Whole.Body).at("choices").at(0).at("text"),
+  ASSERT_EQ(IsComplete.Status, 200U) << IsComplete.Body;
+  const StreamedCompletion Streamed = stream(1, "detour plan", 12);
+  ASSERT_TRUE(Streamed.IsComplete) << Streamed.Raw;
+  EXPECT_EQ(Json::parse(IsComplete.Body).at("choices").at(0).at("text"),
             Streamed.Text);
 }
 
-// An engine is lost in the middle of a stream. The caller must get the draft
-// without a repeated or a lost word: the rest comes from another endpoint,
-// resumed at the next token. (Lost twice, it would be taken for the cause.)
-TEST_F(Drafts, BrokenStreamIsResumedAtTheNextToken) {
-  const Drafted Whole = stream(0, "closure notice", 40);
-  ASSERT_TRUE(Whole.Whole);
+// Guards against repeated or lost tokens when an engine is lost in the middle
+// of a stream: another endpoint resumes it at the next token. The request may
+// lose only one engine: after a second loss it would be quarantined as the
+// cause of the crashes.
+TEST_F(Completions, BrokenStreamIsResumedAtTheNextToken) {
+  const StreamedCompletion IsComplete = stream(0, "closure notice", 40);
+  ASSERT_TRUE(IsComplete.IsComplete);
   EngineFaults Cutting;
   Cutting.CutAfterTokens = 25;
   for (const auto &Engine : Engines)
     Engine->setFaults(Cutting);
-  const Drafted Broken = stream(0, "closure notice", 40);
-  EXPECT_TRUE(Broken.Whole) << Broken.Raw;
-  EXPECT_EQ(Broken.Text, Whole.Text);
+  const StreamedCompletion Broken = stream(0, "closure notice", 40);
+  EXPECT_TRUE(Broken.IsComplete) << Broken.Raw;
+  EXPECT_EQ(Broken.Text, IsComplete.Text);
   EXPECT_GT(Hosts[0]->counters().Resumed, 0U);
 }
 
-// A team is declared with one request in progress at most. A second one of it
-// must wait for the first, though endpoints have room.
-TEST_F(Drafts, TeamsLimitIsKept) {
+// Guards against exceeding a team's max_in_flight: with a limit of one, a
+// second request of the team waits although endpoints have capacity.
+TEST_F(Completions, TeamsLimitIsKept) {
   Json Declared = declaration();
   Declared["teams"][0]["max_in_flight"] = 1;
   applyIntent({{"kind", "apply_declaration"}, {"declaration", Declared}});
@@ -94,7 +95,7 @@
     return !Teams.empty() && Teams.front().MaxInFlight == 1U;
   }));
   std::vector<std::thread> Callers;
-  std::atomic<std::uint32_t> Most{0};
+  std::atomic<std::uint32_t> MaxRunning{0};
   std::atomic<bool> Done{false};
   const auto Running = [&] {
     std::uint32_t Sum = 0;
@@ -102,27 +103,28 @@
       Sum += Engine->report().Running;
     return Sum;
   };
-  // Engines are read one after the other: a stream that ends at one while the
-  // next begins at another is counted twice by one reading, not by two. Two
-  // streams at once last for half a second.
+  // Engines are read one after the other, so a single reading counts a stream
+  // twice if it ends at one engine while the next one begins at another; two
+  // readings in a row do not both do so. Two streams that really overlap do so
+  // for half a second.
   std::thread Watcher([&] {
     while (!Done)
-      Most = std::max(Most.load(), std::min(Running(), Running()));
+      MaxRunning = std::max(MaxRunning.load(), std::min(Running(), Running()));
   });
   for (int Index = 0; Index < 4; ++Index)
     Callers.emplace_back([&, Index] {
-      EXPECT_TRUE(stream(0, "limited " + std::to_string(Index), 30).Whole);
+      EXPECT_TRUE(stream(0, "limited " + std::to_string(Index), 30).IsComplete);
     });
   for (std::thread &Caller : Callers)
     Caller.join();
   Done = true;
   Watcher.join();
-  EXPECT_EQ(Most, 1U);
+  EXPECT_EQ(MaxRunning, 1U);
 }
 
-// A caller hangs up in the middle of a long draft. The engine must not go on
-// drafting for nobody.
-TEST_F(Drafts, HangingUpStopsTheEnginesWork) {
+// Guards against an engine that keeps generating after the caller has
+// disconnected.
+TEST_F(Completions, HangingUpStopsTheEnginesWork) {
   struct HungUp {};
   const auto HangUp = [](std::string_view) { throw HungUp{}; };
   EXPECT_THROW(
@@ -138,36 +140,37 @@
   }));
 }
 
-// A planned stop comes while a draft is streamed. The balancer must see the
-// host unready, and the draft must run to its end.
-TEST_F(Drafts, PlannedStopCutsNothingOff) {
-  Drafted Got;
-  std::thread Caller([&] { Got = stream(0, "slow plan", 400); });
+// Guards against cutting a stream during a planned stop: the host becomes
+// unready and the stream runs to its end.
+TEST_F(Completions, PlannedStopCutsNothingOff) {
+  StreamedCompletion Response;
+  std::thread Caller([&] { Response = stream(0, "slow plan", 400); });
   ASSERT_TRUE(eventually([&] { return Hosts[0]->counters().Attempts > 1; }));
   EXPECT_EQ(Hosts[0]->stop(), 0U);
   Caller.join();
-  EXPECT_TRUE(Got.Whole);
+  EXPECT_TRUE(Response.IsComplete);
   EXPECT_TRUE(
       eventually([&] { return Hosts[1]->state()->EntryHosts.size() == 2U; }));
 }
 
-// A data centre is taken out while callers draft. Nothing new may go there once
-// the drain is in force, and no draft is cut or lost; when it returns it gets
-// work again. Prompts are new each time: known ones stay where they are cached.
-TEST_F(Drafts, DrainedDataCentreGetsNothingNewAndNothingIsCut) {
+// Guards against new requests to a drained data centre and against requests cut
+// or lost by the drain; after its return the data centre gets work again.
+// Prompts differ each time, since a known prompt is routed to the engine that
+// has it cached.
+TEST_F(Completions, DrainedDataCentreGetsNothingNewAndNothingIsCut) {
   std::atomic<bool> Done{false};
-  std::atomic<unsigned> Bad{0};
-  std::atomic<unsigned> Good{0};
+  std::atomic<unsigned> Incomplete{0};
+  std::atomic<unsigned> Completed{0};
   std::vector<std::thread> Callers;
   for (std::size_t Index = 0; Index < 6; ++Index)
     Callers.emplace_back([&, Index] {
-      for (unsigned Turn = 0; !Done; ++Turn) {
+      for (unsigned Round = 0; !Done; ++Round) {
         const std::string Prompt =
-            std::to_string(Turn) + " plan of caller " + std::to_string(Index);
-        ++(stream(Index % 3, Prompt, 20).Whole ? Good : Bad);
+            std::to_string(Round) + " plan of caller " + std::to_string(Index);
+        ++(stream(Index % 3, Prompt, 20).IsComplete ? Completed : Incomplete);
       }
     });
-  ASSERT_TRUE(eventually([&] { return Good > 12; }));
+  ASSERT_TRUE(eventually([&] { return Completed > 12; }));
   applyIntent({{"kind", "drain_data_centre"}, {"data_centre", "west"}}, 1);
   ASSERT_TRUE(eventually([&] {
     for (const auto &Host : Hosts)
@@ -176,8 +179,8 @@
     return true;
   }));
   const std::uint64_t West = Engines[1]->started() + Engines[3]->started();
-  const unsigned Before = Good;
-  EXPECT_TRUE(eventually([&] { return Good > Before + 12; }));
+  const unsigned Before = Completed;
+  EXPECT_TRUE(eventually([&] { return Completed > Before + 12; }));
   EXPECT_EQ(Engines[1]->started() + Engines[3]->started(), West);
   applyIntent({{"kind", "return_data_centre"}, {"data_centre", "west"}}, 2);
   EXPECT_TRUE(eventually(
@@ -185,24 +188,24 @@
   Done = true;
   for (std::thread &Caller : Callers)
     Caller.join();
-  EXPECT_EQ(Bad, 0U);
+  EXPECT_EQ(Incomplete, 0U);
   for (const auto &Engine : Engines)
     EXPECT_LE(Engine->mostAtOnce(), 32U);
 }
 
-// One request crashes every engine that runs it, and its caller sends it again,
-// through other entry hosts too. After the second crash it must be refused
-// everywhere, with its own reason, and engines must stay up for the others.
-TEST_F(Drafts, CrashingRequestIsRefusedOnAllHosts) {
+// Guards against a request that crashes every engine that runs it and is sent
+// repeatedly, through several entry hosts. After the second crash all hosts
+// must refuse it as "quarantined", and engines must stay up for other requests.
+TEST_F(Completions, CrashingRequestIsRefusedOnAllHosts) {
   EngineFaults Crashing;
   Crashing.CrashOn = "poison";
   for (const auto &Engine : Engines)
     Engine->setFaults(Crashing);
   std::string Reason;
   EXPECT_TRUE(eventually([&] {
-    const HttpResponse Got =
+    const HttpResponse Response =
         call(Hosts[0]->callerPort(), draftRequest("poison", false));
-    const Json Body = Json::parse(Got.Body, nullptr, false);
+    const Json Body = Json::parse(Response.Body, nullptr, false);
     Reason = Body.is_object() ? Body.value("reason", "") : "";
     return Reason == "quarantined";
   })) << Reason;
