--- a/packages/process/test/coltsfoottrail/server/fixture.hpp
+++ b/packages/process/test/coltsfoottrail/server/fixture.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// A log, a service, engines and entry hosts in one test process, on loopback.
+/// Test fixture with a log, a service, engines and entry hosts in one process
+/// on the loopback interface.
 #ifndef COLTSFOOTTRAIL_TEST_SERVER_FIXTURE_HPP
 #define COLTSFOOTTRAIL_TEST_SERVER_FIXTURE_HPP
 
@@ -24,15 +25,15 @@
 inline constexpr std::string_view TeamCredential = "team-secret";
 inline constexpr std::string_view OperatorCredential = "operator-secret";
 
-/// @brief Waits for a condition, generously: a test that waits in vain fails.
-template <class Condition> [[nodiscard]] bool eventually(Condition Holds) {
+/// @brief Polls a condition until it holds or 30 s have passed.
+template <class Condition> [[nodiscard]] bool eventually(Condition Predicate) {
   const TimePoint Limit = BootClock::now() + seconds(30);
   while (BootClock::now() < Limit) {
-    if (Holds())
+    if (Predicate())
       return true;
     std::this_thread::sleep_for(milliseconds(2));
   }
-  return Holds();
+  return Predicate();
 }
 
 class ClusterFixture : public ::testing::Test {
@@ -48,20 +49,20 @@
 
   [[nodiscard]] Settings settingsOf(const std::string &Name,
                                     const std::string &DataCentre) const {
-    Settings Out;
-    Out.Host = HostName(Name);
-    Out.DataCentre = DataCentreName(DataCentre);
-    Out.AdvertisedAddress = Loopback;
-    Out.Threads = 2;
-    Out.Callers.Listen = {std::string(Loopback), 0};
-    Out.Callers.MaxBodyBytes = 64U << 10U;
-    Out.Operators.Listen = {std::string(Loopback), 0};
-    Out.Operators.Credential = Secret(std::string(OperatorCredential));
-    Out.Mesh.Listen = {std::string(Loopback), 0};
-    Out.Mesh.Key = Secret(std::string("mesh-key-of-the-tests"));
-    Out.Platform.Log.At = {std::string(Loopback), LogService.port()};
-    Out.Stop.Grace = milliseconds(50);
-    return Out;
+    Settings Configured;
+    Configured.Host = HostName(Name);
+    Configured.DataCentre = DataCentreName(DataCentre);
+    Configured.AdvertisedAddress = Loopback;
+    Configured.Threads = 2;
+    Configured.Callers.Listen = {std::string(Loopback), 0};
+    Configured.Callers.MaxBodyBytes = 64U << 10U;
+    Configured.Operators.Listen = {std::string(Loopback), 0};
+    Configured.Operators.Credential = Secret(std::string(OperatorCredential));
+    Configured.Mesh.Listen = {std::string(Loopback), 0};
+    Configured.Mesh.Key = Secret(std::string("mesh-key-of-the-tests"));
+    Configured.Platform.Log.At = {std::string(Loopback), LogService.port()};
+    Configured.Stop.Grace = milliseconds(50);
+    return Configured;
   }
 
   void addHost(const std::string &Name, const std::string &DataCentre) {
@@ -70,61 +71,62 @@
   }
 
   [[nodiscard]] Json declaration() const {
-    Json Out{{"data_centres", {"east", "north", "west"}},
-             {"teams",
-              {{{"name", "gate"},
-                {"credential_sha256", sha256Hex(TeamCredential)}}}},
-             {"services",
-              {{{"name", "orders"},
-                {"instances",
-                 {{{"host", "order-1"},
-                   {"data_centre", "east"},
-                   {"address", Loopback},
-                   {"port", OrderService.port()}}}}}}}};
+    Json Configured{{"data_centres", {"east", "north", "west"}},
+                    {"teams",
+                     {{{"name", "gate"},
+                       {"credential_sha256", sha256Hex(TeamCredential)}}}},
+                    {"services",
+                     {{{"name", "orders"},
+                       {"instances",
+                        {{{"host", "order-1"},
+                          {"data_centre", "east"},
+                          {"address", Loopback},
+                          {"port", OrderService.port()}}}}}}}};
     if (Engines.empty())
-      return Out;
-    Json Machines = Json::array();
+      return Configured;
+    Json EngineHosts = Json::array();
     Json Groups = Json::object();
     for (std::size_t Index = 0; Index < Engines.size(); ++Index) {
-      const std::string Place = Index % 2 == 0 ? "east" : "west";
-      Machines.push_back({{"name", "engine-" + std::to_string(Index)},
-                          {"data_centre", Place},
-                          {"fabric_domain", Place + "-f1"},
-                          {"address", Loopback},
-                          {"port", Engines[Index]->port()}});
-      Groups[Place] = Groups.value(Place, 0) + 1;
+      const std::string Site = Index % 2 == 0 ? "east" : "west";
+      EngineHosts.push_back({{"name", "engine-" + std::to_string(Index)},
+                             {"data_centre", Site},
+                             {"fabric_domain", Site + "-f1"},
+                             {"address", Loopback},
+                             {"port", Engines[Index]->port()}});
+      Groups[Site] = Groups.value(Site, 0) + 1;
     }
-    Out["hosts"] = std::move(Machines);
-    Out["models"] = {{{"name", "plan"},
-                      {"version", "v1"},
-                      {"members_per_group", 1},
-                      {"warm_bound", 32},
-                      {"cold_bound", 8},
-                      {"groups", std::move(Groups)}}};
-    return Out;
+    Configured["hosts"] = std::move(EngineHosts);
+    Configured["models"] = {{{"name", "plan"},
+                             {"version", "v1"},
+                             {"members_per_group", 1},
+                             {"warm_bound", 32},
+                             {"cold_bound", 8},
+                             {"groups", std::move(Groups)}}};
+    return Configured;
   }
 
-  [[nodiscard]] HttpResponse call(std::uint16_t Port, HttpRequest Asked) const {
-    const auto Got = fetchBlocking({std::string(Loopback), Port},
-                                   std::move(Asked), CallTimeout);
-    if (const auto *const Failed = std::get_if<CallFailure>(&Got))
+  [[nodiscard]] HttpResponse call(std::uint16_t Port,
+                                  HttpRequest Request) const {
+    const auto Result = fetchBlocking({std::string(Loopback), Port},
+                                      std::move(Request), CallTimeout);
+    if (const auto *const Failed = std::get_if<CallFailure>(&Result))
       return HttpResponse{
           0, {}, "no answer: " + std::string(reasonCode(Failed->Why))};
-    return std::get<HttpResponse>(Got);
+    return std::get<HttpResponse>(Result);
   }
 
   [[nodiscard]] HttpResponse callOperator(std::size_t Host, std::string Target,
                                           std::string Body = {}) const {
-    HttpRequest Asked;
-    Asked.Method = Body.empty() ? "GET" : "POST";
-    Asked.Target = std::move(Target);
-    Asked.Fields = {
+    HttpRequest Request;
+    Request.Method = Body.empty() ? "GET" : "POST";
+    Request.Target = std::move(Target);
+    Request.Fields = {
         {"Authorization", "Bearer " + std::string(OperatorCredential)}};
-    Asked.Body = std::move(Body);
-    return call(Hosts.at(Host)->operatorPort(), std::move(Asked));
+    Request.Body = std::move(Body);
+    return call(Hosts.at(Host)->operatorPort(), std::move(Request));
   }
 
-  /// Plans and confirms an intent; the id of its plan.
+  /// Proposes and confirms the plan for an intent; returns the id of the plan.
   Offset applyIntent(const Json &Intent, std::size_t Host = 0) const {
     const HttpResponse Planned = callOperator(Host, "/v1/plans", Intent.dump());
     EXPECT_EQ(Planned.Status, 200U) << Planned.Body;
@@ -151,29 +153,31 @@
 
   [[nodiscard]] HttpRequest orderRequest(std::string Key,
                                          std::string Body) const {
-    HttpRequest Asked;
-    Asked.Method = "POST";
-    Asked.Target = "/services/orders/sign";
-    Asked.Fields = {{"Authorization", "Bearer " + std::string(TeamCredential)}};
+    HttpRequest Request;
+    Request.Method = "POST";
+    Request.Target = "/services/orders/sign";
+    Request.Fields = {
+        {"Authorization", "Bearer " + std::string(TeamCredential)}};
     if (!Key.empty())
-      Asked.Fields.push_back({"Idempotency-Key", std::move(Key)});
-    Asked.Body = std::move(Body);
-    return Asked;
+      Request.Fields.push_back({"Idempotency-Key", std::move(Key)});
+    Request.Body = std::move(Body);
+    return Request;
   }
 
   [[nodiscard]] HttpRequest draftRequest(const std::string &Prompt, bool Stream,
                                          unsigned Tokens = 12) const {
-    HttpRequest Asked;
-    Asked.Method = "POST";
-    Asked.Target = "/v1/completions";
-    Asked.Fields = {{"Authorization", "Bearer " + std::string(TeamCredential)}};
-    Asked.Body = Json{
+    HttpRequest Request;
+    Request.Method = "POST";
+    Request.Target = "/v1/completions";
+    Request.Fields = {
+        {"Authorization", "Bearer " + std::string(TeamCredential)}};
+    Request.Body = Json{
         {"model", "plan"},
         {"prompt", Prompt},
         {"max_tokens", Tokens},
         {"stream",
          Stream}}.dump();
-    return Asked;
+    return Request;
   }
 
   [[nodiscard]] bool allReady() const {
--- a/packages/process/test/coltsfoottrail/server/orders.cpp
+++ b/packages/process/test/coltsfoottrail/server/orders.cpp
@@ -3,7 +3,7 @@
 namespace coltsfoottrail::testing {
 namespace {
 
-class Orders3 : public ClusterFixture {
+class OrdersOnThreeHosts : public ClusterFixture {
 protected:
   void SetUp() override {
     addHost("entry-1", "east");
@@ -14,10 +14,10 @@
   }
 };
 
-// A foreman's phone loses the answer to a sign order and sends it again; the
-// balancer hands it to another entry host. The road must not get two sets of
-// barriers: the second host has to find the first one's claim on the log.
-TEST_F(Orders3, SameKeyThroughAnotherHostRunsOnce) {
+// Guards against running an order twice when a caller loses the response and
+// repeats the order through another entry host: the second host must find the
+// first one's claim on the log.
+TEST_F(OrdersOnThreeHosts, SameKeyThroughAnotherHostRunsOnce) {
   const HttpResponse First =
       call(Hosts[0]->callerPort(), orderRequest("order-17", "close lane 2"));
   ASSERT_EQ(First.Status, 200U) << First.Body;
@@ -29,9 +29,9 @@
   EXPECT_EQ(OrderService.runsOf("close lane 2"), 1U);
 }
 
-// The same key comes with another order: running it would hide a mistake, and
-// answering with the first one's outcome would be a lie.
-TEST_F(Orders3, SameKeyWithAnotherBodyIsRefused) {
+// Guards against reuse of a key for another order: it must be neither run nor
+// answered with the first order's outcome.
+TEST_F(OrdersOnThreeHosts, SameKeyWithAnotherBodyIsRefused) {
   ASSERT_EQ(call(Hosts[0]->callerPort(), orderRequest("k", "one")).Status,
             200U);
   const HttpResponse Other =
@@ -41,85 +41,87 @@
   EXPECT_EQ(OrderService.runsOf("two"), 0U);
 }
 
-// The service runs an order and its answer is lost. The caller must hear "may
-// have run", also when it asks again through another host, and it never runs a
-// second time.
-TEST_F(Orders3, LostAnswerIsNeverRunAgain) {
+// Guards against a second run after the response of the service was lost: the
+// caller must get "may have run", also when it repeats the order through
+// another host.
+TEST_F(OrdersOnThreeHosts, LostAnswerIsNeverRunAgain) {
   OrderService.setLoseAnswers(true);
   const HttpResponse First =
       call(Hosts[0]->callerPort(), orderRequest("k", "sign"));
   EXPECT_EQ(First.Status, 502U);
   EXPECT_EQ(Json::parse(First.Body).at("verdict"), "may-have-run");
   OrderService.setLoseAnswers(false);
-  const HttpResponse Again =
+  const HttpResponse Repeated =
       call(Hosts[1]->callerPort(), orderRequest("k", "sign"));
-  EXPECT_EQ(Json::parse(Again.Body).at("verdict"), "may-have-run");
+  EXPECT_EQ(Json::parse(Repeated.Body).at("verdict"), "may-have-run");
   EXPECT_EQ(OrderService.runsOf("sign"), 1U);
 }
 
-// The log is down: no claim can be proved. The order must not be sent, and the
-// caller hears that it has not run.
-TEST_F(Orders3, NoClaimNoRunWhileTheLogIsDown) {
+// Guards against sending an order without a proven claim: while the log is
+// down, the caller gets "not run".
+TEST_F(OrdersOnThreeHosts, NoClaimNoRunWhileTheLogIsDown) {
   LogService.setFaults({.Down = true});
-  HttpRequest Asked = orderRequest("k", "sign");
-  Asked.Fields.push_back({"Coltsfoottrail-Deadline-Ms", "400"});
-  const HttpResponse Got = call(Hosts[0]->callerPort(), std::move(Asked));
-  EXPECT_EQ(Got.Status, 503U);
-  EXPECT_EQ(Json::parse(Got.Body).at("verdict"), "not-run");
-  EXPECT_EQ(Json::parse(Got.Body).at("reason"), "claim-unavailable");
+  HttpRequest Request = orderRequest("k", "sign");
+  Request.Fields.push_back({"Coltsfoottrail-Deadline-Ms", "400"});
+  const HttpResponse Response =
+      call(Hosts[0]->callerPort(), std::move(Request));
+  EXPECT_EQ(Response.Status, 503U);
+  EXPECT_EQ(Json::parse(Response.Body).at("verdict"), "not-run");
+  EXPECT_EQ(Json::parse(Response.Body).at("reason"), "claim-unavailable");
   EXPECT_EQ(OrderService.runs(), 0U);
 }
 
-// An order without a key loses its answer; it may have run, so nobody may send
-// it again on the caller's behalf.
-TEST_F(Orders3, WithoutAKeyItIsSentOnceAtTheMost) {
+// Guards against retrying an order without a key whose response was lost: it
+// may have run.
+TEST_F(OrdersOnThreeHosts, WithoutAKeyItIsSentOnceAtTheMost) {
   OrderService.setLoseAnswers(true);
-  const HttpResponse Got =
+  const HttpResponse Response =
       call(Hosts[0]->callerPort(), orderRequest("", "sign"));
-  EXPECT_EQ(Json::parse(Got.Body).at("verdict"), "may-have-run");
+  EXPECT_EQ(Json::parse(Response.Body).at("verdict"), "may-have-run");
   EXPECT_EQ(OrderService.runsOf("sign"), 1U);
 }
 
-// The settlement follows the answer by one append, so the outcome may be "in
-// progress" for a moment; it is never "not run" or "not known".
-TEST_F(Orders3, OutcomeCanBeAskedFor) {
+// The settlement is appended after the response is sent, so the outcome may be
+// "in progress" for a moment; it is never "not run" or "not known".
+TEST_F(OrdersOnThreeHosts, OutcomeCanBeAskedFor) {
   ASSERT_EQ(call(Hosts[0]->callerPort(), orderRequest("k9", "sign")).Status,
             200U);
-  HttpRequest Asked;
-  Asked.Target = "/outcomes/k9";
-  Asked.Fields = {{"Authorization", "Bearer " + std::string(TeamCredential)}};
+  HttpRequest Request;
+  Request.Target = "/outcomes/k9";
+  Request.Fields = {{"Authorization", "Bearer " + std::string(TeamCredential)}};
   std::string Verdict = "in-progress";
   EXPECT_TRUE(eventually([&] {
     if (Verdict == "in-progress")
-      Verdict = Json::parse(call(Hosts[2]->callerPort(), Asked).Body)
+      Verdict = Json::parse(call(Hosts[2]->callerPort(), Request).Body)
                     .at("verdict")
                     .get<std::string>();
     return Verdict != "in-progress";
   }));
   EXPECT_EQ(Verdict, "ran");
-  Asked.Target = "/outcomes/never-used";
-  const HttpResponse Unknown = call(Hosts[2]->callerPort(), Asked);
+  Request.Target = "/outcomes/never-used";
+  const HttpResponse Unknown = call(Hosts[2]->callerPort(), Request);
   EXPECT_EQ(Json::parse(Unknown.Body).at("verdict"), "not-known");
 }
 
-// A host stops as planned right after it has answered an order. The order's
-// repeat at another host must get the answer, not "may have run": the stop
-// waits until the outcome is on the log.
-TEST_F(Orders3, PlannedStopLeavesTheOutcomeBehind) {
+// Guards against losing an outcome when a host performs a planned stop right
+// after it answered an order: the stop waits until the outcome is on the log,
+// so a repeat at another host gets the stored response instead of "may have
+// run".
+TEST_F(OrdersOnThreeHosts, PlannedStopLeavesTheOutcomeBehind) {
   const HttpResponse First =
       call(Hosts[0]->callerPort(), orderRequest("stop-1", "sign"));
   ASSERT_EQ(First.Status, 200U) << First.Body;
   LogService.setFaults({.Delay = milliseconds(60)});
   EXPECT_EQ(Hosts[0]->stop(), 0U);
   LogService.setFaults({});
-  const HttpResponse Again =
+  const HttpResponse Repeated =
       call(Hosts[1]->callerPort(), orderRequest("stop-1", "sign"));
-  EXPECT_EQ(Again.Status, 200U) << Again.Body;
-  EXPECT_EQ(Again.Body, First.Body);
+  EXPECT_EQ(Repeated.Status, 200U) << Repeated.Body;
+  EXPECT_EQ(Repeated.Body, First.Body);
   EXPECT_EQ(OrderService.runsOf("sign"), 1U);
 }
 
-TEST_F(Orders3, WrongInputIsRefusedAsNotRun) {
+TEST_F(OrdersOnThreeHosts, WrongInputIsRefusedAsNotRun) {
   HttpRequest NoCredential = orderRequest("k", "x");
   NoCredential.Fields.clear();
   EXPECT_EQ(call(Hosts[0]->callerPort(), NoCredential).Status, 401U);
--- a/packages/process/test/coltsfoottrail/server/sparsemesh.hpp
+++ b/packages/process/test/coltsfoottrail/server/sparsemesh.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Entry hosts with the real choice of connections, in simulated time.
+/// Simulation of entry hosts with the production choice of connections, in
+/// simulated time.
 #ifndef COLTSFOOTTRAIL_TEST_SERVER_SPARSEMESH_HPP
 #define COLTSFOOTTRAIL_TEST_SERVER_SPARSEMESH_HPP
 
@@ -18,9 +19,9 @@
 
 namespace coltsfoottrail::testing {
 
-/// @brief A fleet of entry hosts: membership and peer tables are the product's
-/// own, the log, the sockets and the time are simulated. Hosts join one after
-/// the other, as processes that are started in a row.
+/// @brief A fleet of entry hosts: membership and peer tables are production
+/// code; the log, the sockets and the time are simulated. Hosts join one after
+/// the other, like processes started in a row.
 class SparseMesh {
 public:
   static constexpr Duration Step = milliseconds(50);
@@ -33,16 +34,16 @@
     }
   }
 
-  /// Host number Index stops without a word.
+  /// Stops host number Index without a farewell.
   void kill(std::size_t Index) {
-    Host &Gone = *Hosts[Index];
-    Gone.Up = false;
-    for (auto &[Other, Link] : std::map(Gone.Links))
-      disconnect(Gone, Other);
+    Host &Departed = *Hosts[Index];
+    Departed.Up = false;
+    for (auto &[Other, Link] : std::map(Departed.Links))
+      disconnect(Departed, Other);
   }
 
-  void run(Duration Span) {
-    for (const TimePoint End = Now + Span; Now < End;) {
+  void run(Duration Period) {
+    for (const TimePoint End = Now + Period; Now < End;) {
       Now += Step;
       deliver();
       for (const auto &Member : Hosts)
@@ -53,7 +54,7 @@
 
   [[nodiscard]] std::set<std::string> members() const {
     std::set<std::string> Names;
-    for (const auto &[Name, Known] : Agreed.EntryHosts)
+    for (const auto &[Name, HostRecord] : Agreed.EntryHosts)
       Names.insert(Name.Text);
     return Names;
   }
@@ -61,10 +62,10 @@
     return "entry-" + std::to_string(Index);
   }
   [[nodiscard]] std::size_t maxLinks() const {
-    std::size_t Most = 0;
+    std::size_t MaxCount = 0;
     for (const auto &Member : Hosts)
-      Most = std::max(Most, Member->Links.size());
-    return Most;
+      MaxCount = std::max(MaxCount, Member->Links.size());
+    return MaxCount;
   }
 
 private:
@@ -74,7 +75,7 @@
     std::string Address;
     bool Up = true;
     Offset SeenChange = 0;
-    std::unique_ptr<Membership> Part;
+    std::unique_ptr<Membership> LocalMembership;
     std::unique_ptr<internal::PeerTable> Table;
     struct Connection {
       internal::LinkId Link;
@@ -87,52 +88,53 @@
   struct Envelope {
     HostName From;
     HostName To;
-    MembershipMessage What;
+    MembershipMessage Message;
   };
 
   void start(std::size_t Index) {
-    auto Made = std::make_unique<Host>();
-    Made->Name = HostName(nameOf(Index));
-    Made->Run = Index + 1;
-    Made->Address = "10.0.0." + std::to_string(Index);
+    auto NewHost = std::make_unique<Host>();
+    NewHost->Name = HostName(nameOf(Index));
+    NewHost->Run = Index + 1;
+    NewHost->Address = "10.0.0." + std::to_string(Index);
     MembershipOptions Options;
-    Options.Self.Host = Made->Name;
-    Options.Self.Run = Made->Run;
+    Options.Self.Host = NewHost->Name;
+    Options.Self.Run = NewHost->Run;
     Options.Self.DataCentre = DataCentreName("dc-" + std::to_string(Index % 3));
-    Options.Self.Address = Made->Address;
+    Options.Self.Address = NewHost->Address;
     Options.Self.MeshPort = Port;
-    Options.Seed = Made->Run;
-    Made->Part = std::make_unique<Membership>(Options);
-    Made->Table = std::make_unique<internal::PeerTable>(
-        Made->Name, internal::DialPolicy{}, Made->Run);
-    Hosts.push_back(std::move(Made));
+    Options.Seed = NewHost->Run;
+    NewHost->LocalMembership = std::make_unique<Membership>(Options);
+    NewHost->Table = std::make_unique<internal::PeerTable>(
+        NewHost->Name, internal::DialPolicy{}, NewHost->Run);
+    Hosts.push_back(std::move(NewHost));
   }
 
-  void advance(Host &At) {
+  void advance(Host &Local) {
     MembershipCommands Commands;
-    if (At.SeenChange != Agreed.EntryHostsChange) {
-      At.SeenChange = Agreed.EntryHostsChange;
-      At.Part->applyState(Agreed, Now, Commands);
-      for (const internal::LinkId Cut :
-           At.Table->setPeers(meshPeers(At.Name, Agreed), Now))
-        cut(At, Cut);
+    if (Local.SeenChange != Agreed.EntryHostsChange) {
+      Local.SeenChange = Agreed.EntryHostsChange;
+      Local.LocalMembership->applyState(Agreed, Now, Commands);
+      for (const internal::LinkId StaleLink :
+           Local.Table->setPeers(meshPeers(Local.Name, Agreed), Now))
+        cut(Local, StaleLink);
     }
-    At.Part->advance(Now, Commands);
-    perform(At, Commands);
-    closeUnused(At);
-    for (const internal::DialTarget &Target : At.Table->due(Now))
-      dial(At, Target);
-    std::erase_if(At.Pending, [&](const auto &Entry) {
-      return !At.Table->expects(Entry.first, Now);
+    Local.LocalMembership->advance(Now, Commands);
+    perform(Local, Commands);
+    closeUnused(Local);
+    for (const internal::DialTarget &Target : Local.Table->due(Now))
+      dial(Local, Target);
+    std::erase_if(Local.Pending, [&](const auto &Entry) {
+      return !Local.Table->expects(Entry.first, Now);
     });
   }
 
-  void perform(Host &At, const MembershipCommands &Due) {
+  void perform(Host &Local, const MembershipCommands &Due) {
     for (const MembershipCommand &Command : Due)
       if (const auto *const Sent = std::get_if<MembershipSend>(&Command))
-        send(At, *Sent);
-      else if (const auto *const Made = std::get_if<MembershipAppend>(&Command))
-        append(Made->Payload);
+        send(Local, *Sent);
+      else if (const auto *const NewHost =
+                   std::get_if<MembershipAppend>(&Command))
+        append(NewHost->Payload);
   }
 
   void send(Host &From, const MembershipSend &Sent) {
@@ -153,24 +155,24 @@
         continue;
       Link->second.LastUsed = Now;
       MembershipCommands Commands;
-      To.Part->receive(Sent.From, Sent.What, Now, Commands);
+      To.LocalMembership->receive(Sent.From, Sent.Message, Now, Commands);
       perform(To, Commands);
     }
   }
 
-  void append(const Record &What) {
-    const Offset At = Agreed.Next++;
-    if (const auto *const Came = std::get_if<EntryHostJoined>(&What)) {
-      Agreed.EntryHosts[Came->Host] = EntryHost{*Came, At};
+  void append(const Record &NewRecord) {
+    const Offset RecordOffset = Agreed.Next++;
+    if (const auto *const Arrival = std::get_if<EntryHostJoined>(&NewRecord)) {
+      Agreed.EntryHosts[Arrival->Host] = EntryHost{*Arrival, RecordOffset};
     } else {
-      const auto &Gone = std::get<EntryHostLeft>(What);
-      const auto Found = Agreed.EntryHosts.find(Gone.Host);
+      const auto &Departed = std::get<EntryHostLeft>(NewRecord);
+      const auto Found = Agreed.EntryHosts.find(Departed.Host);
       if (Found == Agreed.EntryHosts.end() ||
-          Found->second.Joined.Run != Gone.Run)
+          Found->second.Joined.Run != Departed.Run)
         return;
       Agreed.EntryHosts.erase(Found);
     }
-    Agreed.EntryHostsChange = At + 1;
+    Agreed.EntryHostsChange = RecordOffset + 1;
   }
 
   void dial(Host &From, const internal::DialTarget &Target) {
@@ -181,28 +183,30 @@
     if (To == nullptr)
       return From.Table->dialFailed(Target, std::nullopt, Now);
     const internal::LinkId Link{++LastLink, 1};
-    const internal::Admission Near =
+    const internal::Admission LocalResult =
         From.Table->admit({Link, To->Name, To->Run, Target}, Now);
-    const internal::Admission Far =
+    const internal::Admission RemoteResult =
         To->Table->admit({Link, From.Name, From.Run, std::nullopt}, Now);
-    if (Near.Refused || Far.Refused || Near.Redundant || Far.Redundant)
+    if (LocalResult.Refused || RemoteResult.Refused || LocalResult.Redundant ||
+        RemoteResult.Redundant)
       return;
     connect(From, *To, Link, true);
     connect(*To, From, Link, false);
   }
 
-  void connect(Host &At, const Host &Other, internal::LinkId Link,
+  void connect(Host &Local, const Host &Other, internal::LinkId Link,
                bool Dialled) {
-    At.Links[Other.Name] = {Link, Dialled, Now};
-    for (MembershipMessage &Held : std::exchange(At.Pending[Other.Name], {}))
-      Network.push_back({At.Name, Other.Name, std::move(Held)});
-    At.Pending.erase(Other.Name);
+    Local.Links[Other.Name] = {Link, Dialled, Now};
+    for (MembershipMessage &Queued :
+         std::exchange(Local.Pending[Other.Name], {}))
+      Network.push_back({Local.Name, Other.Name, std::move(Queued)});
+    Local.Pending.erase(Other.Name);
   }
 
-  void disconnect(Host &At, const HostName &With) {
+  void disconnect(Host &Local, const HostName &With) {
     Host &Other = host(With);
-    for (auto *const End : {&At, &Other}) {
-      const HostName &Peer = End == &At ? With : At.Name;
+    for (auto *const End : {&Local, &Other}) {
+      const HostName &Peer = End == &Local ? With : Local.Name;
       const auto Found = End->Links.find(Peer);
       if (Found == End->Links.end())
         continue;
@@ -211,17 +215,17 @@
     }
   }
 
-  void cut(Host &At, internal::LinkId Link) {
-    for (const auto &[Peer, Connection] : std::map(At.Links))
+  void cut(Host &Local, internal::LinkId Link) {
+    for (const auto &[Peer, Connection] : std::map(Local.Links))
       if (Connection.Link == Link)
-        disconnect(At, Peer);
+        disconnect(Local, Peer);
   }
 
-  void closeUnused(Host &At) {
-    for (const auto &[Peer, Connection] : std::map(At.Links))
-      if (At.Table->isUnused(Peer, Connection.LastUsed, Now)) {
-        At.Table->release(Connection.Link);
-        disconnect(At, Peer);
+  void closeUnused(Host &Local) {
+    for (const auto &[Peer, Connection] : std::map(Local.Links))
+      if (Local.Table->isUnused(Peer, Connection.LastUsed, Now)) {
+        Local.Table->release(Connection.Link);
+        disconnect(Local, Peer);
       }
   }
 
