--- a/packages/process/test/coltsfoottrail/faults/checkers.cpp
+++ b/packages/process/test/coltsfoottrail/faults/checkers.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-bool canHaveRun(const CallEnded &Call) {
-  return Call.End != CallEnd::NotRun && Call.End != CallEnd::Unreachable;
+bool canHaveRun(const CallRecord &Call) {
+  return Call.End != CallOutcome::NotRun &&
+         Call.End != CallOutcome::Unreachable;
 }
 
 std::string shortened(const std::string &Text) { return Text.substr(0, 60); }
@@ -17,21 +18,21 @@
 
 Violations checkWholeAnswers(const Events &All) {
   Violations Out;
-  for (const CallEnded &Call : eventsOf<CallEnded>(All))
-    if (Call.End == CallEnd::Answered && Call.Got != Call.Expected)
+  for (const CallRecord &Call : eventsOf<CallRecord>(All))
+    if (Call.End == CallOutcome::Answered && Call.Actual != Call.Expected)
       Out.push_back("\"" + shortened(Call.Body) + "\" got \"" +
-                    shortened(Call.Got) + "\"");
+                    shortened(Call.Actual) + "\"");
   return Out;
 }
 
 Violations checkNotRunIsTrue(const Events &All) {
   std::map<std::string, std::uint64_t> Allowed;
   std::set<std::string> Answered;
-  for (const CallEnded &Call : eventsOf<CallEnded>(All)) {
+  for (const CallRecord &Call : eventsOf<CallRecord>(All)) {
     if (Call.Kind != CallKind::Order)
       continue;
     Allowed[Call.Body] += canHaveRun(Call) ? 1 : 0;
-    if (Call.End == CallEnd::Answered)
+    if (Call.End == CallOutcome::Answered)
       Answered.insert(Call.Body);
   }
   Violations Out;
@@ -50,12 +51,13 @@
 Violations checkVerdictsNeverGoBack(const Events &All) {
   std::set<std::string> Sent;
   Violations Out;
-  for (const CallEnded &Call : eventsOf<CallEnded>(All)) {
+  for (const CallRecord &Call : eventsOf<CallRecord>(All)) {
     if (Call.Kind != CallKind::Order || Call.Key.empty())
       continue;
-    if (Call.End == CallEnd::Answered || Call.End == CallEnd::MayHaveRun)
+    if (Call.End == CallOutcome::Answered ||
+        Call.End == CallOutcome::MayHaveRun)
       Sent.insert(Call.Key);
-    else if (Call.End == CallEnd::NotRun && Sent.contains(Call.Key))
+    else if (Call.End == CallOutcome::NotRun && Sent.contains(Call.Key))
       Out.push_back(Call.Key + " is told \"not run\" (" + Call.Reason +
                     ") after it was told that it may have run");
   }
@@ -74,8 +76,8 @@
 Violations checkWarmBounds(const Events &All) {
   Violations Out;
   for (const EnginePeak &Peak : eventsOf<EnginePeak>(All))
-    if (Peak.Most > Peak.Bound)
-      Out.push_back(Peak.Engine + " had " + std::to_string(Peak.Most) +
+    if (Peak.PeakRequests > Peak.Bound)
+      Out.push_back(Peak.Engine + " had " + std::to_string(Peak.PeakRequests) +
                     " at once, bound " + std::to_string(Peak.Bound));
   return Out;
 }
@@ -83,10 +85,10 @@
 Violations checkDrains(const Events &All) {
   std::map<std::string, std::uint64_t> AtDrain;
   Violations Out;
-  for (const HistoryEvent &Each : All) {
-    if (const auto *const Begun = std::get_if<DrainInForce>(&Each))
+  for (const HistoryEvent &Entry : All) {
+    if (const auto *const Begun = std::get_if<DrainInForce>(&Entry))
       AtDrain[Begun->Engine] = Begun->Started;
-    const auto *const Later = std::get_if<DrainObserved>(&Each);
+    const auto *const Later = std::get_if<DrainObserved>(&Entry);
     if (Later == nullptr)
       continue;
     const auto Before = AtDrain.find(Later->Engine);
@@ -108,25 +110,25 @@
     if (Stop.Cut > 0)
       Out.push_back(Stop.Host.Text + " cut " + std::to_string(Stop.Cut));
   }
-  for (const CallEnded &Call : eventsOf<CallEnded>(All))
-    if (Call.End == CallEnd::Cut && Stopped.contains(Call.Through))
+  for (const CallRecord &Call : eventsOf<CallRecord>(All))
+    if (Call.End == CallOutcome::Cut && Stopped.contains(Call.EntryHostName))
       Out.push_back("\"" + shortened(Call.Body) + "\" was cut through " +
-                    Call.Through.Text);
+                    Call.EntryHostName.Text);
   return Out;
 }
 
 Violations checkNoReversal(const Events &All) {
   std::map<HostName, Offset> Newest;
-  std::map<Offset, DigestSeen> ByOffset;
+  std::map<Offset, DigestObserved> ByOffset;
   Violations Out;
-  for (const StateSeen &Seen : eventsOf<StateSeen>(All)) {
+  for (const StateObserved &Seen : eventsOf<StateObserved>(All)) {
     Offset &Last = Newest[Seen.Host];
     if (Seen.Next < Last)
       Out.push_back(Seen.Host.Text + " went back from " + std::to_string(Last) +
                     " to " + std::to_string(Seen.Next));
     Last = std::max(Last, Seen.Next);
   }
-  for (const DigestSeen &Seen : eventsOf<DigestSeen>(All)) {
+  for (const DigestObserved &Seen : eventsOf<DigestObserved>(All)) {
     const auto [First, New] = ByOffset.emplace(Seen.Next, Seen);
     if (!New && First->second.Digest != Seen.Digest)
       Out.push_back(Seen.Host.Text + " and " + First->second.Host.Text +
@@ -137,7 +139,7 @@
 
 Violations checkOneGroup(const Events &All) {
   Violations Out;
-  for (const GroupsSeen &Seen : eventsOf<GroupsSeen>(All)) {
+  for (const GroupsObserved &Seen : eventsOf<GroupsObserved>(All)) {
     std::set<HostName> Taken;
     for (const auto &[Group, Members] : Seen.Members)
       for (const HostName &Host : Members)
@@ -149,7 +151,7 @@
 }
 
 const std::vector<Checker> &checkers() {
-  static const std::vector<Checker> Each{
+  static const std::vector<Checker> Entry{
       {"whole answer", checkWholeAnswers},
       {"not run is true", checkNotRunIsTrue},
       {"verdicts never go back", checkVerdictsNeverGoBack},
@@ -160,14 +162,14 @@
       {"no reversal", checkNoReversal},
       {"one group", checkOneGroup},
   };
-  return Each;
+  return Entry;
 }
 
 Violations checkAll(const Events &All) {
   Violations Out;
-  for (const Checker &Each : checkers())
-    for (const std::string &Found : Each.Check(All))
-      Out.push_back(std::string(Each.Name) + ": " + Found);
+  for (const Checker &Entry : checkers())
+    for (const std::string &Found : Entry.Check(All))
+      Out.push_back(std::string(Entry.Name) + ": " + Found);
   return Out;
 }
 
--- a/packages/process/test/coltsfoottrail/faults/checkers_test.cpp
+++ b/packages/process/test/coltsfoottrail/faults/checkers_test.cpp
@@ -5,25 +5,25 @@
 namespace coltsfoottrail::testing {
 namespace {
 
-CallEnded order(std::string Body, CallEnd End, std::string Key = "k") {
-  CallEnded Out;
-  Out.Through = HostName("entry-1");
+CallRecord order(std::string Body, CallOutcome End, std::string Key = "k") {
+  CallRecord Out;
+  Out.EntryHostName = HostName("entry-1");
   Out.Body = std::move(Body);
   Out.Key = std::move(Key);
   Out.End = End;
-  Out.Got = "signed";
+  Out.Actual = "signed";
   Out.Expected = "signed";
   return Out;
 }
 
-/// A history in which all holds and each checker has something to look at.
+/// A history that satisfies all invariants and has events for each checker.
 Events soundHistory() {
   const GroupId One{3, 0};
   const GroupId Two{3, 1};
-  return {order("lane 1", CallEnd::Answered),
-          order("lane 1", CallEnd::Answered),
-          order("lane 2", CallEnd::NotRun, "other"),
-          order("lane 3", CallEnd::MayHaveRun, "third"),
+  return {order("lane 1", CallOutcome::Answered),
+          order("lane 1", CallOutcome::Answered),
+          order("lane 2", CallOutcome::NotRun, "other"),
+          order("lane 3", CallOutcome::MayHaveRun, "third"),
           OrderRuns{"lane 1", 1},
           OrderRuns{"lane 2", 0},
           OrderRuns{"lane 3", 1},
@@ -31,14 +31,15 @@
           DrainInForce{"engine-1", 7},
           DrainObserved{"engine-1", 7},
           PlannedStop{HostName("entry-1"), 0},
-          StateSeen{HostName("entry-1"), 4},
-          StateSeen{HostName("entry-1"), 5},
-          DigestSeen{HostName("entry-1"), 5, 99},
-          DigestSeen{HostName("entry-2"), 5, 99},
-          GroupsSeen{5, {{One, {HostName("a")}}, {Two, {HostName("b")}}}}};
+          StateObserved{HostName("entry-1"), 4},
+          StateObserved{HostName("entry-1"), 5},
+          DigestObserved{HostName("entry-1"), 5, 99},
+          DigestObserved{HostName("entry-2"), 5, 99},
+          GroupsObserved{5, {{One, {HostName("a")}}, {Two, {HostName("b")}}}}};
 }
 
-/// A history with one thing broken and the only checker that may find it.
+/// Events that violate one invariant when added to the sound history, and the
+/// only checker that may report it.
 struct Broken {
   std::string Name;
   std::string Checker;
@@ -47,9 +48,9 @@
 
 class Mutation : public ::testing::TestWithParam<Broken> {};
 
-CallEnded withAnswer(std::string Got) {
-  CallEnded Out = order("lane 1", CallEnd::Answered);
-  Out.Got = std::move(Got);
+CallRecord withAnswer(std::string Actual) {
+  CallRecord Out = order("lane 1", CallOutcome::Answered);
+  Out.Actual = std::move(Actual);
   return Out;
 }
 
@@ -62,10 +63,11 @@
       {"RanAfterNotRun", "not run is true", {OrderRuns{"lane 2", 1}}},
       {"AnsweredNeverRan",
        "not run is true",
-       {order("lane 8", CallEnd::Answered, "eighth"), OrderRuns{"lane 8", 0}}},
+       {order("lane 8", CallOutcome::Answered, "eighth"),
+        OrderRuns{"lane 8", 0}}},
       {"NotRunAfterAnswer",
        "verdicts never go back",
-       {order("lane 1", CallEnd::NotRun)}},
+       {order("lane 1", CallOutcome::NotRun)}},
       {"RanTwice", "at most once", {OrderRuns{"lane 1", 2}}},
       {"OverBound", "warm bound", {EnginePeak{"engine-0", 4, 3}}},
       {"StartedWhileDrained", "drain", {DrainObserved{"engine-1", 8}}},
@@ -73,12 +75,14 @@
       {"StopSaysCut", "planned stop", {PlannedStop{HostName("entry-1"), 1}}},
       {"CallerCutByStop",
        "planned stop",
-       {order("lane 7", CallEnd::Cut, "seventh")}},
-      {"StateWentBack", "no reversal", {StateSeen{HostName("entry-1"), 4}}},
-      {"StatesDiffer", "no reversal", {DigestSeen{HostName("entry-3"), 5, 98}}},
+       {order("lane 7", CallOutcome::Cut, "seventh")}},
+      {"StateWentBack", "no reversal", {StateObserved{HostName("entry-1"), 4}}},
+      {"StatesDiffer",
+       "no reversal",
+       {DigestObserved{HostName("entry-3"), 5, 98}}},
       {"HostInTwoGroups",
        "one group",
-       {GroupsSeen{6, {{One, {HostName("a")}}, {Two, {HostName("a")}}}}}},
+       {GroupsObserved{6, {{One, {HostName("a")}}, {Two, {HostName("a")}}}}}},
   };
 }
 
@@ -89,18 +93,19 @@
 TEST_P(Mutation, IsFoundByItsCheckerOnly) {
   Events All = soundHistory();
   All.insert(All.end(), GetParam().Added.begin(), GetParam().Added.end());
-  for (const Checker &Each : checkers())
-    EXPECT_EQ(Each.Check(All).empty(), Each.Name != GetParam().Checker)
-        << Each.Name;
+  for (const Checker &Entry : checkers())
+    EXPECT_EQ(Entry.Check(All).empty(), Entry.Name != GetParam().Checker)
+        << Entry.Name;
 }
 
-// A checker that is never shown a broken history may be one that sees nothing.
+// Guards against a checker that never reports anything: each must have a
+// mutation that it finds.
 TEST(Checkers, EachHasAMutation) {
-  for (const Checker &Each : checkers()) {
+  for (const Checker &Entry : checkers()) {
     bool Found = false;
     for (const Broken &Wrong : mutations())
-      Found = Found || Wrong.Checker == Each.Name;
-    EXPECT_TRUE(Found) << Each.Name;
+      Found = Found || Wrong.Checker == Entry.Name;
+    EXPECT_TRUE(Found) << Entry.Name;
   }
 }
 
--- a/packages/process/test/coltsfoottrail/faults/history.cpp
+++ b/packages/process/test/coltsfoottrail/faults/history.cpp
@@ -4,9 +4,9 @@
 
 namespace coltsfoottrail::testing {
 
-void History::record(HistoryEvent What) {
+void History::record(HistoryEvent NewEvent) {
   const std::lock_guard Hold(Lock);
-  Recorded.push_back(std::move(What));
+  Recorded.push_back(std::move(NewEvent));
 }
 
 Events History::events() const {
--- a/packages/process/test/coltsfoottrail/faults/history.hpp
+++ b/packages/process/test/coltsfoottrail/faults/history.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What callers, engines, the service and entry hosts did in one cell of the
-/// fault matrix.
+/// Events recorded at callers, engines, the service and entry hosts in one cell
+/// of the fault matrix.
 #ifndef COLTSFOOTTRAIL_TEST_FAULTS_HISTORY_HPP
 #define COLTSFOOTTRAIL_TEST_FAULTS_HISTORY_HPP
 
@@ -18,9 +18,9 @@
 
 enum class CallKind : std::uint8_t { Order, Draft };
 
-/// What a caller was left with. Unreachable: it found no open port, so that
-/// nothing can have run. Cut: an answer that is not whole, or none.
-enum class CallEnd : std::uint8_t {
+/// Outcome of a call. Unreachable: no port was open, so nothing can have run.
+/// Cut: the response is incomplete or missing.
+enum class CallOutcome : std::uint8_t {
   Answered,
   NotRun,
   MayHaveRun,
@@ -28,80 +28,82 @@
   Unreachable
 };
 
-/// A caller's request came to its end.
-struct CallEnded {
+/// A caller's request has ended.
+struct CallRecord {
   CallKind Kind = CallKind::Order;
-  HostName Through;
-  /// Text of the order or prompt; no two requests share one but by a retry.
+  HostName EntryHostName;
+  /// Text of the order or prompt; only retries of a request share it.
   std::string Body;
-  /// Empty when the request had none.
+  /// Idempotency key; empty if the request had none.
   std::string Key;
-  CallEnd End = CallEnd::Answered;
+  CallOutcome End = CallOutcome::Answered;
   std::string Reason;
-  /// What the caller got, and what it should get when it is answered.
-  std::string Got;
+  /// The response text that the caller got, and the text expected if it is
+  /// answered.
+  std::string Actual;
   std::string Expected;
 };
 
-/// How often the service ran an order, counted at the end.
+/// How often the service ran an order, counted at the end of the test.
 struct OrderRuns {
   std::string Body;
   std::uint64_t Runs = 0;
 };
 
-/// The most requests that an engine had at once, and what it was to get.
+/// The highest number of concurrent requests at an engine, and its bound.
 struct EnginePeak {
   std::string Engine;
-  std::uint32_t Most = 0;
+  std::uint32_t PeakRequests = 0;
   std::uint32_t Bound = 0;
 };
 
-/// A drain is in force on all hosts; requests that the engine had begun then.
+/// A drain is in force on all hosts; Started counts the requests that the
+/// engine had begun by then.
 struct DrainInForce {
   std::string Engine;
   std::uint64_t Started = 0;
 };
 
-/// The same engine at the end, with the drain still in force.
+/// The count for the same engine at the end, with the drain still in force.
 struct DrainObserved {
   std::string Engine;
   std::uint64_t Started = 0;
 };
 
-/// A planned stop has ended.
+/// A planned stop has ended; Cut counts the requests that it cut.
 struct PlannedStop {
   HostName Host;
   std::uint64_t Cut = 0;
 };
 
-/// A state that a host was seen to have.
-struct StateSeen {
+/// Next offset of a state observed at a host.
+struct StateObserved {
   HostName Host;
   Offset Next = 0;
 };
 
 /// The digest of a host's state at an offset.
-struct DigestSeen {
+struct DigestObserved {
   HostName Host;
   Offset Next = 0;
   std::uint64_t Digest = 0;
 };
 
-/// The groups of one state and their members' hosts.
-struct GroupsSeen {
+/// The groups of one state and their member hosts.
+struct GroupsObserved {
   Offset Next = 0;
   std::map<GroupId, std::vector<HostName>> Members;
 };
 
 using HistoryEvent =
-    std::variant<CallEnded, OrderRuns, EnginePeak, DrainInForce, DrainObserved,
-                 PlannedStop, StateSeen, DigestSeen, GroupsSeen>;
+    std::variant<CallRecord, OrderRuns, EnginePeak, DrainInForce, DrainObserved,
+                 PlannedStop, StateObserved, DigestObserved, GroupsObserved>;
 using Events = std::vector<HistoryEvent>;
 
-/// @brief Collects events in the order in which they are told. Thread-safe.
+/// @brief Collects events in the order in which they are recorded. Thread-safe.
 class History {
 public:
-  void record(HistoryEvent What);
+  void record(HistoryEvent NewEvent);
   [[nodiscard]] Events events() const;
 
 private:
@@ -113,8 +115,8 @@
 template <class Event>
 [[nodiscard]] std::vector<Event> eventsOf(const Events &All) {
   std::vector<Event> Out;
-  for (const HistoryEvent &Each : All)
-    if (const auto *const Found = std::get_if<Event>(&Each))
+  for (const HistoryEvent &Entry : All)
+    if (const auto *const Found = std::get_if<Event>(&Entry))
       Out.push_back(*Found);
   return Out;
 }
--- a/packages/process/test/coltsfoottrail/faults/matrix.cpp
+++ b/packages/process/test/coltsfoottrail/faults/matrix.cpp
@@ -27,15 +27,15 @@
 enum class Step : std::uint8_t { Orders, Drafts, Drain, PlannedStop, Plan };
 
 struct Cell {
-  Fault Wrong = Fault::None;
-  Step During = Step::Orders;
+  Fault InjectedFault = Fault::None;
+  Step AtStep = Step::Orders;
 };
 
 constexpr std::size_t CallerCount = 4;
-/// Requests of one caller in each of the three parts of the load: before the
-/// fault, while it holds, and when the step has come to its end.
-constexpr unsigned TurnsPerPart = 4;
-constexpr unsigned Parts = 3;
+/// Rounds of requests of one caller in each of the three phases of the load:
+/// before the fault, while it is active, and after the step has ended.
+constexpr unsigned RoundsPerPhase = 4;
+constexpr unsigned LoadPhases = 3;
 constexpr std::uint32_t WarmBound = 3;
 constexpr unsigned DraftTokens = 20;
 constexpr std::uint32_t LostAppendAnswers = 6;
@@ -45,20 +45,20 @@
 constexpr std::size_t StoppingHost = 0;
 
 Report &report() {
-  static Report Only;
-  return Only;
+  static Report Instance;
+  return Instance;
 }
 
-class PrintAtTheEnd : public ::testing::Environment {
+class PrintReportAtEnd : public ::testing::Environment {
 public:
   void TearDown() override { std::cout << report().text() << std::flush; }
 };
 
-const ::testing::Environment *const Printer =
-    ::testing::AddGlobalTestEnvironment(new PrintAtTheEnd);
+const ::testing::Environment *const ReportPrinter =
+    ::testing::AddGlobalTestEnvironment(new PrintReportAtEnd);
 
-/// What a caller got, before it is told apart.
-struct Heard {
+/// A caller's raw response, before its outcome is classified.
+struct CallerResponse {
   unsigned Status = 0;
   std::string Body;
   bool Whole = false;
@@ -86,20 +86,20 @@
              : "not a draft: " + Body;
 }
 
-void judge(const Heard &Got, CallEnded &Call) {
-  const Json Body = Json::parse(Got.Body, nullptr, false);
+void classifyOutcome(const CallerResponse &Response, CallRecord &Call) {
+  const Json Body = Json::parse(Response.Body, nullptr, false);
   const std::string Verdict = Body.is_object() ? Body.value("verdict", "") : "";
-  if (Got.NothingSent)
-    Call.End = CallEnd::Unreachable;
-  else if (Got.Whole && Got.Status == 200)
-    Call.End = CallEnd::Answered;
+  if (Response.NothingSent)
+    Call.End = CallOutcome::Unreachable;
+  else if (Response.Whole && Response.Status == 200)
+    Call.End = CallOutcome::Answered;
   else if (Verdict == "not-run")
-    Call.End = CallEnd::NotRun;
+    Call.End = CallOutcome::NotRun;
   else if (Verdict == "may-have-run")
-    Call.End = CallEnd::MayHaveRun;
+    Call.End = CallOutcome::MayHaveRun;
   else
-    Call.End = CallEnd::Cut;
-  if (Call.End != CallEnd::Answered && Body.is_object())
+    Call.End = CallOutcome::Cut;
+  if (Call.End != CallOutcome::Answered && Body.is_object())
     Call.Reason = Body.value("reason", "");
 }
 
@@ -128,64 +128,68 @@
     }));
   }
 
-  [[nodiscard]] Fault wrong() const { return GetParam().Wrong; }
-  [[nodiscard]] Step during() const { return GetParam().During; }
+  [[nodiscard]] Fault injectedFault() const { return GetParam().InjectedFault; }
+  [[nodiscard]] Step currentStep() const { return GetParam().AtStep; }
 
-  /// The host that the balancer picks: a ready one, or one that has died and
-  /// has not been found out yet.
-  [[nodiscard]] std::size_t pick(std::uint64_t Wanted) {
-    const std::shared_lock Hold(HostsLock);
-    for (std::size_t Turn = 0; Turn < Hosts.size(); ++Turn) {
-      const std::size_t Index = (Wanted + Turn) % Hosts.size();
+  /// The host that the load balancer would pick: a ready one, or a dead one
+  /// whose failure has not been detected yet.
+  [[nodiscard]] std::size_t pickHost(std::uint64_t PreferredHost) {
+    const std::shared_lock Guard(HostsLock);
+    for (std::size_t Round = 0; Round < Hosts.size(); ++Round) {
+      const std::size_t Index = (PreferredHost + Round) % Hosts.size();
       const bool Usable =
           Hosts[Index] ? Hosts[Index]->ready() : !FoundDead.load();
       if (Usable)
         return Index;
     }
-    return Wanted % Hosts.size() == DyingHost ? StoppingHost + 2
-                                              : Wanted % Hosts.size();
+    return PreferredHost % Hosts.size() == DyingHost
+               ? StoppingHost + 2
+               : PreferredHost % Hosts.size();
   }
 
-  [[nodiscard]] Heard ask(std::size_t Host, HttpRequest Asked) const {
-    Heard Out;
-    const auto Got = fetchBlocking({std::string(Loopback), Ports[Host]},
-                                   std::move(Asked), CallTimeout);
-    if (const auto *const Failed = std::get_if<CallFailure>(&Got)) {
+  [[nodiscard]] CallerResponse ask(std::size_t Host,
+                                   HttpRequest Request) const {
+    CallerResponse Out;
+    const auto Response = fetchBlocking({std::string(Loopback), Ports[Host]},
+                                        std::move(Request), CallTimeout);
+    if (const auto *const Failed = std::get_if<CallFailure>(&Response)) {
       Out.NothingSent = Failed->State == RunState::NotRun;
       return Out;
     }
-    const auto &Answer = std::get<HttpResponse>(Got);
-    return Heard{Answer.Status, Answer.Body, true, false};
+    const auto &Answer = std::get<HttpResponse>(Response);
+    return CallerResponse{Answer.Status, Answer.Body, true, false};
   }
 
-  [[nodiscard]] Heard askStream(std::size_t Host, HttpRequest Asked) const {
-    Heard Out;
-    const auto Got = streamBlocking(
-        {std::string(Loopback), Ports[Host]}, std::move(Asked), CallTimeout,
-        [&Out](std::string_view Part) { Out.Body += Part; });
-    if (const auto *const Failed = std::get_if<CallFailure>(&Got)) {
+  [[nodiscard]] CallerResponse askStream(std::size_t Host,
+                                         HttpRequest Request) const {
+    CallerResponse Out;
+    const auto Response = streamBlocking(
+        {std::string(Loopback), Ports[Host]}, std::move(Request), CallTimeout,
+        [&Out](std::string_view Chunk) { Out.Body += Chunk; });
+    if (const auto *const Failed = std::get_if<CallFailure>(&Response)) {
       Out.NothingSent = Failed->State == RunState::NotRun;
       return Out;
     }
-    Out.Status = std::get<HttpResponse>(Got).Status;
+    Out.Status = std::get<HttpResponse>(Response).Status;
     Out.Whole = Out.Status != 200 || Out.Body.ends_with("data: [DONE]\n\n");
     return Out;
   }
 
-  void ended(std::size_t Host, CallEnded Call) {
-    Call.Through = HostName("entry-" + std::to_string(Host + 1));
-    if (Call.End == CallEnd::Unreachable && Host == DyingHost)
+  void recordEnd(std::size_t Host, CallRecord Call) {
+    Call.EntryHostName = HostName("entry-" + std::to_string(Host + 1));
+    if (Call.End == CallOutcome::Unreachable && Host == DyingHost)
       FoundDead = true;
-    Past.record(std::move(Call));
+    Recorder.record(std::move(Call));
   }
 
-  void sendOrder(std::uint64_t Wanted, const std::string &Key,
+  void sendOrder(std::uint64_t PreferredHost, const std::string &Key,
                  const std::string &Body) {
-    const std::size_t Host = pick(Wanted);
-    HttpRequest Asked = orderRequest(Key, Body);
-    const std::string Patience = wrong() == Fault::LogDown ? "200" : "3000";
-    Asked.Fields.push_back({"Coltsfoottrail-Deadline-Ms", Patience});
-    CallEnded Call;
+    const std::size_t Host = pickHost(PreferredHost);
+    HttpRequest Request = orderRequest(Key, Body);
+    const std::string DeadlineMs =
+        injectedFault() == Fault::LogDown ? "200" : "3000";
+    Request.Fields.push_back({"Coltsfoottrail-Deadline-Ms", DeadlineMs});
+    CallRecord Call;
     Call.Kind = CallKind::Order;
     Call.Body = Body;
     Call.Key = Key;
@@ -195,69 +199,75 @@
         {"path", "/sign"},
         {"body_bytes",
          Body.size()}}.dump();
-    const Heard Got = ask(Host, std::move(Asked));
-    Call.Got = Got.Body;
-    judge(Got, Call);
-    ended(Host, std::move(Call));
+    const CallerResponse Response = ask(Host, std::move(Request));
+    Call.Actual = Response.Body;
+    classifyOutcome(Response, Call);
+    recordEnd(Host, std::move(Call));
   }
 
-  void sendDraft(std::uint64_t Wanted, const std::string &Prompt, bool Stream) {
-    const std::size_t Host = pick(Wanted);
-    HttpRequest Asked = draftRequest(Prompt, Stream, DraftTokens);
-    Asked.Fields.push_back({"Coltsfoottrail-Deadline-Ms", "5000"});
-    CallEnded Call;
+  void sendDraft(std::uint64_t PreferredHost, const std::string &Prompt,
+                 bool Stream) {
+    const std::size_t Host = pickHost(PreferredHost);
+    HttpRequest Request = draftRequest(Prompt, Stream, DraftTokens);
+    Request.Fields.push_back({"Coltsfoottrail-Deadline-Ms", "5000"});
+    CallRecord Call;
     Call.Kind = CallKind::Draft;
     Call.Body = Prompt;
     Call.Expected = draftedText(Prompt, DraftTokens);
-    const Heard Got = Stream ? askStream(Host, std::move(Asked))
-                             : ask(Host, std::move(Asked));
-    Call.Got = Stream ? textOfStream(Got.Body) : textOfWhole(Got.Body);
-    judge(Got, Call);
-    ended(Host, std::move(Call));
+    const CallerResponse Response = Stream ? askStream(Host, std::move(Request))
+                                           : ask(Host, std::move(Request));
+    Call.Actual =
+        Stream ? textOfStream(Response.Body) : textOfWhole(Response.Body);
+    classifyOutcome(Response, Call);
+    recordEnd(Host, std::move(Call));
   }
 
-  /// An order of which no other has the length, so that its answer can be told
-  /// from all others; sent again, with its key, through another host.
-  void orderTwice(std::size_t Caller, unsigned Turn, std::uint64_t Wanted) {
-    const std::size_t Number = Caller * TurnsPerPart * Parts + Turn;
+  /// Sends an order of unique length, so that its response can be told from all
+  /// others, and repeats it with its key through another host.
+  void orderTwice(std::size_t Caller, unsigned Round,
+                  std::uint64_t PreferredHost) {
+    const std::size_t Number = Caller * RoundsPerPhase * LoadPhases + Round;
     const std::string Body =
         "sign " + std::to_string(Number) + std::string(Number, '.');
     {
-      const std::lock_guard Hold(BodiesLock);
+      const std::lock_guard Guard(BodiesLock);
       Bodies.push_back(Body);
     }
     const bool HasKey = Number % 4 != 3;
-    sendOrder(Wanted, HasKey ? "key-" + std::to_string(Number) : "", Body);
+    sendOrder(PreferredHost, HasKey ? "key-" + std::to_string(Number) : "",
+              Body);
     if (HasKey)
-      sendOrder(Wanted + 1, "key-" + std::to_string(Number), Body);
+      sendOrder(PreferredHost + 1, "key-" + std::to_string(Number), Body);
   }
 
-  void oneTurn(std::size_t Caller, unsigned Turn, Random &Draw) {
-    const std::uint64_t Wanted = Draw.below(Hosts.size());
-    const bool Stream = Draw.below(2) == 0;
-    const std::string Prompt = std::to_string(Turn) + " plan of caller " +
+  void runRound(std::size_t Caller, unsigned Round, Random &Generator) {
+    const std::uint64_t PreferredHost = Generator.below(Hosts.size());
+    const bool Stream = Generator.below(2) == 0;
+    const std::string Prompt = std::to_string(Round) + " plan of caller " +
                                std::to_string(Caller) + " " +
-                               std::to_string(Draw.below(1'000));
-    const bool Poisoned = wrong() == Fault::EngineCrashes && Caller == 0 &&
-                          (Turn == TurnsPerPart || Turn == TurnsPerPart + 1);
-    if (during() != Step::Orders)
-      sendDraft(Wanted, Poisoned ? std::string(PoisonWord) : Prompt, Stream);
-    if (during() != Step::Drafts)
-      orderTwice(Caller, Turn, Wanted);
-    ++TurnsDone;
+                               std::to_string(Generator.below(1'000));
+    const bool Poisoned =
+        injectedFault() == Fault::EngineCrashes && Caller == 0 &&
+        (Round == RoundsPerPhase || Round == RoundsPerPhase + 1);
+    if (currentStep() != Step::Orders)
+      sendDraft(PreferredHost, Poisoned ? std::string(PoisonWord) : Prompt,
+                Stream);
+    if (currentStep() != Step::Drafts)
+      orderTwice(Caller, Round, PreferredHost);
+    ++RoundsDone;
   }
 
   void runCaller(std::size_t Caller) {
-    Random Draw(Seed + Caller);
-    for (unsigned Turn = 0; Turn < TurnsPerPart * Parts; ++Turn) {
-      if (Turn == TurnsPerPart * 2)
-        LastPart.wait(false);
-      oneTurn(Caller, Turn, Draw);
+    Random Generator(Seed + Caller);
+    for (unsigned Round = 0; Round < RoundsPerPhase * LoadPhases; ++Round) {
+      if (Round == RoundsPerPhase * 2)
+        FinalPhase.wait(false);
+      runRound(Caller, Round, Generator);
     }
   }
 
   void setFault() {
-    switch (wrong()) {
+    switch (injectedFault()) {
     case Fault::LogDown:
       LogService.setFaults({.Down = true});
       break;
@@ -289,7 +299,7 @@
   void killHost() {
     std::unique_ptr<EntryHostProcess> Dead;
     {
-      const std::unique_lock Hold(HostsLock);
+      const std::unique_lock Guard(HostsLock);
       Dead = std::move(Hosts[DyingHost]);
     }
     Dead.reset();
@@ -302,13 +312,13 @@
 
   [[nodiscard]] bool alive(std::size_t Index) const {
     return Hosts[Index] != nullptr &&
-           !(during() == Step::PlannedStop && Index == StoppingHost);
+           !(currentStep() == Step::PlannedStop && Index == StoppingHost);
   }
 
-  /// Asks until the plan is accepted: while the log is down it is refused. A
-  /// plan whose answer was lost may have been confirmed; then nothing is left
-  /// to plan or to confirm.
-  [[nodiscard]] bool accept(std::size_t Host, const Json &Intent) const {
+  /// Proposes and confirms a plan; false while it is refused, as when the log
+  /// is down. If the response to a confirmation was lost, the plan may be
+  /// confirmed already; then nothing is left to propose or confirm.
+  [[nodiscard]] bool tryApply(std::size_t Host, const Json &Intent) const {
     const HttpResponse Planned = callOperator(Host, "/v1/plans", Intent.dump());
     if (Planned.Status != 200)
       return false;
@@ -326,7 +336,7 @@
       const bool Drained =
           Now->DrainedDataCentres.contains(DataCentreName("west"));
       if (Last.second.Phase != PlanPhase::Done ||
-          (during() == Step::Drain && !Drained))
+          (currentStep() == Step::Drain && !Drained))
         return false;
     }
     return true;
@@ -338,36 +348,36 @@
                         {"model", "plan"},
                         {"data_centre", "west"},
                         {"groups", 1}};
-    const Json Wanted = during() == Step::Drain ? Drain : Capacity;
-    if (wrong() == Fault::LogDown) {
-      EXPECT_FALSE(accept(DyingHost, Wanted));
+    const Json Intent = currentStep() == Step::Drain ? Drain : Capacity;
+    if (injectedFault() == Fault::LogDown) {
+      EXPECT_FALSE(tryApply(DyingHost, Intent));
       LogService.setFaults({});
     }
-    EXPECT_TRUE(eventually([&] { return accept(DyingHost, Wanted); }));
-    if (wrong() == Fault::EntryHostDies)
+    EXPECT_TRUE(eventually([&] { return tryApply(DyingHost, Intent); }));
+    if (injectedFault() == Fault::EntryHostDies)
       killHost();
     EXPECT_TRUE(eventually([&] { return inForceEverywhere(); }));
   }
 
-  void act() {
-    if (during() == Step::PlannedStop) {
-      if (wrong() == Fault::EntryHostDies)
+  void performStep() {
+    if (currentStep() == Step::PlannedStop) {
+      if (injectedFault() == Fault::EntryHostDies)
         killHost();
-      Past.record(
+      Recorder.record(
           PlannedStop{HostName("entry-1"), Hosts[StoppingHost]->stop()});
-    } else if (during() == Step::Drain || during() == Step::Plan) {
+    } else if (currentStep() == Step::Drain || currentStep() == Step::Plan) {
       changeConfiguration();
-    } else if (wrong() == Fault::EntryHostDies) {
+    } else if (injectedFault() == Fault::EntryHostDies) {
       killHost();
     }
-    if (during() == Step::Drain)
+    if (currentStep() == Step::Drain)
       for (const std::size_t West : {1, 3})
-        Past.record(DrainInForce{"engine-" + std::to_string(West),
-                                 Engines[West]->started()});
+        Recorder.record(DrainInForce{"engine-" + std::to_string(West),
+                                     Engines[West]->started()});
   }
 
   void sample() {
-    const std::shared_lock Hold(HostsLock);
+    const std::shared_lock Guard(HostsLock);
     for (std::size_t Index = 0; Index < Hosts.size(); ++Index) {
       if (!Hosts[Index])
         continue;
@@ -376,17 +386,17 @@
         continue;
       Seen[Index] = Now;
       const HostName Name("entry-" + std::to_string(Index + 1));
-      Past.record(StateSeen{Name, Now->Next});
-      Past.record(DigestSeen{Name, Now->Next, digestOf(*Now)});
-      GroupsSeen Groups;
+      Recorder.record(StateObserved{Name, Now->Next});
+      Recorder.record(DigestObserved{Name, Now->Next, digestOf(*Now)});
+      GroupsObserved Groups;
       Groups.Next = Now->Next;
       for (const auto &[Id, Grouped] : Now->Groups)
         Groups.Members[Id].assign(Grouped.Held.begin(), Grouped.Held.end());
-      Past.record(std::move(Groups));
+      Recorder.record(std::move(Groups));
     }
   }
 
-  /// All that are left have the same state at the end.
+  /// Whether all live hosts have the same state.
   [[nodiscard]] bool converged() {
     std::optional<Offset> Common;
     for (std::size_t Index = 0; Index < Hosts.size(); ++Index) {
@@ -402,19 +412,19 @@
 
   void recordCounts() {
     for (const std::string &Body : Bodies)
-      Past.record(OrderRuns{Body, OrderService.runsOf(Body)});
+      Recorder.record(OrderRuns{Body, OrderService.runsOf(Body)});
     for (std::size_t Index = 0; Index < Engines.size(); ++Index)
-      Past.record(EnginePeak{"engine-" + std::to_string(Index),
-                             Engines[Index]->mostAtOnce(), WarmBound});
-    if (during() == Step::Drain)
+      Recorder.record(EnginePeak{"engine-" + std::to_string(Index),
+                                 Engines[Index]->mostAtOnce(), WarmBound});
+    if (currentStep() == Step::Drain)
       for (const std::size_t West : {1, 3})
-        Past.record(DrainObserved{"engine-" + std::to_string(West),
-                                  Engines[West]->started()});
+        Recorder.record(DrainObserved{"engine-" + std::to_string(West),
+                                      Engines[West]->started()});
   }
 
-  [[nodiscard]] bool turnsReached(unsigned Part) {
+  [[nodiscard]] bool roundsReached(unsigned Phase) {
     return eventually(
-        [&] { return TurnsDone >= CallerCount * TurnsPerPart * Part; });
+        [&] { return RoundsDone >= CallerCount * RoundsPerPhase * Phase; });
   }
 
   void runCell() {
@@ -428,13 +438,13 @@
     std::vector<std::thread> Callers;
     for (std::size_t Index = 0; Index < CallerCount; ++Index)
       Callers.emplace_back([this, Index] { runCaller(Index); });
-    EXPECT_TRUE(eventually([&] { return TurnsDone >= CallerCount * 2; }));
+    EXPECT_TRUE(eventually([&] { return RoundsDone >= CallerCount * 2; }));
     setFault();
-    act();
-    EXPECT_TRUE(turnsReached(2));
+    performStep();
+    EXPECT_TRUE(roundsReached(2));
     clearLastingFaults();
-    LastPart = true;
-    LastPart.notify_all();
+    FinalPhase = true;
+    FinalPhase.notify_all();
     for (std::thread &Caller : Callers)
       Caller.join();
     EXPECT_TRUE(eventually([&] { return converged(); }));
@@ -444,12 +454,12 @@
     recordCounts();
   }
 
-  History Past;
+  History Recorder;
   std::vector<std::uint16_t> Ports;
   std::shared_mutex HostsLock;
   std::atomic<bool> FoundDead{false};
-  std::atomic<bool> LastPart{false};
-  std::atomic<std::size_t> TurnsDone{0};
+  std::atomic<bool> FinalPhase{false};
+  std::atomic<std::size_t> RoundsDone{0};
   std::mutex BodiesLock;
   std::vector<std::string> Bodies;
   std::map<std::size_t, StatePtr> Seen;
@@ -457,52 +467,57 @@
 
 std::vector<Cell> cells() {
   std::vector<Cell> Out;
-  for (std::size_t Wrong = 0; Wrong < FaultNames.size(); ++Wrong)
-    for (std::size_t During = 0; During < StepNames.size(); ++During) {
-      const Cell Each{static_cast<Fault>(Wrong), static_cast<Step>(During)};
-      const bool OfEngines = Each.Wrong == Fault::EngineRestarts ||
-                             Each.Wrong == Fault::EngineCrashes ||
-                             Each.Wrong == Fault::StreamCut;
-      const bool Beside =
-          (OfEngines && Each.During == Step::Orders) ||
-          (Each.Wrong == Fault::ServiceLosesAnswers &&
-           Each.During != Step::Orders && Each.During != Step::PlannedStop);
-      if (!Beside)
-        Out.push_back(Each);
+  for (std::size_t InjectedFault = 0; InjectedFault < FaultNames.size();
+       ++InjectedFault)
+    for (std::size_t AtStep = 0; AtStep < StepNames.size(); ++AtStep) {
+      const Cell Candidate{static_cast<Fault>(InjectedFault),
+                           static_cast<Step>(AtStep)};
+      const bool IsEngineFault =
+          Candidate.InjectedFault == Fault::EngineRestarts ||
+          Candidate.InjectedFault == Fault::EngineCrashes ||
+          Candidate.InjectedFault == Fault::StreamCut;
+      const bool IsIrrelevant =
+          (IsEngineFault && Candidate.AtStep == Step::Orders) ||
+          (Candidate.InjectedFault == Fault::ServiceLosesAnswers &&
+           Candidate.AtStep != Step::Orders &&
+           Candidate.AtStep != Step::PlannedStop);
+      if (!IsIrrelevant)
+        Out.push_back(Candidate);
     }
   return Out;
 }
 
-std::string nameOf(const Cell &Shown) {
-  std::string Out(FaultNames.at(static_cast<std::size_t>(Shown.Wrong)));
+std::string nameOf(const Cell &Named) {
+  std::string Out(FaultNames.at(static_cast<std::size_t>(Named.InjectedFault)));
   Out += " during ";
-  Out += StepNames.at(static_cast<std::size_t>(Shown.During));
+  Out += StepNames.at(static_cast<std::size_t>(Named.AtStep));
   std::replace(Out.begin(), Out.end(), ' ', '_');
   return Out;
 }
 
-// Every fault at every step of the table: under load from several callers the
-// fault begins, the step is taken, the load goes on, and then all that was
-// recorded must satisfy what must always hold.
+// Runs every fault at every step: under load from several callers the fault
+// begins, the step is performed, the load continues, and then the recorded
+// history must satisfy all invariants.
 TEST_P(Matrix, HoldsWhatMustHold) {
   runCell();
-  const Events All = Past.events();
+  const Events All = Recorder.events();
   const Violations Found = checkAll(All);
   for (const std::string &Line : Found)
     ADD_FAILURE() << Line;
-  report().add(static_cast<std::size_t>(wrong()),
-               static_cast<std::size_t>(during()), All, !HasFailure());
+  report().add(static_cast<std::size_t>(injectedFault()),
+               static_cast<std::size_t>(currentStep()), All, !HasFailure());
 }
 
 class StopRepeats : public Matrix {};
 
-// Guards against answering a repeat from a ledger that was read while the first
-// order was in progress: its stored answer must come around a planned stop too.
+// Guards against answering a repeat from a claim ledger that was read while the
+// first order was in progress: the stored response must be returned during a
+// planned stop too.
 TEST_P(StopRepeats, GetTheStoredAnswer) {
   runCell();
-  for (const CallEnded &Ended : eventsOf<CallEnded>(Past.events()))
-    EXPECT_EQ(Ended.End, CallEnd::Answered)
-        << Ended.Body << " through " << Ended.Through.Text << ": "
+  for (const CallRecord &Ended : eventsOf<CallRecord>(Recorder.events()))
+    EXPECT_EQ(Ended.End, CallOutcome::Answered)
+        << Ended.Body << " through " << Ended.EntryHostName.Text << ": "
         << Ended.Reason;
 }
 
--- a/packages/process/test/coltsfoottrail/faults/report.cpp
+++ b/packages/process/test/coltsfoottrail/faults/report.cpp
@@ -8,8 +8,8 @@
                  bool Passed) {
   Line &Cell = Cells[{Fault, Step}];
   Cell.Passed = Passed;
-  for (const CallEnded &Call : eventsOf<CallEnded>(All)) {
-    ++Cell.Ends.at(static_cast<std::size_t>(Call.End));
+  for (const CallRecord &Call : eventsOf<CallRecord>(All)) {
+    ++Cell.EndCounts.at(static_cast<std::size_t>(Call.End));
     if (!Call.Reason.empty())
       ++Cell.Reasons[Call.Reason];
   }
@@ -34,13 +34,13 @@
   }
   Out << "\n| fault | step | answered | not run | may have run | cut | no open "
          "port | reasons told |\n|---|---|---|---|---|---|---|---|\n";
-  for (const auto &[Place, Cell] : Cells) {
-    Out << "| " << FaultNames.at(Place.first) << " | "
-        << StepNames.at(Place.second) << " |";
-    for (const std::uint64_t Count : Cell.Ends)
+  for (const auto &[Index, Cell] : Cells) {
+    Out << "| " << FaultNames.at(Index.first) << " | "
+        << StepNames.at(Index.second) << " |";
+    for (const std::uint64_t Count : Cell.EndCounts)
       Out << " " << Count << " |";
-    for (const auto &[Why, Count] : Cell.Reasons)
-      Out << " " << Why << " " << Count;
+    for (const auto &[ReasonCode, Count] : Cell.Reasons)
+      Out << " " << ReasonCode << " " << Count;
     Out << " |\n";
   }
   return Out.str();
--- a/packages/process/test/coltsfoottrail/faults/report.hpp
+++ b/packages/process/test/coltsfoottrail/faults/report.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The table of the fault matrix, printed when all cells have run.
+/// The result table of the fault matrix, printed after all cells have run.
 #ifndef COLTSFOOTTRAIL_TEST_FAULTS_REPORT_HPP
 #define COLTSFOOTTRAIL_TEST_FAULTS_REPORT_HPP
 
@@ -25,20 +25,21 @@
 inline constexpr std::array<std::string_view, 5> StepNames{
     "orders", "drafts", "drain", "planned stop", "plan"};
 
-/// @brief Collects what each cell came to. Not thread-safe.
+/// @brief Collects the result of each cell. Not thread-safe.
 class Report {
 public:
-  /// @brief Notes a cell that has run to its end, or has not.
+  /// @brief Adds the result of a cell.
   /// @param Fault Index into FaultNames.
   /// @param Step Index into StepNames.
-  /// @param Passed Whether the cell's test has passed.
+  /// @param Passed Whether the cell's test passed.
   void add(std::size_t Fault, std::size_t Step, const Events &All, bool Passed);
-  /// @brief Both tables, as Markdown.
+  /// @brief The results by cell and the counts of call outcomes, as two
+  /// Markdown tables.
   [[nodiscard]] std::string text() const;
 
 private:
   struct Line {
-    std::array<std::uint64_t, 5> Ends{};
+    std::array<std::uint64_t, 5> EndCounts{};
     std::map<std::string, std::uint64_t> Reasons;
     bool Passed = false;
   };
