--- a/packages/process/src/coltsfoottrail/server/agreedstream.cpp
+++ b/packages/process/src/coltsfoottrail/server/agreedstream.cpp
@@ -228,21 +228,22 @@
 }
 
 void AgreedStream::dispatch(const HostName &From, const Json &Message) {
-  const FollowMessage Read = readFollowMessage(Message);
+  const FollowMessage Decoded = readFollowMessage(Message);
   const TimePoint Now = BootClock::now();
   FollowCommands Commands;
   {
     const std::lock_guard Guard(Lock);
-    if (const auto *const Given = std::get_if<FollowRecords>(&Read))
-      StreamFollower->onRecords(From, Given->Records, Now, Commands);
-    else if (const auto *const Ask = std::get_if<FollowRequest>(&Read))
-      StreamFollower->onAsked(From, Ask->From, Now, Commands);
-    else if (const auto *const Gone = std::get_if<FollowUnavailable>(&Read))
-      StreamFollower->onGone(From, Gone->From, Now, Commands);
-    else if (const auto *const Query = std::get_if<FollowQuery>(&Read))
+    if (const auto *const Records = std::get_if<FollowRecords>(&Decoded))
+      StreamFollower->onRecords(From, Records->Records, Now, Commands);
+    else if (const auto *const Request = std::get_if<FollowRequest>(&Decoded))
+      StreamFollower->onAsked(From, Request->From, Now, Commands);
+    else if (const auto *const Unavailable =
+                 std::get_if<FollowUnavailable>(&Decoded))
+      StreamFollower->onGone(From, Unavailable->From, Now, Commands);
+    else if (const auto *const Query = std::get_if<FollowQuery>(&Decoded))
       StreamFollower->onQuery(From, *Query, Now, Commands);
     else
-      StreamFollower->onAnswer(From, std::get<FollowAnswer>(Read), Now,
+      StreamFollower->onAnswer(From, std::get<FollowAnswer>(Decoded), Now,
                                Commands);
   }
   perform(std::move(Commands));
@@ -271,9 +272,10 @@
   ComparedCheckpoint = FoldedState.Checkpoint.AnnouncedAt;
   if (Digests.matches(FoldedState.Checkpoint) != false)
     return;
-  logEvent(Event::CheckpointRefused,
-           {{"why", "the own state differs from the checkpoint"},
-            {"offset", ComparedCheckpoint}});
+  logEvent(
+      Event::CheckpointRefused,
+      {{"why", "state digest differs from the checkpoint at the same offset"},
+       {"offset", ComparedCheckpoint}});
   const std::lock_guard Guard(Lock);
   DiffersFromCheckpoint = true;
 }
@@ -302,18 +304,18 @@
 }
 
 void AgreedStream::publish() {
-  auto Copy = std::make_shared<const State>(FoldedState);
+  auto Snapshot = std::make_shared<const State>(FoldedState);
   std::vector<Member> Members;
   for (const auto &[Name, Host] : FoldedState.EntryHosts)
     Members.push_back({Name, Host.Joined.DataCentre});
   {
     const std::lock_guard Guard(Lock);
-    if (Started && Published->Next >= Copy->Next)
+    if (Started && Published->Next >= Snapshot->Next)
       return;
-    Published = Copy;
+    Published = Snapshot;
     StreamFollower->setMembers(Members);
   }
-  Listener.OnState(Copy);
+  Listener.OnState(Snapshot);
 }
 
 std::vector<std::byte> AgreedStream::encode(Record Body, WriterId Writer) {
--- a/packages/process/src/coltsfoottrail/server/agreedstream.hpp
+++ b/packages/process/src/coltsfoottrail/server/agreedstream.hpp
@@ -65,7 +65,7 @@
   /// @brief Creates a stream that does nothing until start().
   /// @param Control I/O context of the control thread; must outlive the stream.
   /// @param Service The log; must outlive the stream.
-  /// @param Options Options of the stream.
+  /// @param StreamOptions Options of the stream.
   AgreedStream(boost::asio::io_context &Control, Log &Service,
                AgreedOptions StreamOptions);
   AgreedStream(const AgreedStream &) = delete;
@@ -87,7 +87,7 @@
   /// it.
   /// @param Body The record to append.
   /// @param Timeout After this time the outcome is "not appended".
-  /// @param Done Called once, on the control thread.
+  /// @param Callback Called once, on the control thread.
   void append(Record Body, milliseconds Timeout, AppendCallback Callback);
 
   /// @brief The newest published state. Thread-safe; never null.
--- a/packages/process/src/coltsfoottrail/server/attempts.hpp
+++ b/packages/process/src/coltsfoottrail/server/attempts.hpp
@@ -16,11 +16,11 @@
 /// @param Start Time at which the request was sent.
 [[nodiscard]] inline AttemptResult failedAttempt(RunState State, Reason Why,
                                                  TimePoint Start) {
-  AttemptResult Out;
-  Out.State = State;
-  Out.FailureReason = Why;
-  Out.Total = BootClock::now() - Start;
-  return Out;
+  AttemptResult Result;
+  Result.State = State;
+  Result.FailureReason = Why;
+  Result.Total = BootClock::now() - Start;
+  return Result;
 }
 
 /// @brief Creates the result of an attempt whose HTTP call failed. Thread-safe.
@@ -28,9 +28,9 @@
 /// @param Start Time at which the request was sent.
 [[nodiscard]] inline AttemptResult failedAttempt(const CallFailure &Failure,
                                                  TimePoint Start) {
-  AttemptResult Out = failedAttempt(Failure.State, Failure.Why, Start);
-  Out.ConnectionLost = Failure.ConnectionLost;
-  return Out;
+  AttemptResult Result = failedAttempt(Failure.State, Failure.Why, Start);
+  Result.ConnectionLost = Failure.ConnectionLost;
+  return Result;
 }
 
 /// @brief Creates the result of an attempt with a complete response.
@@ -39,12 +39,12 @@
 /// @param FirstByte Time at which the first byte of the response arrived.
 [[nodiscard]] inline AttemptResult answeredAttempt(TimePoint Start,
                                                    TimePoint FirstByte) {
-  AttemptResult Out;
-  Out.State = RunState::Ran;
-  Out.Answered = true;
-  Out.FirstByte = FirstByte - Start;
-  Out.Total = BootClock::now() - Start;
-  return Out;
+  AttemptResult Result;
+  Result.State = RunState::Ran;
+  Result.Answered = true;
+  Result.FirstByte = FirstByte - Start;
+  Result.Total = BootClock::now() - Start;
+  return Result;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/callerrequest.cpp
+++ b/packages/process/src/coltsfoottrail/server/callerrequest.cpp
@@ -48,11 +48,11 @@
 }
 
 std::vector<HttpField> forwardedFields(const std::vector<HttpField> &Fields) {
-  std::vector<HttpField> Out;
+  std::vector<HttpField> Forwarded;
   for (const HttpField &Field : Fields)
     if (!isNotForwarded(Field.Name))
-      Out.push_back(Field);
-  return Out;
+      Forwarded.push_back(Field);
+  return Forwarded;
 }
 
 TimePoint deadlineOf(const HttpRequest &Request, const CallerLimits &Limits,
@@ -61,16 +61,16 @@
       fieldOf(Request.Fields, "Coltsfoottrail-Deadline-Ms");
   if (Text.empty())
     return Now + Limits.DefaultDeadline;
-  std::int64_t Given = 0;
+  std::int64_t Value = 0;
   const auto Parsed =
-      std::from_chars(Text.data(), Text.data() + Text.size(), Given);
+      std::from_chars(Text.data(), Text.data() + Text.size(), Value);
   if (Parsed.ec != std::errc{} || Parsed.ptr != Text.data() + Text.size() ||
-      Given < 1 || Given > Limits.MaxDeadline.count())
+      Value < 1 || Value > Limits.MaxDeadline.count())
     refuse(Reason::BadRequest, "Coltsfoottrail-Deadline-Ms: found \"" +
                                    std::string(Text) +
                                    "\"; allowed: a whole number from 1 to " +
                                    std::to_string(Limits.MaxDeadline.count()));
-  return Now + milliseconds(Given);
+  return Now + milliseconds(Value);
 }
 
 Priority priorityOf(const HttpRequest &Request) {
@@ -110,12 +110,12 @@
   return {};
 }
 
-void readModelCall(const HttpRequest &Request, bool Chat, CallerRequest &Out) {
+void readModelCall(const HttpRequest &Request, bool Chat, CallerRequest &Call) {
   try {
     const Json Body = parseJson(Request.Body, "request body");
     ObjectReader Reader(Body, "request body", "", UnknownKeys::Ignore);
-    Out.PoolName = modelPoolName(Reader.text("model", 256));
-    Out.IsStreaming = Reader.flagOr("stream", false);
+    Call.PoolName = modelPoolName(Reader.text("model", 256));
+    Call.IsStreaming = Reader.flagOr("stream", false);
     if (Chat &&
         (!Reader.has("messages") || !Reader.raw("messages").is_array() ||
          Reader.raw("messages").empty()))
@@ -125,14 +125,14 @@
     const std::uint64_t Tokens =
         Reader.numberOr("max_tokens", 256, 1, 1'000'000);
     const std::string Head = headOfPrompt(Body);
-    Out.Item.PrefixHash = Head.empty() ? 0 : hashText(Head);
-    Out.Item.Cost = static_cast<double>(Tokens) +
-                    static_cast<double>(Request.Body.size()) / BytesPerToken;
+    Call.Item.PrefixHash = Head.empty() ? 0 : hashText(Head);
+    Call.Item.Cost = static_cast<double>(Tokens) +
+                     static_cast<double>(Request.Body.size()) / BytesPerToken;
   } catch (const InputError &Problem) {
     refuse(Reason::BadRequest, Problem.what());
   }
-  Out.IsModelCall = true;
-  Out.Item.Repeatable = true;
+  Call.IsModelCall = true;
+  Call.Item.Repeatable = true;
 }
 
 bool isRepeatablePath(const Pool &Target, std::string_view Path) {
@@ -161,12 +161,13 @@
 
 const TeamSpec &authenticate(const HttpRequest &Request,
                              const RouteTable &Routes) {
-  const std::string_view Given = fieldOf(Request.Fields, "Authorization");
-  if (!Given.starts_with(BearerPrefix))
+  const std::string_view Authorization =
+      fieldOf(Request.Fields, "Authorization");
+  if (!Authorization.starts_with(BearerPrefix))
     refuse(Reason::Unauthenticated,
            "Authorization: allowed: \"Bearer\" and the team's credential");
   const auto Found = Routes.TeamsByCredential.find(
-      sha256Hex(Given.substr(BearerPrefix.size())));
+      sha256Hex(Authorization.substr(BearerPrefix.size())));
   if (Found == Routes.TeamsByCredential.end())
     refuse(Reason::Unauthenticated, "no team has this credential");
   return Found->second;
--- a/packages/process/src/coltsfoottrail/server/events.cpp
+++ b/packages/process/src/coltsfoottrail/server/events.cpp
@@ -73,7 +73,7 @@
 std::optional<std::string> EventSplitter::text() const {
   if (Overflowed)
     return std::nullopt;
-  std::string Out;
+  std::string FullText;
   bool Understood = true;
   forEachEvent(Kept, [&](std::string_view Event) {
     const std::string_view Data = eventData(Event);
@@ -85,14 +85,14 @@
     const bool HasChoice = Parsed.is_object() && Choices != Parsed.end() &&
                            Choices->is_array() && !Choices->empty() &&
                            Choices->front().is_object();
-    const std::string *const Text =
+    const std::string *const TokenText =
         HasChoice ? choiceText(Choices->front()) : nullptr;
-    if (Text == nullptr)
+    if (TokenText == nullptr)
       Understood = false;
     else
-      Out += *Text;
+      FullText += *TokenText;
   });
-  return Understood ? std::optional(std::move(Out)) : std::nullopt;
+  return Understood ? std::optional(std::move(FullText)) : std::nullopt;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/followwire.cpp
+++ b/packages/process/src/coltsfoottrail/server/followwire.cpp
@@ -27,40 +27,40 @@
 }
 
 FollowRecords readRecords(ObjectReader &Reader) {
-  FollowRecords Out;
+  FollowRecords Decoded;
   Reader.eachObject("records", [&](ObjectReader &Entry) {
     const Json &Payload = Entry.raw("payload");
     if (!Payload.is_binary())
       Entry.refuse("payload", "bytes");
     const auto Bytes = std::as_bytes(std::span(Payload.get_binary()));
-    Out.Records.push_back(std::make_shared<const LogEntry>(
+    Decoded.Records.push_back(std::make_shared<const LogEntry>(
         LogEntry{Entry.number("at"), std::vector(Bytes.begin(), Bytes.end())}));
   });
-  return Out;
+  return Decoded;
 }
 
 Json writeAnswer(const FollowAnswer &Answer) {
-  Json Out{{"stamp", Answer.Stamp}, {"next", Answer.Next}};
+  Json Encoded{{"stamp", Answer.Stamp}, {"next", Answer.Next}};
   if (Answer.ProofAge)
-    Out["proof_age_ns"] = Answer.ProofAge->count();
-  return Out;
+    Encoded["proof_age_ns"] = Answer.ProofAge->count();
+  return Encoded;
 }
 
 FollowAnswer readAnswer(ObjectReader &Reader) {
   constexpr std::uint64_t LongestAge = std::uint64_t{1} << 62U;
-  FollowAnswer Out;
-  Out.Stamp = Reader.number("stamp");
-  Out.Next = Reader.number("next");
+  FollowAnswer Decoded;
+  Decoded.Stamp = Reader.number("stamp");
+  Decoded.Next = Reader.number("next");
   if (Reader.has("proof_age_ns"))
-    Out.ProofAge = Duration(static_cast<Duration::rep>(
+    Decoded.ProofAge = Duration(static_cast<Duration::rep>(
         Reader.number("proof_age_ns", 0, LongestAge)));
-  return Out;
+  return Decoded;
 }
 
 } // namespace
 
 Json writeFollowMessage(const FollowMessage &Message) {
-  Json Out = std::visit(
+  Json Encoded = std::visit(
       Overloaded{
           [](const FollowRecords &Records) { return writeRecords(Records); },
           [](const FollowRequest &Ask) {
@@ -75,8 +75,8 @@
           [](const FollowAnswer &Answer) { return writeAnswer(Answer); },
       },
       Message);
-  Out["kind"] = Kinds.at(Message.index());
-  return Out;
+  Encoded["kind"] = Kinds.at(Message.index());
+  return Encoded;
 }
 
 FollowMessage readFollowMessage(const Json &Value) {
--- a/packages/process/src/coltsfoottrail/server/groupdriver.hpp
+++ b/packages/process/src/coltsfoottrail/server/groupdriver.hpp
@@ -27,7 +27,7 @@
   /// @brief Creates a driver. All arguments must outlive it.
   /// @param Control I/O context of the control thread.
   /// @param Agreed The stream to append records to.
-  /// @param Orders Client that sends orders and queries to engines.
+  /// @param Clients Client that sends orders and queries to engines.
   /// @param Self Name of this entry host.
   /// @param Run Incarnation of this process.
   /// @param ToPeer Sends a liveness beat to a peer.
--- a/packages/process/src/coltsfoottrail/server/membershipdriver.cpp
+++ b/packages/process/src/coltsfoottrail/server/membershipdriver.cpp
@@ -17,18 +17,18 @@
 constexpr std::string_view ShareSource = "message about shares";
 
 MembershipOptions memberOptions(const EntryHostJoined &Self) {
-  MembershipOptions Out;
-  Out.Self = Self;
-  Out.Seed = Self.Run;
-  return Out;
+  MembershipOptions Options;
+  Options.Self = Self;
+  Options.Seed = Self.Run;
+  return Options;
 }
 
 ShareOptions shareOptions(const EntryHostJoined &Self, milliseconds MaxWork) {
-  ShareOptions Out;
-  Out.MaxRequestDuration = MaxWork;
-  Out.Self = Self.Host;
-  Out.Run = Self.Run;
-  return Out;
+  ShareOptions Options;
+  Options.MaxRequestDuration = MaxWork;
+  Options.Self = Self.Host;
+  Options.Run = Self.Run;
+  return Options;
 }
 
 bool isFreshMessage(const MembershipMessage &Message) {
@@ -123,28 +123,29 @@
   Shares.confirmMembership(*At);
 }
 
-void MembershipDriver::onState(const State &Now, const RouteTable &Routes) {
-  const TimePoint At = BootClock::now();
+void MembershipDriver::onState(const State &NewState,
+                               const RouteTable &Routes) {
+  const TimePoint Now = BootClock::now();
   std::vector<ShareMember> Joined;
   std::vector<HostName> Others;
-  for (const auto &[Name, Host] : Now.EntryHosts) {
+  for (const auto &[Name, Host] : NewState.EntryHosts) {
     Joined.push_back({Name, Host.Joined.Run});
     if (Name != Pimpl->Self.Host)
       Others.push_back(Name);
   }
   ShareCommands ShareUpdates;
   Pimpl->Proof.setMembers(Others);
-  Pimpl->Proof.setVersion(Now.Next);
+  Pimpl->Proof.setVersion(NewState.Next);
   {
     const std::lock_guard Hold(Pimpl->Lock);
-    if (Now.EntryHostsChange != Pimpl->MembersChange) {
-      Pimpl->MembersChange = Now.EntryHostsChange;
-      Pimpl->Shares.setMembers(Pimpl->MembersChange, Joined, At, ShareUpdates);
+    if (NewState.EntryHostsChange != Pimpl->MembersChange) {
+      Pimpl->MembersChange = NewState.EntryHostsChange;
+      Pimpl->Shares.setMembers(Pimpl->MembersChange, Joined, Now, ShareUpdates);
     }
-    Pimpl->Shares.configure(Routes, At, ShareUpdates);
+    Pimpl->Shares.configure(Routes, Now, ShareUpdates);
   }
   MembershipCommands MemberUpdates;
-  Pimpl->Members.applyState(Now, At, MemberUpdates);
+  Pimpl->Members.applyState(NewState, Now, MemberUpdates);
   Pimpl->perform(ShareUpdates);
   Pimpl->perform(MemberUpdates);
 }
--- a/packages/process/src/coltsfoottrail/server/membershipdriver.hpp
+++ b/packages/process/src/coltsfoottrail/server/membershipdriver.hpp
@@ -51,7 +51,7 @@
   ~MembershipDriver();
 
   /// @brief Applies a new agreed state and the routes built from it.
-  void onState(const State &Now, const RouteTable &Routes);
+  void onState(const State &NewState, const RouteTable &Routes);
   /// @brief Records that a read of the log, sent at Left, was answered and all
   /// records it showed are folded.
   void recordLogRead(TimePoint Left);
--- a/packages/process/src/coltsfoottrail/server/noticewire.cpp
+++ b/packages/process/src/coltsfoottrail/server/noticewire.cpp
@@ -13,24 +13,24 @@
 constexpr std::uint64_t LongestAge = std::uint64_t{1} << 62U;
 
 CrashNotice readCrash(ObjectReader &Reader) {
-  CrashNotice Out;
-  Out.EndpointKey = Reader.text("endpoint");
-  Out.DataCentre = DataCentreName(Reader.textOr("data_centre", ""));
-  Out.Run = Reader.number("run");
-  Out.Age = Duration(
+  CrashNotice Notice;
+  Notice.EndpointKey = Reader.text("endpoint");
+  Notice.DataCentre = DataCentreName(Reader.textOr("data_centre", ""));
+  Notice.Run = Reader.number("run");
+  Notice.Age = Duration(
       static_cast<Duration::rep>(Reader.number("age_ns", 0, LongestAge)));
   for (const Json &Fingerprint : Reader.raw("fingerprints")) {
     if (!Fingerprint.is_number_unsigned())
       Reader.refuse("fingerprints", "a list of whole numbers");
-    Out.Fingerprints.push_back(Fingerprint.get<std::uint64_t>());
+    Notice.Fingerprints.push_back(Fingerprint.get<std::uint64_t>());
   }
-  return Out;
+  return Notice;
 }
 
 } // namespace
 
 Json writeNotice(const PoolNotice &Notification) {
-  Json Out =
+  Json Encoded =
       std::visit(Overloaded{
                      [](const CrashNotice &Crash) {
                        return Json{{"endpoint", Crash.EndpointKey},
@@ -47,27 +47,27 @@
                      },
                  },
                  Notification.Notice);
-  Out["kind"] = Kinds.at(Notification.Notice.index());
-  Out["pool"] = Notification.PoolName;
-  return Out;
+  Encoded["kind"] = Kinds.at(Notification.Notice.index());
+  Encoded["pool"] = Notification.PoolName;
+  return Encoded;
 }
 
 PoolNotice readNotice(const Json &Value) {
   ObjectReader Reader(Value, "notice", "", UnknownKeys::Ignore);
-  PoolNotice Out;
-  Out.PoolName = Reader.text("pool");
+  PoolNotice Decoded;
+  Decoded.PoolName = Reader.text("pool");
   switch (Reader.word("kind", Kinds)) {
   case 0:
-    Out.Notice = readCrash(Reader);
+    Decoded.Notice = readCrash(Reader);
     break;
   case 1:
-    Out.Notice = DismissNotice{Reader.text("endpoint")};
+    Decoded.Notice = DismissNotice{Reader.text("endpoint")};
     break;
   default:
-    Out.Notice = ClearNotice{Reader.number("fingerprint")};
+    Decoded.Notice = ClearNotice{Reader.number("fingerprint")};
     break;
   }
-  return Out;
+  return Decoded;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/operatorapi.cpp
+++ b/packages/process/src/coltsfoottrail/server/operatorapi.cpp
@@ -50,16 +50,16 @@
   if (!Path.starts_with(PlansPath) || Path.size() <= PlansPath.size() + 1)
     return std::nullopt;
   Path.remove_prefix(PlansPath.size() + 1);
-  PlanPath Out;
+  PlanPath PathParts;
   const auto Parsed =
-      std::from_chars(Path.data(), Path.data() + Path.size(), Out.Id);
+      std::from_chars(Path.data(), Path.data() + Path.size(), PathParts.Id);
   if (Parsed.ec != std::errc{})
     return std::nullopt;
   Path.remove_prefix(static_cast<std::size_t>(Parsed.ptr - Path.data()));
   if (!Path.empty() && Path.front() != '/')
     return std::nullopt;
-  Out.Verb = Path.empty() ? Path : Path.substr(1);
-  return Out;
+  PathParts.Verb = Path.empty() ? Path : Path.substr(1);
+  return PathParts;
 }
 
 std::string operatorOf(const HttpRequest &Request) {
@@ -94,87 +94,90 @@
   return problem(404, "unknown-plan", "there is no plan " + std::to_string(Id));
 }
 
-Json describeModel(const State &Shown, const ModelSpec &Model) {
+Json describeModel(const State &AgreedState, const ModelSpec &Model) {
   std::uint32_t Wanted = 0;
   for (const auto &[Place, Count] : Model.Groups)
     Wanted += Count;
   std::array<std::uint32_t, GroupPhaseNames.size()> ByPhase{};
-  for (const auto &[Id, Grouped] : Shown.Groups)
-    if (Grouped.Formed.Model == Model.Name)
-      ++ByPhase.at(static_cast<std::size_t>(Grouped.Phase));
-  Json Out{{"name", Model.Name.Text},
-           {"version", Model.Version.Text},
-           {"wanted", Wanted}};
+  for (const auto &[Id, GroupState] : AgreedState.Groups)
+    if (GroupState.Formed.Model == Model.Name)
+      ++ByPhase.at(static_cast<std::size_t>(GroupState.Phase));
+  Json Description{{"name", Model.Name.Text},
+                   {"version", Model.Version.Text},
+                   {"wanted", Wanted}};
   for (std::size_t Index = 0; Index < GroupPhaseNames.size(); ++Index)
-    Out[std::string(GroupPhaseNames[Index])] = ByPhase[Index];
-  return Out;
+    Description[std::string(GroupPhaseNames[Index])] = ByPhase[Index];
+  return Description;
 }
 
-Json describeGroup(const GroupId &Id, const Group &Shown) {
+Json describeGroup(const GroupId &Id, const Group &GroupState) {
   Json Members = Json::array();
-  for (const HostName &Member : Shown.Formed.Members)
+  for (const HostName &Member : GroupState.Formed.Members)
     Members.push_back(Member.Text);
-  return {{"id", textOf(Id)},
-          {"model", Shown.Formed.Model.Text},
-          {"version", Shown.Formed.Version.Text},
-          {"data_centre", Shown.Formed.DataCentre.Text},
-          {"phase", GroupPhaseNames.at(static_cast<std::size_t>(Shown.Phase))},
-          {"members", std::move(Members)}};
+  return {
+      {"id", textOf(Id)},
+      {"model", GroupState.Formed.Model.Text},
+      {"version", GroupState.Formed.Version.Text},
+      {"data_centre", GroupState.Formed.DataCentre.Text},
+      {"phase", GroupPhaseNames.at(static_cast<std::size_t>(GroupState.Phase))},
+      {"members", std::move(Members)}};
 }
 
 } // namespace
 
-Json describeProgress(Offset Id, const PlanProgress &Shown) {
+Json describeProgress(Offset Id, const PlanProgress &Progress) {
   Json Lines = Json::array();
-  for (std::string &Line : describePlan(Shown.Proposed.Proposal))
+  for (std::string &Line : describePlan(Progress.Proposed.Proposal))
     Lines.push_back(std::move(Line));
-  Json Out{{"id", Id},
-           {"phase", PlanPhaseNames.at(static_cast<std::size_t>(Shown.Phase))},
-           {"operator", Shown.Proposed.Operator},
-           {"steps", Shown.Proposed.Proposal.Steps.size()},
-           {"steps_done", Shown.StepsDone},
-           {"text", std::move(Lines)},
-           {"plan", writePlan(Shown.Proposed.Proposal)}};
-  if (!Shown.Executor.empty())
-    Out["executor"] = Shown.Executor.Text;
-  if (!Shown.Why.empty())
-    Out["why"] = Shown.Why;
-  return Out;
+  Json Description{
+      {"id", Id},
+      {"phase", PlanPhaseNames.at(static_cast<std::size_t>(Progress.Phase))},
+      {"operator", Progress.Proposed.Operator},
+      {"steps", Progress.Proposed.Proposal.Steps.size()},
+      {"steps_done", Progress.StepsDone},
+      {"text", std::move(Lines)},
+      {"plan", writePlan(Progress.Proposed.Proposal)}};
+  if (!Progress.Executor.empty())
+    Description["executor"] = Progress.Executor.Text;
+  if (!Progress.Why.empty())
+    Description["why"] = Progress.Why;
+  return Description;
 }
 
-Json describeState(const State &Shown) {
-  Json Out{{"next", Shown.Next},
-           {"entry_hosts", Json::array()},
-           {"drained_data_centres", Json::array()},
-           {"drained_hosts", Json::array()},
-           {"models", Json::array()},
-           {"groups", Json::array()},
-           {"services", Json::array()},
-           {"plans", Json::array()}};
-  for (const auto &[Name, Host] : Shown.EntryHosts)
-    Out["entry_hosts"].push_back({{"name", Name.Text},
-                                  {"data_centre", Host.Joined.DataCentre.Text},
-                                  {"address", Host.Joined.Address},
-                                  {"port", Host.Joined.CallerPort}});
-  for (const DataCentreName &Place : Shown.DrainedDataCentres)
-    Out["drained_data_centres"].push_back(Place.Text);
-  for (const HostName &Host : Shown.DrainedHosts)
-    Out["drained_hosts"].push_back(Host.Text);
-  for (const ModelSpec &Model : Shown.Declared.Models)
-    Out["models"].push_back(describeModel(Shown, Model));
-  for (const auto &[Id, Grouped] : Shown.Groups)
-    Out["groups"].push_back(describeGroup(Id, Grouped));
-  for (const ServiceSpec &Service : Shown.Declared.Services)
-    Out["services"].push_back(
+Json describeState(const State &AgreedState) {
+  Json Description{{"next", AgreedState.Next},
+                   {"entry_hosts", Json::array()},
+                   {"drained_data_centres", Json::array()},
+                   {"drained_hosts", Json::array()},
+                   {"models", Json::array()},
+                   {"groups", Json::array()},
+                   {"services", Json::array()},
+                   {"plans", Json::array()}};
+  for (const auto &[Name, Host] : AgreedState.EntryHosts)
+    Description["entry_hosts"].push_back(
+        {{"name", Name.Text},
+         {"data_centre", Host.Joined.DataCentre.Text},
+         {"address", Host.Joined.Address},
+         {"port", Host.Joined.CallerPort}});
+  for (const DataCentreName &DataCentre : AgreedState.DrainedDataCentres)
+    Description["drained_data_centres"].push_back(DataCentre.Text);
+  for (const HostName &Host : AgreedState.DrainedHosts)
+    Description["drained_hosts"].push_back(Host.Text);
+  for (const ModelSpec &Model : AgreedState.Declared.Models)
+    Description["models"].push_back(describeModel(AgreedState, Model));
+  for (const auto &[Id, GroupState] : AgreedState.Groups)
+    Description["groups"].push_back(describeGroup(Id, GroupState));
+  for (const ServiceSpec &Service : AgreedState.Declared.Services)
+    Description["services"].push_back(
         {{"name", Service.Name.Text}, {"instances", Service.Instances.size()}});
-  for (const auto &[Id, Progress] : Shown.Plans)
-    Out["plans"].push_back(
+  for (const auto &[Id, Progress] : AgreedState.Plans)
+    Description["plans"].push_back(
         {{"id", Id},
          {"phase", PlanPhaseNames.at(static_cast<std::size_t>(Progress.Phase))},
          {"steps", Progress.Proposed.Proposal.Steps.size()},
          {"steps_done", Progress.StepsDone},
          {"asked", describeIntent(Progress.Proposed.Proposal.Asked)}});
-  return Out;
+  return Description;
 }
 
 OperatorApi::OperatorApi(AgreedStream &Stream, std::string CredentialSha256,
@@ -185,9 +188,9 @@
 std::optional<HttpResponse> OperatorApi::check(const HttpRequest &Head) const {
   if (Head.Target == MetricsPath)
     return std::nullopt;
-  const std::string_view Given = fieldOf(Head.Fields, "Authorization");
-  if (Given.starts_with(BearerPrefix) &&
-      sha256Hex(Given.substr(BearerPrefix.size())) == CredentialDigest)
+  const std::string_view Authorization = fieldOf(Head.Fields, "Authorization");
+  if (Authorization.starts_with(BearerPrefix) &&
+      sha256Hex(Authorization.substr(BearerPrefix.size())) == CredentialDigest)
     return std::nullopt;
   return problem(401, "unauthenticated",
                  "the operators' credential is missing or wrong");
@@ -199,29 +202,29 @@
       std::string_view(Request.Target).substr(0, Request.Target.find('?'));
   const bool IsPost = Request.Method == "POST";
   const std::optional<PlanPath> Plan = planPathOf(Path);
-  HttpResponse Out = problem(404, "unknown-path", std::string(Path));
+  HttpResponse Response = problem(404, "unknown-path", std::string(Path));
   if (Path == MetricsPath) {
-    Out.Status = 200;
-    Out.Fields.front().Value = "text/plain; version=0.0.4";
-    Out.Body = Metrics();
+    Response.Status = 200;
+    Response.Fields.front().Value = "text/plain; version=0.0.4";
+    Response.Body = Metrics();
   } else if (Path == StatePath) {
-    Out = jsonAnswer(describeState(*Agreed.state()));
+    Response = jsonAnswer(describeState(*Agreed.state()));
   } else if (Path == DeclarationPath) {
-    Out = jsonAnswer(writeDeclaration(Agreed.state()->Declared));
+    Response = jsonAnswer(writeDeclaration(Agreed.state()->Declared));
   } else if (Path == PlansPath && IsPost) {
-    Out = co_await propose(Call);
+    Response = co_await propose(Call);
   } else if (Plan && Plan->Verb == "confirm" && IsPost) {
-    Out = co_await confirm(Call, Plan->Id);
+    Response = co_await confirm(Call, Plan->Id);
   } else if (Plan && Plan->Verb == "abandon" && IsPost) {
-    Out = co_await abandon(Call, Plan->Id);
+    Response = co_await abandon(Call, Plan->Id);
   } else if (Plan && Plan->Verb.empty()) {
     const StatePtr Now = Agreed.state();
     const auto Found = Now->Plans.find(Plan->Id);
-    Out = Found == Now->Plans.end()
-              ? planNotFound(Plan->Id)
-              : jsonAnswer(describeProgress(Plan->Id, Found->second));
+    Response = Found == Now->Plans.end()
+                   ? planNotFound(Plan->Id)
+                   : jsonAnswer(describeProgress(Plan->Id, Found->second));
   }
-  co_await Call.respond(std::move(Out));
+  co_await Call.respond(std::move(Response));
 }
 
 Awaitable<AppendOutcome> OperatorApi::append(const Record &Body) {
--- a/packages/process/src/coltsfoottrail/server/operatorapi.hpp
+++ b/packages/process/src/coltsfoottrail/server/operatorapi.hpp
@@ -47,14 +47,14 @@
 };
 
 /// @brief Summary of a state as the operator interface returns it. Thread-safe.
-/// @param Shown The state to describe.
-[[nodiscard]] Json describeState(const State &Shown);
+/// @param AgreedState The state to describe.
+[[nodiscard]] Json describeState(const State &AgreedState);
 
 /// @brief A plan and its progress as the operator interface returns it.
 /// Thread-safe.
 /// @param Id Offset of the proposal of the plan.
-/// @param Shown The plan to describe.
-[[nodiscard]] Json describeProgress(Offset Id, const PlanProgress &Shown);
+/// @param Progress The plan to describe.
+[[nodiscard]] Json describeProgress(Offset Id, const PlanProgress &Progress);
 
 } // namespace coltsfoottrail
 
--- a/packages/process/src/coltsfoottrail/server/process.cpp
+++ b/packages/process/src/coltsfoottrail/server/process.cpp
@@ -40,23 +40,24 @@
 }
 
 ServerLimits callerLimits(const CallerSettings &From) {
-  ServerLimits Out;
-  Out.MaxHeaderBytes = static_cast<std::uint32_t>(From.MaxHeaderBytes);
-  Out.MaxBodyBytes = From.MaxBodyBytes;
-  Out.MaxConnections = From.MaxConnections;
-  Out.HeaderTimeout = From.HeaderTimeout;
-  Out.BodyTimeout = From.BodyTimeout;
-  Out.WriteTimeout = From.WriteTimeout;
-  return Out;
+  ServerLimits Limits;
+  Limits.MaxHeaderBytes = static_cast<std::uint32_t>(From.MaxHeaderBytes);
+  Limits.MaxBodyBytes = From.MaxBodyBytes;
+  Limits.MaxConnections = From.MaxConnections;
+  Limits.HeaderTimeout = From.HeaderTimeout;
+  Limits.BodyTimeout = From.BodyTimeout;
+  Limits.WriteTimeout = From.WriteTimeout;
+  return Limits;
 }
 
 ClaimOptions claimOptions(const Settings &From, Incarnation Run) {
-  ClaimOptions Out;
-  Out.Self = From.Host;
-  Out.Run = Run;
-  Out.KeyLife = std::chrono::duration_cast<seconds>(From.Claims.KeyLife);
-  Out.BatchDelay = From.Claims.BatchTime;
-  return Out;
+  ClaimOptions ClaimSettings;
+  ClaimSettings.Self = From.Host;
+  ClaimSettings.Run = Run;
+  ClaimSettings.KeyLife =
+      std::chrono::duration_cast<seconds>(From.Claims.KeyLife);
+  ClaimSettings.BatchDelay = From.Claims.BatchTime;
+  return ClaimSettings;
 }
 
 /// Parses the group id from the key of a model's endpoint (PLAN.NUMBER@...);
@@ -74,12 +75,12 @@
 }
 
 RouterOptions routerOptions(const Settings &From) {
-  RouterOptions Out;
-  Out.Self = From.Host;
-  Out.Dispatch.LocalDataCentre = From.DataCentre;
-  Out.Dispatch.MaxWaiting = From.Limits.MaxWaiting;
-  Out.Dispatch.MaxWaitingBytes = From.Limits.MaxWaitingBytes;
-  return Out;
+  RouterOptions RouterSettings;
+  RouterSettings.Self = From.Host;
+  RouterSettings.Dispatch.LocalDataCentre = From.DataCentre;
+  RouterSettings.Dispatch.MaxWaiting = From.Limits.MaxWaiting;
+  RouterSettings.Dispatch.MaxWaitingBytes = From.Limits.MaxWaitingBytes;
+  return RouterSettings;
 }
 
 EngineAddress logAddress(const Settings &From) {
@@ -87,11 +88,11 @@
 }
 
 HttpResponse plain(unsigned Status, std::string Text) {
-  HttpResponse Out;
-  Out.Status = Status;
-  Out.Fields = {{"Content-Type", "text/plain"}};
-  Out.Body = std::move(Text);
-  return Out;
+  HttpResponse Response;
+  Response.Status = Status;
+  Response.Fields = {{"Content-Type", "text/plain"}};
+  Response.Body = std::move(Text);
+  return Response;
 }
 
 HttpResponse readiness(bool Ready) {
@@ -209,8 +210,8 @@
   return OperatorServer->port();
 }
 
-void EntryHostProcess::onRunRemoved(std::function<void()> Received) {
-  asio::post(Control, [this, Then = std::move(Received)]() mutable {
+void EntryHostProcess::onRunRemoved(std::function<void()> Callback) {
+  asio::post(Control, [this, Then = std::move(Callback)]() mutable {
     RunRemovedCallback = std::move(Then);
   });
 }
@@ -233,72 +234,73 @@
 }
 
 MeshConfig EntryHostProcess::meshConfig() const {
-  MeshConfig Out;
-  Out.Self = Options.Host;
-  Out.Run = Run;
-  Out.Address = Options.Mesh.Listen.Address;
-  Out.Port = Options.Mesh.Listen.Port;
-  Out.Key = std::string(Options.Mesh.Key.reveal());
-  Out.Seed = Run;
-  return Out;
+  MeshConfig Config;
+  Config.Self = Options.Host;
+  Config.Run = Run;
+  Config.Address = Options.Mesh.Listen.Address;
+  Config.Port = Options.Mesh.Listen.Port;
+  Config.Key = std::string(Options.Mesh.Key.reveal());
+  Config.Seed = Run;
+  return Config;
 }
 
 AgreedOptions EntryHostProcess::agreedOptions() const {
-  AgreedOptions Out;
-  Out.Stream = Options.AgreedStream;
-  Out.Host = Options.Host;
-  Out.DataCentre = Options.DataCentre;
-  Out.Run = Run;
-  Out.AppendTimeout = Options.Platform.Log.Timeout;
-  return Out;
+  AgreedOptions StreamOptions;
+  StreamOptions.Stream = Options.AgreedStream;
+  StreamOptions.Host = Options.Host;
+  StreamOptions.DataCentre = Options.DataCentre;
+  StreamOptions.Run = Run;
+  StreamOptions.AppendTimeout = Options.Platform.Log.Timeout;
+  return StreamOptions;
 }
 
 EntryHostJoined EntryHostProcess::joinRecord(std::uint16_t MeshPort) const {
-  EntryHostJoined Out;
-  Out.Host = Options.Host;
-  Out.Run = Run;
-  Out.DataCentre = Options.DataCentre;
-  Out.Address = Options.AdvertisedAddress;
-  Out.MeshPort = MeshPort;
-  Out.CallerPort = CallerServer->port();
-  return Out;
+  EntryHostJoined Joining;
+  Joining.Host = Options.Host;
+  Joining.Run = Run;
+  Joining.DataCentre = Options.DataCentre;
+  Joining.Address = Options.AdvertisedAddress;
+  Joining.MeshPort = MeshPort;
+  Joining.CallerPort = CallerServer->port();
+  return Joining;
 }
 
 MembershipHooks EntryHostProcess::memberHooks() {
-  MembershipHooks Out;
-  Out.SendMembership = [this](const HostName &To, Json Message) {
+  MembershipHooks Hooks;
+  Hooks.SendMembership = [this](const HostName &To, Json Message) {
     send(To, Channel::Heartbeat, std::move(Message));
   };
-  Out.SendShares = [this](const HostName &To, Json Message) {
+  Hooks.SendShares = [this](const HostName &To, Json Message) {
     send(To, Channel::Credits, std::move(Message));
   };
-  Out.Append = [this](Record NewRecord) {
+  Hooks.Append = [this](Record NewRecord) {
     Agreed.append(std::move(NewRecord), RecordTimeout,
                   [](const AppendOutcome &) {});
   };
-  Out.OnRunRemoved = [this] {
+  Hooks.OnRunRemoved = [this] {
     Unready = true;
-    logEvent(Event::Unready, {{"why", "its peers have found this run gone"}});
+    logEvent(Event::Unready,
+             {{"why", "removed from the members by its peers"}});
     if (RunRemovedCallback)
       RunRemovedCallback();
   };
-  Out.OnShares = [this](const std::map<std::string, std::uint32_t> &Shares) {
+  Hooks.OnShares = [this](const std::map<std::string, std::uint32_t> &Shares) {
     Routing.setShares(Shares);
   };
-  return Out;
+  return Hooks;
 }
 
 AgreedListener EntryHostProcess::agreedListener() {
-  AgreedListener Out;
-  Out.OnState = [this](const StatePtr &Now) { onState(Now); };
-  Out.OnLogRead = [this](TimePoint CutRequests) {
+  AgreedListener Listener;
+  Listener.OnState = [this](const StatePtr &Now) { onState(Now); };
+  Listener.OnLogRead = [this](TimePoint CutRequests) {
     Members->recordLogRead(CutRequests);
   };
-  Out.OnLogFailure = [this] { Members->recordLogFailure(); };
-  Out.SendToPeer = [this](const HostName &To, Json Message) {
+  Listener.OnLogFailure = [this] { Members->recordLogFailure(); };
+  Listener.SendToPeer = [this](const HostName &To, Json Message) {
     send(To, Channel::Records, std::move(Message));
   };
-  return Out;
+  return Listener;
 }
 
 void EntryHostProcess::send(const HostName &To, Channel MessageChannel,
@@ -527,8 +529,8 @@
 }
 
 void EntryHostProcess::sendNotices() {
-  for (const auto &[Pool, Received] : Routing.takeNotices())
-    Peers.broadcast(Channel::Notices, writeNotice(PoolNotice{Pool, Received}));
+  for (const auto &[Pool, Notice] : Routing.takeNotices())
+    Peers.broadcast(Channel::Notices, writeNotice(PoolNotice{Pool, Notice}));
 }
 
 void EntryHostProcess::tick() {
--- a/packages/process/src/coltsfoottrail/server/process.hpp
+++ b/packages/process/src/coltsfoottrail/server/process.hpp
@@ -62,8 +62,8 @@
   [[nodiscard]] std::size_t peers() const { return Peers.connected().size(); }
   /// @brief Sets the callback for the removal of this run from the members by
   /// its peers; the process must then be stopped and restarted. Thread-safe.
-  /// @param Received Called once, on the control thread.
-  void onRunRemoved(std::function<void()> Received);
+  /// @param Callback Called once, on the control thread.
+  void onRunRemoved(std::function<void()> Callback);
 
   /// @brief Performs a planned stop: the host becomes unready at once, refuses
   /// new requests after the grace period, and lets requests in progress finish
--- a/packages/process/src/coltsfoottrail/server/refusal.cpp
+++ b/packages/process/src/coltsfoottrail/server/refusal.cpp
@@ -19,17 +19,17 @@
             {"reason", std::string(Why)}};
   if (!Detail.empty())
     Body["detail"] = std::string(Detail);
-  HttpResponse Out;
-  Out.Status = Status;
-  Out.Fields = {{"Content-Type", "application/problem+json"},
-                {"Coltsfoottrail-Verdict", std::string(State)}};
+  HttpResponse Response;
+  Response.Status = Status;
+  Response.Fields = {{"Content-Type", "application/problem+json"},
+                     {"Coltsfoottrail-Verdict", std::string(State)}};
   if (RetryAfter) {
     Body["retry_after_ms"] = RetryAfter->count();
-    const auto Whole = std::chrono::ceil<seconds>(*RetryAfter).count();
-    Out.Fields.push_back({"Retry-After", std::to_string(Whole)});
+    const auto RoundedUp = std::chrono::ceil<seconds>(*RetryAfter).count();
+    Response.Fields.push_back({"Retry-After", std::to_string(RoundedUp)});
   }
-  Out.Body = Body.dump(-1, ' ', false, Json::error_handler_t::replace);
-  return Out;
+  Response.Body = Body.dump(-1, ' ', false, Json::error_handler_t::replace);
+  return Response;
 }
 
 } // namespace
--- a/packages/process/src/coltsfoottrail/server/relay.cpp
+++ b/packages/process/src/coltsfoottrail/server/relay.cpp
@@ -67,21 +67,21 @@
 }
 
 std::vector<HttpField> answerFields(const HttpResponse &Head) {
-  std::vector<HttpField> Out;
+  std::vector<HttpField> Forwarded;
   for (const HttpField &Field : Head.Fields)
     if (isForwardedBack(Field.Name))
-      Out.push_back(Field);
-  return Out;
+      Forwarded.push_back(Field);
+  return Forwarded;
 }
 
 HttpResponse replayedAnswer(const StoredOutcome &Outcome) {
-  HttpResponse Out;
-  Out.Status = Outcome.Status;
-  Out.Fields = {{"Content-Type", Outcome.ContentType},
-                {"Coltsfoottrail-Replayed", "true"},
-                {std::string(VerdictField), "ran"}};
-  Out.Body = Outcome.Body;
-  return Out;
+  HttpResponse Response;
+  Response.Status = Outcome.Status;
+  Response.Fields = {{"Content-Type", Outcome.ContentType},
+                     {"Coltsfoottrail-Replayed", "true"},
+                     {std::string(VerdictField), "ran"}};
+  Response.Body = Outcome.Body;
+  return Response;
 }
 
 /// Response for a request that ran but whose response body was not kept.
@@ -89,10 +89,10 @@
   const Json Body{{"verdict", "ran"},
                   {"status", Outcome.Status},
                   {"detail", "the request ran; its answer was not kept"}};
-  HttpResponse Out = jsonResponse(StatusOk, Body.dump());
-  Out.Fields.push_back({"Coltsfoottrail-Replayed", "true"});
-  Out.Fields.push_back({std::string(VerdictField), "ran"});
-  return Out;
+  HttpResponse Response = jsonResponse(StatusOk, Body.dump());
+  Response.Fields.push_back({"Coltsfoottrail-Replayed", "true"});
+  Response.Fields.push_back({std::string(VerdictField), "ran"});
+  return Response;
 }
 
 HttpResponse replayOf(const StoredOutcome &Outcome) {
@@ -150,13 +150,13 @@
 }
 
 ClaimRequest claimOf(const CallerRequest &Request) {
-  ClaimRequest Out;
-  Out.ScopedKey = ClaimKey{Request.Team.Name, Request.IdempotencyKey};
-  Out.BodyDigest =
+  ClaimRequest Claim;
+  Claim.ScopedKey = ClaimKey{Request.Team.Name, Request.IdempotencyKey};
+  Claim.BodyDigest =
       sha256Hex(Request.PoolName + "\n" + Request.Forwarded.Method + "\n" +
                 Request.Forwarded.Target + "\n" + Request.Forwarded.Body);
-  Out.Birth = birthOfKey(Request.IdempotencyKey);
-  return Out;
+  Claim.Birth = birthOfKey(Request.IdempotencyKey);
+  return Claim;
 }
 
 } // namespace
@@ -464,9 +464,9 @@
                                            HttpCall Answer, TimePoint Start,
                                            ClaimGuard *Guard) {
   const TimePoint FirstByte = BootClock::now();
-  HttpResponse Whole;
-  Whole.Status = Answer.head().Status;
-  Whole.Fields = answerFields(Answer.head());
+  HttpResponse Response;
+  Response.Status = Answer.head().Status;
+  Response.Fields = answerFields(Answer.head());
   while (true) {
     auto Next = co_await Answer.next(Request.AnswerDeadline);
     if (const auto *const Failure = std::get_if<CallFailure>(&Next))
@@ -474,20 +474,20 @@
     auto &Part = std::get<std::optional<std::string>>(Next);
     if (!Part)
       break;
-    Whole.Body += *Part;
+    Response.Body += *Part;
   }
   const bool NotRun = fieldOf(Answer.head().Fields, VerdictField) == "not-run";
   if (Guard != nullptr && !NotRun) {
-    StoredOutcome Kept;
-    Kept.Status = Whole.Status;
-    Kept.ContentType = std::string(fieldOf(Whole.Fields, "Content-Type"));
-    Kept.BodyKept = Whole.Body.size() <= MaxOutcomeBytes;
-    if (Kept.BodyKept)
-      Kept.Body = Whole.Body;
-    Guard->settle(std::move(Kept));
+    StoredOutcome Outcome;
+    Outcome.Status = Response.Status;
+    Outcome.ContentType = std::string(fieldOf(Response.Fields, "Content-Type"));
+    Outcome.BodyKept = Response.Body.size() <= MaxOutcomeBytes;
+    if (Outcome.BodyKept)
+      Outcome.Body = Response.Body;
+    Guard->settle(std::move(Outcome));
   }
-  addField(Whole.Fields, VerdictField, NotRun ? "not-run" : "ran");
-  co_await Call.respond(std::move(Whole));
+  addField(Response.Fields, VerdictField, NotRun ? "not-run" : "ran");
+  co_await Call.respond(std::move(Response));
   co_return answeredAttempt(Start, FirstByte);
 }
 
--- a/packages/process/src/coltsfoottrail/server/router.cpp
+++ b/packages/process/src/coltsfoottrail/server/router.cpp
@@ -218,10 +218,10 @@
 
 std::vector<std::shared_ptr<DispatchHandle::Shard>> Router::allShards() const {
   const std::lock_guard Hold(Lock);
-  std::vector<std::shared_ptr<DispatchHandle::Shard>> Out;
+  std::vector<std::shared_ptr<DispatchHandle::Shard>> Result;
   for (const auto &[Name, PoolShard] : Shards)
-    Out.push_back(PoolShard);
-  return Out;
+    Result.push_back(PoolShard);
+  return Result;
 }
 
 void Router::openShards(const RouteTable &Routes) {
@@ -283,14 +283,14 @@
 }
 
 std::vector<EndpointLoad> Router::ownLoads() const {
-  std::vector<EndpointLoad> Out;
+  std::vector<EndpointLoad> Loads;
   for (const auto &PoolShard : allShards()) {
     const std::lock_guard Hold(PoolShard->Lock);
     const std::vector<EndpointLoad> PoolLoads =
         PoolShard->PoolDispatcher.ownLoads();
-    Out.insert(Out.end(), PoolLoads.begin(), PoolLoads.end());
+    Loads.insert(Loads.end(), PoolLoads.begin(), PoolLoads.end());
   }
-  return Out;
+  return Loads;
 }
 
 void Router::setRemoteLoads(std::span<const EndpointLoad> Others) {
@@ -401,14 +401,14 @@
 }
 
 std::vector<std::pair<std::string, QuarantineNotice>> Router::takeNotices() {
-  std::vector<std::pair<std::string, QuarantineNotice>> Out;
+  std::vector<std::pair<std::string, QuarantineNotice>> Notices;
   for (const auto &PoolShard : allShards()) {
     const std::lock_guard Hold(PoolShard->Lock);
     for (QuarantineNotice &Notice :
          PoolShard->PoolDispatcher.takeNotices(BootClock::now()))
-      Out.emplace_back(PoolShard->Name, std::move(Notice));
+      Notices.emplace_back(PoolShard->Name, std::move(Notice));
   }
-  return Out;
+  return Notices;
 }
 
 void Router::advance() {
--- a/packages/process/test/coltsfoottrail/faults/checkers.cpp
+++ b/packages/process/test/coltsfoottrail/faults/checkers.cpp
@@ -151,7 +151,7 @@
 }
 
 const std::vector<Checker> &checkers() {
-  static const std::vector<Checker> Entry{
+  static const std::vector<Checker> AllCheckers{
       {"whole answer", checkWholeAnswers},
       {"not run is true", checkNotRunIsTrue},
       {"verdicts never go back", checkVerdictsNeverGoBack},
@@ -162,7 +162,7 @@
       {"no reversal", checkNoReversal},
       {"one group", checkOneGroup},
   };
-  return Entry;
+  return AllCheckers;
 }
 
 Violations checkAll(const Events &All) {
