--- a/packages/process/src/coltsfoottrail/server/agreedstream.hpp
+++ b/packages/process/src/coltsfoottrail/server/agreedstream.hpp
@@ -23,8 +23,8 @@
 
 /// @brief The result of an append.
 struct AppendOutcome {
-  /// False: the log did not acknowledge the record before the deadline; it may
-  /// still appear on the log.
+  /// False: the record was not read back from the log before the deadline; it
+  /// may still appear there.
   bool Appended = false;
   Offset RecordOffset = 0;
   FoldResult FoldOutcome;
@@ -87,7 +87,8 @@
   /// it.
   /// @param Body The record to append.
   /// @param Timeout After this time the outcome is "not appended".
-  /// @param Callback Called once, on the control thread.
+  /// @param Callback Called once, on the control thread, unless the stream is
+  /// stopped before.
   void append(Record Body, milliseconds Timeout, AppendCallback Callback);
 
   /// @brief The newest published state. Thread-safe; never null.
--- a/packages/process/src/coltsfoottrail/server/process.cpp
+++ b/packages/process/src/coltsfoottrail/server/process.cpp
@@ -279,8 +279,7 @@
   };
   Hooks.OnRunRemoved = [this] {
     Unready = true;
-    logEvent(Event::Unready,
-             {{"why", "removed from the members by its peers"}});
+    logEvent(Event::Unready, {{"why", "its peers have found this run gone"}});
     if (RunRemovedCallback)
       RunRemovedCallback();
   };
--- a/packages/process/src/coltsfoottrail/server/relay.cpp
+++ b/packages/process/src/coltsfoottrail/server/relay.cpp
@@ -169,8 +169,8 @@
 };
 
 Relay::Relay(IoPool &Threads, Router &Where, ClaimDriver &Desk,
-             CallerLimits Bounds, AdmissionHooks Request, SpanFactory &Traces)
-    : Routing(Where), Claims(Desk), Limits(Bounds), Hooks(std::move(Request)),
+             CallerLimits Bounds, AdmissionHooks Checks, SpanFactory &Traces)
+    : Routing(Where), Claims(Desk), Limits(Bounds), Hooks(std::move(Checks)),
       SpanSource(Traces), Routes(std::make_shared<const RouteTable>()) {
   for (std::size_t Index = 0; Index < Threads.size(); ++Index)
     Clients.push_back(
--- a/packages/process/src/coltsfoottrail/server/relay.hpp
+++ b/packages/process/src/coltsfoottrail/server/relay.hpp
@@ -50,10 +50,10 @@
   /// @param Routing Chooses endpoints.
   /// @param Claims Claims idempotency keys.
   /// @param Limits Limits on callers' deadlines.
-  /// @param Gate Checks made immediately before sending.
+  /// @param Hooks Checks made immediately before sending.
   /// @param Traces Creates spans.
   Relay(IoPool &Threads, Router &Routing, ClaimDriver &Claims,
-        CallerLimits Limits, AdmissionHooks Gate, SpanFactory &Traces);
+        CallerLimits Limits, AdmissionHooks Hooks, SpanFactory &Traces);
 
   /// @brief Sets the routes used to parse requests.
   void setRoutes(RouteTablePtr Wanted);
--- a/packages/process/test/coltsfoottrail/faults/matrix.cpp
+++ b/packages/process/test/coltsfoottrail/faults/matrix.cpp
@@ -223,7 +223,8 @@
   }
 
   /// Sends an order of unique length, so that its response can be told from all
-  /// others, and repeats it with its key through another host.
+  /// others. If it has a key, it is sent again with that key through another
+  /// host.
   void orderTwice(std::size_t Caller, unsigned Round,
                   std::uint64_t PreferredHost) {
     const std::size_t Number = Caller * RoundsPerPhase * LoadPhases + Round;
