--- a/bench/relay.cpp
+++ b/bench/relay.cpp
@@ -43,7 +43,7 @@
   Out.Operators.Credential = Secret(std::string("operator"));
   Out.Mesh.Listen = {std::string(Loopback), 0};
   Out.Mesh.Key = Secret(std::string("mesh-key-of-the-benchmark-32-bytes"));
-  Out.Platform.Log.At = {std::string(Loopback), LogPort};
+  Out.Platform.Log.ServerAddress = {std::string(Loopback), LogPort};
   Out.Stop.Grace = milliseconds(1);
   return Out;
 }
--- a/packages/process/src/coltsfoottrail/cli/client.cpp
+++ b/packages/process/src/coltsfoottrail/cli/client.cpp
@@ -51,11 +51,11 @@
                      "no entry host answers; tried " + Tried);
 }
 
-Json OperatorClient::look(const std::string &Target) const {
+Json OperatorClient::query(const std::string &Target) const {
   return call(requestTo(Target), Kind::Lookup);
 }
 
-Json OperatorClient::change(const std::string &Target, const Json &Body) const {
+Json OperatorClient::submit(const std::string &Target, const Json &Body) const {
   HttpRequest Asked = requestTo(Target);
   Asked.Method = "POST";
   Asked.Fields.push_back({"Content-Type", "application/json"});
--- a/packages/process/src/coltsfoottrail/cli/client.hpp
+++ b/packages/process/src/coltsfoottrail/cli/client.hpp
@@ -50,7 +50,7 @@
   /// @param Target Path.
   /// @return The answer's body.
   /// @throws CommandError No host answers, or the answer is a refusal.
-  [[nodiscard]] Json look(const std::string &Target) const;
+  [[nodiscard]] Json query(const std::string &Target) const;
 
   /// @brief Sends a request that changes something; at most one host gets it.
   /// @param Target Path.
@@ -58,7 +58,7 @@
   /// @return The answer's body.
   /// @throws AnswerLost It may have been taken.
   /// @throws CommandError No host answers, or the answer is a refusal.
-  [[nodiscard]] Json change(const std::string &Target, const Json &Body) const;
+  [[nodiscard]] Json submit(const std::string &Target, const Json &Body) const;
 
 private:
   enum class Kind : std::uint8_t { Lookup, Change };
--- a/packages/process/src/coltsfoottrail/cli/command.cpp
+++ b/packages/process/src/coltsfoottrail/cli/command.cpp
@@ -445,20 +445,21 @@
   const VerbSpec *const Verb = findVerb(Words);
   CommandLine Out;
   if (Given.Version) {
-    Out.What = TextCommand{std::string("coltsfoottrail ") +
-                           COLTSFOOTTRAIL_VERSION + "\n"};
+    Out.Command = TextCommand{std::string("coltsfoottrail ") +
+                              COLTSFOOTTRAIL_VERSION + "\n"};
     return Out;
   }
   if (Verb == nullptr && !Words.empty() && Words != PlanWord)
     refuseVerb(Words);
   if (Given.Help) {
-    Out.What = TextCommand{helpText(Words)};
+    Out.Command = TextCommand{helpText(Words)};
     return Out;
   }
   if (Verb == nullptr)
     refuse(Words.empty() ? "no verb is given; see coltsfoottrail --help"
                          : "plan what? see coltsfoottrail plan --help");
-  Out.What = makeCommand(*Verb, Values(Given.Words).subspan(Used), Given.Wait);
+  Out.Command =
+      makeCommand(*Verb, Values(Given.Words).subspan(Used), Given.Wait);
   Out.Options = std::move(Given.Options);
   fillFromEnvironment(Out.Options, Variables);
   requireConnection(Out.Options);
--- a/packages/process/src/coltsfoottrail/cli/command.hpp
+++ b/packages/process/src/coltsfoottrail/cli/command.hpp
@@ -20,7 +20,7 @@
 
 /// Ask for a plan of an intent that the arguments hold whole.
 struct PlanCommand {
-  Intent Asked;
+  Intent PlanIntent;
 };
 /// Ask for a plan of a declaration in a file.
 struct ApplyCommand {
@@ -74,7 +74,7 @@
 /// @brief A command line, checked.
 struct CommandLine {
   ConnectionOptions Options;
-  CliCommand What;
+  CliCommand Command;
 };
 
 /// Environment variables by name.
--- a/packages/process/src/coltsfoottrail/cli/diff.cpp
+++ b/packages/process/src/coltsfoottrail/cli/diff.cpp
@@ -23,7 +23,7 @@
     {"services", "service"},
 }};
 
-using Lines = std::vector<DeclarationLine>;
+using Lines = std::vector<DeclarationDifference>;
 
 /// Entries by name, or elements by their text.
 using Entries = std::map<std::string, Json>;
@@ -63,7 +63,7 @@
 }
 
 /// Elements of a list field that come or go.
-void compareElements(const DeclarationLine &About, const Json &InForce,
+void compareElements(const DeclarationDifference &About, const Json &InForce,
                      const Json &Wanted, Lines &Out) {
   const std::set<std::string> Before = texts(InForce);
   const std::set<std::string> After = texts(Wanted);
@@ -80,10 +80,10 @@
 }
 
 /// Members of an object field, each by its key.
-void compareMembers(const DeclarationLine &About, const Json &InForce,
+void compareMembers(const DeclarationDifference &About, const Json &InForce,
                     const Json &Wanted, Lines &Out) {
   for (const std::string &Key : keysOf(InForce, Wanted)) {
-    DeclarationLine Line = About;
+    DeclarationDifference Line = About;
     Line.Field += "." + Key;
     Line.InForce = valueText(InForce, Key);
     Line.Wanted = valueText(Wanted, Key);
@@ -92,7 +92,7 @@
   }
 }
 
-void compareField(DeclarationLine About, const Json &InForce,
+void compareField(DeclarationDifference About, const Json &InForce,
                   const Json &Wanted, Lines &Out) {
   if (InForce == Wanted)
     return;
@@ -107,10 +107,10 @@
   }
 }
 
-void compareEntry(const DeclarationLine &About, const Json &InForce,
+void compareEntry(const DeclarationDifference &About, const Json &InForce,
                   const Json &Wanted, Lines &Out) {
   for (const std::string &Key : keysOf(InForce, Wanted)) {
-    DeclarationLine Line = About;
+    DeclarationDifference Line = About;
     Line.Field = Key;
     compareField(std::move(Line), InForce.value(Key, Json()),
                  Wanted.value(Key, Json()), Out);
@@ -140,8 +140,8 @@
 
 } // namespace
 
-std::vector<DeclarationLine> compareDeclarations(const Declaration &InForce,
-                                                 const Declaration &Wanted) {
+std::vector<DeclarationDifference>
+compareDeclarations(const Declaration &InForce, const Declaration &Wanted) {
   const Json Before = writeDeclaration(InForce);
   const Json After = writeDeclaration(Wanted);
   Lines Out;
@@ -153,7 +153,7 @@
   return Out;
 }
 
-std::string textOf(const DeclarationLine &Line) {
+std::string textOf(const DeclarationDifference &Line) {
   std::string Out =
       std::string(1, Line.Sign) + " " + Line.Kind + " " + Line.Name;
   if (Line.Sign != '~')
@@ -171,7 +171,7 @@
   }
 }
 
-Json jsonOf(const DeclarationLine &Line) {
+Json jsonOf(const DeclarationDifference &Line) {
   Json Out{{"change", std::string(1, Line.Sign)},
            {"kind", Line.Kind},
            {"name", Line.Name}};
--- a/packages/process/src/coltsfoottrail/cli/diff.hpp
+++ b/packages/process/src/coltsfoottrail/cli/diff.hpp
@@ -13,7 +13,7 @@
 namespace coltsfoottrail {
 
 /// @brief One difference.
-struct DeclarationLine {
+struct DeclarationDifference {
   /// '+' only in the wanted one, '-' only in the one in force, '~' differs.
   char Sign = '~';
   /// "data centre", "team", "host", "model", "service" or "setting".
@@ -26,22 +26,22 @@
   /// JSON text of the field's wanted value; empty where it has none.
   std::string Wanted;
 
-  [[nodiscard]] friend bool operator==(const DeclarationLine &,
-                                       const DeclarationLine &) = default;
+  [[nodiscard]] friend bool operator==(const DeclarationDifference &,
+                                       const DeclarationDifference &) = default;
 };
 
 /// @brief Compares two declarations by name and field. Pure; thread-safe.
 /// @param InForce The declaration in force.
 /// @param Wanted The declaration in a file.
 /// @return The differences; none when they are equal.
-[[nodiscard]] std::vector<DeclarationLine>
+[[nodiscard]] std::vector<DeclarationDifference>
 compareDeclarations(const Declaration &InForce, const Declaration &Wanted);
 
 /// @brief Writes a difference for people. Thread-safe.
-[[nodiscard]] std::string textOf(const DeclarationLine &Line);
+[[nodiscard]] std::string textOf(const DeclarationDifference &Line);
 
 /// @brief Writes a difference as JSON. Thread-safe.
-[[nodiscard]] Json jsonOf(const DeclarationLine &Line);
+[[nodiscard]] Json jsonOf(const DeclarationDifference &Line);
 
 } // namespace coltsfoottrail
 
--- a/packages/process/src/coltsfoottrail/cli/fwd.hpp
+++ b/packages/process/src/coltsfoottrail/cli/fwd.hpp
@@ -11,7 +11,7 @@
 class CommandError;
 struct CommandLine;
 struct ConnectionOptions;
-struct DeclarationLine;
+struct DeclarationDifference;
 class OperatorClient;
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/cli/run.cpp
+++ b/packages/process/src/coltsfoottrail/cli/run.cpp
@@ -75,7 +75,9 @@
       : Options(Given), Context(With),
         Client(Given, std::move(Credential), With.Sender) {}
 
-  ExitCode operator()(const PlanCommand &Asked) { return propose(Asked.Asked); }
+  ExitCode operator()(const PlanCommand &Asked) {
+    return propose(Asked.PlanIntent);
+  }
 
   ExitCode operator()(const ApplyCommand &Asked) {
     ApplyDeclaration Out;
@@ -122,8 +124,8 @@
   }
 
   ExitCode operator()(const StatusCommand &Asked) {
-    const Json Answer = Client.look(Asked.Plan ? planPath(*Asked.Plan)
-                                               : std::string(StatePath));
+    const Json Answer = Client.query(Asked.Plan ? planPath(*Asked.Plan)
+                                                : std::string(StatePath));
     if (Options.AsJson)
       print(dumped(Answer) + "\n");
     else
@@ -134,7 +136,7 @@
   ExitCode operator()(const WatchCommand &Asked) {
     if (!Asked.Plan)
       return watchState();
-    const Json Answer = Client.look(planPath(*Asked.Plan));
+    const Json Answer = Client.query(planPath(*Asked.Plan));
     PlanView First = planOf(Answer);
     printProgress(First, Answer);
     return follow(std::move(First));
@@ -142,12 +144,12 @@
 
   ExitCode operator()(const DiffCommand &Asked) {
     const Declaration Wanted = readDeclarationFile(Asked.File);
-    const Json Answer = Client.look(DeclarationPath);
+    const Json Answer = Client.query(DeclarationPath);
     const Declaration InForce = readAnswer([&] {
       return readDeclaration(Answer, "declaration in force",
                              UnknownKeys::Ignore);
     });
-    const std::vector<DeclarationLine> Lines =
+    const std::vector<DeclarationDifference> Lines =
         compareDeclarations(InForce, Wanted);
     printDifference(Lines);
     return Lines.empty() ? ExitCode::Ok : ExitCode::Differs;
@@ -163,9 +165,9 @@
 
   void warn(const std::string &Text) {
     if (Options.AsJson)
-      Context.Problems << dumped(Json{{"warning", Text}}) << std::endl;
+      Context.ErrorOut << dumped(Json{{"warning", Text}}) << std::endl;
     else
-      Context.Problems << "coltsfoottrail: " << Text << std::endl;
+      Context.ErrorOut << "coltsfoottrail: " << Text << std::endl;
   }
 
   static std::string stateText(const Json &Answer) {
@@ -191,7 +193,7 @@
 
   ExitCode propose(const Intent &Asked) {
     try {
-      const Json Answer = Client.change(PlansPath, writeIntent(Asked));
+      const Json Answer = Client.submit(PlansPath, writeIntent(Asked));
       const PlanView Plan = planOf(Answer);
       if (Options.AsJson)
         print(dumped(Answer) + "\n");
@@ -208,7 +210,7 @@
   /// Says which plans that wait for a confirmation ask for the same.
   std::string proposedAlike(const Intent &Asked) {
     std::string Ids;
-    const Json State = Client.look(StatePath);
+    const Json State = Client.query(StatePath);
     for (const Json &Each : State.at("plans"))
       if (Each.value("phase", "") == "proposed" &&
           asksAlike(Asked, Each.value("asked", "")))
@@ -221,7 +223,7 @@
   }
 
   PlanView changePlan(Offset Plan, const char *Verb) {
-    const Json Answer = Client.change(planPath(Plan) + Verb, Json::object());
+    const Json Answer = Client.submit(planPath(Plan) + Verb, Json::object());
     PlanView Seen = planOf(Answer);
     printProgress(Seen, Answer);
     return Seen;
@@ -251,7 +253,7 @@
     for (unsigned Failed = 1;; ++Failed) {
       Context.Sleep(Options.Interval);
       try {
-        return Client.look(Target);
+        return Client.query(Target);
       } catch (const CommandError &Problem) {
         if (Problem.code() == ExitCode::Refused || Failed == MaxFailedLooks)
           throw;
@@ -275,7 +277,7 @@
   }
 
   ExitCode watchState() {
-    Json Last = Client.look(StatePath);
+    Json Last = Client.query(StatePath);
     print(Options.AsJson ? dumped(Last) + "\n" : stateText(Last));
     while (Context.Out) {
       Json Now = lookPatiently(StatePath);
@@ -297,14 +299,14 @@
         print(Line + "\n");
   }
 
-  void printDifference(const std::vector<DeclarationLine> &Lines) {
+  void printDifference(const std::vector<DeclarationDifference> &Lines) {
     if (!Options.AsJson) {
-      for (const DeclarationLine &Each : Lines)
+      for (const DeclarationDifference &Each : Lines)
         print(printable(textOf(Each)) + "\n");
       return;
     }
     Json Changes = Json::array();
-    for (const DeclarationLine &Each : Lines)
+    for (const DeclarationDifference &Each : Lines)
       Changes.push_back(jsonOf(Each));
     print(dumped(
               Json{{"equal", Lines.empty()}, {"changes", std::move(Changes)}}) +
@@ -318,11 +320,11 @@
 
 ExitCode execute(const CommandLine &Given, const CommandContext &With) {
   Secret Credential;
-  if (!std::holds_alternative<TextCommand>(Given.What))
+  if (!std::holds_alternative<TextCommand>(Given.Command))
     Credential = readSecret(Given.Options.CredentialFile, "credential file",
                             Given.Options.CredentialFile, 1);
   Session Running(Given.Options, std::move(Credential), With);
-  return std::visit(Running, Given.What);
+  return std::visit(Running, Given.Command);
 }
 
 ExitCode report(bool AsJson, ExitCode Code, const std::string &Text,
@@ -346,11 +348,11 @@
     const CommandLine Given = parseCommandLine(std::move(Arguments), Variables);
     return execute(Given, With);
   } catch (const CommandError &Problem) {
-    return report(AsJson, Problem.code(), Problem.what(), With.Problems);
+    return report(AsJson, Problem.code(), Problem.what(), With.ErrorOut);
   } catch (const Error &Problem) {
-    return report(AsJson, ExitCode::WrongFile, Problem.what(), With.Problems);
+    return report(AsJson, ExitCode::WrongFile, Problem.what(), With.ErrorOut);
   } catch (const std::exception &Problem) {
-    return report(AsJson, ExitCode::NoAnswer, Problem.what(), With.Problems);
+    return report(AsJson, ExitCode::NoAnswer, Problem.what(), With.ErrorOut);
   }
 }
 
--- a/packages/process/src/coltsfoottrail/cli/run.hpp
+++ b/packages/process/src/coltsfoottrail/cli/run.hpp
@@ -16,7 +16,7 @@
 /// @brief What a command line works with.
 struct CommandContext {
   std::ostream &Out;
-  std::ostream &Problems;
+  std::ostream &ErrorOut;
   OperatorClient::Send Sender;
   /// Waits between two looks.
   std::function<void(milliseconds)> Sleep;
--- a/packages/process/src/coltsfoottrail/cli/view.cpp
+++ b/packages/process/src/coltsfoottrail/cli/view.cpp
@@ -184,7 +184,7 @@
   Out.Steps = From.number("steps");
   Out.Operator = printable(From.textOr("operator", ""));
   Out.Executor = printable(From.textOr("executor", ""));
-  Out.Why = printable(From.textOr("why", ""));
+  Out.Reason = printable(From.textOr("why", ""));
   for (const std::string &Line : From.texts("text"))
     Out.Text.push_back(printable(Line));
   return Out;
@@ -198,8 +198,8 @@
       " steps done";
   if (!Plan.Executor.empty())
     Out += ", carried out by " + Plan.Executor;
-  if (!Plan.Why.empty())
-    Out += "; " + Plan.Why;
+  if (!Plan.Reason.empty())
+    Out += "; " + Plan.Reason;
   return Out;
 }
 
--- a/packages/process/src/coltsfoottrail/cli/view.hpp
+++ b/packages/process/src/coltsfoottrail/cli/view.hpp
@@ -37,7 +37,7 @@
   std::uint64_t Steps = 0;
   std::string Operator;
   std::string Executor;
-  std::string Why;
+  std::string Reason;
   std::vector<std::string> Text;
 
   /// @brief Tells whether it will not change any more.
--- a/packages/process/src/coltsfoottrail/fleethost/relay.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/relay.cpp
@@ -47,14 +47,14 @@
 /// Writes a request's lines when its coroutine ends, however it does.
 class FleetRelay::TrailMark {
 public:
-  TrailMark(Work &Of, std::shared_ptr<TrailBudget> Limits)
+  TrailMark(Work &Of, std::shared_ptr<RequestLogBudget> Limits)
       : Asked(Of), Budget(std::move(Limits)) {}
   TrailMark(const TrailMark &) = delete;
   TrailMark &operator=(const TrailMark &) = delete;
   ~TrailMark() {
     const TimePoint Now = BootClock::now();
     if (!Asked.Ended) {
-      Asked.Trail.tells();
+      Asked.Trail.markNotable();
       Asked.Trail.add(Event::CallerLeft, {{"sends", Asked.Sends}}, Now);
     }
     Asked.Trail.end(*Budget, Now);
@@ -62,7 +62,7 @@
 
 private:
   Work &Asked;
-  std::shared_ptr<TrailBudget> Budget;
+  std::shared_ptr<RequestLogBudget> Budget;
 };
 
 void FleetRelay::ended(Work &Asked, std::string_view Outcome, unsigned Status,
@@ -70,7 +70,7 @@
   Asked.Ended = true;
   const bool Answered = Outcome == "answered";
   if (!Answered || Asked.Sends > 1)
-    Asked.Trail.tells();
+    Asked.Trail.markNotable();
   const std::string_view Why = Answered ? "none" : reasonCode(Final.Why);
   const std::string_view Ran = Answered ? "ran" : runStateCode(Final.State);
   measureEnd(Asked, Outcome, Why);
@@ -97,7 +97,7 @@
 
 void FleetRelay::noteFailure(Work &Asked, const EndpointSpec &To,
                              const AttemptResult &Result) {
-  Asked.Trail.tells();
+  Asked.Trail.markNotable();
   Asked.Trail.add(
       Event::AttemptFailed,
       {{"endpoint", To.Host},
@@ -121,7 +121,7 @@
     const TimePoint Now = BootClock::now();
     Asked.Ended = true;
     measureEnd(Asked, "turned-away", std::to_string(Refused->Status));
-    Asked.Trail.tells();
+    Asked.Trail.markNotable();
     Asked.Trail.add(Event::RequestTurnedAway,
                     {{"status", Refused->Status},
                      {"answer", Refused->Body},
--- a/packages/process/src/coltsfoottrail/fleethost/relay.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/relay.hpp
@@ -120,7 +120,7 @@
     Duration LongestPause{};
     /// An endpoint's failure, to be passed on if nothing better comes.
     std::optional<HttpResponse> Kept;
-    RequestTrail Trail;
+    RequestLog Trail;
     std::uint32_t Sends = 0;
     /// Its place among those that wait or run; set while it has one.
     Place *Mine = nullptr;
@@ -183,8 +183,8 @@
   FleetRelayCounts Counts;
   RelayMetrics Measured;
   /// Shared with the coroutines, which may end after this object.
-  std::shared_ptr<TrailBudget> Budget =
-      std::make_shared<TrailBudget>(TrailLimits{});
+  std::shared_ptr<RequestLogBudget> Budget =
+      std::make_shared<RequestLogBudget>(RequestLogLimits{});
   /// Shared with the coroutines, which may end after this object.
   std::map<std::string, std::shared_ptr<PoolMix>> Mixes;
   std::size_t EntryHosts = std::size_t(ColdGate::UnknownHosts);
--- a/packages/process/src/coltsfoottrail/logging/requesttrail.cpp
+++ b/packages/process/src/coltsfoottrail/logging/requesttrail.cpp
@@ -4,14 +4,14 @@
 
 namespace coltsfoottrail {
 
-bool TrailBudget::admit(bool Telling, TimePoint Now) {
+bool RequestLogBudget::admit(bool Telling, TimePoint Now) {
   if (Now - SecondStart >= seconds(1)) {
     SecondStart = Now;
     UsualCount = 0;
     TellingCount = 0;
   }
   std::uint32_t &Count = Telling ? TellingCount : UsualCount;
-  const std::uint32_t Most = Telling ? Limits.Telling : Limits.Usual;
+  const std::uint32_t Most = Telling ? Limits.Notable : Limits.Routine;
   if (Count >= Most) {
     ++Dropped;
     return false;
@@ -20,22 +20,24 @@
   return true;
 }
 
-std::uint64_t TrailBudget::takeDropped() { return std::exchange(Dropped, 0); }
+std::uint64_t RequestLogBudget::takeDropped() {
+  return std::exchange(Dropped, 0);
+}
 
-void RequestTrail::begin(std::string_view Request, TimePoint Now) {
+void RequestLog::begin(std::string_view Request, TimePoint Now) {
   Id = Request;
   BeganAt = Now;
 }
 
-void RequestTrail::add(Event Which, std::initializer_list<Field> Fields,
-                       TimePoint Now) {
+void RequestLog::add(Event Which, std::initializer_list<Field> Fields,
+                     TimePoint Now) {
   const auto Since =
       std::chrono::duration_cast<milliseconds>(Now - BeganAt).count();
   Lines.push_back(
       {Which, eventLine(Which, Fields, {{"request", Id}, {"at_ms", Since}})});
 }
 
-void RequestTrail::end(TrailBudget &Budget, TimePoint Now) {
+void RequestLog::end(RequestLogBudget &Budget, TimePoint Now) {
   if (!Lines.empty() && Budget.admit(Telling, Now))
     for (const Line &Each : Lines)
       logLine(Each.Which, Each.Text);
--- a/packages/process/src/coltsfoottrail/logging/requesttrail.hpp
+++ b/packages/process/src/coltsfoottrail/logging/requesttrail.hpp
@@ -12,12 +12,12 @@
 namespace coltsfoottrail {
 
 /// @brief Most requests whose lines are written, in a second.
-struct TrailLimits {
+struct RequestLogLimits {
   /// Requests that were answered as usual: enough to compare a failed one with,
   /// about twice what one entry host serves today.
-  std::uint32_t Usual = 50;
+  std::uint32_t Routine = 50;
   /// Requests that were refused, failed, moved or left by their callers.
-  std::uint32_t Telling = 250;
+  std::uint32_t Notable = 250;
 };
 
 /// @brief Decides which requests leave lines. Not thread-safe.
@@ -27,10 +27,10 @@
 /// be followed from its first line to its last. Whole requests are kept or
 /// dropped, those that tell of a failure are kept first, and what was dropped
 /// is counted.
-class TrailBudget {
+class RequestLogBudget {
 public:
   /// @brief Sets the limits.
-  explicit TrailBudget(TrailLimits Given) : Limits(Given) {}
+  explicit RequestLogBudget(RequestLogLimits Given) : Limits(Given) {}
 
   /// @brief Asks whether a request's lines are written.
   /// @param Telling Whether it was anything but answered as usual.
@@ -41,7 +41,7 @@
   [[nodiscard]] std::uint64_t takeDropped();
 
 private:
-  TrailLimits Limits;
+  RequestLogLimits Limits;
   TimePoint SecondStart{};
   std::uint32_t UsualCount = 0;
   std::uint32_t TellingCount = 0;
@@ -49,7 +49,7 @@
 };
 
 /// @brief Gathers the lines of one request. Not thread-safe.
-class RequestTrail {
+class RequestLog {
 public:
   /// @brief Starts a trail.
   /// @param Request Identifier of the request.
@@ -61,10 +61,10 @@
   void add(Event Which, std::initializer_list<Field> Fields, TimePoint Now);
 
   /// @brief Something out of the ordinary happened to it.
-  void tells() noexcept { Telling = true; }
+  void markNotable() noexcept { Telling = true; }
 
   /// @brief Writes the lines, or drops them; a trail ends once.
-  void end(TrailBudget &Budget, TimePoint Now);
+  void end(RequestLogBudget &Budget, TimePoint Now);
 
 private:
   struct Line {
--- a/packages/process/src/coltsfoottrail/server/process.cpp
+++ b/packages/process/src/coltsfoottrail/server/process.cpp
@@ -82,7 +82,8 @@
 }
 
 EngineAddress logAddress(const Settings &From) {
-  return {From.Platform.Log.At.Address, From.Platform.Log.At.Port};
+  return {From.Platform.Log.ServerAddress.Address,
+          From.Platform.Log.ServerAddress.Port};
 }
 
 HttpResponse plain(unsigned Status, std::string Text) {
--- a/packages/process/src/coltsfoottrail/settings/settings.cpp
+++ b/packages/process/src/coltsfoottrail/settings/settings.cpp
@@ -145,7 +145,7 @@
 PlatformSettings readPlatform(ObjectReader From) {
   PlatformSettings Out;
   ObjectReader LogReader = From.object("log");
-  Out.Log.At = readAddress(LogReader, 1);
+  Out.Log.ServerAddress = readAddress(LogReader, 1);
   Out.Log.Timeout =
       readTime(LogReader, "timeout_ms", Out.Log.Timeout, 10, 60 * SecondMs);
   LogReader.finish();
@@ -302,7 +302,7 @@
 
 Json platformJson(const PlatformSettings &Shown) {
   Json Out;
-  Out["log"] = addressJson(Shown.Log.At);
+  Out["log"] = addressJson(Shown.Log.ServerAddress);
   Out["log"]["timeout_ms"] = Shown.Log.Timeout.count();
   Out["host_list"] = Shown.HostList ? addressJson(*Shown.HostList) : Json();
   return Out;
--- a/packages/process/src/coltsfoottrail/settings/settings.hpp
+++ b/packages/process/src/coltsfoottrail/settings/settings.hpp
@@ -57,7 +57,7 @@
 
 /// The platform's log.
 struct LogServiceSettings {
-  SocketAddress At;
+  SocketAddress ServerAddress;
   milliseconds Timeout{2000};
 };
 
--- a/packages/process/src/coltsfoottrail/telemetry/mesh.cpp
+++ b/packages/process/src/coltsfoottrail/telemetry/mesh.cpp
@@ -100,7 +100,7 @@
 
 } // namespace
 
-void exposeMesh(Metrics &Into, const Mesh &From) {
+void exposeMeshMetrics(Metrics &Into, const Mesh &From) {
   Into.onScrape([Shown = std::make_shared<MeshMetrics>(Into, From)] {
     Shown->refresh();
   });
--- a/packages/process/src/coltsfoottrail/telemetry/mesh.hpp
+++ b/packages/process/src/coltsfoottrail/telemetry/mesh.hpp
@@ -12,7 +12,7 @@
 /// for a mesh. Thread-safe.
 /// @param Into The registry.
 /// @param From The mesh; must outlive the last scrape.
-void exposeMesh(Metrics &Into, const Mesh &From);
+void exposeMeshMetrics(Metrics &Into, const Mesh &From);
 
 } // namespace coltsfoottrail
 
--- a/packages/process/src/coltsfoottrail/telemetry/summary.cpp
+++ b/packages/process/src/coltsfoottrail/telemetry/summary.cpp
@@ -19,11 +19,11 @@
 constexpr int SearchSteps = 60;
 
 double weightBelow(const QuantilePiece &Piece, double Value) {
-  if (Value >= Piece.To)
+  if (Value >= Piece.Upper)
     return Piece.Weight;
-  if (Value <= Piece.From)
+  if (Value <= Piece.Lower)
     return 0;
-  return Piece.Weight * (Value - Piece.From) / (Piece.To - Piece.From);
+  return Piece.Weight * (Value - Piece.Lower) / (Piece.Upper - Piece.Lower);
 }
 
 double weightBelow(std::span<const QuantilePiece> Pieces, double Value) {
@@ -39,12 +39,12 @@
                                       double Probability) {
   if (Pieces.empty())
     return std::nullopt;
-  double Low = Pieces.front().From;
-  double High = Pieces.front().To;
+  double Low = Pieces.front().Lower;
+  double High = Pieces.front().Upper;
   double Total = 0;
   for (const QuantilePiece &Each : Pieces) {
-    Low = std::min(Low, Each.From);
-    High = std::max(High, Each.To);
+    Low = std::min(Low, Each.Lower);
+    High = std::max(High, Each.Upper);
     Total += Each.Weight;
   }
   const double Wanted = Probability * Total;
--- a/packages/process/src/coltsfoottrail/telemetry/summary.hpp
+++ b/packages/process/src/coltsfoottrail/telemetry/summary.hpp
@@ -22,8 +22,8 @@
 /// @brief A share of a distribution: a straight line between two values that
 /// holds some of the samples.
 struct QuantilePiece {
-  double From = 0;
-  double To = 0;
+  double Lower = 0;
+  double Upper = 0;
   /// Samples that lie in it.
   double Weight = 0;
 };
--- a/packages/process/test/coltsfoottrail/cli/command.cpp
+++ b/packages/process/test/coltsfoottrail/cli/command.cpp
@@ -25,7 +25,7 @@
 
 template <class Kind> Kind intentOf(std::vector<std::string> Arguments) {
   const CommandLine Line = parse(std::move(Arguments));
-  return std::get<Kind>(std::get<PlanCommand>(Line.What).Asked);
+  return std::get<Kind>(std::get<PlanCommand>(Line.Command).PlanIntent);
 }
 
 TEST(CommandLine, ReadsIntents) {
@@ -57,8 +57,8 @@
   EXPECT_EQ(Line.Options.Timeout, milliseconds(50));
   EXPECT_EQ(Line.Options.Operator, "ada");
   EXPECT_TRUE(Line.Options.AsJson);
-  EXPECT_EQ(std::get<ConfirmCommand>(Line.What).Plan, 12U);
-  EXPECT_TRUE(std::get<ConfirmCommand>(Line.What).Wait);
+  EXPECT_EQ(std::get<ConfirmCommand>(Line.Command).Plan, 12U);
+  EXPECT_TRUE(std::get<ConfirmCommand>(Line.Command).Wait);
   EXPECT_EQ(parse({"status"}).Options.Hosts.at(1), (EngineAddress{"::1", 81}));
 }
 
@@ -96,7 +96,7 @@
 TEST(CommandLine, HelpNeedsNoHost) {
   const CommandLine Line =
       parseCommandLine({"plan", "capacity", "-h"}, Environment{});
-  const std::string Text = std::get<TextCommand>(Line.What).Text;
+  const std::string Text = std::get<TextCommand>(Line.Command).Text;
   EXPECT_TRUE(
       Text.starts_with("usage: coltsfoottrail plan capacity MODEL DC N"));
   EXPECT_NE(Text.find("exit codes:"), std::string::npos);
--- a/packages/process/test/coltsfoottrail/cli/diff.cpp
+++ b/packages/process/test/coltsfoottrail/cli/diff.cpp
@@ -16,7 +16,7 @@
 
 std::vector<std::string> linesOf(const Json &InForce, const Json &Wanted) {
   std::vector<std::string> Out;
-  for (const DeclarationLine &Each :
+  for (const DeclarationDifference &Each :
        compareDeclarations(readDeclaration(InForce, "a", UnknownKeys::Refuse),
                            readDeclaration(Wanted, "b", UnknownKeys::Refuse)))
     Out.push_back(textOf(Each));
--- a/packages/process/test/coltsfoottrail/logging/requesttrail.cpp
+++ b/packages/process/test/coltsfoottrail/logging/requesttrail.cpp
@@ -11,8 +11,8 @@
 // The one request that a user complains of is not in the log.
 // Under overload far more requests end than lines can be written; those that
 // failed have a limit of their own, which usual ones do not use up.
-TEST(TrailBudget, KeepsFailuresBeforeUsualRequests) {
-  TrailBudget Budget{TrailLimits{2, 3}};
+TEST(RequestLogBudget, KeepsFailuresBeforeUsualRequests) {
+  RequestLogBudget Budget{RequestLogLimits{2, 3}};
   for (int Index = 0; Index < 10; ++Index)
     (void)Budget.admit(false, Start);
   EXPECT_EQ(Budget.takeDropped(), 8U);
@@ -22,8 +22,8 @@
   EXPECT_FALSE(Budget.admit(true, Start));
 }
 
-TEST(TrailBudget, StartsAnewEachSecond) {
-  TrailBudget Budget{TrailLimits{1, 1}};
+TEST(RequestLogBudget, StartsAnewEachSecond) {
+  RequestLogBudget Budget{RequestLogLimits{1, 1}};
   EXPECT_TRUE(Budget.admit(false, Start));
   EXPECT_FALSE(Budget.admit(false, Start + milliseconds(999)));
   EXPECT_TRUE(Budget.admit(false, Start + seconds(1)));
--- a/packages/process/test/coltsfoottrail/server/fixture.hpp
+++ b/packages/process/test/coltsfoottrail/server/fixture.hpp
@@ -59,7 +59,7 @@
     Out.Operators.Credential = Secret(std::string(OperatorCredential));
     Out.Mesh.Listen = {std::string(Loopback), 0};
     Out.Mesh.Key = Secret(std::string("mesh-key-of-the-tests"));
-    Out.Platform.Log.At = {std::string(Loopback), LogService.port()};
+    Out.Platform.Log.ServerAddress = {std::string(Loopback), LogService.port()};
     Out.Stop.Grace = milliseconds(50);
     return Out;
   }
--- a/packages/process/test/coltsfoottrail/telemetry/mesh.cpp
+++ b/packages/process/test/coltsfoottrail/telemetry/mesh.cpp
@@ -24,7 +24,7 @@
   Mesh One(configOf("one"));
   Mesh Two(configOf("two"));
   Metrics Registry;
-  exposeMesh(Registry, Two);
+  exposeMeshMetrics(Registry, Two);
   const TimePoint Now(seconds(1));
   Two.setSeeds(std::vector<MeshSeed>{{"127.0.0.1", One.start()}});
   (void)Two.start();
