--- a/packages/process/src/coltsfoottrail/fleethost/relay.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/relay.hpp
@@ -12,7 +12,7 @@
 #include "coltsfoottrail/fleethost/view.hpp"
 #include "coltsfoottrail/http/client.hpp"
 #include "coltsfoottrail/http/server.hpp"
-#include "coltsfoottrail/logging/requesttrail.hpp"
+#include "coltsfoottrail/logging/requestlog.hpp"
 #include "coltsfoottrail/retries/share.hpp"
 #include "coltsfoottrail/server/router.hpp"
 #include "coltsfoottrail/silence/silencewatch.hpp"
--- a/packages/process/src/coltsfoottrail/logging/requesttrail.hpp
+++ b/packages/process/src/coltsfoottrail/logging/requestlog.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// The lines that one request leaves in the log: all of them or none.
-#ifndef COLTSFOOTTRAIL_LOGGING_REQUESTTRAIL_HPP
-#define COLTSFOOTTRAIL_LOGGING_REQUESTTRAIL_HPP
+#ifndef COLTSFOOTTRAIL_LOGGING_REQUESTLOG_HPP
+#define COLTSFOOTTRAIL_LOGGING_REQUESTLOG_HPP
 
 #include "coltsfoottrail/logging/log.hpp"
 
--- a/packages/process/test/coltsfoottrail/logging/requesttrail.cpp
+++ b/packages/process/test/coltsfoottrail/logging/requestlog.cpp
@@ -1,4 +1,4 @@
-#include "coltsfoottrail/logging/requesttrail.hpp"
+#include "coltsfoottrail/logging/requestlog.hpp"
 
 #include <gtest/gtest.h>
 
