--- a/packages/process/src/coltsfoottrail/logging/event.cpp
+++ b/packages/process/src/coltsfoottrail/logging/event.cpp
@@ -157,13 +157,11 @@
 
 std::span<const EventInfo> allEvents() noexcept { return Catalogue; }
 
-const EventInfo &eventInfo(Event Which) noexcept {
-  const auto *const Found =
-      std::lower_bound(Catalogue.begin(), Catalogue.end(), Which,
-                       [](const EventInfo &Entry, Event Sought) {
-                         return Entry.Number < Sought;
-                       });
-  return Found == Catalogue.end() ? Catalogue.back() : *Found;
+const EventInfo &eventInfo(Event Kind) noexcept {
+  const auto *const Entry = std::lower_bound(
+      Catalogue.begin(), Catalogue.end(), Kind,
+      [](const EventInfo &Info, Event Number) { return Info.Number < Number; });
+  return Entry == Catalogue.end() ? Catalogue.back() : *Entry;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/logging/event.hpp
+++ b/packages/process/src/coltsfoottrail/logging/event.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The numbered events that reach the log. docs/EVENTS.md is their catalogue.
+/// The numbered log events. docs/EVENTS.md is their catalogue.
 #ifndef COLTSFOOTTRAIL_LOGGING_EVENT_HPP
 #define COLTSFOOTTRAIL_LOGGING_EVENT_HPP
 
@@ -11,8 +11,9 @@
 
 namespace coltsfoottrail {
 
-/// A numbered event. A number is never used again for something else. To add
-/// one: an enumerator here, a row in event.cpp and a row in docs/EVENTS.md.
+/// A numbered event. A number is never reused for another event. To add an
+/// event, add an enumerator here, a row in event.cpp and a row in
+/// docs/EVENTS.md.
 enum class Event : std::uint16_t {
   Started = 1001,
   SettingsRefused = 1002,
@@ -84,7 +85,7 @@
   InternalError = 1901,
 };
 
-/// @brief What the catalogue says of an event.
+/// @brief Catalogue entry of an event.
 struct EventInfo {
   Event Number;
   LogLevel Level;
@@ -94,13 +95,13 @@
   std::string_view Text;
 };
 
-/// @brief All events in the order of their numbers. Thread-safe.
+/// @brief The catalogue, ordered by event number. Thread-safe.
 [[nodiscard]] std::span<const EventInfo> allEvents() noexcept;
 
 /// @brief Finds an event in the catalogue. Thread-safe.
-/// @param Which An enumerator.
+/// @param Kind One of the enumerators.
 /// @return Its entry.
-[[nodiscard]] const EventInfo &eventInfo(Event Which) noexcept;
+[[nodiscard]] const EventInfo &eventInfo(Event Kind) noexcept;
 
 } // namespace coltsfoottrail
 
--- a/packages/process/src/coltsfoottrail/logging/log.cpp
+++ b/packages/process/src/coltsfoottrail/logging/log.cpp
@@ -16,8 +16,9 @@
 namespace {
 
 constexpr std::size_t MaxValueBytes = 512;
-/// Lines that wait to be written: several seconds of a busy host, about 0.3 MB.
-constexpr int LinesAside = 1024;
+/// Lines that the asynchronous appender buffers: several seconds of a busy
+/// host, about 0.3 MB.
+constexpr int AsyncBufferLines = 1024;
 constexpr unsigned char FirstPrintable = 0x20;
 constexpr unsigned char Delete = 0x7f;
 
@@ -27,7 +28,7 @@
   return Logger;
 }
 
-log4cxx::LevelPtr levelOf(LogLevel Level) {
+log4cxx::LevelPtr log4cxxLevel(LogLevel Level) {
   switch (Level) {
   case LogLevel::Debug:
     return log4cxx::Level::getDebug();
@@ -41,41 +42,41 @@
   return log4cxx::Level::getError();
 }
 
-bool isPlain(std::string_view Value) {
+bool isValidUnquoted(std::string_view Value) {
   return !Value.empty() &&
-         std::all_of(Value.begin(), Value.end(), [](char Letter) {
-           const auto Byte = static_cast<unsigned char>(Letter);
-           return Byte > FirstPrintable && Byte < Delete && Letter != '"' &&
-                  Letter != '\\' && Letter != '=';
+         std::all_of(Value.begin(), Value.end(), [](char Character) {
+           const auto Byte = static_cast<unsigned char>(Character);
+           return Byte > FirstPrintable && Byte < Delete && Character != '"' &&
+                  Character != '\\' && Character != '=';
          });
 }
 
-void appendEscaped(std::string &Out, char Letter) {
-  const auto Byte = static_cast<unsigned char>(Letter);
-  if (Letter == '"' || Letter == '\\') {
-    Out += '\\';
-    Out += Letter;
+void appendEscaped(std::string &Line, char Character) {
+  const auto Byte = static_cast<unsigned char>(Character);
+  if (Character == '"' || Character == '\\') {
+    Line += '\\';
+    Line += Character;
   } else if (Byte < FirstPrintable || Byte >= Delete) {
     std::array<char, 5> Text{};
     std::snprintf(Text.data(), Text.size(), "\\x%02x",
                   static_cast<unsigned>(Byte));
-    Out += Text.data();
+    Line += Text.data();
   } else {
-    Out += Letter;
+    Line += Character;
   }
 }
 
-void appendValue(std::string &Out, std::string_view Value) {
-  const bool Cut = Value.size() > MaxValueBytes;
-  const std::string_view Shown = Value.substr(0, MaxValueBytes);
-  if (!Cut && isPlain(Shown)) {
-    Out += Shown;
+void appendValue(std::string &Line, std::string_view Value) {
+  const bool IsTruncated = Value.size() > MaxValueBytes;
+  const std::string_view Prefix = Value.substr(0, MaxValueBytes);
+  if (!IsTruncated && isValidUnquoted(Prefix)) {
+    Line += Prefix;
     return;
   }
-  Out += '"';
-  for (const char Letter : Shown)
-    appendEscaped(Out, Letter);
-  Out += Cut ? "...\"" : "\"";
+  Line += '"';
+  for (const char Character : Prefix)
+    appendEscaped(Line, Character);
+  Line += IsTruncated ? "...\"" : "\"";
 }
 
 log4cxx::AppenderPtr makeAppender(const std::filesystem::path &File) {
@@ -93,64 +94,64 @@
 
 } // namespace
 
-void openLog(const TelemetrySettings &Where) {
-  const log4cxx::AppenderPtr Appender = makeAppender(Where.LogFile);
+void openLog(const TelemetrySettings &Config) {
+  const log4cxx::AppenderPtr Appender = makeAppender(Config.LogFile);
   logger()->removeAllAppenders();
   logger()->setAdditivity(false);
-  logger()->setLevel(levelOf(Where.Level));
+  logger()->setLevel(log4cxxLevel(Config.Level));
   logger()->addAppender(Appender);
 }
 
-void openOutputLog(LogLevel Least) {
+void openOutputLog(LogLevel MinLevel) {
   const log4cxx::LayoutPtr Layout(
       new log4cxx::PatternLayout("%d{yyyy-MM-ddTHH:mm:ss.SSSZ} %-5p %m%n"));
   const log4cxx::AppenderPtr Output(new log4cxx::ConsoleAppender(
       Layout, log4cxx::ConsoleAppender::getSystemOut()));
-  const auto Aside = std::make_shared<log4cxx::AsyncAppender>();
-  Aside->setBufferSize(LinesAside);
-  Aside->setBlocking(false);
-  Aside->addAppender(Output);
+  const auto Asynchronous = std::make_shared<log4cxx::AsyncAppender>();
+  Asynchronous->setBufferSize(AsyncBufferLines);
+  Asynchronous->setBlocking(false);
+  Asynchronous->addAppender(Output);
   logger()->removeAllAppenders();
   logger()->setAdditivity(false);
-  logger()->setLevel(levelOf(Least));
-  logger()->addAppender(Aside);
+  logger()->setLevel(log4cxxLevel(MinLevel));
+  logger()->addAppender(Asynchronous);
 }
 
 void closeLog() {
-  for (const log4cxx::AppenderPtr &Each : logger()->getAllAppenders())
-    Each->close();
+  for (const log4cxx::AppenderPtr &Appender : logger()->getAllAppenders())
+    Appender->close();
   logger()->removeAllAppenders();
   logger()->setLevel(log4cxx::Level::getOff());
 }
 
-std::string eventLine(Event Which, std::initializer_list<Field> Fields,
-                      std::initializer_list<Field> First) {
+std::string eventLine(Event Kind, std::initializer_list<Field> Fields,
+                      std::initializer_list<Field> LeadingFields) {
   std::string Line = "E";
-  Line += std::to_string(static_cast<unsigned>(Which));
+  Line += std::to_string(static_cast<unsigned>(Kind));
   Line += ' ';
-  Line += eventInfo(Which).Name;
-  for (const auto &List : {First, Fields})
-    for (const Field &Each : List) {
+  Line += eventInfo(Kind).Name;
+  for (const auto &List : {LeadingFields, Fields})
+    for (const Field &Entry : List) {
       Line += ' ';
-      Line += Each.Key;
+      Line += Entry.Key;
       Line += '=';
-      appendValue(Line, Each.Value);
+      appendValue(Line, Entry.Value);
     }
   return Line;
 }
 
-void logEvent(Event Which, std::initializer_list<Field> Fields) noexcept {
+void logEvent(Event Kind, std::initializer_list<Field> Fields) noexcept {
   try {
-    if (logger()->isEnabledFor(levelOf(eventInfo(Which).Level)))
-      logLine(Which, eventLine(Which, Fields));
+    if (logger()->isEnabledFor(log4cxxLevel(eventInfo(Kind).Level)))
+      logLine(Kind, eventLine(Kind, Fields));
   } catch (const std::exception &Problem) {
     std::fprintf(stderr, "the log cannot be written: %s\n", Problem.what());
   }
 }
 
-void logLine(Event Which, const std::string &Line) noexcept {
+void logLine(Event Kind, const std::string &Line) noexcept {
   try {
-    const log4cxx::LevelPtr Level = levelOf(eventInfo(Which).Level);
+    const log4cxx::LevelPtr Level = log4cxxLevel(eventInfo(Kind).Level);
     if (logger()->isEnabledFor(Level))
       logger()->forcedLog(Level, Line,
                           log4cxx::spi::LocationInfo::getLocationUnavailable());
@@ -159,19 +160,19 @@
   }
 }
 
-std::optional<std::uint64_t> EventSampler::admit(Event Which, TimePoint Now) {
+std::optional<std::uint64_t> EventSampler::admit(Event Kind, TimePoint Now) {
   const std::lock_guard Lock(Mutex);
-  Count &Its = Counts[Which];
-  if (Now - Its.PeriodStart >= Period) {
-    Its.PeriodStart = Now;
-    Its.Admitted = 0;
+  Count &KindCount = Counts[Kind];
+  if (Now - KindCount.PeriodStart >= Period) {
+    KindCount.PeriodStart = Now;
+    KindCount.Admitted = 0;
   }
-  if (Its.Admitted >= Bound) {
-    ++Its.HeldBack;
+  if (KindCount.Admitted >= Limit) {
+    ++KindCount.Suppressed;
     return std::nullopt;
   }
-  ++Its.Admitted;
-  return std::exchange(Its.HeldBack, 0);
+  ++KindCount.Admitted;
+  return std::exchange(KindCount.Suppressed, 0);
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/logging/peer.cpp
+++ b/packages/process/src/coltsfoottrail/logging/peer.cpp
@@ -16,20 +16,20 @@
              {{"peer", Down.Host}, {"run", Down.Run}, {"why", Down.Why}});
   }
   void operator()(const PeerRefused &Refused) const {
-    const std::optional<std::uint64_t> HeldBack =
+    const std::optional<std::uint64_t> SuppressedCount =
         Sampler.admit(Event::PeerRefused, Now);
-    if (HeldBack)
+    if (SuppressedCount)
       logEvent(Event::PeerRefused, {{"address", Refused.Address},
                                     {"why", refusalText(Refused.Why)},
                                     {"detail", Refused.Detail},
-                                    {"held_back", *HeldBack}});
+                                    {"held_back", *SuppressedCount}});
   }
 };
 
 } // namespace
 
-void PeerLogger::log(const PeerEvent &What, TimePoint Now) {
-  std::visit(PeerVisitor{Sampler, Now}, What);
+void PeerLogger::log(const PeerEvent &Occurrence, TimePoint Now) {
+  std::visit(PeerVisitor{Sampler, Now}, Occurrence);
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/logging/peer.hpp
+++ b/packages/process/src/coltsfoottrail/logging/peer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Logs what happens to connections between entry hosts.
+/// Logs the events of connections between entry hosts.
 #ifndef COLTSFOOTTRAIL_LOGGING_PEER_HPP
 #define COLTSFOOTTRAIL_LOGGING_PEER_HPP
 
@@ -8,14 +8,14 @@
 
 namespace coltsfoottrail {
 
-/// @brief Logs events of the mesh; refusals are sampled, since a stranger can
-/// cause any number of them. Thread-safe.
+/// @brief Logs events of the mesh. Refused connections are sampled, since an
+/// unauthenticated peer can cause any number of them. Thread-safe.
 class PeerLogger {
 public:
   /// @brief Logs an event.
-  /// @param What The event.
-  /// @param Now The time.
-  void log(const PeerEvent &What, TimePoint Now);
+  /// @param Occurrence The event.
+  /// @param Now The current time.
+  void log(const PeerEvent &Occurrence, TimePoint Now);
 
 private:
   EventSampler Sampler{5, seconds(10)};
--- a/packages/process/src/coltsfoottrail/logging/requestlog.cpp
+++ b/packages/process/src/coltsfoottrail/logging/requestlog.cpp
@@ -4,15 +4,15 @@
 
 namespace coltsfoottrail {
 
-bool RequestLogBudget::admit(bool Telling, TimePoint Now) {
+bool RequestLogBudget::admit(bool Notable, TimePoint Now) {
   if (Now - SecondStart >= seconds(1)) {
     SecondStart = Now;
-    UsualCount = 0;
-    TellingCount = 0;
+    RoutineCount = 0;
+    NotableCount = 0;
   }
-  std::uint32_t &Count = Telling ? TellingCount : UsualCount;
-  const std::uint32_t Most = Telling ? Limits.Notable : Limits.Routine;
-  if (Count >= Most) {
+  std::uint32_t &Count = Notable ? NotableCount : RoutineCount;
+  const std::uint32_t MaxCount = Notable ? Limits.Notable : Limits.Routine;
+  if (Count >= MaxCount) {
     ++Dropped;
     return false;
   }
@@ -24,23 +24,24 @@
   return std::exchange(Dropped, 0);
 }
 
-void RequestLog::begin(std::string_view Request, TimePoint Now) {
-  Id = Request;
-  BeganAt = Now;
+void RequestLog::begin(std::string_view NewRequestId, TimePoint Now) {
+  RequestId = NewRequestId;
+  ArrivedAt = Now;
 }
 
-void RequestLog::add(Event Which, std::initializer_list<Field> Fields,
+void RequestLog::add(Event Kind, std::initializer_list<Field> Fields,
                      TimePoint Now) {
-  const auto Since =
-      std::chrono::duration_cast<milliseconds>(Now - BeganAt).count();
+  const auto ElapsedMs =
+      std::chrono::duration_cast<milliseconds>(Now - ArrivedAt).count();
   Lines.push_back(
-      {Which, eventLine(Which, Fields, {{"request", Id}, {"at_ms", Since}})});
+      {Kind, eventLine(Kind, Fields,
+                       {{"request", RequestId}, {"at_ms", ElapsedMs}})});
 }
 
 void RequestLog::end(RequestLogBudget &Budget, TimePoint Now) {
-  if (!Lines.empty() && Budget.admit(Telling, Now))
-    for (const Line &Each : Lines)
-      logLine(Each.Which, Each.Text);
+  if (!Lines.empty() && Budget.admit(Notable, Now))
+    for (const Line &Buffered : Lines)
+      logLine(Buffered.Kind, Buffered.Text);
   Lines.clear();
 }
 
--- a/packages/process/test/coltsfoottrail/logging/event.cpp
+++ b/packages/process/test/coltsfoottrail/logging/event.cpp
@@ -12,35 +12,35 @@
 constexpr std::array<std::string_view, 4> Levels = {"debug", "info", "warn",
                                                     "error"};
 
-// An operator looks up the number of a logged event and finds nothing, or the
-// text of another one, because code and catalogue have drifted apart.
+// Guards against a catalogue page that differs from the code: an operator would
+// find no entry, or a wrong one, for a logged event number.
 TEST(EventCatalogue, PageHasTheRowsOfTheCode) {
-  std::vector<std::string> InPage;
-  std::ifstream In(COLTSFOOTTRAIL_DOCS "/EVENTS.md");
+  std::vector<std::string> PageRows;
+  std::ifstream Input(COLTSFOOTTRAIL_DOCS "/EVENTS.md");
   const std::regex Row(
       R"(\| (\d+) \| (\w+) \| `([a-z-]+)` \| ([^|]*) \| ([^|]+) \|)");
   std::smatch Match;
-  for (std::string Line; std::getline(In, Line);)
+  for (std::string Line; std::getline(Input, Line);)
     if (std::regex_match(Line, Match, Row))
-      InPage.push_back(Match[1].str() + " " + Match[2].str() + " " +
-                       Match[3].str() + " " + Match[4].str());
-  std::vector<std::string> InCode;
-  for (const EventInfo &Each : allEvents())
-    InCode.push_back(
-        std::to_string(static_cast<unsigned>(Each.Number)) + " " +
-        std::string(Levels.at(static_cast<std::size_t>(Each.Level))) + " " +
-        std::string(Each.Name) + " " + std::string(Each.Text));
-  EXPECT_EQ(InPage, InCode);
+      PageRows.push_back(Match[1].str() + " " + Match[2].str() + " " +
+                         Match[3].str() + " " + Match[4].str());
+  std::vector<std::string> CodeRows;
+  for (const EventInfo &Info : allEvents())
+    CodeRows.push_back(
+        std::to_string(static_cast<unsigned>(Info.Number)) + " " +
+        std::string(Levels.at(static_cast<std::size_t>(Info.Level))) + " " +
+        std::string(Info.Name) + " " + std::string(Info.Text));
+  EXPECT_EQ(PageRows, CodeRows);
 }
 
 TEST(EventCatalogue, NumbersAndNamesAreUsedOnceAndFound) {
   std::set<std::string_view> Names;
-  unsigned Last = 0;
-  for (const EventInfo &Each : allEvents()) {
-    EXPECT_GT(static_cast<unsigned>(Each.Number), Last);
-    Last = static_cast<unsigned>(Each.Number);
-    EXPECT_TRUE(Names.insert(Each.Name).second) << Each.Name;
-    EXPECT_EQ(eventInfo(Each.Number).Name, Each.Name);
+  unsigned PreviousNumber = 0;
+  for (const EventInfo &Info : allEvents()) {
+    EXPECT_GT(static_cast<unsigned>(Info.Number), PreviousNumber);
+    PreviousNumber = static_cast<unsigned>(Info.Number);
+    EXPECT_TRUE(Names.insert(Info.Name).second) << Info.Name;
+    EXPECT_EQ(eventInfo(Info.Number).Name, Info.Name);
   }
 }
 
--- a/packages/process/test/coltsfoottrail/logging/log.cpp
+++ b/packages/process/test/coltsfoottrail/logging/log.cpp
@@ -13,10 +13,10 @@
 using ::testing::HasSubstr;
 using ::testing::MatchesRegex;
 
-std::vector<std::string> linesOf(const std::filesystem::path &File) {
-  std::ifstream In(File);
+std::vector<std::string> readLines(const std::filesystem::path &File) {
+  std::ifstream Input(File);
   std::vector<std::string> Lines;
-  for (std::string Line; std::getline(In, Line);)
+  for (std::string Line; std::getline(Input, Line);)
     Lines.push_back(Line);
   return Lines;
 }
@@ -31,10 +31,10 @@
     std::filesystem::remove(File);
   }
   void open(LogLevel Level) {
-    TelemetrySettings Where;
-    Where.LogFile = File;
-    Where.Level = Level;
-    openLog(Where);
+    TelemetrySettings Config;
+    Config.LogFile = File;
+    Config.Level = Level;
+    openLog(Config);
   }
   std::filesystem::path File;
 };
@@ -49,8 +49,8 @@
             "why=\"two words\" empty=\"\"");
 }
 
-// A caller names a model with a line end in it and a forged event after it:
-// the log would show an event that never was.
+// Guards against log injection: a caller sends a model name that contains a
+// line end followed by a forged event.
 TEST(EventLine, ValuesCannotForgeLinesOrFields) {
   EXPECT_EQ(eventLine(Event::RequestRefused,
                       {{"model", "a\nE1001 started\r\x1b[2J\x7f"},
@@ -61,7 +61,7 @@
             "third=\"c=d\"");
 }
 
-TEST(EventLine, LongValuesAreCut) {
+TEST(EventLine, LongValuesAreTruncated) {
   const std::string Line =
       eventLine(Event::RequestRefused, {{"model", std::string(100000, 'a')}});
   EXPECT_LT(Line.size(), 600U);
@@ -71,19 +71,19 @@
 TEST_F(LogTest, EventsReachTheFileWithTimeAndLevel) {
   open(LogLevel::Info);
   logEvent(Event::Started, {{"port", 8080}});
-  const auto Lines = linesOf(File);
+  const auto Lines = readLines(File);
   ASSERT_EQ(Lines.size(), 1U);
   EXPECT_THAT(Lines[0],
               MatchesRegex("[0-9]+-[0-9]+-[0-9]+T[0-9:.]+[^ ]* INFO  E1001 "
                            "started port=8080"));
 }
 
-TEST_F(LogTest, LessUrgentEventsAreLeftOut) {
+TEST_F(LogTest, EventsBelowTheLevelAreNotLogged) {
   open(LogLevel::Error);
   logEvent(Event::Started);
   logEvent(Event::Stale);
   logEvent(Event::PortTaken);
-  const auto Lines = linesOf(File);
+  const auto Lines = readLines(File);
   ASSERT_EQ(Lines.size(), 1U);
   EXPECT_THAT(Lines[0], HasSubstr("E1003"));
 }
@@ -91,28 +91,28 @@
 TEST_F(LogTest, LinesOfSeveralThreadsStayWhole) {
   open(LogLevel::Info);
   constexpr int ThreadCount = 4;
-  constexpr int EventsEach = 200;
+  constexpr int EventsPerThread = 200;
   {
     std::vector<std::jthread> Threads;
     for (int Thread = 0; Thread < ThreadCount; ++Thread)
       Threads.emplace_back([] {
-        for (int Number = 0; Number < EventsEach; ++Number)
+        for (int Number = 0; Number < EventsPerThread; ++Number)
           logEvent(Event::PeerConnected, {{"text", std::string(64, 'x')}});
       });
   }
-  const auto Lines = linesOf(File);
-  EXPECT_EQ(Lines.size(), std::size_t{ThreadCount} * EventsEach);
+  const auto Lines = readLines(File);
+  EXPECT_EQ(Lines.size(), std::size_t{ThreadCount} * EventsPerThread);
   for (const std::string &Line : Lines)
     EXPECT_THAT(Line, EndsWith("peer-connected text=" + std::string(64, 'x')));
 }
 
 TEST_F(LogTest, FileThatCannotBeOpenedIsAnError) {
-  TelemetrySettings Where;
-  Where.LogFile = "/nowhere/at/all/log";
-  EXPECT_THROW(openLog(Where), Error);
+  TelemetrySettings Config;
+  Config.LogFile = "/nowhere/at/all/log";
+  EXPECT_THROW(openLog(Config), Error);
 }
 
-TEST(EventSampler, FloodIsHeldBackAndCounted) {
+TEST(EventSampler, EventsAboveTheLimitAreSuppressedAndCounted) {
   EventSampler Sampler(2, seconds(1));
   const TimePoint Start(seconds(100));
   EXPECT_EQ(Sampler.admit(Event::RequestRefused, Start), 0U);
--- a/packages/process/test/coltsfoottrail/logging/peer.cpp
+++ b/packages/process/test/coltsfoottrail/logging/peer.cpp
@@ -10,14 +10,14 @@
 
 using ::testing::HasSubstr;
 
-// Somebody with a wrong key dials again and again: the log must say so without
-// becoming nothing but that.
+// Guards against a flooded log: a peer with a wrong key reconnects in a loop.
+// Some of its refusals must be logged, and other events must still be.
 TEST(PeerLogger, RefusalsAreSampledAndOtherEventsAreNot) {
   const std::filesystem::path File =
       ::testing::TempDir() + "peers-" + std::to_string(::getpid());
-  TelemetrySettings Where;
-  Where.LogFile = File;
-  openLog(Where);
+  TelemetrySettings Config;
+  Config.LogFile = File;
+  openLog(Config);
   PeerLogger Logger;
   const TimePoint Start(seconds(100));
   for (int Count = 0; Count < 100; ++Count)
@@ -27,9 +27,9 @@
   Logger.log(PeerRefused{"10.0.0.9:5", PeerRefusal::Key, ""},
              Start + seconds(10));
   closeLog();
-  std::ifstream In(File);
+  std::ifstream Input(File);
   std::vector<std::string> Lines;
-  for (std::string Line; std::getline(In, Line);)
+  for (std::string Line; std::getline(Input, Line);)
     Lines.push_back(Line);
   ASSERT_EQ(Lines.size(), 8U);
   EXPECT_THAT(Lines[0], HasSubstr("E1203 peer-refused address=10.0.0.9:5 "
--- a/packages/process/test/coltsfoottrail/logging/requestlog.cpp
+++ b/packages/process/test/coltsfoottrail/logging/requestlog.cpp
@@ -8,10 +8,10 @@
 
 constexpr TimePoint Start{seconds(100)};
 
-// The one request that a user complains of is not in the log.
-// Under overload far more requests end than lines can be written; those that
-// failed have a limit of their own, which usual ones do not use up.
-TEST(RequestLogBudget, KeepsFailuresBeforeUsualRequests) {
+// Guards against the log missing the failed request that a user reports. Under
+// overload far more requests end than can be logged; failed ones have a limit
+// of their own, which routine ones cannot use up.
+TEST(RequestLogBudget, RoutineRequestsDoNotUseUpTheLimitOfFailures) {
   RequestLogBudget Budget{RequestLogLimits{2, 3}};
   for (int Index = 0; Index < 10; ++Index)
     (void)Budget.admit(false, Start);
@@ -22,14 +22,14 @@
   EXPECT_FALSE(Budget.admit(true, Start));
 }
 
-TEST(RequestLogBudget, StartsAnewEachSecond) {
+TEST(RequestLogBudget, LimitsApplyToEachSecond) {
   RequestLogBudget Budget{RequestLogLimits{1, 1}};
   EXPECT_TRUE(Budget.admit(false, Start));
   EXPECT_FALSE(Budget.admit(false, Start + milliseconds(999)));
   EXPECT_TRUE(Budget.admit(false, Start + seconds(1)));
 }
 
-TEST(EventLine, PutsTheFirstFieldsFirst) {
+TEST(EventLine, LeadingFieldsAreWrittenFirst) {
   EXPECT_EQ(eventLine(Event::RequestPlaced, {{"pool", "p"}},
                       {{"request", "r1"}, {"at_ms", 7}}),
             "E1311 request-placed request=r1 at_ms=7 pool=p");
