--- a/packages/process/src/coltsfoottrail/telemetry/histogram.cpp
+++ b/packages/process/src/coltsfoottrail/telemetry/histogram.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr double MsInSecond = 1'000.0;
+constexpr double MsPerSecond = 1'000.0;
 
 std::string numberText(double Value) {
   std::array<char, 32> Text{};
@@ -14,19 +14,19 @@
   return Text.data();
 }
 
-void appendSeries(std::string &Out, std::string_view Name,
+void appendSeries(std::string &Output, std::string_view Name,
                   std::string_view Suffix, std::string_view Labels,
                   const std::string &Value) {
-  Out += Name;
-  Out += Suffix;
+  Output += Name;
+  Output += Suffix;
   if (!Labels.empty()) {
-    Out += '{';
-    Out += Labels;
-    Out += '}';
+    Output += '{';
+    Output += Labels;
+    Output += '}';
   }
-  Out += ' ';
-  Out += Value;
-  Out += '\n';
+  Output += ' ';
+  Output += Value;
+  Output += '\n';
 }
 
 } // namespace
@@ -35,29 +35,29 @@
   const double Seconds = std::chrono::duration<double>(Latency).count();
   ++Count;
   SumSeconds += Seconds;
-  for (std::size_t Index = 0; Index < UpperMs.size(); ++Index)
-    if (Seconds * MsInSecond <= UpperMs[Index]) {
+  for (std::size_t Index = 0; Index < UpperBoundsMs.size(); ++Index)
+    if (Seconds * MsPerSecond <= UpperBoundsMs[Index]) {
       ++Buckets[Index];
       return;
     }
 }
 
-void LatencyHistogram::appendTo(std::string &Out, std::string_view Name,
+void LatencyHistogram::appendTo(std::string &Output, std::string_view Name,
                                 std::string_view Labels) const {
-  const std::string Before =
+  const std::string LabelPrefix =
       Labels.empty() ? std::string() : std::string(Labels) + ",";
-  std::uint64_t UpTo = 0;
-  for (std::size_t Index = 0; Index < UpperMs.size(); ++Index) {
-    UpTo += Buckets[Index];
-    appendSeries(Out, Name, "_bucket",
-                 Before + "le=\"" + numberText(UpperMs[Index] / MsInSecond) +
-                     "\"",
-                 std::to_string(UpTo));
+  std::uint64_t Cumulative = 0;
+  for (std::size_t Index = 0; Index < UpperBoundsMs.size(); ++Index) {
+    Cumulative += Buckets[Index];
+    appendSeries(Output, Name, "_bucket",
+                 LabelPrefix + "le=\"" +
+                     numberText(UpperBoundsMs[Index] / MsPerSecond) + "\"",
+                 std::to_string(Cumulative));
   }
-  appendSeries(Out, Name, "_bucket", Before + "le=\"+Inf\"",
+  appendSeries(Output, Name, "_bucket", LabelPrefix + "le=\"+Inf\"",
                std::to_string(Count));
-  appendSeries(Out, Name, "_sum", Labels, numberText(SumSeconds));
-  appendSeries(Out, Name, "_count", Labels, std::to_string(Count));
+  appendSeries(Output, Name, "_sum", Labels, numberText(SumSeconds));
+  appendSeries(Output, Name, "_count", Labels, std::to_string(Count));
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/telemetry/mesh.hpp
+++ b/packages/process/src/coltsfoottrail/telemetry/mesh.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Shows what the mesh counts as metrics.
+/// Exposes the mesh's counters as metrics.
 #ifndef COLTSFOOTTRAIL_TELEMETRY_MESH_HPP
 #define COLTSFOOTTRAIL_TELEMETRY_MESH_HPP
 
@@ -8,11 +8,11 @@
 
 namespace coltsfoottrail {
 
-/// @brief Registers the mesh's counters; each scrape reads them. Call it once
-/// for a mesh. Thread-safe.
-/// @param Into The registry.
-/// @param From The mesh; must outlive the last scrape.
-void exposeMeshMetrics(Metrics &Into, const Mesh &From);
+/// @brief Registers the mesh's counters, which are read at each scrape. Call it
+/// once per mesh. Thread-safe.
+/// @param Registry The registry.
+/// @param Source The mesh; must outlive the last scrape.
+void exposeMeshMetrics(Metrics &Registry, const Mesh &Source);
 
 } // namespace coltsfoottrail
 
--- a/packages/process/src/coltsfoottrail/telemetry/metrics.cpp
+++ b/packages/process/src/coltsfoottrail/telemetry/metrics.cpp
@@ -14,91 +14,91 @@
 constexpr std::string_view OtherValue = "other";
 constexpr std::size_t CacheLine = 64;
 
-struct ShownQuantile {
+struct ExportedQuantile {
   double Probability;
   std::string_view Text;
 };
-constexpr std::array<ShownQuantile, 3> Quantiles = {
+constexpr std::array<ExportedQuantile, 3> Quantiles = {
     {{0.5, "0.5"}, {0.9, "0.9"}, {0.99, "0.99"}}};
 
-bool isLetter(char Letter) {
-  return (Letter >= 'a' && Letter <= 'z') || (Letter >= 'A' && Letter <= 'Z') ||
-         Letter == '_';
+bool isLetter(char Character) {
+  return (Character >= 'a' && Character <= 'z') ||
+         (Character >= 'A' && Character <= 'Z') || Character == '_';
 }
 
 bool isMetricName(std::string_view Text) {
   return !Text.empty() && isLetter(Text.front()) &&
-         std::all_of(Text.begin(), Text.end(), [](char Letter) {
-           return isLetter(Letter) || (Letter >= '0' && Letter <= '9');
+         std::all_of(Text.begin(), Text.end(), [](char Character) {
+           return isLetter(Character) || (Character >= '0' && Character <= '9');
          });
 }
 
-void appendEscaped(std::string &Out, std::string_view Text, bool InQuotes) {
-  for (const char Letter : Text) {
-    if (Letter == '\n')
-      Out += "\\n";
-    else if (Letter == '\\')
-      Out += "\\\\";
-    else if (Letter == '"' && InQuotes)
-      Out += "\\\"";
+void appendEscaped(std::string &Output, std::string_view Text, bool InQuotes) {
+  for (const char Character : Text) {
+    if (Character == '\n')
+      Output += "\\n";
+    else if (Character == '\\')
+      Output += "\\\\";
+    else if (Character == '"' && InQuotes)
+      Output += "\\\"";
     else
-      Out += Letter;
+      Output += Character;
   }
 }
 
-void appendNumber(std::string &Out, double Value) {
+void appendNumber(std::string &Output, double Value) {
   if (std::isnan(Value)) {
-    Out += "NaN";
+    Output += "NaN";
     return;
   }
   if (std::isinf(Value)) {
-    Out += Value > 0 ? "+Inf" : "-Inf";
+    Output += Value > 0 ? "+Inf" : "-Inf";
     return;
   }
   std::array<char, 32> Text{};
   const auto End =
       std::to_chars(Text.data(), Text.data() + Text.size(), Value).ptr;
-  Out.append(Text.data(), End);
+  Output.append(Text.data(), End);
 }
 
-void appendLabel(std::string &Out, std::string_view Key,
+void appendLabel(std::string &Output, std::string_view Key,
                  std::string_view Value) {
-  Out += Out.back() == '{' ? "" : ",";
-  Out += Key;
-  Out += "=\"";
-  appendEscaped(Out, Value, true);
-  Out += '"';
+  Output += Output.back() == '{' ? "" : ",";
+  Output += Key;
+  Output += "=\"";
+  appendEscaped(Output, Value, true);
+  Output += '"';
 }
 
-void appendName(std::string &Out, std::string_view Name,
+void appendName(std::string &Output, std::string_view Name,
                 std::string_view Suffix, const std::vector<Label> &Labels,
                 std::string_view Quantile = {}) {
-  Out += Name;
-  Out += Suffix;
+  Output += Name;
+  Output += Suffix;
   if (Labels.empty() && Quantile.empty())
     return;
-  Out += '{';
+  Output += '{';
   for (const Label &Each : Labels)
-    appendLabel(Out, Each.Key, Each.Value);
+    appendLabel(Output, Each.Key, Each.Value);
   if (!Quantile.empty())
-    appendLabel(Out, "quantile", Quantile);
-  Out += '}';
+    appendLabel(Output, "quantile", Quantile);
+  Output += '}';
 }
 
-void appendSample(std::string &Out, double Value) {
-  Out += ' ';
-  appendNumber(Out, Value);
-  Out += '\n';
+void appendSample(std::string &Output, double Value) {
+  Output += ' ';
+  appendNumber(Output, Value);
+  Output += '\n';
 }
 
 bool sameKeys(const std::vector<Label> &Left, const std::vector<Label> &Right) {
   return std::equal(Left.begin(), Left.end(), Right.begin(), Right.end(),
-                    [](const Label &One, const Label &Other) {
-                      return One.Key == Other.Key;
+                    [](const Label &LeftLabel, const Label &RightLabel) {
+                      return LeftLabel.Key == RightLabel.Key;
                     });
 }
 
-void cutLabels(std::vector<Label> &Labels, std::size_t MaxBytes) {
+void normalizeLabels(std::vector<Label> &Labels, std::size_t MaxBytes) {
   std::sort(Labels.begin(), Labels.end());
   for (Label &Each : Labels) {
     if (!isMetricName(Each.Key))
@@ -133,10 +133,10 @@
 
 Metrics::~Metrics() = default;
 
-Metrics::Shard &Metrics::ownShard() const {
-  static std::atomic<std::size_t> NextThread = 0;
-  thread_local const std::size_t Thread = NextThread++;
-  return (*Shards)[Thread % ShardCount];
+Metrics::Shard &Metrics::threadShard() const {
+  static std::atomic<std::size_t> NextThreadNumber = 0;
+  thread_local const std::size_t ThreadNumber = NextThreadNumber++;
+  return (*Shards)[ThreadNumber % ShardCount];
 }
 
 std::uint32_t Metrics::newIndex(Type Kind) {
@@ -148,29 +148,32 @@
                               std::vector<Label> Labels) {
   if (!isMetricName(Name))
     throw Error("the metric name \"" + std::string(Name) + "\" is malformed");
-  cutLabels(Labels, MaxLabelBytes);
+  normalizeLabels(Labels, MaxLabelBytes);
   const std::lock_guard Lock(Mutex);
-  Family &Its =
+  Family &FamilyEntry =
       Families
           .try_emplace(std::string(Name), Family{Kind, std::string(Help), {}})
           .first->second;
-  if (Its.Kind != Kind)
+  if (FamilyEntry.Kind != Kind)
     throw Error("the metric \"" + std::string(Name) + "\" is of another type");
-  if (!Its.Series.empty() && !sameKeys(Its.Series.begin()->first, Labels))
+  if (!FamilyEntry.Series.empty() &&
+      !sameKeys(FamilyEntry.Series.begin()->first, Labels))
     throw Error("the metric \"" + std::string(Name) + "\" has other labels");
-  if (const auto Found = Its.Series.find(Labels); Found != Its.Series.end())
-    return Found->second;
-  const std::size_t Bound =
+  if (const auto Existing = FamilyEntry.Series.find(Labels);
+      Existing != FamilyEntry.Series.end())
+    return Existing->second;
+  const std::size_t Limit =
       Kind == Type::Summary ? MaxSummarySeries : MaxSeries;
-  if (Its.Series.size() + 1 >= Bound) {
+  if (FamilyEntry.Series.size() + 1 >= Limit) {
     add(CounterId{Families.find(MergedSeriesName)->second.Series.at({})});
-    for (Label &Each : Labels)
-      Each.Value = OtherValue;
+    for (Label &Replaced : Labels)
+      Replaced.Value = OtherValue;
   }
-  const auto [Entry, New] = Its.Series.try_emplace(std::move(Labels), 0);
-  if (New)
+  const auto [Entry, IsNew] =
+      FamilyEntry.Series.try_emplace(std::move(Labels), 0);
+  if (IsNew)
     Entry->second = newIndex(Kind);
-  if (New && Kind == Type::Gauge)
+  if (IsNew && Kind == Type::Gauge)
     Gauges.resize(Entry->second + 1);
   return Entry->second;
 }
@@ -190,95 +193,97 @@
   return SummaryId{series(Type::Summary, Name, Help, std::move(Labels))};
 }
 
-void Metrics::add(CounterId Which, std::uint64_t Amount) {
-  Shard &Own = ownShard();
-  const std::lock_guard Lock(Own.Mutex);
-  if (Own.Counters.size() <= Which.Index)
-    Own.Counters.resize(Which.Index + 1);
-  Own.Counters[Which.Index] += Amount;
+void Metrics::add(CounterId Id, std::uint64_t Amount) {
+  Shard &OwnShard = threadShard();
+  const std::lock_guard Lock(OwnShard.Mutex);
+  if (OwnShard.Counters.size() <= Id.Index)
+    OwnShard.Counters.resize(Id.Index + 1);
+  OwnShard.Counters[Id.Index] += Amount;
 }
 
-void Metrics::set(GaugeId Which, double Value) {
+void Metrics::set(GaugeId Id, double Value) {
   const std::lock_guard Lock(Mutex);
-  Gauges.at(Which.Index) = Value;
+  Gauges.at(Id.Index) = Value;
 }
 
-void Metrics::record(SummaryId Which, Duration Latency, TimePoint Now) {
+void Metrics::record(SummaryId Id, Duration Latency, TimePoint Now) {
   const double InSeconds = std::chrono::duration<double>(Latency).count();
-  Shard &Own = ownShard();
-  const std::lock_guard Lock(Own.Mutex);
-  if (Own.Summaries.size() <= Which.Index)
-    Own.Summaries.resize(Which.Index + 1);
-  if (!Own.Summaries[Which.Index])
-    Own.Summaries[Which.Index] = std::make_unique<LatencySummary>();
-  Own.Summaries[Which.Index]->record(InSeconds, Now);
+  Shard &OwnShard = threadShard();
+  const std::lock_guard Lock(OwnShard.Mutex);
+  if (OwnShard.Summaries.size() <= Id.Index)
+    OwnShard.Summaries.resize(Id.Index + 1);
+  if (!OwnShard.Summaries[Id.Index])
+    OwnShard.Summaries[Id.Index] = std::make_unique<LatencySummary>();
+  OwnShard.Summaries[Id.Index]->record(InSeconds, Now);
 }
 
 void Metrics::onScrape(std::function<void()> Refresh) {
   const std::lock_guard Lock(Mutex);
-  Refreshers.push_back(std::move(Refresh));
+  ScrapeCallbacks.push_back(std::move(Refresh));
 }
 
 Metrics::Merged Metrics::merge(TimePoint Now) const {
-  Merged Out;
-  Out.Counters.resize(NextIndex.at(static_cast<std::size_t>(Type::Counter)));
-  Out.Summaries.resize(NextIndex.at(static_cast<std::size_t>(Type::Summary)));
-  for (Shard &Each : *Shards) {
-    const std::lock_guard Lock(Each.Mutex);
-    for (std::size_t Index = 0; Index < Each.Counters.size(); ++Index)
-      Out.Counters[Index] += Each.Counters[Index];
-    for (std::size_t Index = 0; Index < Each.Summaries.size(); ++Index) {
-      if (!Each.Summaries[Index])
+  Merged Result;
+  Result.Counters.resize(NextIndex.at(static_cast<std::size_t>(Type::Counter)));
+  Result.Summaries.resize(
+      NextIndex.at(static_cast<std::size_t>(Type::Summary)));
+  for (Shard &Source : *Shards) {
+    const std::lock_guard Lock(Source.Mutex);
+    for (std::size_t Index = 0; Index < Source.Counters.size(); ++Index)
+      Result.Counters[Index] += Source.Counters[Index];
+    for (std::size_t Index = 0; Index < Source.Summaries.size(); ++Index) {
+      if (!Source.Summaries[Index])
         continue;
-      Merged::Summary &Into = Out.Summaries[Index];
-      Each.Summaries[Index]->collect(Now, Into.Pieces);
-      Into.Count += Each.Summaries[Index]->count();
-      Into.Sum += Each.Summaries[Index]->sum();
+      Merged::Summary &Total = Result.Summaries[Index];
+      Source.Summaries[Index]->collect(Now, Total.Pieces);
+      Total.Count += Source.Summaries[Index]->count();
+      Total.Sum += Source.Summaries[Index]->sum();
     }
   }
-  return Out;
+  return Result;
 }
 
 std::string Metrics::prometheusText(TimePoint Now) const {
-  std::vector<std::function<void()>> Refresh;
+  std::vector<std::function<void()>> Callbacks;
   {
     const std::lock_guard Lock(Mutex);
-    Refresh = Refreshers;
+    Callbacks = ScrapeCallbacks;
   }
-  for (const auto &Each : Refresh)
-    Each();
+  for (const auto &Callback : Callbacks)
+    Callback();
   constexpr std::array<std::string_view, 3> TypeWords = {"counter", "gauge",
                                                          "summary"};
   const std::lock_guard Lock(Mutex);
-  const Merged All = merge(Now);
-  std::string Out;
-  for (const auto &[Name, Its] : Families) {
-    Out += "# HELP " + Name + " ";
-    appendEscaped(Out, Its.Help, false);
-    Out += "\n# TYPE " + Name + " ";
-    Out += TypeWords.at(static_cast<std::size_t>(Its.Kind));
-    Out += '\n';
-    for (const auto &[Labels, Index] : Its.Series) {
-      if (Its.Kind == Type::Summary) {
-        const Merged::Summary &Summed = All.Summaries[Index];
-        for (const ShownQuantile &Each : Quantiles) {
-          appendName(Out, Name, "", Labels, Each.Text);
-          appendSample(Out, mixtureQuantile(Summed.Pieces, Each.Probability)
-                                .value_or(std::nan("")));
+  const Merged Totals = merge(Now);
+  std::string Output;
+  for (const auto &[Name, FamilyEntry] : Families) {
+    Output += "# HELP " + Name + " ";
+    appendEscaped(Output, FamilyEntry.Help, false);
+    Output += "\n# TYPE " + Name + " ";
+    Output += TypeWords.at(static_cast<std::size_t>(FamilyEntry.Kind));
+    Output += '\n';
+    for (const auto &[Labels, Index] : FamilyEntry.Series) {
+      if (FamilyEntry.Kind == Type::Summary) {
+        const Merged::Summary &Total = Totals.Summaries[Index];
+        for (const ExportedQuantile &Quantile : Quantiles) {
+          appendName(Output, Name, "", Labels, Quantile.Text);
+          appendSample(Output,
+                       mixtureQuantile(Total.Pieces, Quantile.Probability)
+                           .value_or(std::nan("")));
         }
-        appendName(Out, Name, "_sum", Labels);
-        appendSample(Out, Summed.Sum);
-        appendName(Out, Name, "_count", Labels);
-        appendSample(Out, static_cast<double>(Summed.Count));
+        appendName(Output, Name, "_sum", Labels);
+        appendSample(Output, Total.Sum);
+        appendName(Output, Name, "_count", Labels);
+        appendSample(Output, static_cast<double>(Total.Count));
         continue;
       }
-      appendName(Out, Name, "", Labels);
-      appendSample(Out, Its.Kind == Type::Counter
-                            ? static_cast<double>(All.Counters[Index])
-                            : Gauges[Index]);
+      appendName(Output, Name, "", Labels);
+      appendSample(Output, FamilyEntry.Kind == Type::Counter
+                               ? static_cast<double>(Totals.Counters[Index])
+                               : Gauges[Index]);
     }
   }
-  return Out;
+  return Output;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/telemetry/metrics.hpp
+++ b/packages/process/src/coltsfoottrail/telemetry/metrics.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Counters, gauges and latency summaries, shown as Prometheus text.
+/// Counters, gauges and latency summaries in the Prometheus text format.
 #ifndef COLTSFOOTTRAIL_TELEMETRY_METRICS_HPP
 #define COLTSFOOTTRAIL_TELEMETRY_METRICS_HPP
 
@@ -29,36 +29,37 @@
   }
 };
 
-/// A monotonic count of one series.
+/// Handle of a counter series.
 struct CounterId {
   std::uint32_t Index = 0;
 };
-/// A value of one series that goes up and down.
+/// Handle of a gauge series.
 struct GaugeId {
   std::uint32_t Index = 0;
 };
-/// Latencies of one series.
+/// Handle of a latency summary series.
 struct SummaryId {
   std::uint32_t Index = 0;
 };
 
 /// @brief Registry of the process's metrics.
 ///
-/// Thread-safe. Counters and summaries are spread over shards, each under its
+/// Thread-safe. Counters and summaries are spread over shards, each with its
 /// own lock; a thread always uses the same shard, and a scrape merges them.
-/// Gauges are rarely set and stand under the lock of the registry.
+/// Gauges are rarely set and share the lock of the registry.
 ///
-/// Failure guarded against: callers invent label values (models that do not
-/// exist) until the registry fills the memory. Each family has at most
+/// Failure guarded against: callers send ever new label values (models that do
+/// not exist) until the registry exhausts the memory. Each family has at most
 /// MaxSeries (MaxSummarySeries) series; later ones share one whose label values
 /// are "other", and coltsfoottrail_metrics_series_merged_total counts them.
 class Metrics {
 public:
-  /// Most series of a family.
+  /// Maximum number of series of a family.
   static constexpr std::size_t MaxSeries = 256;
-  /// Most series of a family of summaries, which need some kilobytes each.
+  /// Maximum number of series of a summary family, which need some kilobytes
+  /// each.
   static constexpr std::size_t MaxSummarySeries = 64;
-  /// Longest label value; longer ones are cut.
+  /// Maximum length of a label value; longer ones are truncated.
   static constexpr std::size_t MaxLabelBytes = 128;
 
   Metrics();
@@ -66,45 +67,47 @@
   Metrics &operator=(const Metrics &) = delete;
   ~Metrics();
 
-  /// @brief Finds or makes a counter. Keep the answer rather than ask for each
-  /// update.
+  /// @brief Finds or creates a counter. Keep the handle rather than look it up
+  /// for each update.
   /// @param Name Name of the family: letters, digits and underscores.
-  /// @param Help One sentence.
+  /// @param Help One sentence for the HELP line.
   /// @param Labels Labels of the series, with the same keys in all series of a
   /// family.
-  /// @return The series.
-  /// @throws Error The name or a key is malformed, or the family is of another
-  /// type.
+  /// @return Handle of the series.
+  /// @throws Error The name or a key is malformed, or the family has another
+  /// type or other label keys.
   [[nodiscard]] CounterId counter(std::string_view Name, std::string_view Help,
                                   std::vector<Label> Labels = {});
-  /// @brief Finds or makes a gauge; see counter().
+  /// @brief Finds or creates a gauge; see counter().
   [[nodiscard]] GaugeId gauge(std::string_view Name, std::string_view Help,
                               std::vector<Label> Labels = {});
-  /// @brief Finds or makes a summary, in seconds; see counter().
+  /// @brief Finds or creates a latency summary, exported in seconds; see
+  /// counter().
   [[nodiscard]] SummaryId summary(std::string_view Name, std::string_view Help,
                                   std::vector<Label> Labels = {});
 
   /// @brief Adds to a counter.
-  /// @param Which The series.
-  /// @param Amount How much.
-  void add(CounterId Which, std::uint64_t Amount = 1);
+  /// @param Id The series.
+  /// @param Amount Increment.
+  void add(CounterId Id, std::uint64_t Amount = 1);
   /// @brief Sets a gauge.
-  /// @param Which The series.
-  /// @param Value Its value.
-  void set(GaugeId Which, double Value);
-  /// @brief Takes a latency.
-  /// @param Which The series.
-  /// @param Latency How long it took.
-  /// @param Now The time.
-  void record(SummaryId Which, Duration Latency, TimePoint Now);
-
-  /// @brief Registers a function that sets gauges, run before each scrape.
-  /// @param Refresh Must not register metrics' callbacks; may use set() and
-  /// add(). What it refers to must outlive the registry's last scrape.
+  /// @param Id The series.
+  /// @param Value The new value.
+  void set(GaugeId Id, double Value);
+  /// @brief Records a latency.
+  /// @param Id The series.
+  /// @param Latency The latency.
+  /// @param Now The current time.
+  void record(SummaryId Id, Duration Latency, TimePoint Now);
+
+  /// @brief Registers a callback that updates metrics before each scrape.
+  /// @param Refresh The callback. It may call set() and add() but not
+  /// onScrape(); everything it refers to must outlive the registry's last
+  /// scrape.
   void onScrape(std::function<void()> Refresh);
 
-  /// @brief Shows all metrics in the Prometheus text format 0.0.4.
-  /// @param Now The time, for the summaries' windows.
+  /// @brief Formats all metrics in the Prometheus text format 0.0.4.
+  /// @param Now The current time, for the summaries' windows.
   [[nodiscard]] std::string prometheusText(TimePoint Now) const;
 
 private:
@@ -123,13 +126,13 @@
                                      std::vector<Label> Labels);
   [[nodiscard]] std::uint32_t newIndex(Type Kind);
   [[nodiscard]] Merged merge(TimePoint Now) const;
-  [[nodiscard]] Shard &ownShard() const;
+  [[nodiscard]] Shard &threadShard() const;
 
   mutable std::mutex Mutex;
   std::map<std::string, Family, std::less<>> Families;
   std::array<std::uint32_t, 3> NextIndex{};
   std::vector<double> Gauges;
-  std::vector<std::function<void()>> Refreshers;
+  std::vector<std::function<void()>> ScrapeCallbacks;
   std::unique_ptr<std::array<Shard, ShardCount>> Shards;
 };
 
--- a/packages/process/src/coltsfoottrail/telemetry/span.cpp
+++ b/packages/process/src/coltsfoottrail/telemetry/span.cpp
@@ -31,30 +31,30 @@
   return Json{{"key", Key}, {"value", std::move(Value)}};
 }
 
-std::string unixNanos(std::chrono::system_clock::time_point At) {
+std::string unixNanos(std::chrono::system_clock::time_point Time) {
   return std::to_string(std::chrono::duration_cast<std::chrono::nanoseconds>(
-                            At.time_since_epoch())
+                            Time.time_since_epoch())
                             .count());
 }
 
 } // namespace
 
-std::string otlpLine(const Span &Shown, const HostName &Host) {
+std::string otlpLine(const Span &Source, const HostName &Host) {
   Json Line;
-  Line["traceId"] = hexText(Shown.Context.TraceId);
-  Line["spanId"] = hexText(Shown.Context.SpanId);
-  if (Shown.Parent)
-    Line["parentSpanId"] = hexText(*Shown.Parent);
-  Line["name"] = Shown.Name;
-  Line["kind"] = static_cast<int>(Shown.Kind);
-  Line["startTimeUnixNano"] = unixNanos(Shown.Begin);
-  Line["endTimeUnixNano"] = unixNanos(Shown.End);
+  Line["traceId"] = hexText(Source.Context.TraceId);
+  Line["spanId"] = hexText(Source.Context.SpanId);
+  if (Source.Parent)
+    Line["parentSpanId"] = hexText(*Source.Parent);
+  Line["name"] = Source.Name;
+  Line["kind"] = static_cast<int>(Source.Kind);
+  Line["startTimeUnixNano"] = unixNanos(Source.Begin);
+  Line["endTimeUnixNano"] = unixNanos(Source.End);
   Line["attributes"] = Json::array();
-  for (const SpanAttribute &Each : Shown.Attributes)
+  for (const SpanAttribute &Attribute : Source.Attributes)
     Line["attributes"].push_back(
-        attribute(KeyNames.at(static_cast<std::size_t>(Each.Key)),
-                  std::visit(ValueWriter{}, Each.Value)));
-  Line["status"] = Shown.Failed ? Json{{"code", StatusError}} : Json::object();
+        attribute(KeyNames.at(static_cast<std::size_t>(Attribute.Key)),
+                  std::visit(ValueWriter{}, Attribute.Value)));
+  Line["status"] = Source.Failed ? Json{{"code", StatusError}} : Json::object();
   const Json Resource = {
       {"attributes",
        Json::array({attribute("service.name", ValueWriter{}("coltsfoottrail")),
@@ -67,12 +67,12 @@
   return Request.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-SpanWriter::SpanWriter(const std::filesystem::path &File, HostName Self,
-                       std::size_t MaxWaiting)
-    : Host(std::move(Self)), Bound(MaxWaiting),
-      Out(std::fopen(File.c_str(), "ae")) {
-  if (Out == nullptr)
-    throw Error("the trace file \"" + File.string() +
+SpanWriter::SpanWriter(const std::filesystem::path &Path, HostName Self,
+                       std::size_t MaxQueued)
+    : Host(std::move(Self)), Capacity(MaxQueued),
+      File(std::fopen(Path.c_str(), "ae")) {
+  if (File == nullptr)
+    throw Error("the trace file \"" + Path.string() +
                 "\" cannot be opened for writing");
   Thread = std::thread([this] { run(); });
 }
@@ -80,11 +80,11 @@
 SpanWriter::~SpanWriter() {
   {
     const std::lock_guard Lock(Mutex);
-    Ending = true;
+    Stopping = true;
   }
-  Changed.notify_one();
+  QueueChanged.notify_one();
   Thread.join();
-  std::fclose(Out);
+  std::fclose(File);
 }
 
 bool SpanWriter::write(Span Finished) {
@@ -92,24 +92,24 @@
     return true;
   {
     const std::lock_guard Lock(Mutex);
-    if (Waiting.size() >= Bound) {
+    if (Queue.size() >= Capacity) {
       ++Dropped;
       return false;
     }
-    Waiting.push_back(std::move(Finished));
+    Queue.push_back(std::move(Finished));
   }
-  Changed.notify_one();
+  QueueChanged.notify_one();
   return true;
 }
 
 void SpanWriter::run() {
   std::unique_lock Lock(Mutex);
   while (true) {
-    Changed.wait(Lock, [this] { return Ending || !Waiting.empty(); });
-    if (Waiting.empty())
+    QueueChanged.wait(Lock, [this] { return Stopping || !Queue.empty(); });
+    if (Queue.empty())
       return;
     std::deque<Span> Batch;
-    Batch.swap(Waiting);
+    Batch.swap(Queue);
     Lock.unlock();
     writeAll(Batch);
     Lock.lock();
@@ -117,14 +117,14 @@
 }
 
 void SpanWriter::writeAll(const std::deque<Span> &Batch) {
-  for (const Span &Each : Batch) {
-    const std::string Line = otlpLine(Each, Host) + "\n";
-    if (std::fwrite(Line.data(), 1, Line.size(), Out) == Line.size())
+  for (const Span &Finished : Batch) {
+    const std::string Line = otlpLine(Finished, Host) + "\n";
+    if (std::fwrite(Line.data(), 1, Line.size(), File) == Line.size())
       ++Written;
     else
       ++Dropped;
   }
-  std::fflush(Out);
+  std::fflush(File);
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/telemetry/summary.cpp
+++ b/packages/process/src/coltsfoottrail/telemetry/summary.cpp
@@ -10,12 +10,12 @@
 
 namespace acc = boost::accumulators;
 
-/// Where the P-square markers stand.
+/// Probabilities of the P-square markers.
 constexpr std::array<double, 9> Probabilities = {0.1,  0.25, 0.5,   0.75, 0.9,
                                                  0.95, 0.99, 0.995, 0.999};
 /// Values kept exactly in each window.
 constexpr std::size_t MaxExact = 64;
-/// Steps of the search for a quantile; halves an interval each.
+/// Steps of the binary search for a quantile; each halves the interval.
 constexpr int SearchSteps = 60;
 
 double weightBelow(const QuantilePiece &Piece, double Value) {
@@ -28,8 +28,8 @@
 
 double weightBelow(std::span<const QuantilePiece> Pieces, double Value) {
   double Sum = 0;
-  for (const QuantilePiece &Each : Pieces)
-    Sum += weightBelow(Each, Value);
+  for (const QuantilePiece &Piece : Pieces)
+    Sum += weightBelow(Piece, Value);
   return Sum;
 }
 
@@ -42,15 +42,15 @@
   double Low = Pieces.front().Lower;
   double High = Pieces.front().Upper;
   double Total = 0;
-  for (const QuantilePiece &Each : Pieces) {
-    Low = std::min(Low, Each.Lower);
-    High = std::max(High, Each.Upper);
-    Total += Each.Weight;
+  for (const QuantilePiece &Piece : Pieces) {
+    Low = std::min(Low, Piece.Lower);
+    High = std::max(High, Piece.Upper);
+    Total += Piece.Weight;
   }
-  const double Wanted = Probability * Total;
+  const double TargetWeight = Probability * Total;
   for (int Step = 0; Step < SearchSteps && Low < High; ++Step) {
     const double Middle = std::midpoint(Low, High);
-    if (weightBelow(Pieces, Middle) < Wanted)
+    if (weightBelow(Pieces, Middle) < TargetWeight)
       Low = Middle;
     else
       High = Middle;
@@ -69,37 +69,38 @@
   Estimate(Value);
 }
 
-void LatencySummary::Period::collect(std::vector<QuantilePiece> &Out) const {
+void LatencySummary::Period::collect(std::vector<QuantilePiece> &Pieces) const {
   const auto Samples = static_cast<double>(acc::count(Estimate));
   if (acc::count(Estimate) <= MaxExact) {
     for (const double Value : Exact)
-      Out.push_back(QuantilePiece{Value, Value, 1});
+      Pieces.push_back(QuantilePiece{Value, Value, 1});
     return;
   }
   const auto Markers = acc::extended_p_square(Estimate);
-  double From = acc::min(Estimate);
-  double Reached = 0;
+  double Lower = acc::min(Estimate);
+  double LowerProbability = 0;
   for (std::size_t Index = 0; Index < Probabilities.size(); ++Index) {
-    const double To = std::max(From, static_cast<double>(Markers[Index]));
-    const double Share = Probabilities.at(Index) - Reached;
-    Out.push_back(QuantilePiece{From, To, Share * Samples});
-    From = To;
-    Reached = Probabilities.at(Index);
+    const double Upper = std::max(Lower, static_cast<double>(Markers[Index]));
+    const double Share = Probabilities.at(Index) - LowerProbability;
+    Pieces.push_back(QuantilePiece{Lower, Upper, Share * Samples});
+    Lower = Upper;
+    LowerProbability = Probabilities.at(Index);
   }
-  const double Last = std::max(From, acc::max(Estimate));
-  Out.push_back(QuantilePiece{From, Last, (1 - Reached) * Samples});
+  const double Maximum = std::max(Lower, acc::max(Estimate));
+  Pieces.push_back(
+      QuantilePiece{Lower, Maximum, (1 - LowerProbability) * Samples});
 }
 
 void LatencySummary::record(double Value, TimePoint Now) {
   if (!std::isfinite(Value))
     return;
-  if (Current && Now - Begin >= Window) {
-    const bool Follows = Now - Begin < 2 * Window;
-    Last = Follows ? std::move(Current) : std::nullopt;
+  if (Current && Now - WindowStart >= Window) {
+    const bool IsAdjacent = Now - WindowStart < 2 * Window;
+    Previous = IsAdjacent ? std::move(Current) : std::nullopt;
     Current.reset();
   }
   if (!Current) {
-    Begin = Now;
+    WindowStart = Now;
     Current.emplace();
   }
   Current->record(Value);
@@ -108,12 +109,12 @@
 }
 
 void LatencySummary::collect(TimePoint Now,
-                             std::vector<QuantilePiece> &Out) const {
-  if (!Current || Now - Begin >= 2 * Window)
+                             std::vector<QuantilePiece> &Pieces) const {
+  if (!Current || Now - WindowStart >= 2 * Window)
     return;
-  Current->collect(Out);
-  if (Last && Now - Begin < Window)
-    Last->collect(Out);
+  Current->collect(Pieces);
+  if (Previous && Now - WindowStart < Window)
+    Previous->collect(Pieces);
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/telemetry/summary.hpp
+++ b/packages/process/src/coltsfoottrail/telemetry/summary.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Quantiles of latencies in constant memory.
+/// Latency quantiles in constant memory.
 #ifndef COLTSFOOTTRAIL_TELEMETRY_SUMMARY_HPP
 #define COLTSFOOTTRAIL_TELEMETRY_SUMMARY_HPP
 
@@ -19,26 +19,26 @@
 
 namespace coltsfoottrail {
 
-/// @brief A share of a distribution: a straight line between two values that
-/// holds some of the samples.
+/// @brief A piece of a distribution: an interval over which some of the samples
+/// are taken to be spread evenly.
 struct QuantilePiece {
   double Lower = 0;
   double Upper = 0;
-  /// Samples that lie in it.
+  /// Number of samples in the interval.
   double Weight = 0;
 };
 
-/// @brief Quantile of a mixture of pieces, which is how estimates of several
-/// shards become one. Thread-safe.
+/// @brief Quantile of a mixture of pieces; merges the estimates of several
+/// shards into one. Thread-safe.
 /// @param Pieces All pieces of all shards; may be empty.
 /// @param Probability From 0 to 1.
-/// @return The value; nothing without samples.
+/// @return The quantile; nothing if there are no samples.
 [[nodiscard]] std::optional<double>
 mixtureQuantile(std::span<const QuantilePiece> Pieces, double Probability);
 
-/// @brief Estimates the quantiles of the last one to two windows of a stream of
-/// values; sum and count are of all time. Not thread-safe: it stands under the
-/// lock of its shard.
+/// @brief Estimates the quantiles of a stream of values over the last one to
+/// two windows; sum and count cover all values ever recorded. Not thread-safe:
+/// the lock of its shard protects it.
 ///
 /// The first values of a window are kept exactly, since the P-square estimate
 /// (Boost.Accumulators) is meaningless before its markers have settled.
@@ -47,19 +47,19 @@
   /// Length of a window.
   static constexpr Duration Window = seconds(60);
 
-  /// @brief Takes a value.
+  /// @brief Records a value; one that is not finite is ignored.
   /// @param Value The value, in any unit.
-  /// @param Now The time; never earlier than in the last call.
+  /// @param Now The current time; must not decrease between calls.
   void record(double Value, TimePoint Now);
 
   /// @brief Appends the pieces of the last one to two windows.
-  /// @param Now The time.
-  /// @param Out Where to.
-  void collect(TimePoint Now, std::vector<QuantilePiece> &Out) const;
+  /// @param Now The current time.
+  /// @param Pieces Pieces are appended to it.
+  void collect(TimePoint Now, std::vector<QuantilePiece> &Pieces) const;
 
-  /// @brief Counts all values ever taken.
+  /// @brief Number of all values ever recorded.
   [[nodiscard]] std::uint64_t count() const noexcept { return Count; }
-  /// @brief Sum of all values ever taken.
+  /// @brief Sum of all values ever recorded.
   [[nodiscard]] double sum() const noexcept { return Sum; }
 
 private:
@@ -71,15 +71,15 @@
   struct Period {
     Period();
     void record(double Value);
-    void collect(std::vector<QuantilePiece> &Out) const;
+    void collect(std::vector<QuantilePiece> &Pieces) const;
 
     std::vector<double> Exact;
     Estimator Estimate;
   };
 
-  TimePoint Begin{};
+  TimePoint WindowStart{};
   std::optional<Period> Current;
-  std::optional<Period> Last;
+  std::optional<Period> Previous;
   std::uint64_t Count = 0;
   double Sum = 0;
 };
--- a/packages/process/src/coltsfoottrail/telemetry/trace.hpp
+++ b/packages/process/src/coltsfoottrail/telemetry/trace.hpp
@@ -14,8 +14,7 @@
 
 namespace coltsfoottrail {
 
-/// @brief The trace that a request belongs to and the span that caused this
-/// one.
+/// @brief A trace and one of its spans, as in a `traceparent` header.
 struct TraceContext {
   std::array<std::uint8_t, 16> TraceId{};
   std::array<std::uint8_t, 8> SpanId{};
@@ -25,14 +24,15 @@
 };
 
 /// @brief Reads a `traceparent` header. Thread-safe.
-/// @param Header Its value, as it came.
-/// @return The context; nothing when it is malformed, all zeros, or of version
-/// ff. Later versions are read like version 00, as the recommendation asks.
+/// @param Header Value of the header.
+/// @return The context; nothing if the value is malformed, has an identifier of
+/// zeros only, or is of version ff. Later versions are read like version 00, as
+/// the W3C recommendation asks for.
 [[nodiscard]] std::optional<TraceContext>
 parseTraceparent(std::string_view Header);
 
 /// @brief Writes a `traceparent` header of version 00. Thread-safe.
-/// @param Context What to write.
+/// @param Context The context.
 /// @return 55 characters.
 [[nodiscard]] std::string formatTraceparent(const TraceContext &Context);
 
@@ -41,36 +41,38 @@
 template <std::size_t Size>
 [[nodiscard]] std::string hexText(const std::array<std::uint8_t, Size> &Bytes) {
   constexpr std::string_view Digits = "0123456789abcdef";
-  std::string Out;
+  std::string Text;
   for (const std::uint8_t Byte : Bytes) {
-    Out += Digits[Byte >> 4U];
-    Out += Digits[Byte & 0x0fU];
+    Text += Digits[Byte >> 4U];
+    Text += Digits[Byte & 0x0fU];
   }
-  return Out;
+  return Text;
 }
 
 /// @brief Source of trace and span identifiers. Thread-safe.
 class TraceIds {
 public:
-  /// @brief Starts a sequence.
-  /// @param Seed Equal seeds give equal identifiers; a process takes a random
+  /// @brief Seeds the generator.
+  /// @param Seed Equal seeds give equal identifiers; a process uses a random
   /// one.
-  /// @param SampledShare Share of the traces begun here that are sampled, 0 to
-  /// 1; a trace begun elsewhere keeps its flag.
+  /// @param SampledShare Share of the traces started here that are sampled, 0
+  /// to 1; a trace started elsewhere keeps its flag.
   TraceIds(std::uint64_t Seed, double SampledShare) noexcept
       : Source(Seed), Share(SampledShare) {}
 
-  /// @brief Begins a trace.
+  /// @brief Starts a trace.
   [[nodiscard]] TraceContext root();
-  /// @brief Begins a span below another one.
-  /// @param Parent The other span; its trace and flag are kept.
+  /// @brief Starts a child span.
+  /// @param Parent The parent span, whose trace and sampled flag are kept.
   [[nodiscard]] TraceContext child(const TraceContext &Parent);
-  /// @brief Continues what a caller sent, or begins a trace.
-  /// @param Header Value of `traceparent`; empty when there was none.
+  /// @brief Continues the caller's trace, or starts one if its header is
+  /// missing or malformed.
+  /// @param Header Value of `traceparent`; empty if there was none.
   [[nodiscard]] TraceContext accept(std::string_view Header);
 
 private:
-  template <std::size_t Size> void draw(std::array<std::uint8_t, Size> &Out);
+  template <std::size_t Size>
+  void draw(std::array<std::uint8_t, Size> &Identifier);
 
   std::mutex Mutex;
   Random Source;
--- a/packages/process/test/coltsfoottrail/telemetry/histogram.cpp
+++ b/packages/process/test/coltsfoottrail/telemetry/histogram.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 TEST(LatencyHistogram, BucketsAreCumulative) {
-  LatencyHistogram Taken;
-  Taken.record(milliseconds(5));
-  Taken.record(milliseconds(250));
-  Taken.record(seconds(60));
+  LatencyHistogram Histogram;
+  Histogram.record(milliseconds(5));
+  Histogram.record(milliseconds(250));
+  Histogram.record(seconds(60));
   std::string Text;
-  Taken.appendTo(Text, "wait_seconds", R"(kind="order")");
+  Histogram.appendTo(Text, "wait_seconds", R"(kind="order")");
   EXPECT_NE(Text.find("wait_seconds_bucket{kind=\"order\",le=\"0.005\"} 1\n"),
             std::string::npos);
   EXPECT_NE(Text.find("wait_seconds_bucket{kind=\"order\",le=\"0.3\"} 2\n"),
@@ -27,7 +27,7 @@
             std::string::npos);
 }
 
-TEST(LatencyHistogram, ShowsNoBracesWithoutLabels) {
+TEST(LatencyHistogram, HasNoBracesWithoutLabels) {
   const LatencyHistogram Empty;
   std::string Text;
   Empty.appendTo(Text, "gap_seconds", "");
--- a/packages/process/test/coltsfoottrail/telemetry/mesh.cpp
+++ b/packages/process/test/coltsfoottrail/telemetry/mesh.cpp
@@ -11,7 +11,7 @@
 
 using ::testing::HasSubstr;
 
-MeshConfig configOf(const char *Name) {
+MeshConfig makeConfig(const char *Name) {
   MeshConfig Config;
   Config.Self = HostName(Name);
   Config.Run = 1;
@@ -21,8 +21,8 @@
 }
 
 TEST(MeshMetrics, EachMessageIsCountedOnceOverSeveralScrapes) {
-  Mesh One(configOf("one"));
-  Mesh Two(configOf("two"));
+  Mesh One(makeConfig("one"));
+  Mesh Two(makeConfig("two"));
   Metrics Registry;
   exposeMeshMetrics(Registry, Two);
   const TimePoint Now(seconds(1));
--- a/packages/process/test/coltsfoottrail/telemetry/metrics.cpp
+++ b/packages/process/test/coltsfoottrail/telemetry/metrics.cpp
@@ -52,8 +52,9 @@
   EXPECT_THAT(Text, HasSubstr("latency_seconds_count 2000\n"));
 }
 
-// A caller asks for a new model name in each request: without a bound each
-// would be a series for ever, and the entry host runs out of memory.
+// Guards against unbounded label values: a caller that sends a new model name
+// in each request would add a permanent series each time, until the entry host
+// runs out of memory.
 TEST(Metrics, InventedLabelsShareOneSeries) {
   Metrics Registry;
   for (int Number = 0; Number < 1000; ++Number)
--- a/packages/process/test/coltsfoottrail/telemetry/span.cpp
+++ b/packages/process/test/coltsfoottrail/telemetry/span.cpp
@@ -11,35 +11,35 @@
 namespace coltsfoottrail {
 namespace {
 
-std::filesystem::path temporary(const std::string &Name) {
+std::filesystem::path temporaryPath(const std::string &Name) {
   return ::testing::TempDir() + Name + "-" + std::to_string(::getpid());
 }
 
 Span makeSpan(bool Sampled) {
   TraceIds Ids(3, Sampled ? 1.0 : 0.0);
-  Span Out;
-  Out.Name = "dispatch";
-  Out.Kind = SpanKind::Client;
-  Out.Parent = Ids.root().SpanId;
-  Out.Context = Ids.root();
-  Out.Begin = std::chrono::system_clock::time_point(std::chrono::seconds(5));
-  Out.End = Out.Begin + std::chrono::milliseconds(1);
-  Out.Failed = true;
-  Out.Attributes = {{SpanKey::Endpoint, std::string(1000, 'x')},
-                    {SpanKey::Attempt, std::int64_t{2}},
-                    {SpanKey::Streamed, true}};
-  return Out;
+  Span Result;
+  Result.Name = "dispatch";
+  Result.Kind = SpanKind::Client;
+  Result.Parent = Ids.root().SpanId;
+  Result.Context = Ids.root();
+  Result.Begin = std::chrono::system_clock::time_point(std::chrono::seconds(5));
+  Result.End = Result.Begin + std::chrono::milliseconds(1);
+  Result.Failed = true;
+  Result.Attributes = {{SpanKey::Endpoint, std::string(1000, 'x')},
+                       {SpanKey::Attempt, std::int64_t{2}},
+                       {SpanKey::Streamed, true}};
+  return Result;
 }
 
 TEST(SpanLine, IsOtlpJson) {
-  const Span Shown = makeSpan(true);
-  const Json Line = parseJson(otlpLine(Shown, HostName("entry-1")), "line")
+  const Span Source = makeSpan(true);
+  const Json Line = parseJson(otlpLine(Source, HostName("entry-1")), "line")
                         .at("resourceSpans");
   EXPECT_EQ(Line[0]["resource"]["attributes"][1]["value"]["stringValue"],
             "entry-1");
   const Json Written = Line[0]["scopeSpans"][0]["spans"][0];
-  EXPECT_EQ(Written["traceId"], hexText(Shown.Context.TraceId));
-  EXPECT_EQ(Written["parentSpanId"], hexText(*Shown.Parent));
+  EXPECT_EQ(Written["traceId"], hexText(Source.Context.TraceId));
+  EXPECT_EQ(Written["parentSpanId"], hexText(*Source.Parent));
   EXPECT_EQ(Written["kind"], 3);
   EXPECT_EQ(Written["startTimeUnixNano"], "5000000000");
   EXPECT_EQ(Written["endTimeUnixNano"], "5001000000");
@@ -50,13 +50,13 @@
   EXPECT_EQ(Written["attributes"][2]["value"]["boolValue"], true);
 }
 
-TEST(SpanLine, SecretsHaveNoWayIn) {
+TEST(SpanLine, SecretsCannotBeAttributes) {
   static_assert(
       !std::is_constructible_v<decltype(SpanAttribute::Value), Secret>);
 }
 
 TEST(SpanWriter, SampledSpansAreAppended) {
-  const std::filesystem::path File = temporary("spans");
+  const std::filesystem::path File = temporaryPath("spans");
   {
     SpanWriter Writer(File, HostName("entry-1"));
     EXPECT_TRUE(Writer.write(makeSpan(true)));
@@ -71,11 +71,11 @@
   std::filesystem::remove(File);
 }
 
-// The file system stalls: requests must not wait for their spans, and an
-// operator must see that spans are missing. The file is a pipe that nobody
-// reads, so the writer's thread stays in its first writes.
+// Guards against a stalled file system: requests must not wait for their spans,
+// and the dropped spans must be counted. The file is a pipe that is not read,
+// so the writer's thread blocks in its first writes.
 TEST(SpanWriter, StalledFileDropsSpansAndCountsThem) {
-  const std::filesystem::path File = temporary("pipe");
+  const std::filesystem::path File = temporaryPath("pipe");
   ASSERT_EQ(::mkfifo(File.c_str(), 0600), 0);
   std::fstream Reader(File, std::ios::in | std::ios::out);
   constexpr std::uint64_t Count = 2000;
--- a/packages/process/test/coltsfoottrail/telemetry/summary.cpp
+++ b/packages/process/test/coltsfoottrail/telemetry/summary.cpp
@@ -29,8 +29,9 @@
   EXPECT_EQ(Summary.sum(), 15.0);
 }
 
-// Two threads of which one serves slow requests: the mean of both p99 would
-// hide the slow ones; the mixture must agree with the quantile of all values.
+// Guards against averaged quantiles: if one of two threads serves slow
+// requests, the mean of the p99 values of both hides them. The quantile of the
+// mixture must agree with that of all values.
 TEST(LatencySummary, ShardsMergeToTheQuantileOfAllValues) {
   Random Source(7);
   LatencySummary Fast;
@@ -59,9 +60,9 @@
   }
 }
 
-// A data centre was slow an hour ago: the p99 shown now must not still be that
-// of the slow time.
-TEST(LatencySummary, OldWindowsAreForgotten) {
+// Guards against stale quantiles: after a slow period, the p99 must not stay at
+// the value of that period.
+TEST(LatencySummary, OldWindowsAreDiscarded) {
   LatencySummary Summary;
   Summary.record(100, Start);
   const TimePoint Later = Start + LatencySummary::Window;
