--- a/packages/process/src/coltsfoottrail/cli/client.cpp
+++ b/packages/process/src/coltsfoottrail/cli/client.cpp
@@ -12,55 +12,55 @@
 Json readAnswer(const HttpResponse &Answer) {
   if (Answer.Status != StatusOk)
     throw problemOf(Answer.Status, Answer.Body);
-  Json Out = Json::parse(Answer.Body, nullptr, false);
-  if (!Out.is_object())
+  Json Parsed = Json::parse(Answer.Body, nullptr, false);
+  if (!Parsed.is_object())
     throw CommandError(ExitCode::NoAnswer,
                        "an entry host's answer is no JSON object");
-  return Out;
+  return Parsed;
 }
 
 } // namespace
 
-OperatorClient::OperatorClient(ConnectionOptions Given, Secret Credential,
-                               Send Sender)
-    : Options(std::move(Given)), Proof(std::move(Credential)),
-      Sending(std::move(Sender)) {}
+OperatorClient::OperatorClient(ConnectionOptions Connection,
+                               Secret OperatorCredential, Send SendFunction)
+    : Options(std::move(Connection)), Credential(std::move(OperatorCredential)),
+      Sender(std::move(SendFunction)) {}
 
-HttpRequest OperatorClient::requestTo(const std::string &Target) const {
-  HttpRequest Out;
-  Out.Target = Target;
-  Out.Fields.push_back(
-      {"Authorization", "Bearer " + std::string(Proof.reveal())});
+HttpRequest OperatorClient::makeRequest(const std::string &Target) const {
+  HttpRequest Request;
+  Request.Target = Target;
+  Request.Fields.push_back(
+      {"Authorization", "Bearer " + std::string(Credential.reveal())});
   if (!Options.Operator.empty())
-    Out.Fields.push_back({"Coltsfoottrail-Operator", Options.Operator});
-  return Out;
+    Request.Fields.push_back({"Coltsfoottrail-Operator", Options.Operator});
+  return Request;
 }
 
-Json OperatorClient::call(const HttpRequest &Asked, Kind What) const {
-  std::string Tried;
+Json OperatorClient::call(const HttpRequest &Request, Kind Effect) const {
+  std::string TriedHosts;
   for (const EngineAddress &Host : Options.Hosts) {
-    const auto Got = Sending(Host, Asked, Options.Timeout);
-    if (const auto *const Answer = std::get_if<HttpResponse>(&Got))
+    const auto Outcome = Sender(Host, Request, Options.Timeout);
+    if (const auto *const Answer = std::get_if<HttpResponse>(&Outcome))
       return readAnswer(*Answer);
-    const CallFailure &Failed = std::get<CallFailure>(Got);
-    if (What == Kind::Change && Failed.State != RunState::NotRun)
+    const CallFailure &Failure = std::get<CallFailure>(Outcome);
+    if (Effect == Kind::Change && Failure.State != RunState::NotRun)
       throw AnswerLost(textOf(Host));
-    Tried += (Tried.empty() ? "" : ", ") + textOf(Host);
+    TriedHosts += (TriedHosts.empty() ? "" : ", ") + textOf(Host);
   }
   throw CommandError(ExitCode::NoAnswer,
-                     "no entry host answers; tried " + Tried);
+                     "no entry host answers; tried " + TriedHosts);
 }
 
 Json OperatorClient::query(const std::string &Target) const {
-  return call(requestTo(Target), Kind::Lookup);
+  return call(makeRequest(Target), Kind::Query);
 }
 
 Json OperatorClient::submit(const std::string &Target, const Json &Body) const {
-  HttpRequest Asked = requestTo(Target);
-  Asked.Method = "POST";
-  Asked.Fields.push_back({"Content-Type", "application/json"});
-  Asked.Body = Body.dump(-1, ' ', false, Json::error_handler_t::replace);
-  return call(Asked, Kind::Change);
+  HttpRequest Request = makeRequest(Target);
+  Request.Method = "POST";
+  Request.Fields.push_back({"Content-Type", "application/json"});
+  Request.Body = Body.dump(-1, ' ', false, Json::error_handler_t::replace);
+  return call(Request, Kind::Change);
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/cli/client.hpp
+++ b/packages/process/src/coltsfoottrail/cli/client.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Calls to the operators' interface of whichever entry host answers.
+/// Client of the operators' interface, which tries several entry hosts.
 #ifndef COLTSFOOTTRAIL_CLI_CLIENT_HPP
 #define COLTSFOOTTRAIL_CLI_CLIENT_HPP
 
@@ -14,11 +14,11 @@
 
 namespace coltsfoottrail {
 
-/// @brief A request that may have been carried out although no answer came. It
-/// is not sent again; the status tells what became of it.
+/// @brief A request may have been executed although no answer arrived. It is
+/// not retried; the status shows whether it took effect.
 class AnswerLost : public CommandError {
 public:
-  /// @brief Says at which host an answer was lost.
+  /// @brief Reports the host whose answer was lost.
   /// @param Host The host.
   explicit AnswerLost(const std::string &Host)
       : CommandError(ExitCode::NoAnswer,
@@ -28,46 +28,47 @@
                          "again") {}
 };
 
-/// @brief Calls entry hosts in order. Belongs to one thread.
+/// @brief Calls entry hosts in order until one answers. Not thread-safe.
 ///
 /// Failure guarded against: a confirmation whose answer is lost is sent again
-/// to another host and takes effect a second time, or is told to be a conflict
-/// with itself. So a request that changes something goes to the next host only
-/// where no byte of it can have left this one.
+/// to another host and takes effect twice, or is refused as a conflict with
+/// itself. A request that changes something is therefore sent to the next host
+/// only if no byte of it can have been sent to the previous one.
 class OperatorClient {
 public:
-  /// Sends one request and gives the answer.
+  /// Sends one request and returns the answer.
   using Send = std::function<std::variant<HttpResponse, CallFailure>(
       const EngineAddress &, HttpRequest, milliseconds)>;
 
   /// @brief Makes a client.
-  /// @param Given Hosts, operator and timeout.
-  /// @param Credential The operators' credential.
-  /// @param Sender How to send; fetchBlocking outside of tests.
-  OperatorClient(ConnectionOptions Given, Secret Credential, Send Sender);
+  /// @param Connection Hosts, operator and timeout.
+  /// @param OperatorCredential The operators' credential.
+  /// @param SendFunction Sends a request; fetchBlocking outside of tests.
+  OperatorClient(ConnectionOptions Connection, Secret OperatorCredential,
+                 Send SendFunction);
 
-  /// @brief Looks something up; may be asked of several hosts.
-  /// @param Target Path.
+  /// @brief Sends a GET request; retried on the other hosts.
+  /// @param Target Path of the request.
   /// @return The answer's body.
   /// @throws CommandError No host answers, or the answer is a refusal.
   [[nodiscard]] Json query(const std::string &Target) const;
 
-  /// @brief Sends a request that changes something; at most one host gets it.
-  /// @param Target Path.
-  /// @param Body What to send.
+  /// @brief Sends a POST request, which at most one host executes.
+  /// @param Target Path of the request.
+  /// @param Body Body of the request.
   /// @return The answer's body.
-  /// @throws AnswerLost It may have been taken.
+  /// @throws AnswerLost The request may have been executed.
   /// @throws CommandError No host answers, or the answer is a refusal.
   [[nodiscard]] Json submit(const std::string &Target, const Json &Body) const;
 
 private:
-  enum class Kind : std::uint8_t { Lookup, Change };
-  [[nodiscard]] Json call(const HttpRequest &Asked, Kind What) const;
-  [[nodiscard]] HttpRequest requestTo(const std::string &Target) const;
+  enum class Kind : std::uint8_t { Query, Change };
+  [[nodiscard]] Json call(const HttpRequest &Request, Kind Effect) const;
+  [[nodiscard]] HttpRequest makeRequest(const std::string &Target) const;
 
   ConnectionOptions Options;
-  Secret Proof;
-  Send Sending;
+  Secret Credential;
+  Send Sender;
 };
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/cli/command.cpp
+++ b/packages/process/src/coltsfoottrail/cli/command.cpp
@@ -55,131 +55,133 @@
   throw CommandError(ExitCode::WrongUsage, Text);
 }
 
-std::uint64_t parseNumber(std::string_view What, std::string_view Text,
+std::uint64_t parseNumber(std::string_view Argument, std::string_view Text,
                           std::uint64_t Min, std::uint64_t Max) {
-  std::uint64_t Out = 0;
+  std::uint64_t Number = 0;
   const char *const End = Text.data() + Text.size();
-  const auto Parsed = std::from_chars(Text.data(), End, Out);
-  if (Parsed.ec != std::errc{} || Parsed.ptr != End || Out < Min || Out > Max)
-    refuse(std::string(What) + ": found \"" + printable(Text) +
+  const auto Parsed = std::from_chars(Text.data(), End, Number);
+  if (Parsed.ec != std::errc{} || Parsed.ptr != End || Number < Min ||
+      Number > Max)
+    refuse(std::string(Argument) + ": found \"" + printable(Text) +
            "\"; allowed: a whole number from " + std::to_string(Min) + " to " +
            std::to_string(Max));
-  return Out;
+  return Number;
 }
 
 template <class NameType>
-NameType parseName(std::string_view What, const std::string &Text) {
-  const bool Plain = std::ranges::all_of(
-      Text, [](char Letter) { return Letter > ' ' && Letter <= '~'; });
-  if (Text.empty() || Text.size() > MaxNameBytes || !Plain)
-    refuse(std::string(What) + ": found \"" + printable(Text) +
+NameType parseName(std::string_view Argument, const std::string &Text) {
+  const bool IsPrintable = std::ranges::all_of(
+      Text, [](char Character) { return Character > ' ' && Character <= '~'; });
+  if (Text.empty() || Text.size() > MaxNameBytes || !IsPrintable)
+    refuse(std::string(Argument) + ": found \"" + printable(Text) +
            "\"; allowed: a name of 1 to 128 printable characters, no blanks");
   return NameType(Text);
 }
 
 std::vector<std::string> splitAtCommas(const std::string &Text) {
-  std::vector<std::string> Out;
-  std::size_t From = 0;
+  std::vector<std::string> Items;
+  std::size_t Begin = 0;
   while (true) {
-    const std::size_t Comma = Text.find(',', From);
-    Out.push_back(Text.substr(From, Comma - From));
+    const std::size_t Comma = Text.find(',', Begin);
+    Items.push_back(Text.substr(Begin, Comma - Begin));
     if (Comma == std::string::npos)
-      return Out;
-    From = Comma + 1;
+      return Items;
+    Begin = Comma + 1;
   }
 }
 
 std::vector<AdapterName> parseAdapters(const std::string &Text) {
   if (Text.empty())
     return {};
-  std::set<AdapterName> Seen;
-  for (const std::string &Each : splitAtCommas(Text))
-    if (!Seen.insert(parseName<AdapterName>("A,B", Each)).second)
-      refuse("A,B: found \"" + Each + "\" twice; allowed: each adapter once");
-  return {Seen.begin(), Seen.end()};
+  std::set<AdapterName> Adapters;
+  for (const std::string &Adapter : splitAtCommas(Text))
+    if (!Adapters.insert(parseName<AdapterName>("A,B", Adapter)).second)
+      refuse("A,B: found \"" + Adapter +
+             "\" twice; allowed: each adapter once");
+  return {Adapters.begin(), Adapters.end()};
 }
 
-Offset parsePlan(const std::string &Text) {
+Offset parsePlanId(const std::string &Text) {
   return parseNumber("ID", Text, 0, std::numeric_limits<Offset>::max());
 }
 
-std::optional<Offset> parsePlanIfAny(std::span<const std::string> Values) {
+std::optional<Offset> parseOptionalPlanId(std::span<const std::string> Values) {
   if (Values.empty())
     return std::nullopt;
-  return parsePlan(Values.front());
+  return parsePlanId(Values.front());
 }
 
 using Values = std::span<const std::string>;
 
-CliCommand makeApply(Values Given) { return ApplyCommand{Given[0]}; }
+CliCommand makeApply(Values Arguments) { return ApplyCommand{Arguments[0]}; }
 
-CliCommand makeCapacity(Values Given) {
-  SetCapacity Out;
-  Out.Model = parseName<ModelName>("MODEL", Given[0]);
-  Out.DataCentre = parseName<DataCentreName>("DC", Given[1]);
-  Out.Groups =
-      static_cast<std::uint32_t>(parseNumber("N", Given[2], 0, MaxGroups));
-  return PlanCommand{std::move(Out)};
+CliCommand makeCapacity(Values Arguments) {
+  SetCapacity Result;
+  Result.Model = parseName<ModelName>("MODEL", Arguments[0]);
+  Result.DataCentre = parseName<DataCentreName>("DC", Arguments[1]);
+  Result.Groups =
+      static_cast<std::uint32_t>(parseNumber("N", Arguments[2], 0, MaxGroups));
+  return PlanCommand{std::move(Result)};
 }
 
-CliCommand makeVersion(Values Given) {
-  SetVersion Out;
-  Out.Model = parseName<ModelName>("MODEL", Given[0]);
-  Out.Version = parseName<VersionName>("V", Given[1]);
-  return PlanCommand{std::move(Out)};
+CliCommand makeVersion(Values Arguments) {
+  SetVersion Result;
+  Result.Model = parseName<ModelName>("MODEL", Arguments[0]);
+  Result.Version = parseName<VersionName>("V", Arguments[1]);
+  return PlanCommand{std::move(Result)};
 }
 
-CliCommand makeAdapters(Values Given) {
-  SetAdapters Out;
-  Out.Model = parseName<ModelName>("MODEL", Given[0]);
-  Out.Adapters = parseAdapters(Given[1]);
-  return PlanCommand{std::move(Out)};
+CliCommand makeAdapters(Values Arguments) {
+  SetAdapters Result;
+  Result.Model = parseName<ModelName>("MODEL", Arguments[0]);
+  Result.Adapters = parseAdapters(Arguments[1]);
+  return PlanCommand{std::move(Result)};
 }
 
-CliCommand makeDrainDataCentre(Values Given) {
+CliCommand makeDrainDataCentre(Values Arguments) {
   return PlanCommand{
-      DrainDataCentre{parseName<DataCentreName>("DC", Given[0])}};
+      DrainDataCentre{parseName<DataCentreName>("DC", Arguments[0])}};
 }
 
-CliCommand makeReturnDataCentre(Values Given) {
+CliCommand makeReturnDataCentre(Values Arguments) {
   return PlanCommand{
-      ReturnDataCentre{parseName<DataCentreName>("DC", Given[0])}};
+      ReturnDataCentre{parseName<DataCentreName>("DC", Arguments[0])}};
 }
 
-CliCommand makeDrainHost(Values Given) {
-  return PlanCommand{DrainHost{parseName<HostName>("H", Given[0])}};
+CliCommand makeDrainHost(Values Arguments) {
+  return PlanCommand{DrainHost{parseName<HostName>("H", Arguments[0])}};
 }
 
-CliCommand makeReturnHost(Values Given) {
-  return PlanCommand{ReturnHost{parseName<HostName>("H", Given[0])}};
+CliCommand makeReturnHost(Values Arguments) {
+  return PlanCommand{ReturnHost{parseName<HostName>("H", Arguments[0])}};
 }
 
-CliCommand makeConfirm(Values Given) {
-  return ConfirmCommand{parsePlan(Given[0])};
+CliCommand makeConfirm(Values Arguments) {
+  return ConfirmCommand{parsePlanId(Arguments[0])};
 }
 
-CliCommand makeAbandon(Values Given) {
-  return AbandonCommand{parsePlan(Given[0])};
+CliCommand makeAbandon(Values Arguments) {
+  return AbandonCommand{parsePlanId(Arguments[0])};
 }
 
-CliCommand makeStatus(Values Given) {
-  return StatusCommand{parsePlanIfAny(Given)};
+CliCommand makeStatus(Values Arguments) {
+  return StatusCommand{parseOptionalPlanId(Arguments)};
 }
 
-CliCommand makeWatch(Values Given) {
-  return WatchCommand{parsePlanIfAny(Given)};
+CliCommand makeWatch(Values Arguments) {
+  return WatchCommand{parseOptionalPlanId(Arguments)};
 }
 
-CliCommand makeDiff(Values Given) { return DiffCommand{Given[0]}; }
+CliCommand makeDiff(Values Arguments) { return DiffCommand{Arguments[0]}; }
 
-/// One verb: its words, its arguments and what it is for.
+/// A verb of the command line.
 struct VerbSpec {
   std::string_view Words;
-  std::string_view Arguments;
-  std::size_t Least;
-  std::size_t Most;
-  CliCommand (*Make)(Values Given);
-  std::string_view About;
+  std::string_view Synopsis;
+  std::size_t MinArguments;
+  std::size_t MaxArguments;
+  CliCommand (*Make)(Values Arguments);
+  std::string_view Summary;
 };
 
 constexpr std::array<VerbSpec, 13> Verbs{{
@@ -216,26 +218,26 @@
 
 std::string usageOf(const VerbSpec &Verb) {
   return "coltsfoottrail " + std::string(Verb.Words) + " " +
-         std::string(Verb.Arguments);
+         std::string(Verb.Synopsis);
 }
 
 const VerbSpec *findVerb(std::string_view Words) {
-  const auto Found = std::ranges::find(Verbs, Words, &VerbSpec::Words);
-  return Found == Verbs.end() ? nullptr : &*Found;
+  const auto Entry = std::ranges::find(Verbs, Words, &VerbSpec::Words);
+  return Entry == Verbs.end() ? nullptr : &*Entry;
 }
 
-/// Edits that turn one word into another.
-std::size_t distance(std::string_view From, std::string_view To) {
+/// Levenshtein distance: the edits that turn one word into another.
+std::size_t editDistance(std::string_view From, std::string_view To) {
   std::vector<std::size_t> Row(To.size() + 1);
   std::iota(Row.begin(), Row.end(), std::size_t{0});
   for (std::size_t Line = 1; Line <= From.size(); ++Line) {
     std::size_t Diagonal = Row[0];
     Row[0] = Line;
     for (std::size_t Column = 1; Column <= To.size(); ++Column) {
-      const std::size_t Kept =
+      const std::size_t Substituted =
           Diagonal + (From[Line - 1] == To[Column - 1] ? 0 : 1);
       Diagonal = Row[Column];
-      Row[Column] = std::min({Kept, Diagonal + 1, Row[Column - 1] + 1});
+      Row[Column] = std::min({Substituted, Diagonal + 1, Row[Column - 1] + 1});
     }
   }
   return Row.back();
@@ -243,13 +245,13 @@
 
 [[noreturn]] void refuseVerb(const std::string &Words) {
   const auto Nearest = std::ranges::min_element(
-      Verbs, {}, [&](auto &Each) { return distance(Words, Each.Words); });
+      Verbs, {}, [&](auto &Verb) { return editDistance(Words, Verb.Words); });
   refuse("unknown verb \"" + printable(Words) + "\"; did you mean \"" +
          std::string(Nearest->Words) + "\"?");
 }
 
-/// What getopt_long found.
-struct Found {
+/// Options and positional arguments found by getopt_long.
+struct ParsedOptions {
   ConnectionOptions Options;
   bool Wait = false;
   bool Help = false;
@@ -280,70 +282,72 @@
     {nullptr, 0, nullptr, 0},
 }};
 
-/// The option that getopt_long refuses.
-std::string refusedOption(const std::string &Last) {
+/// The option that getopt_long rejected.
+std::string rejectedOption(const std::string &LastArgument) {
   const bool IsLetter = optopt > ' ' && optopt <= '~';
   return IsLetter ? "-" + std::string(1, static_cast<char>(optopt))
-                  : printable(Last);
+                  : printable(LastArgument);
 }
 
-void takeOption(int Letter, Found &Into, const std::string &Last) {
-  switch (Letter) {
+void applyOption(int Code, ParsedOptions &Parsed,
+                 const std::string &LastArgument) {
+  switch (Code) {
   case HostOption:
-    Into.Options.Hosts.push_back(parseAddress(optarg));
+    Parsed.Options.Hosts.push_back(parseAddress(optarg));
     break;
   case CredentialOption:
-    Into.Options.CredentialFile = optarg;
+    Parsed.Options.CredentialFile = optarg;
     break;
   case OperatorOption:
-    Into.Options.Operator = parseName<HostName>("--operator", optarg).Text;
+    Parsed.Options.Operator = parseName<HostName>("--operator", optarg).Text;
     break;
   case JsonOption:
-    Into.Options.AsJson = true;
+    Parsed.Options.AsJson = true;
     break;
   case TimeoutOption:
-    Into.Options.Timeout =
+    Parsed.Options.Timeout =
         milliseconds(parseNumber("--timeout-ms", optarg, 1, MaxMs));
     break;
   case IntervalOption:
-    Into.Options.Interval =
+    Parsed.Options.Interval =
         milliseconds(parseNumber("--interval-ms", optarg, 1, MaxMs));
     break;
   case WaitOption:
-    Into.Wait = true;
+    Parsed.Wait = true;
     break;
   case 'V':
-    Into.Version = true;
+    Parsed.Version = true;
     break;
   case 'h':
-    Into.Help = true;
+    Parsed.Help = true;
     break;
   case ':':
-    refuse("option \"" + refusedOption(Last) + "\" needs a value");
+    refuse("option \"" + rejectedOption(LastArgument) + "\" needs a value");
   default:
-    refuse("unknown option \"" + refusedOption(Last) +
+    refuse("unknown option \"" + rejectedOption(LastArgument) +
            "\"; see coltsfoottrail --help");
   }
 }
 
-Found readOptions(std::vector<std::string> &Arguments) {
+ParsedOptions readOptions(std::vector<std::string> &Arguments) {
   std::string Program = "coltsfoottrail";
   std::vector<char *> Raw{Program.data()};
-  for (std::string &Each : Arguments)
-    Raw.push_back(Each.data());
+  for (std::string &Argument : Arguments)
+    Raw.push_back(Argument.data());
   const int Count = static_cast<int>(Raw.size());
   Raw.push_back(nullptr);
-  Found Out;
-  // Zero makes GNU getopt start anew, with its permutation of arguments.
+  ParsedOptions Result;
+  // Zero makes GNU getopt reinitialise its state, with permutation of
+  // arguments.
   optind = 0;
   opterr = 0;
-  int Letter = 0;
-  while ((Letter = ::getopt_long(Count, Raw.data(), ":Vh", LongOptions.data(),
-                                 nullptr)) != -1)
-    takeOption(Letter, Out, Raw.at(static_cast<std::size_t>(optind) - 1));
+  int Code = 0;
+  while ((Code = ::getopt_long(Count, Raw.data(), ":Vh", LongOptions.data(),
+                               nullptr)) != -1)
+    applyOption(Code, Result, Raw.at(static_cast<std::size_t>(optind) - 1));
   for (int Index = optind; Index < Count; ++Index)
-    Out.Words.emplace_back(Raw.at(static_cast<std::size_t>(Index)));
-  return Out;
+    Result.Words.emplace_back(Raw.at(static_cast<std::size_t>(Index)));
+  return Result;
 }
 
 std::string valueOf(const Environment &Variables, std::string_view Name) {
@@ -351,28 +355,28 @@
   return Entry == Variables.end() ? std::string() : Entry->second;
 }
 
-void fillFromEnvironment(ConnectionOptions &Into,
+void fillFromEnvironment(ConnectionOptions &Options,
                          const Environment &Variables) {
   const std::string Hosts = valueOf(Variables, HostVariable);
-  if (Into.Hosts.empty() && !Hosts.empty())
-    for (const std::string &Each : splitAtCommas(Hosts))
-      Into.Hosts.push_back(parseAddress(Each));
-  if (Into.CredentialFile.empty())
-    Into.CredentialFile = valueOf(Variables, CredentialVariable);
-  if (Into.Operator.empty())
-    Into.Operator = printable(valueOf(Variables, UserVariable));
+  if (Options.Hosts.empty() && !Hosts.empty())
+    for (const std::string &Host : splitAtCommas(Hosts))
+      Options.Hosts.push_back(parseAddress(Host));
+  if (Options.CredentialFile.empty())
+    Options.CredentialFile = valueOf(Variables, CredentialVariable);
+  if (Options.Operator.empty())
+    Options.Operator = printable(valueOf(Variables, UserVariable));
 }
 
-void requireConnection(const ConnectionOptions &Given) {
-  if (Given.Hosts.empty())
+void requireConnection(const ConnectionOptions &Options) {
+  if (Options.Hosts.empty())
     refuse("no entry host is named: give --host ADDRESS:PORT or set "
            "COLTSFOOTTRAIL_HOST");
-  if (Given.CredentialFile.empty())
+  if (Options.CredentialFile.empty())
     refuse("no credential is named: give --credential-file FILE or set "
            "COLTSFOOTTRAIL_CREDENTIAL_FILE");
 }
 
-/// The words of the verb that a command line begins with; how many they are.
+/// The verb that a command line begins with, and the number of its words.
 std::pair<std::string, std::size_t>
 verbWords(const std::vector<std::string> &Words) {
   if (Words.empty())
@@ -382,16 +386,17 @@
   return {Words[0] + " " + Words[1], 2};
 }
 
-CliCommand makeCommand(const VerbSpec &Verb, Values Given, bool Wait) {
-  if (Given.size() < Verb.Least || Given.size() > Verb.Most)
+CliCommand makeCommand(const VerbSpec &Verb, Values Arguments, bool Wait) {
+  if (Arguments.size() < Verb.MinArguments ||
+      Arguments.size() > Verb.MaxArguments)
     refuse("usage: " + usageOf(Verb));
-  CliCommand Out = Verb.Make(Given);
-  auto *const Confirm = std::get_if<ConfirmCommand>(&Out);
+  CliCommand Command = Verb.Make(Arguments);
+  auto *const Confirm = std::get_if<ConfirmCommand>(&Command);
   if (Wait && Confirm == nullptr)
     refuse("--wait goes with confirm only");
   if (Confirm != nullptr)
     Confirm->Wait = Wait;
-  return Out;
+  return Command;
 }
 
 } // namespace
@@ -418,52 +423,52 @@
 }
 
 std::string helpText(std::string_view Verb) {
-  std::string Out;
-  if (const VerbSpec *const One = findVerb(Verb)) {
-    Out = "usage: " + usageOf(*One) + " [options]\n\n" +
-          std::string(One->About) + "\n";
+  std::string Text;
+  if (const VerbSpec *const Spec = findVerb(Verb)) {
+    Text = "usage: " + usageOf(*Spec) + " [options]\n\n" +
+           std::string(Spec->Summary) + "\n";
     if (Verb.starts_with(PlanWord))
-      Out += "Prints the plan and its id and changes nothing; \"confirm ID\" "
-             "does.\n";
+      Text += "Prints the plan and its id and changes nothing; \"confirm ID\" "
+              "does.\n";
   } else {
-    Out = "usage: coltsfoottrail [options] VERB ARGUMENTS\n\n"
-          "Operates the entry hosts of coltsfoottrail; docs/operations/cli.md."
-          "\n\nverbs:\n";
-    for (const VerbSpec &Each : Verbs)
-      if (Verb.empty() || Each.Words.starts_with(Verb))
-        Out += "  " + std::string(Each.Words) + " " +
-               std::string(Each.Arguments) + "\n      " +
-               std::string(Each.About) + "\n";
+    Text = "usage: coltsfoottrail [options] VERB ARGUMENTS\n\n"
+           "Operates the entry hosts of coltsfoottrail; docs/operations/cli.md."
+           "\n\nverbs:\n";
+    for (const VerbSpec &Listed : Verbs)
+      if (Verb.empty() || Listed.Words.starts_with(Verb))
+        Text += "  " + std::string(Listed.Words) + " " +
+                std::string(Listed.Synopsis) + "\n      " +
+                std::string(Listed.Summary) + "\n";
   }
-  return Out + "\n" + std::string(OptionsHelp) + "\n" + std::string(CodesHelp);
+  return Text + "\n" + std::string(OptionsHelp) + "\n" + std::string(CodesHelp);
 }
 
 CommandLine parseCommandLine(std::vector<std::string> Arguments,
                              const Environment &Variables) {
-  Found Given = readOptions(Arguments);
-  const auto [Words, Used] = verbWords(Given.Words);
+  ParsedOptions Parsed = readOptions(Arguments);
+  const auto [Words, WordCount] = verbWords(Parsed.Words);
   const VerbSpec *const Verb = findVerb(Words);
-  CommandLine Out;
-  if (Given.Version) {
-    Out.Command = TextCommand{std::string("coltsfoottrail ") +
-                              COLTSFOOTTRAIL_VERSION + "\n"};
-    return Out;
+  CommandLine Result;
+  if (Parsed.Version) {
+    Result.Command = TextCommand{std::string("coltsfoottrail ") +
+                                 COLTSFOOTTRAIL_VERSION + "\n"};
+    return Result;
   }
   if (Verb == nullptr && !Words.empty() && Words != PlanWord)
     refuseVerb(Words);
-  if (Given.Help) {
-    Out.Command = TextCommand{helpText(Words)};
-    return Out;
+  if (Parsed.Help) {
+    Result.Command = TextCommand{helpText(Words)};
+    return Result;
   }
   if (Verb == nullptr)
     refuse(Words.empty() ? "no verb is given; see coltsfoottrail --help"
                          : "plan what? see coltsfoottrail plan --help");
-  Out.Command =
-      makeCommand(*Verb, Values(Given.Words).subspan(Used), Given.Wait);
-  Out.Options = std::move(Given.Options);
-  fillFromEnvironment(Out.Options, Variables);
-  requireConnection(Out.Options);
-  return Out;
+  Result.Command =
+      makeCommand(*Verb, Values(Parsed.Words).subspan(WordCount), Parsed.Wait);
+  Result.Options = std::move(Parsed.Options);
+  fillFromEnvironment(Result.Options, Variables);
+  requireConnection(Result.Options);
+  return Result;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/cli/diff.cpp
+++ b/packages/process/src/coltsfoottrail/cli/diff.cpp
@@ -23,37 +23,38 @@
     {"services", "service"},
 }};
 
-using Lines = std::vector<DeclarationDifference>;
+using Differences = std::vector<DeclarationDifference>;
 
-/// Entries by name, or elements by their text.
+/// Entries of a list by name. Data centres are names only and have empty
+/// entries.
 using Entries = std::map<std::string, Json>;
 
 Entries byName(const Json &List) {
-  Entries Out;
-  for (const Json &Each : List)
-    Out[Each.at(NameKey).get<std::string>()] = Each;
-  return Out;
+  Entries Result;
+  for (const Json &Item : List)
+    Result[Item.at(NameKey).get<std::string>()] = Item;
+  return Result;
 }
 
 std::set<std::string> texts(const Json &List) {
-  std::set<std::string> Out;
-  for (const Json &Each : List)
-    Out.insert(Each.dump());
-  return Out;
+  std::set<std::string> Result;
+  for (const Json &Item : List)
+    Result.insert(Item.dump());
+  return Result;
 }
 
 std::set<std::string> keysOf(const Json &Left, const Json &Right) {
-  std::set<std::string> Out;
-  for (const auto &Each : Left.items())
-    Out.insert(Each.key());
-  for (const auto &Each : Right.items())
-    Out.insert(Each.key());
-  return Out;
+  std::set<std::string> Result;
+  for (const auto &Item : Left.items())
+    Result.insert(Item.key());
+  for (const auto &Item : Right.items())
+    Result.insert(Item.key());
+  return Result;
 }
 
-std::string valueText(const Json &In, const std::string &Key) {
-  const auto Found = In.find(Key);
-  return Found == In.end() ? std::string() : Found->dump();
+std::string valueText(const Json &Object, const std::string &Key) {
+  const auto Member = Object.find(Key);
+  return Member == Object.end() ? std::string() : Member->dump();
 }
 
 char signOf(const std::string &InForce, const std::string &Wanted) {
@@ -62,80 +63,82 @@
   return Wanted.empty() ? '-' : '~';
 }
 
-/// Elements of a list field that come or go.
-void compareElements(const DeclarationDifference &About, const Json &InForce,
-                     const Json &Wanted, Lines &Out) {
+/// Adds the elements of a list field that were added or removed. Position names
+/// the field.
+void compareElements(const DeclarationDifference &Position, const Json &InForce,
+                     const Json &Wanted, Differences &Result) {
   const std::set<std::string> Before = texts(InForce);
   const std::set<std::string> After = texts(Wanted);
-  for (const std::string &Each : Before)
-    if (!After.contains(Each)) {
-      Out.push_back(About);
-      Out.back().InForce = Each;
+  for (const std::string &Element : Before)
+    if (!After.contains(Element)) {
+      Result.push_back(Position);
+      Result.back().InForce = Element;
     }
-  for (const std::string &Each : After)
-    if (!Before.contains(Each)) {
-      Out.push_back(About);
-      Out.back().Wanted = Each;
+  for (const std::string &Element : After)
+    if (!Before.contains(Element)) {
+      Result.push_back(Position);
+      Result.back().Wanted = Element;
     }
 }
 
-/// Members of an object field, each by its key.
-void compareMembers(const DeclarationDifference &About, const Json &InForce,
-                    const Json &Wanted, Lines &Out) {
+/// Adds the members of an object field that differ. Position names the field.
+void compareMembers(const DeclarationDifference &Position, const Json &InForce,
+                    const Json &Wanted, Differences &Result) {
   for (const std::string &Key : keysOf(InForce, Wanted)) {
-    DeclarationDifference Line = About;
-    Line.Field += "." + Key;
-    Line.InForce = valueText(InForce, Key);
-    Line.Wanted = valueText(Wanted, Key);
-    if (Line.InForce != Line.Wanted)
-      Out.push_back(std::move(Line));
+    DeclarationDifference Difference = Position;
+    Difference.Field += "." + Key;
+    Difference.InForce = valueText(InForce, Key);
+    Difference.Wanted = valueText(Wanted, Key);
+    if (Difference.InForce != Difference.Wanted)
+      Result.push_back(std::move(Difference));
   }
 }
 
-void compareField(DeclarationDifference About, const Json &InForce,
-                  const Json &Wanted, Lines &Out) {
+void compareField(DeclarationDifference Position, const Json &InForce,
+                  const Json &Wanted, Differences &Result) {
   if (InForce == Wanted)
     return;
   if (InForce.is_array() && Wanted.is_array()) {
-    compareElements(About, InForce, Wanted, Out);
+    compareElements(Position, InForce, Wanted, Result);
   } else if (InForce.is_object() && Wanted.is_object()) {
-    compareMembers(About, InForce, Wanted, Out);
+    compareMembers(Position, InForce, Wanted, Result);
   } else {
-    About.InForce = InForce.dump();
-    About.Wanted = Wanted.dump();
-    Out.push_back(std::move(About));
+    Position.InForce = InForce.dump();
+    Position.Wanted = Wanted.dump();
+    Result.push_back(std::move(Position));
   }
 }
 
-void compareEntry(const DeclarationDifference &About, const Json &InForce,
-                  const Json &Wanted, Lines &Out) {
+void compareEntry(const DeclarationDifference &Position, const Json &InForce,
+                  const Json &Wanted, Differences &Result) {
   for (const std::string &Key : keysOf(InForce, Wanted)) {
-    DeclarationDifference Line = About;
-    Line.Field = Key;
-    compareField(std::move(Line), InForce.value(Key, Json()),
-                 Wanted.value(Key, Json()), Out);
+    DeclarationDifference Difference = Position;
+    Difference.Field = Key;
+    compareField(std::move(Difference), InForce.value(Key, Json()),
+                 Wanted.value(Key, Json()), Result);
   }
 }
 
 void compareNamed(const char *Kind, const Entries &InForce,
-                  const Entries &Wanted, Lines &Out) {
+                  const Entries &Wanted, Differences &Result) {
   for (const auto &[Name, Entry] : InForce) {
-    const auto Kept = Wanted.find(Name);
-    if (Kept == Wanted.end())
-      Out.push_back({'-', Kind, Name, {}, {}, {}});
+    const auto Counterpart = Wanted.find(Name);
+    if (Counterpart == Wanted.end())
+      Result.push_back({'-', Kind, Name, {}, {}, {}});
     else
-      compareEntry({'~', Kind, Name, {}, {}, {}}, Entry, Kept->second, Out);
+      compareEntry({'~', Kind, Name, {}, {}, {}}, Entry, Counterpart->second,
+                   Result);
   }
   for (const auto &[Name, Entry] : Wanted)
     if (!InForce.contains(Name))
-      Out.push_back({'+', Kind, Name, {}, {}, {}});
+      Result.push_back({'+', Kind, Name, {}, {}, {}});
 }
 
-Entries dataCentres(const Json &In) {
-  Entries Out;
-  for (const Json &Each : In.at(DataCentresKey))
-    Out[Each.get<std::string>()] = Json::object();
-  return Out;
+Entries dataCentres(const Json &Declared) {
+  Entries Result;
+  for (const Json &Item : Declared.at(DataCentresKey))
+    Result[Item.get<std::string>()] = Json::object();
+  return Result;
 }
 
 } // namespace
@@ -144,44 +147,44 @@
 compareDeclarations(const Declaration &InForce, const Declaration &Wanted) {
   const Json Before = writeDeclaration(InForce);
   const Json After = writeDeclaration(Wanted);
-  Lines Out;
-  compareNamed("data centre", dataCentres(Before), dataCentres(After), Out);
+  Differences Result;
+  compareNamed("data centre", dataCentres(Before), dataCentres(After), Result);
   for (const auto &[Key, Kind] : NamedLists)
-    compareNamed(Kind, byName(Before.at(Key)), byName(After.at(Key)), Out);
+    compareNamed(Kind, byName(Before.at(Key)), byName(After.at(Key)), Result);
   compareField({'~', "setting", LoadsKey, {}, {}, {}}, Before.at(LoadsKey),
-               After.at(LoadsKey), Out);
-  return Out;
+               After.at(LoadsKey), Result);
+  return Result;
 }
 
-std::string textOf(const DeclarationDifference &Line) {
-  std::string Out =
-      std::string(1, Line.Sign) + " " + Line.Kind + " " + Line.Name;
-  if (Line.Sign != '~')
-    return Out;
-  if (!Line.Field.empty())
-    Out += " " + Line.Field;
-  Out += ": ";
-  switch (signOf(Line.InForce, Line.Wanted)) {
+std::string textOf(const DeclarationDifference &Difference) {
+  std::string Result = std::string(1, Difference.Sign) + " " + Difference.Kind +
+                       " " + Difference.Name;
+  if (Difference.Sign != '~')
+    return Result;
+  if (!Difference.Field.empty())
+    Result += " " + Difference.Field;
+  Result += ": ";
+  switch (signOf(Difference.InForce, Difference.Wanted)) {
   case '+':
-    return Out + "+ " + Line.Wanted;
+    return Result + "+ " + Difference.Wanted;
   case '-':
-    return Out + "- " + Line.InForce;
+    return Result + "- " + Difference.InForce;
   default:
-    return Out + Line.InForce + " -> " + Line.Wanted;
+    return Result + Difference.InForce + " -> " + Difference.Wanted;
   }
 }
 
-Json jsonOf(const DeclarationDifference &Line) {
-  Json Out{{"change", std::string(1, Line.Sign)},
-           {"kind", Line.Kind},
-           {"name", Line.Name}};
-  if (!Line.Field.empty())
-    Out["field"] = Line.Field;
-  if (!Line.InForce.empty())
-    Out["in_force"] = Json::parse(Line.InForce);
-  if (!Line.Wanted.empty())
-    Out["wanted"] = Json::parse(Line.Wanted);
-  return Out;
+Json jsonOf(const DeclarationDifference &Difference) {
+  Json Result{{"change", std::string(1, Difference.Sign)},
+              {"kind", Difference.Kind},
+              {"name", Difference.Name}};
+  if (!Difference.Field.empty())
+    Result["field"] = Difference.Field;
+  if (!Difference.InForce.empty())
+    Result["in_force"] = Json::parse(Difference.InForce);
+  if (!Difference.Wanted.empty())
+    Result["wanted"] = Json::parse(Difference.Wanted);
+  return Result;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/cli/diff.hpp
+++ b/packages/process/src/coltsfoottrail/cli/diff.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The difference between two declarations, line by line.
+/// The differences between two declarations.
 #ifndef COLTSFOOTTRAIL_CLI_DIFF_HPP
 #define COLTSFOOTTRAIL_CLI_DIFF_HPP
 
@@ -14,16 +14,17 @@
 
 /// @brief One difference.
 struct DeclarationDifference {
-  /// '+' only in the wanted one, '-' only in the one in force, '~' differs.
+  /// '+': only in the wanted declaration; '-': only in the one in force; '~':
+  /// in both, but different.
   char Sign = '~';
   /// "data centre", "team", "host", "model", "service" or "setting".
   std::string Kind;
   std::string Name;
-  /// The field that differs; empty where the whole entry comes or goes.
+  /// The field that differs; empty if the whole entry is added or removed.
   std::string Field;
-  /// JSON text of the field's value in force; empty where it has none.
+  /// JSON text of the field's value in force; empty if it has none.
   std::string InForce;
-  /// JSON text of the field's wanted value; empty where it has none.
+  /// JSON text of the field's wanted value; empty if it has none.
   std::string Wanted;
 
   [[nodiscard]] friend bool operator==(const DeclarationDifference &,
@@ -33,15 +34,15 @@
 /// @brief Compares two declarations by name and field. Pure; thread-safe.
 /// @param InForce The declaration in force.
 /// @param Wanted The declaration in a file.
-/// @return The differences; none when they are equal.
+/// @return The differences; empty if the declarations are equal.
 [[nodiscard]] std::vector<DeclarationDifference>
 compareDeclarations(const Declaration &InForce, const Declaration &Wanted);
 
-/// @brief Writes a difference for people. Thread-safe.
-[[nodiscard]] std::string textOf(const DeclarationDifference &Line);
+/// @brief Formats a difference as a line of text. Thread-safe.
+[[nodiscard]] std::string textOf(const DeclarationDifference &Difference);
 
-/// @brief Writes a difference as JSON. Thread-safe.
-[[nodiscard]] Json jsonOf(const DeclarationDifference &Line);
+/// @brief Formats a difference as JSON. Thread-safe.
+[[nodiscard]] Json jsonOf(const DeclarationDifference &Difference);
 
 } // namespace coltsfoottrail
 
--- a/packages/process/src/coltsfoottrail/cli/exitcode.cpp
+++ b/packages/process/src/coltsfoottrail/cli/exitcode.cpp
@@ -18,21 +18,22 @@
 constexpr unsigned StatusUnavailable = 503;
 
 std::string textAt(const Json &Body, const char *Key) {
-  const auto Found = Body.find(Key);
-  return Found != Body.end() && Found->is_string() ? Found->get<std::string>()
-                                                   : std::string();
+  const auto Member = Body.find(Key);
+  return Member != Body.end() && Member->is_string()
+             ? Member->get<std::string>()
+             : std::string();
 }
 
-std::string beatenBy(const Json &Body) {
-  const auto Found = Body.find("beaten_by");
-  if (Found == Body.end() || !Found->is_number_unsigned())
+std::string conflictPrefix(const Json &Body) {
+  const auto Member = Body.find("beaten_by");
+  if (Member == Body.end() || !Member->is_number_unsigned())
     return {};
-  return "record " + Found->dump() + " was first: ";
+  return "record " + Member->dump() + " was first: ";
 }
 
 } // namespace
 
-ExitCode exitCodeOf(unsigned Status, std::string_view Why) noexcept {
+ExitCode exitCodeOf(unsigned Status, std::string_view ErrorName) noexcept {
   switch (Status) {
   case StatusOk:
     return ExitCode::Ok;
@@ -46,10 +47,11 @@
   case StatusUnprocessable:
     return ExitCode::CannotPlan;
   case StatusNotFound:
-    return Why == "unknown-plan" ? ExitCode::CannotPlan : ExitCode::NoAnswer;
+    return ErrorName == "unknown-plan" ? ExitCode::CannotPlan
+                                       : ExitCode::NoAnswer;
   case StatusUnavailable:
-    return Why == "log-unavailable" ? ExitCode::LogUnavailable
-                                    : ExitCode::NoAnswer;
+    return ErrorName == "log-unavailable" ? ExitCode::LogUnavailable
+                                          : ExitCode::NoAnswer;
   default:
     return ExitCode::NoAnswer;
   }
@@ -57,16 +59,16 @@
 
 CommandError problemOf(unsigned Status, std::string_view Body) {
   const Json Parsed = Json::parse(Body, nullptr, false);
-  const Json Read = Parsed.is_object() ? Parsed : Json::object();
-  const ExitCode Code = exitCodeOf(Status, textAt(Read, "error"));
-  const std::string Detail = printable(textAt(Read, "detail"));
+  const Json Fields = Parsed.is_object() ? Parsed : Json::object();
+  const ExitCode Code = exitCodeOf(Status, textAt(Fields, "error"));
+  const std::string Detail = printable(textAt(Fields, "detail"));
   switch (Code) {
   case ExitCode::Refused:
     return {Code, "refused: " + Detail};
   case ExitCode::CannotPlan:
     return {Code, Status == StatusNotFound ? Detail : "cannot plan: " + Detail};
   case ExitCode::Conflict:
-    return {Code, "conflict: " + beatenBy(Read) + Detail +
+    return {Code, "conflict: " + conflictPrefix(Fields) + Detail +
                       "; nothing was changed by this"};
   case ExitCode::LogUnavailable:
     return {Code, "log unavailable: " + Detail};
@@ -82,13 +84,13 @@
 std::string printable(std::string_view Text) {
   constexpr unsigned char FirstPrintable = 0x20;
   constexpr unsigned char Delete = 0x7f;
-  std::string Out(Text);
-  for (char &Letter : Out) {
-    const auto Code = static_cast<unsigned char>(Letter);
+  std::string Result(Text);
+  for (char &Character : Result) {
+    const auto Code = static_cast<unsigned char>(Character);
     if (Code < FirstPrintable || Code == Delete)
-      Letter = '?';
+      Character = '?';
   }
-  return Out;
+  return Result;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/cli/exitcode.hpp
+++ b/packages/process/src/coltsfoottrail/cli/exitcode.hpp
@@ -11,7 +11,7 @@
 
 namespace coltsfoottrail {
 
-/// How the command line ends; docs/operations/cli.md lists them.
+/// Exit codes of the program; docs/operations/cli.md lists them.
 enum class ExitCode : std::uint8_t {
   Ok = 0,
   Differs = 1,
@@ -25,36 +25,36 @@
   Abandoned = 9,
 };
 
-/// @brief What ends a command: one line for people and an exit code.
+/// @brief Ends a command with a one-line message and an exit code.
 class CommandError : public Error {
 public:
-  /// @brief Describes the end of a command.
-  /// @param How Exit code.
-  /// @param Text One line.
-  CommandError(ExitCode How, const std::string &Text)
-      : Error(Text), Ending(How) {}
+  /// @brief Describes the error.
+  /// @param Result Exit code.
+  /// @param Text The message, one line.
+  CommandError(ExitCode Result, const std::string &Text)
+      : Error(Text), Code(Result) {}
 
   /// @brief The exit code.
-  [[nodiscard]] ExitCode code() const noexcept { return Ending; }
+  [[nodiscard]] ExitCode code() const noexcept { return Code; }
 
 private:
-  ExitCode Ending;
+  ExitCode Code;
 };
 
 /// @brief Exit code for an entry host's answer. Pure; thread-safe.
 /// @param Status HTTP status.
-/// @param Why The member "error" of the body; may be empty.
+/// @param ErrorName The member "error" of the body; may be empty.
 [[nodiscard]] ExitCode exitCodeOf(unsigned Status,
-                                  std::string_view Why) noexcept;
+                                  std::string_view ErrorName) noexcept;
 
-/// @brief The line that an operator reads for an answer that is not 200. Pure;
+/// @brief Makes the error for an answer whose status is not 200. Pure;
 /// thread-safe.
 /// @param Status HTTP status.
-/// @param Body Body of the answer; anything may stand there.
+/// @param Body Body of the answer; may be anything, such as HTML of a proxy.
 [[nodiscard]] CommandError problemOf(unsigned Status, std::string_view Body);
 
-/// @brief Makes text safe for a terminal: control characters become '?'.
-/// Thread-safe.
+/// @brief Replaces control characters by '?', so that text is safe to print on
+/// a terminal. Thread-safe.
 [[nodiscard]] std::string printable(std::string_view Text);
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/cli/run.cpp
+++ b/packages/process/src/coltsfoottrail/cli/run.cpp
@@ -21,8 +21,8 @@
 constexpr const char *PlansPath = "/v1/plans";
 constexpr const char *StatePath = "/v1/state";
 constexpr const char *DeclarationPath = "/v1/declaration";
-/// A plan or the state is followed until so many looks in a row fail.
-constexpr unsigned MaxFailedLooks = 5;
+/// Following a plan or the state ends after so many consecutive failed queries.
+constexpr unsigned MaxFailedQueries = 5;
 
 std::string planPath(Offset Plan) {
   return std::string(PlansPath) + "/" + std::to_string(Plan);
@@ -30,21 +30,21 @@
 
 Declaration readDeclarationFile(const std::string &File) {
   std::error_code Ignored;
-  std::ifstream From(File, std::ios::binary);
-  if (!From || std::filesystem::is_directory(File, Ignored))
+  std::ifstream Input(File, std::ios::binary);
+  if (!Input || std::filesystem::is_directory(File, Ignored))
     throw InputError(File, "", "a file that cannot be read",
                      "a file with a declaration in JSON");
   std::ostringstream Text;
-  Text << From.rdbuf();
+  Text << Input.rdbuf();
   return readDeclaration(parseJson(Text.str(), File), File,
                          UnknownKeys::Refuse);
 }
 
-/// Reads an answer; one that cannot be read counts as none, not as a wrong
-/// file.
-template <class Read> auto readAnswer(const Read &Reading) {
+/// Parses an answer; one that cannot be parsed is reported as a missing answer,
+/// not as a wrong input file.
+template <class Parser> auto readAnswer(const Parser &Parse) {
   try {
-    return Reading();
+    return Parse();
   } catch (const InputError &Problem) {
     throw CommandError(ExitCode::NoAnswer, Problem.what());
   }
@@ -54,109 +54,110 @@
   return readAnswer([&] { return readPlanView(Answer); });
 }
 
-std::string dumped(const Json &Value) {
+std::string jsonText(const Json &Value) {
   return Value.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-/// Tells whether a plan's line in the state may be about an intent. An entry
-/// host may shorten a declaration to a change, which reads otherwise.
-bool asksAlike(const Intent &Wanted, std::string_view Asked) {
+/// Whether a plan's description in the state may be that of an intent. An entry
+/// host may reduce a declaration to a change, which has another description.
+bool mayDescribe(const Intent &Wanted, std::string_view Description) {
   if (std::holds_alternative<ApplyDeclaration>(Wanted))
-    return Asked.starts_with("apply a declaration") ||
-           Asked.starts_with("change the declaration");
-  return Asked == describeIntent(Wanted);
+    return Description.starts_with("apply a declaration") ||
+           Description.starts_with("change the declaration");
+  return Description == describeIntent(Wanted);
 }
 
 /// Runs one command against the entry hosts.
 class Session {
 public:
-  Session(const ConnectionOptions &Given, Secret Credential,
-          const CommandContext &With)
-      : Options(Given), Context(With),
-        Client(Given, std::move(Credential), With.Sender) {}
+  Session(const ConnectionOptions &Connection, Secret Credential,
+          const CommandContext &RunContext)
+      : Options(Connection), Context(RunContext),
+        Client(Connection, std::move(Credential), RunContext.Sender) {}
 
-  ExitCode operator()(const PlanCommand &Asked) {
-    return propose(Asked.PlanIntent);
+  ExitCode operator()(const PlanCommand &Command) {
+    return propose(Command.PlanIntent);
   }
 
-  ExitCode operator()(const ApplyCommand &Asked) {
-    ApplyDeclaration Out;
-    Out.Wanted = readDeclarationFile(Asked.File);
-    return propose(Out);
+  ExitCode operator()(const ApplyCommand &Command) {
+    ApplyDeclaration Requested;
+    Requested.Wanted = readDeclarationFile(Command.File);
+    return propose(Requested);
   }
 
-  ExitCode operator()(const ConfirmCommand &Asked) {
-    PlanView Seen;
+  ExitCode operator()(const ConfirmCommand &Command) {
+    PlanView View;
     try {
-      Seen = changePlan(Asked.Plan, "/confirm");
+      View = changePlan(Command.Plan, "/confirm");
     } catch (const AnswerLost &Lost) {
-      Seen = lookAfterLoss(Asked.Plan, Lost, [](const PlanView &Plan) {
+      View = queryAfterLoss(Command.Plan, Lost, [](const PlanView &Plan) {
         return Plan.Stage != PlanStage::Proposed;
       });
-      if (Seen.Stage == PlanStage::Proposed)
+      if (View.Stage == PlanStage::Proposed)
         throw CommandError(ExitCode::NoAnswer,
-                           notInForce("confirmed", Asked.Plan));
+                           notInEffect("confirmed", Command.Plan));
     } catch (const CommandError &Problem) {
       if (Problem.code() != ExitCode::Conflict)
         throw;
       throw CommandError(ExitCode::Conflict,
-                         Problem.what() + planAnew(Asked.Plan));
+                         Problem.what() + newPlanHint(Command.Plan));
     }
-    if (!Asked.Wait)
-      return Seen.Stage == PlanStage::Abandoned ? ExitCode::Abandoned
+    if (!Command.Wait)
+      return View.Stage == PlanStage::Abandoned ? ExitCode::Abandoned
                                                 : ExitCode::Ok;
-    return follow(std::move(Seen));
+    return follow(std::move(View));
   }
 
-  ExitCode operator()(const AbandonCommand &Asked) {
+  ExitCode operator()(const AbandonCommand &Command) {
     try {
-      (void)changePlan(Asked.Plan, "/abandon");
+      (void)changePlan(Command.Plan, "/abandon");
     } catch (const AnswerLost &Lost) {
-      const PlanView Seen = lookAfterLoss(
-          Asked.Plan, Lost, [](const PlanView &Plan) { return Plan.ended(); });
-      if (Seen.Stage == PlanStage::Done)
+      const PlanView View =
+          queryAfterLoss(Command.Plan, Lost,
+                         [](const PlanView &Plan) { return Plan.ended(); });
+      if (View.Stage == PlanStage::Done)
         throw CommandError(ExitCode::Conflict, "conflict: the plan is done");
-      if (!Seen.ended())
+      if (!View.ended())
         throw CommandError(ExitCode::NoAnswer,
-                           notInForce("abandoned", Asked.Plan));
+                           notInEffect("abandoned", Command.Plan));
     }
     return ExitCode::Ok;
   }
 
-  ExitCode operator()(const StatusCommand &Asked) {
-    const Json Answer = Client.query(Asked.Plan ? planPath(*Asked.Plan)
-                                                : std::string(StatePath));
+  ExitCode operator()(const StatusCommand &Command) {
+    const Json Answer = Client.query(Command.Plan ? planPath(*Command.Plan)
+                                                  : std::string(StatePath));
     if (Options.AsJson)
-      print(dumped(Answer) + "\n");
+      print(jsonText(Answer) + "\n");
     else
-      print(Asked.Plan ? renderPlan(planOf(Answer)) : stateText(Answer));
+      print(Command.Plan ? renderPlan(planOf(Answer)) : stateText(Answer));
     return ExitCode::Ok;
   }
 
-  ExitCode operator()(const WatchCommand &Asked) {
-    if (!Asked.Plan)
+  ExitCode operator()(const WatchCommand &Command) {
+    if (!Command.Plan)
       return watchState();
-    const Json Answer = Client.query(planPath(*Asked.Plan));
+    const Json Answer = Client.query(planPath(*Command.Plan));
     PlanView First = planOf(Answer);
     printProgress(First, Answer);
     return follow(std::move(First));
   }
 
-  ExitCode operator()(const DiffCommand &Asked) {
-    const Declaration Wanted = readDeclarationFile(Asked.File);
+  ExitCode operator()(const DiffCommand &Command) {
+    const Declaration Wanted = readDeclarationFile(Command.File);
     const Json Answer = Client.query(DeclarationPath);
     const Declaration InForce = readAnswer([&] {
       return readDeclaration(Answer, "declaration in force",
                              UnknownKeys::Ignore);
     });
-    const std::vector<DeclarationDifference> Lines =
+    const std::vector<DeclarationDifference> Differences =
         compareDeclarations(InForce, Wanted);
-    printDifference(Lines);
-    return Lines.empty() ? ExitCode::Ok : ExitCode::Differs;
+    printDifferences(Differences);
+    return Differences.empty() ? ExitCode::Ok : ExitCode::Differs;
   }
 
-  ExitCode operator()(const TextCommand &Asked) {
-    print(Asked.Text);
+  ExitCode operator()(const TextCommand &Command) {
+    print(Command.Text);
     return ExitCode::Ok;
   }
 
@@ -165,7 +166,7 @@
 
   void warn(const std::string &Text) {
     if (Options.AsJson)
-      Context.ErrorOut << dumped(Json{{"warning", Text}}) << std::endl;
+      Context.ErrorOut << jsonText(Json{{"warning", Text}}) << std::endl;
     else
       Context.ErrorOut << "coltsfoottrail: " << Text << std::endl;
   }
@@ -175,46 +176,46 @@
   }
 
   void printProgress(const PlanView &Plan, const Json &Answer) {
-    print((Options.AsJson ? dumped(Answer) : progressLine(Plan)) + "\n");
+    print((Options.AsJson ? jsonText(Answer) : progressLine(Plan)) + "\n");
   }
 
-  static std::string planAnew(Offset Plan) {
+  static std::string newPlanHint(Offset Plan) {
     return "; look at \"coltsfoottrail status " + std::to_string(Plan) +
            "\", or ask for a new plan with \"coltsfoottrail plan ...\" and "
            "confirm that one";
   }
 
-  static std::string notInForce(const std::string &Wanted, Offset Plan) {
-    return "plan " + std::to_string(Plan) + " is not " + Wanted +
+  static std::string notInEffect(const std::string &Outcome, Offset Plan) {
+    return "plan " + std::to_string(Plan) + " is not " + Outcome +
            " as far as its entry host knows, but may still be; look at "
            "\"coltsfoottrail status " +
            std::to_string(Plan) + "\" before you ask again";
   }
 
-  ExitCode propose(const Intent &Asked) {
+  ExitCode propose(const Intent &Requested) {
     try {
-      const Json Answer = Client.submit(PlansPath, writeIntent(Asked));
+      const Json Answer = Client.submit(PlansPath, writeIntent(Requested));
       const PlanView Plan = planOf(Answer);
       if (Options.AsJson)
-        print(dumped(Answer) + "\n");
+        print(jsonText(Answer) + "\n");
       else
         print(renderPlan(Plan) + "nothing has changed; to go ahead: " +
               "coltsfoottrail confirm " + std::to_string(Plan.Id) + "\n");
       return ExitCode::Ok;
     } catch (const AnswerLost &Lost) {
       warn(Lost.what());
-      throw CommandError(ExitCode::NoAnswer, proposedAlike(Asked));
+      throw CommandError(ExitCode::NoAnswer, similarProposals(Requested));
     }
   }
 
-  /// Says which plans that wait for a confirmation ask for the same.
-  std::string proposedAlike(const Intent &Asked) {
+  /// Message that lists the unconfirmed plans that may be for the same intent.
+  std::string similarProposals(const Intent &Requested) {
     std::string Ids;
     const Json State = Client.query(StatePath);
-    for (const Json &Each : State.at("plans"))
-      if (Each.value("phase", "") == "proposed" &&
-          asksAlike(Asked, Each.value("asked", "")))
-        Ids += " " + dumped(Each.at("id"));
+    for (const Json &Plan : State.at("plans"))
+      if (Plan.value("phase", "") == "proposed" &&
+          mayDescribe(Requested, Plan.value("asked", "")))
+        Ids += " " + jsonText(Plan.at("id"));
     if (Ids.empty())
       return "no plan that asks for this is known yet; nothing was confirmed; "
              "look at \"coltsfoottrail status\" before you ask again";
@@ -224,92 +225,94 @@
 
   PlanView changePlan(Offset Plan, const char *Verb) {
     const Json Answer = Client.submit(planPath(Plan) + Verb, Json::object());
-    PlanView Seen = planOf(Answer);
-    printProgress(Seen, Answer);
-    return Seen;
+    PlanView View = planOf(Answer);
+    printProgress(View, Answer);
+    return View;
   }
 
-  /// The record of a request whose answer was lost may still be on its way,
-  /// so a plan that stands unchanged is looked at again a few times.
+  /// Queries a plan after the answer to a change was lost. The record of the
+  /// change may not have arrived yet, so an unchanged plan is queried again a
+  /// few times.
   template <class Condition>
-  PlanView lookAfterLoss(Offset Plan, const AnswerLost &Lost,
-                         const Condition &TookEffect) {
+  PlanView queryAfterLoss(Offset Plan, const AnswerLost &Lost,
+                          const Condition &TookEffect) {
     warn(Lost.what());
     Json Answer;
-    PlanView Seen;
-    for (unsigned Looks = 0; Looks < MaxFailedLooks; ++Looks) {
-      Answer = lookPatiently(planPath(Plan));
-      Seen = planOf(Answer);
-      if (TookEffect(Seen))
+    PlanView View;
+    for (unsigned Queries = 0; Queries < MaxFailedQueries; ++Queries) {
+      Answer = queryWithRetries(planPath(Plan));
+      View = planOf(Answer);
+      if (TookEffect(View))
         break;
     }
-    printProgress(Seen, Answer);
-    return Seen;
+    printProgress(View, Answer);
+    return View;
   }
 
-  /// Looks until a look succeeds. An entry host that lags may not know a plan
-  /// yet that another one has shown.
-  Json lookPatiently(const std::string &Target) {
-    for (unsigned Failed = 1;; ++Failed) {
+  /// Repeats a query until it succeeds. An entry host that lags may not yet
+  /// know a plan that another one has shown.
+  Json queryWithRetries(const std::string &Target) {
+    for (unsigned Attempt = 1;; ++Attempt) {
       Context.Sleep(Options.Interval);
       try {
         return Client.query(Target);
       } catch (const CommandError &Problem) {
-        if (Problem.code() == ExitCode::Refused || Failed == MaxFailedLooks)
+        if (Problem.code() == ExitCode::Refused || Attempt == MaxFailedQueries)
           throw;
       }
     }
   }
 
-  ExitCode follow(PlanView Last) {
-    std::string Shown = progressLine(Last);
-    while (!Last.ended()) {
-      const Json Answer = lookPatiently(planPath(Last.Id));
-      PlanView Now = planOf(Answer);
-      if (Now.isOlderThan(Last))
+  ExitCode follow(PlanView Previous) {
+    std::string PrintedLine = progressLine(Previous);
+    while (!Previous.ended()) {
+      const Json Answer = queryWithRetries(planPath(Previous.Id));
+      PlanView Current = planOf(Answer);
+      if (Current.isOlderThan(Previous))
         continue;
-      if (progressLine(Now) != Shown)
-        printProgress(Now, Answer);
-      Shown = progressLine(Now);
-      Last = std::move(Now);
+      if (progressLine(Current) != PrintedLine)
+        printProgress(Current, Answer);
+      PrintedLine = progressLine(Current);
+      Previous = std::move(Current);
     }
-    return Last.Stage == PlanStage::Done ? ExitCode::Ok : ExitCode::Abandoned;
+    return Previous.Stage == PlanStage::Done ? ExitCode::Ok
+                                             : ExitCode::Abandoned;
   }
 
   ExitCode watchState() {
-    Json Last = Client.query(StatePath);
-    print(Options.AsJson ? dumped(Last) + "\n" : stateText(Last));
+    Json Previous = Client.query(StatePath);
+    print(Options.AsJson ? jsonText(Previous) + "\n" : stateText(Previous));
     while (Context.Out) {
-      Json Now = lookPatiently(StatePath);
-      if (Now.at("next") < Last.at("next"))
+      Json Current = queryWithRetries(StatePath);
+      if (Current.at("next") < Previous.at("next"))
         continue;
-      printChanges(Last, Now);
-      Last = std::move(Now);
+      printChanges(Previous, Current);
+      Previous = std::move(Current);
     }
     return ExitCode::Ok;
   }
 
-  void printChanges(const Json &Last, const Json &Now) {
+  void printChanges(const Json &Previous, const Json &Current) {
     const std::vector<std::string> Lines =
-        readAnswer([&] { return changesOf(Last, Now); });
+        readAnswer([&] { return changesOf(Previous, Current); });
     if (Options.AsJson && !Lines.empty())
-      print(dumped(Now) + "\n");
+      print(jsonText(Current) + "\n");
     if (!Options.AsJson)
       for (const std::string &Line : Lines)
         print(Line + "\n");
   }
 
-  void printDifference(const std::vector<DeclarationDifference> &Lines) {
+  void printDifferences(const std::vector<DeclarationDifference> &Differences) {
     if (!Options.AsJson) {
-      for (const DeclarationDifference &Each : Lines)
-        print(printable(textOf(Each)) + "\n");
+      for (const DeclarationDifference &Difference : Differences)
+        print(printable(textOf(Difference)) + "\n");
       return;
     }
     Json Changes = Json::array();
-    for (const DeclarationDifference &Each : Lines)
-      Changes.push_back(jsonOf(Each));
-    print(dumped(
-              Json{{"equal", Lines.empty()}, {"changes", std::move(Changes)}}) +
+    for (const DeclarationDifference &Difference : Differences)
+      Changes.push_back(jsonOf(Difference));
+    print(jsonText(Json{{"equal", Differences.empty()},
+                        {"changes", std::move(Changes)}}) +
           "\n");
   }
 
@@ -318,23 +321,23 @@
   OperatorClient Client;
 };
 
-ExitCode execute(const CommandLine &Given, const CommandContext &With) {
+ExitCode execute(const CommandLine &Line, const CommandContext &Context) {
   Secret Credential;
-  if (!std::holds_alternative<TextCommand>(Given.Command))
-    Credential = readSecret(Given.Options.CredentialFile, "credential file",
-                            Given.Options.CredentialFile, 1);
-  Session Running(Given.Options, std::move(Credential), With);
-  return std::visit(Running, Given.Command);
+  if (!std::holds_alternative<TextCommand>(Line.Command))
+    Credential = readSecret(Line.Options.CredentialFile, "credential file",
+                            Line.Options.CredentialFile, 1);
+  Session Commands(Line.Options, std::move(Credential), Context);
+  return std::visit(Commands, Line.Command);
 }
 
 ExitCode report(bool AsJson, ExitCode Code, const std::string &Text,
-                std::ostream &Problems) {
+                std::ostream &ErrorOut) {
   if (AsJson)
-    Problems << dumped(Json{{"error", Text},
-                            {"exit_code", static_cast<unsigned>(Code)}})
+    ErrorOut << jsonText(Json{{"error", Text},
+                              {"exit_code", static_cast<unsigned>(Code)}})
              << std::endl;
   else
-    Problems << "coltsfoottrail: " << Text << std::endl;
+    ErrorOut << "coltsfoottrail: " << Text << std::endl;
   return Code;
 }
 
@@ -342,17 +345,18 @@
 
 ExitCode runCommandLine(std::vector<std::string> Arguments,
                         const Environment &Variables,
-                        const CommandContext &With) {
+                        const CommandContext &Context) {
   const bool AsJson = std::ranges::find(Arguments, "--json") != Arguments.end();
   try {
-    const CommandLine Given = parseCommandLine(std::move(Arguments), Variables);
-    return execute(Given, With);
+    const CommandLine Line = parseCommandLine(std::move(Arguments), Variables);
+    return execute(Line, Context);
   } catch (const CommandError &Problem) {
-    return report(AsJson, Problem.code(), Problem.what(), With.ErrorOut);
+    return report(AsJson, Problem.code(), Problem.what(), Context.ErrorOut);
   } catch (const Error &Problem) {
-    return report(AsJson, ExitCode::WrongFile, Problem.what(), With.ErrorOut);
+    return report(AsJson, ExitCode::WrongFile, Problem.what(),
+                  Context.ErrorOut);
   } catch (const std::exception &Problem) {
-    return report(AsJson, ExitCode::NoAnswer, Problem.what(), With.ErrorOut);
+    return report(AsJson, ExitCode::NoAnswer, Problem.what(), Context.ErrorOut);
   }
 }
 
--- a/packages/process/src/coltsfoottrail/cli/run.hpp
+++ b/packages/process/src/coltsfoottrail/cli/run.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The operators' command line from its arguments to its exit code.
+/// Runs the operators' command line, from its arguments to its exit code.
 #ifndef COLTSFOOTTRAIL_CLI_RUN_HPP
 #define COLTSFOOTTRAIL_CLI_RUN_HPP
 
@@ -13,23 +13,23 @@
 
 namespace coltsfoottrail {
 
-/// @brief What a command line works with.
+/// @brief Output streams and functions that a command uses.
 struct CommandContext {
   std::ostream &Out;
   std::ostream &ErrorOut;
   OperatorClient::Send Sender;
-  /// Waits between two looks.
+  /// Waits between two polls.
   std::function<void(milliseconds)> Sleep;
 };
 
 /// @brief Runs a command line. Not thread-safe, as getopt_long is not.
 /// @param Arguments All arguments after the program's name.
 /// @param Variables Environment variables.
-/// @param With What to work with.
-/// @return The exit code; a problem is one line on With.Problems.
+/// @param Context Streams and functions to use.
+/// @return The exit code; an error is printed as one line on Context.ErrorOut.
 [[nodiscard]] ExitCode runCommandLine(std::vector<std::string> Arguments,
                                       const Environment &Variables,
-                                      const CommandContext &With);
+                                      const CommandContext &Context);
 
 } // namespace coltsfoottrail
 
--- a/packages/process/src/coltsfoottrail/cli/view.cpp
+++ b/packages/process/src/coltsfoottrail/cli/view.cpp
@@ -13,19 +13,19 @@
 namespace {
 
 constexpr std::string_view AnswerSource = "entry host's answer";
-constexpr std::string_view Gap = "  ";
+constexpr std::string_view ColumnGap = "  ";
 /// In the order of PlanStage.
 constexpr std::array<std::string_view, 4> StageWords{"proposed", "running",
                                                      "done", "abandoned"};
 
-/// A column: its name and the member that it shows.
+/// A column: its heading and the JSON member that it shows.
 struct Column {
   const char *Name;
   const char *Key;
 };
 
-/// A table of the state: its name, the member that holds it, its columns. The
-/// first column names a row.
+/// A table of the state: the kind of its rows, the JSON member that holds them,
+/// and its columns. The first column identifies a row.
 struct Section {
   const char *Name;
   const char *Key;
@@ -77,79 +77,79 @@
 }};
 
 std::string joined(const Json &List) {
-  std::string Out;
-  for (const Json &Each : List) {
-    if (!Out.empty())
-      Out += ", ";
-    Out += Each.is_string() ? Each.get<std::string>() : Each.dump();
+  std::string Result;
+  for (const Json &Item : List) {
+    if (!Result.empty())
+      Result += ", ";
+    Result += Item.is_string() ? Item.get<std::string>() : Item.dump();
   }
-  return Out;
+  return Result;
 }
 
 std::string cellOf(const Json &Entry, const char *Key) {
-  const auto Found = Entry.find(Key);
-  if (Found == Entry.end())
+  const auto Member = Entry.find(Key);
+  if (Member == Entry.end())
     return "-";
-  if (Found->is_array())
-    return joined(*Found);
-  return Found->is_string() ? Found->get<std::string>() : Found->dump();
+  if (Member->is_array())
+    return joined(*Member);
+  return Member->is_string() ? Member->get<std::string>() : Member->dump();
 }
 
 const Json &listAt(const Json &Answer, const char *Key) {
   if (!Answer.is_object())
     throw InputError(AnswerSource, "", "something else", "an object");
-  const auto Found = Answer.find(Key);
-  if (Found == Answer.end() || !Found->is_array())
+  const auto Member = Answer.find(Key);
+  if (Member == Answer.end() || !Member->is_array())
     throw InputError(AnswerSource, "/" + std::string(Key), "no list", "a list");
-  return *Found;
+  return *Member;
 }
 
-std::vector<TableRow> rowsOf(const Json &Answer, const Section &Shown) {
-  std::vector<TableRow> Out;
-  for (const Json &Entry : listAt(Answer, Shown.Key)) {
+std::vector<TableRow> rowsOf(const Json &Answer, const Section &Table) {
+  std::vector<TableRow> Result;
+  for (const Json &Entry : listAt(Answer, Table.Key)) {
     TableRow Row;
-    for (const Column &Each : Shown.Columns)
-      Row.push_back(cellOf(Entry, Each.Key));
-    Out.push_back(std::move(Row));
+    for (const Column &Heading : Table.Columns)
+      Row.push_back(cellOf(Entry, Heading.Key));
+    Result.push_back(std::move(Row));
   }
-  return Out;
+  return Result;
 }
 
-TableRow headOf(const Section &Shown) {
-  TableRow Out;
-  for (const Column &Each : Shown.Columns)
-    Out.emplace_back(Each.Name);
-  return Out;
+TableRow headOf(const Section &Table) {
+  TableRow Result;
+  for (const Column &Heading : Table.Columns)
+    Result.emplace_back(Heading.Name);
+  return Result;
 }
 
-void putLine(std::string &Into, const TableRow &Row,
-             const std::vector<std::size_t> &Widths) {
+void appendLine(std::string &Text, const TableRow &Row,
+                const std::vector<std::size_t> &Widths) {
   std::string Line;
   for (std::size_t Index = 0; Index < Row.size(); ++Index) {
     if (Index > 0)
-      Line += Gap;
+      Line += ColumnGap;
     Line += Row[Index];
     Line.append(Widths[Index] - Row[Index].size(), ' ');
   }
   Line.erase(Line.find_last_not_of(' ') + 1);
-  Into += Line + "\n";
+  Text += Line + "\n";
 }
 
-/// Each thing of a state by "kind name", with a line that says how it is.
-std::map<std::string, std::string> thingsOf(const Json &Answer) {
-  std::map<std::string, std::string> Out;
-  for (const Section &Each : sections())
-    for (const TableRow &Row : rowsOf(Answer, Each)) {
+/// The objects of a state: "kind name" mapped to a line with the other columns.
+std::map<std::string, std::string> describeObjects(const Json &Answer) {
+  std::map<std::string, std::string> Result;
+  for (const Section &Table : sections())
+    for (const TableRow &Row : rowsOf(Answer, Table)) {
       std::string Line;
       for (std::size_t Index = 1; Index < Row.size(); ++Index)
-        Line += (Index > 1 ? ", " : "") + std::string(Each.Columns[Index].Key) +
-                " " + Row[Index];
-      Out[std::string(Each.Name) + " " + Row.front()] = std::move(Line);
+        Line += (Index > 1 ? ", " : "") +
+                std::string(Table.Columns[Index].Key) + " " + Row[Index];
+      Result[std::string(Table.Name) + " " + Row.front()] = std::move(Line);
     }
   for (const auto &[Name, Key] : DrainedLists)
-    for (const Json &Each : listAt(Answer, Key))
-      Out[std::string(Name) + " " + joined(Json::array({Each}))] = "drained";
-  return Out;
+    for (const Json &Item : listAt(Answer, Key))
+      Result[std::string(Name) + " " + joined(Json::array({Item}))] = "drained";
+  return Result;
 }
 
 } // namespace
@@ -165,10 +165,10 @@
       Widths[Index] = std::max(Widths[Index], Row[Index].size());
     }
   }
-  std::string Out;
+  std::string Result;
   for (const TableRow &Row : Lines)
-    putLine(Out, Row, Widths);
-  return Out;
+    appendLine(Result, Row, Widths);
+  return Result;
 }
 
 bool PlanView::isOlderThan(const PlanView &Other) const noexcept {
@@ -176,71 +176,72 @@
 }
 
 PlanView readPlanView(const Json &Answer) {
-  ObjectReader From(Answer, AnswerSource, {}, UnknownKeys::Ignore);
-  PlanView Out;
-  Out.Id = From.number("id");
-  Out.Stage = static_cast<PlanStage>(From.word("phase", StageWords));
-  Out.StepsDone = From.number("steps_done");
-  Out.Steps = From.number("steps");
-  Out.Operator = printable(From.textOr("operator", ""));
-  Out.Executor = printable(From.textOr("executor", ""));
-  Out.Reason = printable(From.textOr("why", ""));
-  for (const std::string &Line : From.texts("text"))
-    Out.Text.push_back(printable(Line));
-  return Out;
+  ObjectReader Reader(Answer, AnswerSource, {}, UnknownKeys::Ignore);
+  PlanView Result;
+  Result.Id = Reader.number("id");
+  Result.Stage = static_cast<PlanStage>(Reader.word("phase", StageWords));
+  Result.StepsDone = Reader.number("steps_done");
+  Result.Steps = Reader.number("steps");
+  Result.Operator = printable(Reader.textOr("operator", ""));
+  Result.Executor = printable(Reader.textOr("executor", ""));
+  Result.Reason = printable(Reader.textOr("why", ""));
+  for (const std::string &Line : Reader.texts("text"))
+    Result.Text.push_back(printable(Line));
+  return Result;
 }
 
 std::string progressLine(const PlanView &Plan) {
-  std::string Out =
+  std::string Result =
       "plan " + std::to_string(Plan.Id) + ": " +
       std::string(StageWords.at(static_cast<std::size_t>(Plan.Stage))) + ", " +
       std::to_string(Plan.StepsDone) + " of " + std::to_string(Plan.Steps) +
       " steps done";
   if (!Plan.Executor.empty())
-    Out += ", carried out by " + Plan.Executor;
+    Result += ", carried out by " + Plan.Executor;
   if (!Plan.Reason.empty())
-    Out += "; " + Plan.Reason;
-  return Out;
+    Result += "; " + Plan.Reason;
+  return Result;
 }
 
 std::string renderPlan(const PlanView &Plan) {
-  std::string Out = progressLine(Plan) + "\n";
+  std::string Result = progressLine(Plan) + "\n";
   if (!Plan.Operator.empty())
-    Out += "proposed by " + Plan.Operator + "\n";
+    Result += "proposed by " + Plan.Operator + "\n";
   for (const std::string &Line : Plan.Text)
-    Out += Line + "\n";
-  return Out;
+    Result += Line + "\n";
+  return Result;
 }
 
 std::string renderState(const Json &Answer) {
-  std::string Out;
-  for (const Section &Each : sections()) {
-    const std::vector<TableRow> Rows = rowsOf(Answer, Each);
+  std::string Result;
+  for (const Section &Table : sections()) {
+    const std::vector<TableRow> Rows = rowsOf(Answer, Table);
     if (!Rows.empty())
-      Out += renderTable(headOf(Each), Rows) + "\n";
+      Result += renderTable(headOf(Table), Rows) + "\n";
   }
   for (const auto &[Name, Key] : DrainedLists) {
     const std::string Names = printable(joined(listAt(Answer, Key)));
-    Out += std::string(Name) + "s: " + (Names.empty() ? "none" : Names) + "\n";
+    Result +=
+        std::string(Name) + "s: " + (Names.empty() ? "none" : Names) + "\n";
   }
-  return Out;
+  return Result;
 }
 
 std::vector<std::string> changesOf(const Json &Before, const Json &After) {
-  const std::map<std::string, std::string> Old = thingsOf(Before);
-  const std::map<std::string, std::string> New = thingsOf(After);
-  std::vector<std::string> Out;
-  for (const auto &[Thing, Line] : Old)
-    if (!New.contains(Thing))
-      Out.push_back(printable("- " + Thing));
-  for (const auto &[Thing, Line] : New) {
-    const auto Known = Old.find(Thing);
-    if (Known == Old.end())
-      Out.push_back(printable("+ " + Thing + ": " + Line));
-    else if (Known->second != Line)
-      Out.push_back(printable("~ " + Thing + ": " + Line));
+  const std::map<std::string, std::string> Old = describeObjects(Before);
+  const std::map<std::string, std::string> New = describeObjects(After);
+  std::vector<std::string> Result;
+  for (const auto &[Object, Line] : Old)
+    if (!New.contains(Object))
+      Result.push_back(printable("- " + Object));
+  for (const auto &[Object, Line] : New) {
+    const auto Previous = Old.find(Object);
+    if (Previous == Old.end())
+      Result.push_back(printable("+ " + Object + ": " + Line));
+    else if (Previous->second != Line)
+      Result.push_back(printable("~ " + Object + ": " + Line));
   }
-  return Out;
+  return Result;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/cli/view.hpp
+++ b/packages/process/src/coltsfoottrail/cli/view.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Answers of an entry host as text for people.
+/// Formats answers of an entry host as text.
 #ifndef COLTSFOOTTRAIL_CLI_VIEW_HPP
 #define COLTSFOOTTRAIL_CLI_VIEW_HPP
 
@@ -15,21 +15,21 @@
 
 namespace coltsfoottrail {
 
-/// A line of a table.
+/// A row of a table.
 using TableRow = std::vector<std::string>;
 
-/// @brief Sets a table in columns, two blanks between them. Control characters
-/// become '?'. Pure; thread-safe.
+/// @brief Formats a table with aligned columns, two blanks between them.
+/// Control characters are replaced by '?'. Pure; thread-safe.
 /// @param Head Names of the columns.
-/// @param Rows Each as long as the head.
-/// @return Lines, each with its end.
+/// @param Rows Rows, each as long as the head.
+/// @return Lines, each with its line end.
 [[nodiscard]] std::string renderTable(const TableRow &Head,
                                       std::span<const TableRow> Rows);
 
-/// How far a plan has come.
+/// Phase of a plan.
 enum class PlanStage : std::uint8_t { Proposed, Running, Done, Abandoned };
 
-/// @brief What is printed of a plan's progress.
+/// @brief A plan and its progress, as printed.
 struct PlanView {
   std::uint64_t Id = 0;
   PlanStage Stage = PlanStage::Proposed;
@@ -40,38 +40,37 @@
   std::string Reason;
   std::vector<std::string> Text;
 
-  /// @brief Tells whether it will not change any more.
+  /// @brief Whether the plan is done or abandoned and so changes no more.
   [[nodiscard]] bool ended() const noexcept {
     return Stage == PlanStage::Done || Stage == PlanStage::Abandoned;
   }
 
-  /// @brief Orders looks at one plan: an entry host that lags shows a plan as
-  /// it was.
-  /// @return Whether this look is older than another one.
+  /// @brief Whether this view of a plan is older than another one; an entry
+  /// host that lags returns earlier views.
+  /// @param Other Another view of the same plan.
   [[nodiscard]] bool isOlderThan(const PlanView &Other) const noexcept;
 };
 
-/// @brief Reads a plan out of an answer. Thread-safe.
-/// @param Answer What /v1/plans/ID answered.
-/// @throws InputError It is no plan.
+/// @brief Parses a plan. Thread-safe.
+/// @param Answer The answer of /v1/plans/ID.
+/// @throws InputError The answer is not a plan.
 [[nodiscard]] PlanView readPlanView(const Json &Answer);
 
-/// @brief One line that says how far a plan has come. Thread-safe.
+/// @brief Formats a plan's progress as one line. Thread-safe.
 [[nodiscard]] std::string progressLine(const PlanView &Plan);
 
-/// @brief A whole plan for people. Thread-safe.
+/// @brief Formats a whole plan as text. Thread-safe.
 [[nodiscard]] std::string renderPlan(const PlanView &Plan);
 
-/// @brief The state as tables. Thread-safe.
-/// @param Answer What /v1/state answered.
-/// @throws InputError It is no state.
+/// @brief Formats the state as tables. Thread-safe.
+/// @param Answer The answer of /v1/state.
+/// @throws InputError The answer is not a state.
 [[nodiscard]] std::string renderState(const Json &Answer);
 
-/// @brief The differences between two looks at the state, a line each.
-/// Thread-safe.
-/// @param Before What /v1/state answered first.
-/// @param After What it answered later.
-/// @throws InputError One of them is no state.
+/// @brief The differences between two states, a line each. Thread-safe.
+/// @param Before An answer of /v1/state.
+/// @param After A later answer of it.
+/// @throws InputError One of them is not a state.
 [[nodiscard]] std::vector<std::string> changesOf(const Json &Before,
                                                  const Json &After);
 
--- a/packages/process/test/coltsfoottrail/cli/command.cpp
+++ b/packages/process/test/coltsfoottrail/cli/command.cpp
@@ -5,15 +5,16 @@
 namespace coltsfoottrail {
 namespace {
 
-const Environment Known{{"COLTSFOOTTRAIL_HOST", "10.0.0.1:80,[::1]:81"},
-                        {"COLTSFOOTTRAIL_CREDENTIAL_FILE", "/secret"}};
+const Environment DefaultEnvironment{
+    {"COLTSFOOTTRAIL_HOST", "10.0.0.1:80,[::1]:81"},
+    {"COLTSFOOTTRAIL_CREDENTIAL_FILE", "/secret"}};
 
 CommandLine parse(std::vector<std::string> Arguments) {
-  return parseCommandLine(std::move(Arguments), Known);
+  return parseCommandLine(std::move(Arguments), DefaultEnvironment);
 }
 
 std::string refusalOf(std::vector<std::string> Arguments,
-                      const Environment &Variables = Known) {
+                      const Environment &Variables = DefaultEnvironment) {
   try {
     (void)parseCommandLine(std::move(Arguments), Variables);
   } catch (const CommandError &Problem) {
@@ -47,7 +48,7 @@
             "d");
 }
 
-TEST(CommandLine, OptionsBeatTheEnvironment) {
+TEST(CommandLine, OptionsOverrideTheEnvironment) {
   const CommandLine Line =
       parse({"confirm", "--host", "10.0.0.9:1", "12", "--wait", "--json",
              "--timeout-ms", "50", "--operator", "ada"});
@@ -62,7 +63,7 @@
   EXPECT_EQ(parse({"status"}).Options.Hosts.at(1), (EngineAddress{"::1", 81}));
 }
 
-TEST(CommandLine, RefusesWhatIsNotExact) {
+TEST(CommandLine, RefusesMalformedArguments) {
   for (const std::string Number : {"7x", "-", "0x7", "", "1.5", "+7", "100001"})
     EXPECT_NE(refusalOf({"plan", "capacity", "m", "d", Number})
                   .find("allowed: a whole number"),
--- a/packages/process/test/coltsfoottrail/cli/diff.cpp
+++ b/packages/process/test/coltsfoottrail/cli/diff.cpp
@@ -14,21 +14,22 @@
                 "groups": {"east": 2}}]})");
 }
 
-std::vector<std::string> linesOf(const Json &InForce, const Json &Wanted) {
-  std::vector<std::string> Out;
-  for (const DeclarationDifference &Each :
+std::vector<std::string> differenceLines(const Json &InForce,
+                                         const Json &Wanted) {
+  std::vector<std::string> Result;
+  for (const DeclarationDifference &Difference :
        compareDeclarations(readDeclaration(InForce, "a", UnknownKeys::Refuse),
                            readDeclaration(Wanted, "b", UnknownKeys::Refuse)))
-    Out.push_back(textOf(Each));
-  return Out;
+    Result.push_back(textOf(Difference));
+  return Result;
 }
 
-TEST(CompareDeclarations, EqualWhateverTheOrderAndTheDefaults) {
+TEST(CompareDeclarations, OrderAndDefaultsMakeNoDifference) {
   Json Wanted = declared();
   Wanted["data_centres"] = {"west", "east"};
   Wanted["models"][0]["adapters"] = {"b", "a"};
   Wanted["weight_loads_at_once"] = 4;
-  EXPECT_TRUE(linesOf(declared(), Wanted).empty());
+  EXPECT_TRUE(differenceLines(declared(), Wanted).empty());
 }
 
 TEST(CompareDeclarations, NamesEachFieldThatDiffers) {
@@ -51,7 +52,7 @@
       "+ model plan",
       "~ setting weight_loads_at_once: 4 -> 5",
   };
-  EXPECT_EQ(linesOf(declared(), Wanted), Expected);
+  EXPECT_EQ(differenceLines(declared(), Wanted), Expected);
 }
 
 } // namespace
--- a/packages/process/test/coltsfoottrail/cli/run.cpp
+++ b/packages/process/test/coltsfoottrail/cli/run.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 namespace fs = std::filesystem;
-/// Nothing listens on the port for discarded data.
+/// The discard port, on which nothing listens.
 constexpr const char *DeadHost = "127.0.0.1:9";
 
-struct Ending {
+struct CommandResult {
   ExitCode Code;
   std::string Out;
-  std::string Problems;
+  std::string ErrorOut;
 };
 
 class Cli : public Bench {
@@ -45,36 +45,37 @@
     return "127.0.0.1:" + std::to_string(Hosts.at(Host)->operatorPort());
   }
 
-  [[nodiscard]] Ending run(std::vector<std::string> Arguments,
-                           const std::string &At = {}) const {
+  [[nodiscard]] CommandResult run(std::vector<std::string> Arguments,
+                                  const std::string &HostList = {}) const {
     std::ostringstream Out;
-    std::ostringstream Problems;
+    std::ostringstream ErrorOut;
     const Environment Variables{
-        {"COLTSFOOTTRAIL_HOST", At.empty() ? address(0) : At},
+        {"COLTSFOOTTRAIL_HOST", HostList.empty() ? address(0) : HostList},
         {"COLTSFOOTTRAIL_CREDENTIAL_FILE", CredentialFile}};
-    const CommandContext With{Out, Problems, Sender, [](milliseconds) {
-                                std::this_thread::sleep_for(milliseconds(5));
-                              }};
-    const ExitCode Code = runCommandLine(std::move(Arguments), Variables, With);
-    return {Code, Out.str(), Problems.str()};
+    const CommandContext Context{Out, ErrorOut, Sender, [](milliseconds) {
+                                   std::this_thread::sleep_for(milliseconds(5));
+                                 }};
+    const ExitCode Code =
+        runCommandLine(std::move(Arguments), Variables, Context);
+    return {Code, Out.str(), ErrorOut.str()};
   }
 
-  /// Plans by --json; the plan's id.
+  /// Proposes a plan and returns its id.
   [[nodiscard]] std::string plan(std::vector<std::string> Arguments,
-                                 const std::string &At = {}) const {
+                                 const std::string &HostList = {}) const {
     Arguments.insert(Arguments.begin(), "plan");
     Arguments.emplace_back("--json");
-    const Ending Planned = run(std::move(Arguments), At);
-    EXPECT_EQ(Planned.Code, ExitCode::Ok) << Planned.Problems;
+    const CommandResult Planned = run(std::move(Arguments), HostList);
+    EXPECT_EQ(Planned.Code, ExitCode::Ok) << Planned.ErrorOut;
     return Json::parse(Planned.Out).at("id").dump();
   }
 
-  /// Declares, and waits until each entry host knows it.
+  /// Applies a declaration and waits until every entry host knows it.
   void declareByCli() const {
     const std::string File = write("declared.json", declaration().dump());
     const std::string Id = plan({"apply", File});
-    const Ending Done = run({"confirm", "--wait", Id});
-    ASSERT_EQ(Done.Code, ExitCode::Ok) << Done.Problems;
+    const CommandResult Done = run({"confirm", "--wait", Id});
+    ASSERT_EQ(Done.Code, ExitCode::Ok) << Done.ErrorOut;
     ASSERT_TRUE(eventually([&] {
       return std::ranges::all_of(Hosts, [&](const auto &Host) {
         const StatePtr Now = Host->state();
@@ -94,27 +95,27 @@
 TEST_F(Cli, PlansConfirmsShowsAndCompares) {
   const std::string File = write("declared.json", declaration().dump());
   EXPECT_EQ(run({"diff", File}).Code, ExitCode::Differs);
-  const Ending Planned = run({"plan", "apply", File});
-  ASSERT_EQ(Planned.Code, ExitCode::Ok) << Planned.Problems;
+  const CommandResult Planned = run({"plan", "apply", File});
+  ASSERT_EQ(Planned.Code, ExitCode::Ok) << Planned.ErrorOut;
   EXPECT_NE(Planned.Out.find("nothing has changed"), std::string::npos);
   EXPECT_EQ(run({"diff", File}).Code, ExitCode::Differs);
   declareByCli();
-  const Ending Same = run({"diff", File});
+  const CommandResult Same = run({"diff", File});
   EXPECT_EQ(Same.Code, ExitCode::Ok) << Same.Out;
   EXPECT_EQ(Same.Out, "");
-  const Ending Status = run({"status"});
+  const CommandResult Status = run({"status"});
   EXPECT_NE(Status.Out.find("entry-2"), std::string::npos) << Status.Out;
   EXPECT_EQ(run({"status", "999999"}).Code, ExitCode::CannotPlan);
 }
 
 TEST_F(Cli, RefusesFilesThatAreWrongOrReadableByOthers) {
   const std::string Wrong = write("w.json", R"({"weight_loads_at_once": 0})");
-  const Ending Checked = run({"plan", "apply", Wrong}, DeadHost);
+  const CommandResult Checked = run({"plan", "apply", Wrong}, DeadHost);
   EXPECT_EQ(Checked.Code, ExitCode::WrongFile);
-  EXPECT_NE(Checked.Problems.find(Wrong + ": at /weight_loads_at_once: found 0;"
+  EXPECT_NE(Checked.ErrorOut.find(Wrong + ": at /weight_loads_at_once: found 0;"
                                           " allowed: "),
             std::string::npos)
-      << Checked.Problems;
+      << Checked.ErrorOut;
   EXPECT_EQ(run({"diff", Folder.string()}).Code, ExitCode::WrongFile);
   fs::permissions(CredentialFile, fs::perms::others_read,
                   fs::perm_options::add);
@@ -123,13 +124,13 @@
 
 TEST_F(Cli, WrongCredentialIsRefusedInOneLine) {
   CredentialFile = write("other", "not-the-credential");
-  const Ending Asked = run({"plan", "drain-host", "h"});
-  EXPECT_EQ(Asked.Code, ExitCode::Refused);
-  EXPECT_EQ(std::ranges::count(Asked.Problems, '\n'), 1);
-  EXPECT_EQ(Asked.Problems.find("not-the-credential"), std::string::npos);
+  const CommandResult Outcome = run({"plan", "drain-host", "h"});
+  EXPECT_EQ(Outcome.Code, ExitCode::Refused);
+  EXPECT_EQ(std::ranges::count(Outcome.ErrorOut, '\n'), 1);
+  EXPECT_EQ(Outcome.ErrorOut.find("not-the-credential"), std::string::npos);
 }
 
-TEST_F(Cli, DeadHostsAreLeftForTheNext) {
+TEST_F(Cli, DeadHostsAreSkipped) {
   declareByCli();
   EXPECT_EQ(run({"status"}, DeadHost).Code, ExitCode::NoAnswer);
   const std::string Both = std::string(DeadHost) + "," + address(1);
@@ -139,19 +140,19 @@
   EXPECT_EQ(run({"watch", Id}, Both).Code, ExitCode::Ok);
 }
 
-// Two operators at two entry hosts plan on the same state. Both confirm. The
-// second one would carry out a plan for a state that is gone; it must hear that
-// another plan was first, and which.
-TEST_F(Cli, SecondOfTwoOperatorsHearsOfTheConflict) {
+// Guards against a plan being carried out on a state that no longer exists: two
+// operators at two entry hosts propose plans for the same state and both
+// confirm. The second must get a conflict that names the record that was first.
+TEST_F(Cli, SecondOfTwoOperatorsGetsAConflict) {
   declareByCli();
   const std::string First = plan({"drain-data-centre", "west"}, address(0));
   const std::string Second = plan({"drain-data-centre", "west"}, address(1));
   EXPECT_EQ(run({"confirm", First}, address(0)).Code, ExitCode::Ok);
-  const Ending Late = run({"confirm", Second}, address(1));
+  const CommandResult Late = run({"confirm", Second}, address(1));
   EXPECT_EQ(Late.Code, ExitCode::Conflict);
-  EXPECT_NE(Late.Problems.find("was first"), std::string::npos)
-      << Late.Problems;
-  EXPECT_NE(Late.Problems.find("ask for a new plan"), std::string::npos);
+  EXPECT_NE(Late.ErrorOut.find("was first"), std::string::npos)
+      << Late.ErrorOut;
+  EXPECT_NE(Late.ErrorOut.find("ask for a new plan"), std::string::npos);
 }
 
 TEST_F(Cli, AbandonedPlanHasItsOwnCode) {
@@ -163,39 +164,42 @@
             ExitCode::CannotPlan);
 }
 
-// An entry host takes a confirmation and dies before it answers. Sent again, it
-// would be told to be a conflict with itself, and the operator would plan anew
-// for what is already under way. So it is sent once and the status is shown.
-TEST_F(Cli, LostAnswerIsLookedUpAndNotSentAgain) {
+// Guards against a confirmation that is sent twice: an entry host accepts it
+// and dies before it answers. A second one would be refused as a conflict with
+// the first, and the operator would propose a plan for what is already in
+// progress. The confirmation is sent once, and the plan's status is queried
+// instead.
+TEST_F(Cli, LostAnswerIsQueriedAndNotSentAgain) {
   declareByCli();
   const std::string Id = plan({"drain-data-centre", "west"});
   unsigned Confirmations = 0;
   Sender =
-      [&](const EngineAddress &To, const HttpRequest &Asked,
+      [&](const EngineAddress &Host, const HttpRequest &Request,
           milliseconds Timeout) -> std::variant<HttpResponse, CallFailure> {
-    auto Got = fetchBlocking(To, Asked, Timeout);
-    if (Asked.Method != "POST")
-      return Got;
+    auto Answer = fetchBlocking(Host, Request, Timeout);
+    if (Request.Method != "POST")
+      return Answer;
     ++Confirmations;
     return CallFailure{RunState::MayHaveRun, Reason::EndpointFailed, true};
   };
-  const Ending Asked = run({"confirm", Id}, address(0) + "," + address(1));
-  EXPECT_EQ(Asked.Code, ExitCode::Ok) << Asked.Problems;
+  const CommandResult Outcome =
+      run({"confirm", Id}, address(0) + "," + address(1));
+  EXPECT_EQ(Outcome.Code, ExitCode::Ok) << Outcome.ErrorOut;
   EXPECT_EQ(Confirmations, 1U);
-  EXPECT_NE(Asked.Problems.find("was lost"), std::string::npos);
-  const Ending Planned = run({"plan", "drain-data-centre", "north"});
+  EXPECT_NE(Outcome.ErrorOut.find("was lost"), std::string::npos);
+  const CommandResult Planned = run({"plan", "drain-data-centre", "north"});
   EXPECT_EQ(Planned.Code, ExitCode::NoAnswer);
-  EXPECT_NE(Planned.Problems.find("ask for the same and wait"),
+  EXPECT_NE(Planned.ErrorOut.find("ask for the same and wait"),
             std::string::npos)
-      << Planned.Problems;
+      << Planned.ErrorOut;
   EXPECT_EQ(run({"abandon", Id}).Code, ExitCode::Conflict);
   EXPECT_EQ(Confirmations, 3U);
 }
 
-// While an operator follows a plan, its entry host stops for a moment and the
-// next one still shows the plan as it was earlier. Neither may end the watch or
-// print the plan going backwards.
-TEST_F(Cli, WatchRidesOutAFailureAndAHostThatLags) {
+// Guards against a watch that ends early or prints progress going backwards:
+// its entry host fails for a moment, and the next one lags and returns an
+// earlier state of the plan.
+TEST_F(Cli, WatchSurvivesAFailureAndALaggingHost) {
   std::vector<std::variant<HttpResponse, CallFailure>> Answers;
   const auto Show = [&](const char *Phase, unsigned Done) {
     const Json Plan{
@@ -213,28 +217,28 @@
   Sender = [&](const EngineAddress &, const HttpRequest &, milliseconds) {
     return Answers.at(Next++);
   };
-  const Ending Watched = run({"watch", "7"});
-  EXPECT_EQ(Watched.Code, ExitCode::Abandoned) << Watched.Problems;
+  const CommandResult Watched = run({"watch", "7"});
+  EXPECT_EQ(Watched.Code, ExitCode::Abandoned) << Watched.ErrorOut;
   EXPECT_EQ(Watched.Out, "plan 7: running, 1 of 2 steps done\n"
                          "plan 7: abandoned, 1 of 2 steps done\n");
 }
 
 TEST_F(Cli, WatchOfAllPrintsChangesAndEndsWhenNobodyAnswers) {
   Json State = Json::parse(run({"status", "--json"}).Out);
-  const Ending Before = run({"status"});
-  unsigned Looks = 0;
+  const CommandResult Before = run({"status"});
+  unsigned Queries = 0;
   Sender = [&](const EngineAddress &, const HttpRequest &,
                milliseconds) -> std::variant<HttpResponse, CallFailure> {
-    if (++Looks == 3)
+    if (++Queries == 3)
       State["drained_hosts"] = {"h-1"};
-    if (Looks > 4)
+    if (Queries > 4)
       return CallFailure{};
     return jsonResponse(200, State.dump());
   };
-  const Ending Watched = run({"watch"});
+  const CommandResult Watched = run({"watch"});
   EXPECT_EQ(Watched.Code, ExitCode::NoAnswer);
   EXPECT_EQ(Watched.Out, Before.Out + "+ drained host h-1: drained\n");
-  EXPECT_EQ(Looks, 9U);
+  EXPECT_EQ(Queries, 9U);
 }
 
 TEST_F(Cli, LogThatIsDownHasItsOwnCode) {
--- a/packages/process/test/coltsfoottrail/cli/view.cpp
+++ b/packages/process/test/coltsfoottrail/cli/view.cpp
@@ -18,7 +18,7 @@
                "asked": "drain\u001b[2J"}]})");
 }
 
-TEST(RenderTable, SetsColumnsAndKeepsControlCharactersOut) {
+TEST(RenderTable, AlignsColumnsAndReplacesControlCharacters) {
   const std::vector<TableRow> Rows{{"a\x1b", "1"}, {"longer", "22"}};
   EXPECT_EQ(renderTable({"NAME", "N"}, Rows), "NAME    N\n"
                                               "a?      1\n"
@@ -36,7 +36,7 @@
   EXPECT_THROW((void)renderState(Json::object()), InputError);
 }
 
-TEST(ChangesOf, NamesOnlyWhatDiffers) {
+TEST(ChangesOf, ListsOnlyDifferences) {
   Json After = state();
   After["drained_data_centres"] = Json::array();
   After["models"][0]["serving"] = 2;
@@ -47,7 +47,7 @@
   EXPECT_EQ(changesOf(state(), After), Expected);
 }
 
-TEST(ExitCodes, FollowTheAnswer) {
+TEST(ExitCodes, MatchStatusAndErrorName) {
   EXPECT_EQ(exitCodeOf(200, ""), ExitCode::Ok);
   EXPECT_EQ(exitCodeOf(401, "unauthenticated"), ExitCode::Refused);
   EXPECT_EQ(exitCodeOf(404, "unknown-plan"), ExitCode::CannotPlan);
