--- a/packages/process/src/coltsfoottrail/settings/secret.cpp
+++ b/packages/process/src/coltsfoottrail/settings/secret.cpp
@@ -13,15 +13,15 @@
 namespace {
 
 constexpr std::size_t MaxSecretBytes = 4096;
-constexpr mode_t GroupAndOthers = 077;
+constexpr mode_t GroupAndOthersMask = 077;
 
-class Descriptor {
+class FileDescriptor {
 public:
-  explicit Descriptor(const std::filesystem::path &File)
+  explicit FileDescriptor(const std::filesystem::path &File)
       : Number(::open(File.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK)) {}
-  Descriptor(const Descriptor &) = delete;
-  Descriptor &operator=(const Descriptor &) = delete;
-  ~Descriptor() {
+  FileDescriptor(const FileDescriptor &) = delete;
+  FileDescriptor &operator=(const FileDescriptor &) = delete;
+  ~FileDescriptor() {
     if (Number >= 0)
       ::close(Number);
   }
@@ -46,14 +46,15 @@
   return Text.substr(First, Text.find_last_not_of(Blanks) - First + 1);
 }
 
-std::string readUpTo(int Number, std::size_t MaxBytes) {
+std::string readUpTo(int Descriptor, std::size_t MaxBytes) {
   std::string Text(MaxBytes, '\0');
   std::size_t Used = 0;
   while (Used < MaxBytes) {
-    const ssize_t Got = ::read(Number, Text.data() + Used, MaxBytes - Used);
-    if (Got <= 0)
+    const ssize_t ReadBytes =
+        ::read(Descriptor, Text.data() + Used, MaxBytes - Used);
+    if (ReadBytes <= 0)
       break;
-    Used += static_cast<std::size_t>(Got);
+    Used += static_cast<std::size_t>(ReadBytes);
   }
   Text.resize(Used);
   return Text;
@@ -63,24 +64,25 @@
 
 Secret readSecret(const std::filesystem::path &File, std::string_view Source,
                   std::string_view Pointer, std::size_t MinBytes) {
-  const std::string Named = "the file \"" + File.string() + "\"";
-  const Descriptor Opened(File);
-  if (Opened.number() < 0)
-    throw InputError(Source, Pointer, Named + ", which cannot be opened",
+  const std::string FileLabel = "the file \"" + File.string() + "\"";
+  const FileDescriptor Descriptor(File);
+  if (Descriptor.number() < 0)
+    throw InputError(Source, Pointer, FileLabel + ", which cannot be opened",
                      "a file that this process can read");
   struct stat Status {};
-  if (::fstat(Opened.number(), &Status) != 0 || !S_ISREG(Status.st_mode))
-    throw InputError(Source, Pointer, Named + ", which is no regular file",
+  if (::fstat(Descriptor.number(), &Status) != 0 || !S_ISREG(Status.st_mode))
+    throw InputError(Source, Pointer, FileLabel + ", which is no regular file",
                      "a regular file");
-  if ((Status.st_mode & GroupAndOthers) != 0)
+  if ((Status.st_mode & GroupAndOthersMask) != 0)
     throw InputError(Source, Pointer,
-                     Named + " with mode " + octal(Status.st_mode),
+                     FileLabel + " with mode " + octal(Status.st_mode),
                      "a file that only its owner can use, mode 0600 or 0400");
-  const std::string Content = readUpTo(Opened.number(), MaxSecretBytes + 1);
+  const std::string Content = readUpTo(Descriptor.number(), MaxSecretBytes + 1);
   const std::string Text = trimmed(Content);
   if (Content.size() > MaxSecretBytes || Text.size() < MinBytes)
     throw InputError(Source, Pointer,
-                     Named + " with " + std::to_string(Text.size()) + " bytes",
+                     FileLabel + " with " + std::to_string(Text.size()) +
+                         " bytes",
                      "a secret of " + std::to_string(MinBytes) + " to " +
                          std::to_string(MaxSecretBytes) + " bytes");
   return Secret(Text);
--- a/packages/process/src/coltsfoottrail/settings/settings.cpp
+++ b/packages/process/src/coltsfoottrail/settings/settings.cpp
@@ -15,14 +15,14 @@
 namespace {
 
 constexpr std::uint64_t MaxPort = 65535;
-constexpr std::uint64_t SecondMs = 1000;
-constexpr std::uint64_t HourMs = 3600 * SecondMs;
-constexpr std::uint64_t DayMs = 24 * HourMs;
-constexpr std::uint64_t Kibi = 1024;
-constexpr std::uint64_t Mebi = 1024 * Kibi;
-constexpr std::uint64_t Gibi = 1024 * Mebi;
+constexpr std::uint64_t MsPerSecond = 1000;
+constexpr std::uint64_t MsPerHour = 3600 * MsPerSecond;
+constexpr std::uint64_t MsPerDay = 24 * MsPerHour;
+constexpr std::uint64_t KiB = 1024;
+constexpr std::uint64_t MiB = 1024 * KiB;
+constexpr std::uint64_t GiB = 1024 * MiB;
 constexpr std::size_t MaxNameBytes = 63;
-constexpr std::size_t MaxSettingsBytes = Mebi;
+constexpr std::size_t MaxSettingsBytes = MiB;
 constexpr std::size_t MinKeyBytes = 32;
 constexpr std::size_t MinCredentialBytes = 16;
 constexpr std::string_view NameRule =
@@ -31,16 +31,17 @@
 constexpr std::array<std::string_view, 4> LevelWords = {"debug", "info", "warn",
                                                         "error"};
 
-bool isAlphanumeric(char Letter) {
-  return (Letter >= 'a' && Letter <= 'z') || (Letter >= '0' && Letter <= '9');
+bool isAlphanumeric(char Character) {
+  return (Character >= 'a' && Character <= 'z') ||
+         (Character >= '0' && Character <= '9');
 }
 
 bool isName(std::string_view Text) {
   if (Text.empty() || Text.size() > MaxNameBytes ||
       !isAlphanumeric(Text.front()) || !isAlphanumeric(Text.back()))
     return false;
-  return std::all_of(Text.begin(), Text.end(), [](char Letter) {
-    return isAlphanumeric(Letter) || Letter == '-' || Letter == '.';
+  return std::all_of(Text.begin(), Text.end(), [](char Character) {
+    return isAlphanumeric(Character) || Character == '-' || Character == '.';
   });
 }
 
@@ -54,212 +55,221 @@
   return boost::asio::ip::make_address(Text).is_unspecified();
 }
 
-std::string readName(ObjectReader &From, std::string_view Key) {
-  std::string Text = From.text(Key);
+std::string readName(ObjectReader &Reader, std::string_view Key) {
+  std::string Text = Reader.text(Key);
   if (!isName(Text))
-    From.refuse(Key, NameRule);
+    Reader.refuse(Key, NameRule);
   return Text;
 }
 
-milliseconds readTime(ObjectReader &From, std::string_view Key,
+milliseconds readTime(ObjectReader &Reader, std::string_view Key,
                       milliseconds Default, std::uint64_t Min,
                       std::uint64_t Max) {
-  return milliseconds(From.numberOr(
+  return milliseconds(Reader.numberOr(
       Key, static_cast<std::uint64_t>(Default.count()), Min, Max));
 }
 
-SocketAddress readAddress(ObjectReader &From, std::uint64_t MinPort) {
-  SocketAddress Out;
-  Out.Address = From.text("address");
-  if (!isAddress(Out.Address))
-    From.refuse("address", "an IPv4 or IPv6 number");
-  Out.Port = static_cast<std::uint16_t>(From.number("port", MinPort, MaxPort));
-  return Out;
+SocketAddress readAddress(ObjectReader &Reader, std::uint64_t MinPort) {
+  SocketAddress Result;
+  Result.Address = Reader.text("address");
+  if (!isAddress(Result.Address))
+    Reader.refuse("address", "an IPv4 or IPv6 number");
+  Result.Port =
+      static_cast<std::uint16_t>(Reader.number("port", MinPort, MaxPort));
+  return Result;
 }
 
-/// What the parts of the file are read with.
-struct Origin {
-  std::string Source;
+/// The settings file, which errors name, and the folder that relative paths are
+/// resolved against.
+struct SettingsOrigin {
+  std::string FileName;
   std::filesystem::path Folder;
 };
 
-std::filesystem::path readPath(ObjectReader &From, std::string_view Key,
-                               const Origin &Where) {
-  const Json &Value = From.raw(Key);
-  if (Value.is_null() && !From.has(Key))
+std::filesystem::path readPath(ObjectReader &Reader, std::string_view Key,
+                               const SettingsOrigin &Origin) {
+  const Json &Value = Reader.raw(Key);
+  if (Value.is_null() && !Reader.has(Key))
     return {};
   if (Value.is_string() && Value.get_ref<const std::string &>().empty())
     return {};
-  return Where.Folder / From.text(Key);
+  return Origin.Folder / Reader.text(Key);
 }
 
-Secret readSecretOf(ObjectReader &From, std::string_view Key,
-                    std::size_t MinBytes, const Origin &Where) {
-  const std::filesystem::path File = Where.Folder / From.text(Key);
-  return readSecret(File, Where.Source, From.pointerTo(Key), MinBytes);
+Secret readSecretMember(ObjectReader &Reader, std::string_view Key,
+                        std::size_t MinBytes, const SettingsOrigin &Origin) {
+  const std::filesystem::path File = Origin.Folder / Reader.text(Key);
+  return readSecret(File, Origin.FileName, Reader.pointerTo(Key), MinBytes);
 }
 
-CallerSettings readCallers(ObjectReader From) {
-  CallerSettings Out;
-  Out.Listen = readAddress(From, 0);
-  Out.MaxHeaderBytes =
-      From.numberOr("max_header_bytes", Out.MaxHeaderBytes, Kibi, Mebi);
-  Out.MaxBodyBytes =
-      From.numberOr("max_body_bytes", Out.MaxBodyBytes, Kibi, Gibi);
-  Out.MaxConnections =
-      From.numberOr("max_connections", Out.MaxConnections, 1, 1000000);
-  Out.HeaderTimeout = readTime(From, "header_timeout_ms", Out.HeaderTimeout,
-                               100, 600 * SecondMs);
-  Out.BodyTimeout =
-      readTime(From, "body_timeout_ms", Out.BodyTimeout, 100, HourMs);
-  Out.WriteTimeout =
-      readTime(From, "write_timeout_ms", Out.WriteTimeout, 100, HourMs);
-  Out.DefaultDeadline =
-      readTime(From, "default_deadline_ms", Out.DefaultDeadline, 100, DayMs);
-  Out.MaxDeadline =
-      readTime(From, "max_deadline_ms", Out.MaxDeadline, 100, DayMs);
-  From.finish();
-  return Out;
+CallerSettings readCallers(ObjectReader Reader) {
+  CallerSettings Result;
+  Result.Listen = readAddress(Reader, 0);
+  Result.MaxHeaderBytes =
+      Reader.numberOr("max_header_bytes", Result.MaxHeaderBytes, KiB, MiB);
+  Result.MaxBodyBytes =
+      Reader.numberOr("max_body_bytes", Result.MaxBodyBytes, KiB, GiB);
+  Result.MaxConnections =
+      Reader.numberOr("max_connections", Result.MaxConnections, 1, 1000000);
+  Result.HeaderTimeout = readTime(Reader, "header_timeout_ms",
+                                  Result.HeaderTimeout, 100, 600 * MsPerSecond);
+  Result.BodyTimeout =
+      readTime(Reader, "body_timeout_ms", Result.BodyTimeout, 100, MsPerHour);
+  Result.WriteTimeout =
+      readTime(Reader, "write_timeout_ms", Result.WriteTimeout, 100, MsPerHour);
+  Result.DefaultDeadline = readTime(Reader, "default_deadline_ms",
+                                    Result.DefaultDeadline, 100, MsPerDay);
+  Result.MaxDeadline =
+      readTime(Reader, "max_deadline_ms", Result.MaxDeadline, 100, MsPerDay);
+  Reader.finish();
+  return Result;
 }
 
-OperatorSettings readOperators(ObjectReader From, const Origin &Where) {
-  OperatorSettings Out;
-  Out.Listen = readAddress(From, 0);
-  Out.Credential =
-      readSecretOf(From, "credential_file", MinCredentialBytes, Where);
-  From.finish();
-  return Out;
+OperatorSettings readOperators(ObjectReader Reader,
+                               const SettingsOrigin &Origin) {
+  OperatorSettings Result;
+  Result.Listen = readAddress(Reader, 0);
+  Result.Credential =
+      readSecretMember(Reader, "credential_file", MinCredentialBytes, Origin);
+  Reader.finish();
+  return Result;
 }
 
-MeshSettings readMesh(ObjectReader From, const Origin &Where) {
-  MeshSettings Out;
-  Out.Listen = readAddress(From, 0);
-  Out.Key = readSecretOf(From, "key_file", MinKeyBytes, Where);
-  From.eachObject("seeds", [&Out](ObjectReader &Seed) {
-    Out.Seeds.push_back(readAddress(Seed, 1));
+MeshSettings readMesh(ObjectReader Reader, const SettingsOrigin &Origin) {
+  MeshSettings Result;
+  Result.Listen = readAddress(Reader, 0);
+  Result.Key = readSecretMember(Reader, "key_file", MinKeyBytes, Origin);
+  Reader.eachObject("seeds", [&Result](ObjectReader &Seed) {
+    Result.Seeds.push_back(readAddress(Seed, 1));
   });
-  From.finish();
-  return Out;
+  Reader.finish();
+  return Result;
 }
 
-PlatformSettings readPlatform(ObjectReader From) {
-  PlatformSettings Out;
-  ObjectReader LogReader = From.object("log");
-  Out.Log.ServerAddress = readAddress(LogReader, 1);
-  Out.Log.Timeout =
-      readTime(LogReader, "timeout_ms", Out.Log.Timeout, 10, 60 * SecondMs);
+PlatformSettings readPlatform(ObjectReader Reader) {
+  PlatformSettings Result;
+  ObjectReader LogReader = Reader.object("log");
+  Result.Log.ServerAddress = readAddress(LogReader, 1);
+  Result.Log.Timeout = readTime(LogReader, "timeout_ms", Result.Log.Timeout, 10,
+                                60 * MsPerSecond);
   LogReader.finish();
-  if (From.has("host_list")) {
-    ObjectReader ListReader = From.object("host_list");
-    Out.HostList = readAddress(ListReader, 1);
+  if (Reader.has("host_list")) {
+    ObjectReader ListReader = Reader.object("host_list");
+    Result.HostList = readAddress(ListReader, 1);
     ListReader.finish();
   }
-  (void)From.raw("host_list");
-  From.finish();
-  return Out;
+  // Marks the key as known also when it is missing.
+  (void)Reader.raw("host_list");
+  Reader.finish();
+  return Result;
 }
 
-ClaimSettings readClaims(ObjectReader From) {
-  ClaimSettings Out;
-  Out.BatchTime = readTime(From, "batch_ms", Out.BatchTime, 1, SecondMs);
-  Out.KeyLife =
-      readTime(From, "key_life_ms", Out.KeyLife, SecondMs, 30 * DayMs);
-  From.finish();
-  return Out;
+ClaimSettings readClaims(ObjectReader Reader) {
+  ClaimSettings Result;
+  Result.BatchTime =
+      readTime(Reader, "batch_ms", Result.BatchTime, 1, MsPerSecond);
+  Result.KeyLife = readTime(Reader, "key_life_ms", Result.KeyLife, MsPerSecond,
+                            30 * MsPerDay);
+  Reader.finish();
+  return Result;
 }
 
-StopSettings readStop(ObjectReader From) {
-  StopSettings Out;
-  Out.Grace = readTime(From, "grace_ms", Out.Grace, 0, HourMs);
-  Out.StreamLimit =
-      readTime(From, "stream_limit_ms", Out.StreamLimit, SecondMs, DayMs);
-  From.finish();
-  return Out;
+StopSettings readStop(ObjectReader Reader) {
+  StopSettings Result;
+  Result.Grace = readTime(Reader, "grace_ms", Result.Grace, 0, MsPerHour);
+  Result.StreamLimit = readTime(Reader, "stream_limit_ms", Result.StreamLimit,
+                                MsPerSecond, MsPerDay);
+  Reader.finish();
+  return Result;
 }
 
-LimitSettings readLimits(ObjectReader From) {
-  LimitSettings Out;
-  Out.MaxWaiting = From.numberOr("max_waiting", Out.MaxWaiting, 1, 10000000);
-  Out.MaxWaitingBytes =
-      From.numberOr("max_waiting_bytes", Out.MaxWaitingBytes, Mebi, 64 * Gibi);
-  From.finish();
-  return Out;
+LimitSettings readLimits(ObjectReader Reader) {
+  LimitSettings Result;
+  Result.MaxWaiting =
+      Reader.numberOr("max_waiting", Result.MaxWaiting, 1, 10000000);
+  Result.MaxWaitingBytes = Reader.numberOr(
+      "max_waiting_bytes", Result.MaxWaitingBytes, MiB, 64 * GiB);
+  Reader.finish();
+  return Result;
 }
 
-TelemetrySettings readTelemetry(ObjectReader From, const Origin &Where) {
-  TelemetrySettings Out;
-  Out.TraceFile = readPath(From, "trace_file", Where);
-  Out.LogFile = readPath(From, "log_file", Where);
-  Out.Level = static_cast<LogLevel>(From.wordOr(
-      "log_level", LevelWords, static_cast<std::size_t>(Out.Level)));
-  From.finish();
-  return Out;
+TelemetrySettings readTelemetry(ObjectReader Reader,
+                                const SettingsOrigin &Origin) {
+  TelemetrySettings Result;
+  Result.TraceFile = readPath(Reader, "trace_file", Origin);
+  Result.LogFile = readPath(Reader, "log_file", Origin);
+  Result.Level = static_cast<LogLevel>(Reader.wordOr(
+      "log_level", LevelWords, static_cast<std::size_t>(Result.Level)));
+  Reader.finish();
+  return Result;
 }
 
 /// Reads a member object, or its defaults when the key is missing.
 template <class Part, class Function>
-Part readOptional(ObjectReader &From, std::string_view Key, Function Read) {
-  if (!From.has(Key)) {
-    (void)From.raw(Key);
+Part readOptional(ObjectReader &Reader, std::string_view Key,
+                  Function ReadMember) {
+  if (!Reader.has(Key)) {
+    // Marks the key as known.
+    (void)Reader.raw(Key);
     return Part{};
   }
-  return Read(From.object(Key));
+  return ReadMember(Reader.object(Key));
 }
 
-std::string readAdvertised(ObjectReader &From, const std::string &MeshAddress) {
-  std::string Text = From.textOr("advertised_address", MeshAddress);
+std::string readAdvertisedAddress(ObjectReader &Reader,
+                                  const std::string &MeshAddress) {
+  std::string Text = Reader.textOr("advertised_address", MeshAddress);
   if (!isAddress(Text) || isWildcard(Text))
-    From.refuse("advertised_address",
-                "the IP number that peers reach this host by; needed when "
-                "/mesh/address takes connections on all addresses");
+    Reader.refuse("advertised_address",
+                  "the IP number that peers reach this host by; needed when "
+                  "/mesh/address takes connections on all addresses");
   return Text;
 }
 
-Settings readRoot(ObjectReader Root, const Origin &Where) {
-  Settings Out;
-  Out.Host = HostName(readName(Root, "host"));
-  Out.DataCentre = DataCentreName(readName(Root, "data_centre"));
-  Out.Threads =
-      static_cast<std::uint32_t>(Root.numberOr("threads", Out.Threads, 1, 256));
-  Out.Callers = readCallers(Root.object("callers"));
-  Out.Operators = readOperators(Root.object("operators"), Where);
-  Out.Mesh = readMesh(Root.object("mesh"), Where);
-  Out.AdvertisedAddress = readAdvertised(Root, Out.Mesh.Listen.Address);
-  Out.Platform = readPlatform(Root.object("platform"));
-  Out.AgreedStream =
-      StreamName(Root.textOr("agreed_stream", Out.AgreedStream.Text));
-  if (!isName(Out.AgreedStream.Text))
+Settings readRoot(ObjectReader Root, const SettingsOrigin &Origin) {
+  Settings Result;
+  Result.Host = HostName(readName(Root, "host"));
+  Result.DataCentre = DataCentreName(readName(Root, "data_centre"));
+  Result.Threads = static_cast<std::uint32_t>(
+      Root.numberOr("threads", Result.Threads, 1, 256));
+  Result.Callers = readCallers(Root.object("callers"));
+  Result.Operators = readOperators(Root.object("operators"), Origin);
+  Result.Mesh = readMesh(Root.object("mesh"), Origin);
+  Result.AdvertisedAddress =
+      readAdvertisedAddress(Root, Result.Mesh.Listen.Address);
+  Result.Platform = readPlatform(Root.object("platform"));
+  Result.AgreedStream =
+      StreamName(Root.textOr("agreed_stream", Result.AgreedStream.Text));
+  if (!isName(Result.AgreedStream.Text))
     Root.refuse("agreed_stream", NameRule);
-  Out.Claims = readOptional<ClaimSettings>(Root, "claims", readClaims);
-  Out.Stop = readOptional<StopSettings>(Root, "stop", readStop);
-  Out.Limits = readOptional<LimitSettings>(Root, "limits", readLimits);
-  Out.Telemetry = readOptional<TelemetrySettings>(
+  Result.Claims = readOptional<ClaimSettings>(Root, "claims", readClaims);
+  Result.Stop = readOptional<StopSettings>(Root, "stop", readStop);
+  Result.Limits = readOptional<LimitSettings>(Root, "limits", readLimits);
+  Result.Telemetry = readOptional<TelemetrySettings>(
       Root, "telemetry",
-      [&Where](ObjectReader From) { return readTelemetry(From, Where); });
+      [&Origin](ObjectReader Reader) { return readTelemetry(Reader, Origin); });
   Root.finish();
-  return Out;
+  return Result;
 }
 
-std::string readWhole(const std::filesystem::path &File) {
-  std::ifstream In(File, std::ios::binary);
+std::string readFile(const std::filesystem::path &File) {
+  std::ifstream Input(File, std::ios::binary);
   std::error_code Problem;
-  if (!In || std::filesystem::is_directory(File, Problem))
+  if (!Input || std::filesystem::is_directory(File, Problem))
     throw InputError(File.string(), "",
                      "a file that cannot be read: " +
-                         std::string(std::strerror(In ? EISDIR : errno)),
+                         std::string(std::strerror(Input ? EISDIR : errno)),
                      "a readable JSON file");
   std::string Text(MaxSettingsBytes + 1, '\0');
-  In.read(Text.data(), static_cast<std::streamsize>(Text.size()));
-  Text.resize(static_cast<std::size_t>(In.gcount()));
+  Input.read(Text.data(), static_cast<std::streamsize>(Text.size()));
+  Text.resize(static_cast<std::size_t>(Input.gcount()));
   if (Text.size() > MaxSettingsBytes)
     throw InputError(File.string(), "", "more than 1 MiB",
                      "a JSON file of at most 1 MiB");
   return Text;
 }
 
-std::string shownTime(milliseconds Time) {
-  return std::to_string(Time.count());
-}
+std::string timeText(milliseconds Time) { return std::to_string(Time.count()); }
 
 void refuseSharedPort(std::string_view Source, const SocketAddress &Left,
                       std::string_view LeftName, const SocketAddress &Right,
@@ -274,104 +284,105 @@
                    "a port other than that of /" + std::string(LeftName));
 }
 
-Json addressJson(const SocketAddress &Shown) {
-  return Json{{"address", Shown.Address}, {"port", Shown.Port}};
+Json addressJson(const SocketAddress &Source) {
+  return Json{{"address", Source.Address}, {"port", Source.Port}};
 }
 
-Json callersJson(const CallerSettings &Shown) {
-  Json Out = addressJson(Shown.Listen);
-  Out["max_header_bytes"] = Shown.MaxHeaderBytes;
-  Out["max_body_bytes"] = Shown.MaxBodyBytes;
-  Out["max_connections"] = Shown.MaxConnections;
-  Out["header_timeout_ms"] = Shown.HeaderTimeout.count();
-  Out["body_timeout_ms"] = Shown.BodyTimeout.count();
-  Out["write_timeout_ms"] = Shown.WriteTimeout.count();
-  Out["default_deadline_ms"] = Shown.DefaultDeadline.count();
-  Out["max_deadline_ms"] = Shown.MaxDeadline.count();
-  return Out;
+Json callersJson(const CallerSettings &Values) {
+  Json Result = addressJson(Values.Listen);
+  Result["max_header_bytes"] = Values.MaxHeaderBytes;
+  Result["max_body_bytes"] = Values.MaxBodyBytes;
+  Result["max_connections"] = Values.MaxConnections;
+  Result["header_timeout_ms"] = Values.HeaderTimeout.count();
+  Result["body_timeout_ms"] = Values.BodyTimeout.count();
+  Result["write_timeout_ms"] = Values.WriteTimeout.count();
+  Result["default_deadline_ms"] = Values.DefaultDeadline.count();
+  Result["max_deadline_ms"] = Values.MaxDeadline.count();
+  return Result;
 }
 
-Json meshJson(const MeshSettings &Shown) {
-  Json Out = addressJson(Shown.Listen);
-  Out["key_file"] = "(secret)";
-  Out["seeds"] = Json::array();
-  for (const SocketAddress &Seed : Shown.Seeds)
-    Out["seeds"].push_back(addressJson(Seed));
-  return Out;
+Json meshJson(const MeshSettings &Values) {
+  Json Result = addressJson(Values.Listen);
+  Result["key_file"] = "(secret)";
+  Result["seeds"] = Json::array();
+  for (const SocketAddress &Seed : Values.Seeds)
+    Result["seeds"].push_back(addressJson(Seed));
+  return Result;
 }
 
-Json platformJson(const PlatformSettings &Shown) {
-  Json Out;
-  Out["log"] = addressJson(Shown.Log.ServerAddress);
-  Out["log"]["timeout_ms"] = Shown.Log.Timeout.count();
-  Out["host_list"] = Shown.HostList ? addressJson(*Shown.HostList) : Json();
-  return Out;
+Json platformJson(const PlatformSettings &Values) {
+  Json Result;
+  Result["log"] = addressJson(Values.Log.ServerAddress);
+  Result["log"]["timeout_ms"] = Values.Log.Timeout.count();
+  Result["host_list"] =
+      Values.HostList ? addressJson(*Values.HostList) : Json();
+  return Result;
 }
 
 } // namespace
 
-void checkSettings(const Settings &Checked, std::string_view Source) {
-  const CallerSettings &Callers = Checked.Callers;
+void checkSettings(const Settings &Values, std::string_view Source) {
+  const CallerSettings &Callers = Values.Callers;
   if (Callers.DefaultDeadline > Callers.MaxDeadline)
     throw InputError(Source, "/callers/default_deadline_ms",
-                     shownTime(Callers.DefaultDeadline),
+                     timeText(Callers.DefaultDeadline),
                      "at most /callers/max_deadline_ms, which is " +
-                         shownTime(Callers.MaxDeadline));
-  if (Checked.Limits.MaxWaitingBytes < Callers.MaxBodyBytes)
+                         timeText(Callers.MaxDeadline));
+  if (Values.Limits.MaxWaitingBytes < Callers.MaxBodyBytes)
     throw InputError(Source, "/limits/max_waiting_bytes",
-                     std::to_string(Checked.Limits.MaxWaitingBytes),
+                     std::to_string(Values.Limits.MaxWaitingBytes),
                      "at least /callers/max_body_bytes, which is " +
                          std::to_string(Callers.MaxBodyBytes));
-  if (Checked.Claims.KeyLife < Callers.MaxDeadline)
+  if (Values.Claims.KeyLife < Callers.MaxDeadline)
     throw InputError(Source, "/claims/key_life_ms",
-                     shownTime(Checked.Claims.KeyLife),
+                     timeText(Values.Claims.KeyLife),
                      "at least /callers/max_deadline_ms, which is " +
-                         shownTime(Callers.MaxDeadline));
-  if (Checked.Stop.Grace > Checked.Stop.StreamLimit)
-    throw InputError(Source, "/stop/grace_ms", shownTime(Checked.Stop.Grace),
+                         timeText(Callers.MaxDeadline));
+  if (Values.Stop.Grace > Values.Stop.StreamLimit)
+    throw InputError(Source, "/stop/grace_ms", timeText(Values.Stop.Grace),
                      "at most /stop/stream_limit_ms, which is " +
-                         shownTime(Checked.Stop.StreamLimit));
-  refuseSharedPort(Source, Callers.Listen, "callers", Checked.Operators.Listen,
+                         timeText(Values.Stop.StreamLimit));
+  refuseSharedPort(Source, Callers.Listen, "callers", Values.Operators.Listen,
                    "operators");
-  refuseSharedPort(Source, Callers.Listen, "callers", Checked.Mesh.Listen,
+  refuseSharedPort(Source, Callers.Listen, "callers", Values.Mesh.Listen,
                    "mesh");
-  refuseSharedPort(Source, Checked.Operators.Listen, "operators",
-                   Checked.Mesh.Listen, "mesh");
+  refuseSharedPort(Source, Values.Operators.Listen, "operators",
+                   Values.Mesh.Listen, "mesh");
 }
 
 Settings readSettings(const std::filesystem::path &File) {
-  const Origin Where{File.string(), File.parent_path()};
-  const Json Document = parseJson(readWhole(File), Where.Source);
-  Settings Out = readRoot(ObjectReader(Document, Where.Source), Where);
-  checkSettings(Out, Where.Source);
-  return Out;
+  const SettingsOrigin Origin{File.string(), File.parent_path()};
+  const Json Document = parseJson(readFile(File), Origin.FileName);
+  Settings Result = readRoot(ObjectReader(Document, Origin.FileName), Origin);
+  checkSettings(Result, Origin.FileName);
+  return Result;
 }
 
-Json describeSettings(const Settings &Shown) {
-  Json Out;
-  Out["host"] = Shown.Host.Text;
-  Out["data_centre"] = Shown.DataCentre.Text;
-  Out["advertised_address"] = Shown.AdvertisedAddress;
-  Out["threads"] = Shown.Threads;
-  Out["callers"] = callersJson(Shown.Callers);
-  Out["operators"] = addressJson(Shown.Operators.Listen);
-  Out["operators"]["credential_file"] = "(secret)";
-  Out["mesh"] = meshJson(Shown.Mesh);
-  Out["platform"] = platformJson(Shown.Platform);
-  Out["agreed_stream"] = Shown.AgreedStream.Text;
-  Out["claims"] = Json{{"batch_ms", Shown.Claims.BatchTime.count()},
-
-                       {"key_life_ms", Shown.Claims.KeyLife.count()}};
-  Out["stop"] = Json{{"grace_ms", Shown.Stop.Grace.count()},
-                     {"stream_limit_ms", Shown.Stop.StreamLimit.count()}};
-  Out["limits"] = Json{{"max_waiting", Shown.Limits.MaxWaiting},
-                       {"max_waiting_bytes", Shown.Limits.MaxWaitingBytes}};
-  Out["telemetry"] =
-      Json{{"trace_file", Shown.Telemetry.TraceFile.string()},
-           {"log_file", Shown.Telemetry.LogFile.string()},
+Json describeSettings(const Settings &Values) {
+  Json Result;
+  Result["host"] = Values.Host.Text;
+  Result["data_centre"] = Values.DataCentre.Text;
+  Result["advertised_address"] = Values.AdvertisedAddress;
+  Result["threads"] = Values.Threads;
+  Result["callers"] = callersJson(Values.Callers);
+  Result["operators"] = addressJson(Values.Operators.Listen);
+  Result["operators"]["credential_file"] = "(secret)";
+  Result["mesh"] = meshJson(Values.Mesh);
+  Result["platform"] = platformJson(Values.Platform);
+  Result["agreed_stream"] = Values.AgreedStream.Text;
+  Result["claims"] = Json{{"batch_ms", Values.Claims.BatchTime.count()},
+
+                          {"key_life_ms", Values.Claims.KeyLife.count()}};
+  Result["stop"] = Json{{"grace_ms", Values.Stop.Grace.count()},
+                        {"stream_limit_ms", Values.Stop.StreamLimit.count()}};
+  Result["limits"] = Json{{"max_waiting", Values.Limits.MaxWaiting},
+                          {"max_waiting_bytes", Values.Limits.MaxWaitingBytes}};
+  Result["telemetry"] =
+      Json{{"trace_file", Values.Telemetry.TraceFile.string()},
+           {"log_file", Values.Telemetry.LogFile.string()},
            {"log_level",
-            LevelWords.at(static_cast<std::size_t>(Shown.Telemetry.Level))}};
-  return Out;
+            LevelWords.at(static_cast<std::size_t>(Values.Telemetry.Level))}};
+  return Result;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/settings/settings.hpp
+++ b/packages/process/src/coltsfoottrail/settings/settings.hpp
@@ -16,19 +16,19 @@
 
 namespace coltsfoottrail {
 
-/// Least urgent events that reach the log.
+/// Severity of an event; as a setting, the least severe level that is logged.
 enum class LogLevel : std::uint8_t { Debug, Info, Warn, Error };
 
-/// An IP number and a port.
+/// An IP address and a port.
 struct SocketAddress {
   std::string Address;
-  /// Zero, where a listener allows it, takes any free port.
+  /// Zero lets a listener that allows it use any free port.
   std::uint16_t Port = 0;
   [[nodiscard]] friend bool operator==(const SocketAddress &,
                                        const SocketAddress &) = default;
 };
 
-/// The listener for callers and what each connection may use.
+/// The listener for callers and the limits of each connection.
 struct CallerSettings {
   SocketAddress Listen;
   std::size_t MaxHeaderBytes = 16384;
@@ -51,7 +51,7 @@
 struct MeshSettings {
   SocketAddress Listen;
   Secret Key;
-  /// Entry hosts to ask before the first record is read.
+  /// Entry hosts to contact before the first record is read.
   std::vector<SocketAddress> Seeds;
 };
 
@@ -64,28 +64,29 @@
 /// Services of the platform.
 struct PlatformSettings {
   LogServiceSettings Log;
-  /// The list of live and leaving hosts; without it, hosts are only known from
-  /// the agreed state and from what is seen of them.
+  /// Service that lists live and leaving hosts. Without it, hosts are known
+  /// only from the agreed state and from what this host observes of them.
   std::optional<SocketAddress> HostList;
 };
 
 /// Claims of idempotency keys on the log.
 struct ClaimSettings {
-  /// How long claims are collected for one append.
+  /// How long claims are collected into one append.
   milliseconds BatchTime{10};
-  /// How long a key is known; below the retention of the log.
+  /// How long a key is remembered; must be less than the retention of the log.
   milliseconds KeyLife{3600000};
 };
 
-/// Planned stop.
+/// Graceful shutdown.
 struct StopSettings {
-  /// From unready until new requests are refused, so that the balancer notices.
+  /// Time from turning unready until new requests are refused, so that the load
+  /// balancer notices.
   milliseconds Grace{5000};
-  /// How long requests in progress may go on.
+  /// How long requests in progress may continue.
   milliseconds StreamLimit{900000};
 };
 
-/// What may wait in this process.
+/// Limits of the requests that wait in this process.
 struct LimitSettings {
   std::size_t MaxWaiting = 10000;
   std::size_t MaxWaitingBytes = 268435456;
@@ -100,11 +101,11 @@
   LogLevel Level = LogLevel::Info;
 };
 
-/// @brief All settings of an entry host, checked.
+/// @brief All settings of an entry host, validated.
 struct Settings {
   HostName Host;
   DataCentreName DataCentre;
-  /// IP number that peers reach this host by.
+  /// IP address at which peers reach this host.
   std::string AdvertisedAddress;
   /// Threads that serve requests.
   std::uint32_t Threads = 2;
@@ -121,23 +122,24 @@
 
 /// @brief Reads and checks a settings file and the secret files that it names.
 /// Thread-safe.
-/// @param File JSON; relative paths in it start from its folder.
+/// @param File The JSON file; relative paths in it are resolved against its
+/// folder.
 /// @return The settings with defaults filled in.
-/// @throws InputError The file cannot be read, or a value cannot be used: the
-/// error names file, JSON pointer, value and what is allowed.
+/// @throws InputError The file cannot be read, or a value is not allowed; the
+/// error names file, JSON pointer, value and allowed values.
 [[nodiscard]] Settings readSettings(const std::filesystem::path &File);
 
-/// @brief Checks values that depend on each other. Thread-safe.
-/// @param Checked Settings whose single values are within their bounds.
-/// @param Source Named in errors.
+/// @brief Checks constraints between values. Thread-safe.
+/// @param Values Settings whose single values are within their bounds.
+/// @param Source Name of the settings file, for errors.
 /// @throws InputError Two values contradict each other.
-void checkSettings(const Settings &Checked, std::string_view Source);
+void checkSettings(const Settings &Values, std::string_view Source);
 
-/// @brief Shows settings in the form of the file, with defaults filled in and
-/// secrets replaced. Thread-safe.
-/// @param Shown What to show.
+/// @brief Formats settings like the settings file, with defaults filled in and
+/// secrets replaced by a placeholder. Thread-safe.
+/// @param Values The settings.
 /// @return An object that has every key.
-[[nodiscard]] Json describeSettings(const Settings &Shown);
+[[nodiscard]] Json describeSettings(const Settings &Values);
 
 } // namespace coltsfoottrail
 
--- a/packages/process/test/coltsfoottrail/settings/settings.cpp
+++ b/packages/process/test/coltsfoottrail/settings/settings.cpp
@@ -21,10 +21,10 @@
 const std::string Key = "a-key-of-the-mesh-with-32-letters-or-more";
 
 std::string documentation() {
-  std::ifstream In(COLTSFOOTTRAIL_DOCS "/operations/settings.md");
-  std::ostringstream Out;
-  Out << In.rdbuf();
-  return Out.str();
+  std::ifstream Input(COLTSFOOTTRAIL_DOCS "/operations/settings.md");
+  std::ostringstream Content;
+  Content << Input.rdbuf();
+  return Content.str();
 }
 
 Json documentedExample() {
@@ -39,14 +39,14 @@
 };
 
 std::map<std::string, KeyRow> documentedKeys() {
-  std::map<std::string, KeyRow> Out;
-  std::istringstream In(documentation());
+  std::map<std::string, KeyRow> Rows;
+  std::istringstream Input(documentation());
   const std::regex Row(R"(\| `(/[^`]*)` \| ([^|]*) \| ([^|]*) \|.*)");
   std::smatch Match;
-  for (std::string Line; std::getline(In, Line);)
+  for (std::string Line; std::getline(Input, Line);)
     if (std::regex_match(Line, Match, Row))
-      Out[Match[1]] = KeyRow{Match[2], Match[3]};
-  return Out;
+      Rows[Match[1]] = KeyRow{Match[2], Match[3]};
+  return Rows;
 }
 
 class SettingsTest : public ::testing::Test {
@@ -84,9 +84,9 @@
                                         const Json &Value) {
     const Json Before = Document;
     Document[Json::json_pointer(Pointer)] = Value;
-    std::string Out = problem();
+    std::string Message = problem();
     Document = Before;
-    return Out;
+    return Message;
   }
 
   std::filesystem::path Folder;
@@ -94,16 +94,16 @@
 };
 
 TEST_F(SettingsTest, DocumentedExampleIsRead) {
-  const Settings Read = read();
-  EXPECT_EQ(Read.Host, HostName("entry-1"));
-  EXPECT_EQ(Read.Mesh.Key.reveal(), Key);
-  EXPECT_EQ(Read.Mesh.Seeds.at(0), (SocketAddress{"127.0.0.1", 8092}));
-  EXPECT_EQ(Read.Platform.HostList, (SocketAddress{"127.0.0.1", 9001}));
+  const Settings Values = read();
+  EXPECT_EQ(Values.Host, HostName("entry-1"));
+  EXPECT_EQ(Values.Mesh.Key.reveal(), Key);
+  EXPECT_EQ(Values.Mesh.Seeds.at(0), (SocketAddress{"127.0.0.1", 8092}));
+  EXPECT_EQ(Values.Platform.HostList, (SocketAddress{"127.0.0.1", 9001}));
 }
 
-// A page that lists a key which is not there, or lacks one that is, sends an
-// operator looking for a fault in the wrong place. The reader names its known
-// keys when it meets an unknown one; they must be those of the page.
+// Guards against documentation that lists other keys than the reader accepts.
+// The reader names its known keys in the error for an unknown one; they must be
+// those of the page.
 TEST_F(SettingsTest, PageAndReaderHaveTheSameKeys) {
   std::map<std::string, std::set<std::string>> Documented;
   for (const auto &[Pointer, Row] : documentedKeys()) {
@@ -122,9 +122,9 @@
     const std::string Text = problemWith(Object + "/no_such_key", 1);
     const std::string Listed = Text.substr(Text.find("the keys"));
     std::set<std::string> Known;
-    for (std::sregex_iterator At(Listed.begin(), Listed.end(), Quoted), End;
-         At != End; ++At)
-      Known.insert((*At)[1]);
+    for (std::sregex_iterator Next(Listed.begin(), Listed.end(), Quoted), End;
+         Next != End; ++Next)
+      Known.insert((*Next)[1]);
     EXPECT_EQ(Known, Keys) << Object;
     EXPECT_THAT(Text, HasSubstr(Object + "/no_such_key"));
   }
@@ -133,7 +133,7 @@
 TEST_F(SettingsTest, DocumentedBoundsAreThoseOfTheReader) {
   const std::regex Bounds("([0-9]+) to ([0-9]+)");
   std::smatch Match;
-  std::size_t Checked = 0;
+  std::size_t CheckedKeys = 0;
   for (const auto &[Pointer, Row] : documentedKeys()) {
     if (!std::regex_match(Row.Allowed, Match, Bounds))
       continue;
@@ -149,9 +149,9 @@
                 AllOf(HasSubstr(std::to_string(Max + 1)), HasSubstr(Rule)));
     EXPECT_THAT(problemWith(Concrete, Min), Not(HasSubstr(Rule)));
     EXPECT_THAT(problemWith(Concrete, Max), Not(HasSubstr(Rule)));
-    ++Checked;
+    ++CheckedKeys;
   }
-  EXPECT_EQ(Checked, 22U);
+  EXPECT_EQ(CheckedKeys, 22U);
 }
 
 TEST_F(SettingsTest, DocumentedDefaultsAreThoseOfTheReader) {
@@ -166,10 +166,11 @@
       EXPECT_THAT(problem(), AllOf(HasSubstr("entry.json: at " + Pointer),
                                    HasSubstr("(missing)")));
     } else if (Row.Default.front() != '`') {
-      const Json Shown =
+      const Json Described =
           describeSettings(read()).at(Json::json_pointer(Pointer));
-      const std::string Text =
-          Shown.is_string() ? Shown.get<std::string>() : Shown.dump();
+      const std::string Text = Described.is_string()
+                                   ? Described.get<std::string>()
+                                   : Described.dump();
       EXPECT_EQ(Text.empty() ? "empty" : Text, Row.Default) << Pointer;
     }
     Document = Before;
@@ -181,8 +182,8 @@
     Document.erase(Group);
   Document["platform"].erase("host_list");
   Document["mesh"].erase("seeds");
-  const Settings Read = read();
-  EXPECT_FALSE(Read.Platform.HostList);
+  const Settings Values = read();
+  EXPECT_FALSE(Values.Platform.HostList);
 }
 
 TEST_F(SettingsTest, AddressMustBeANumber) {
@@ -236,8 +237,8 @@
               HasSubstr("a port other than that of /operators"));
 }
 
-// An operator copies the mesh key with the usual umask: every account of the
-// machine can read it, and nobody is told.
+// Guards against a key file with too wide permissions: copied with the usual
+// umask, the mesh key is readable by every account of the machine.
 TEST_F(SettingsTest, SecretReadableByOthersIsRefused) {
   for (const unsigned Mode : {0640U, 0604U, 0620U, 0601U}) {
     std::filesystem::permissions(Folder / "mesh.secret",
