--- a/packages/process/src/coltsfoottrail/cli/run.cpp
+++ b/packages/process/src/coltsfoottrail/cli/run.cpp
@@ -284,6 +284,7 @@
     print(Options.AsJson ? jsonText(Previous) + "\n" : stateText(Previous));
     while (Context.Out) {
       Json Current = queryWithRetries(StatePath);
+      // An entry host that lags returns an older state.
       if (Current.at("next") < Previous.at("next"))
         continue;
       printChanges(Previous, Current);
--- a/packages/process/src/coltsfoottrail/cli/view.cpp
+++ b/packages/process/src/coltsfoottrail/cli/view.cpp
@@ -14,26 +14,26 @@
 
 constexpr std::string_view AnswerSource = "entry host's answer";
 constexpr std::string_view ColumnGap = "  ";
-/// In the order of PlanStage.
+/// Values of the member "phase", in the order of PlanStage.
 constexpr std::array<std::string_view, 4> StageWords{"proposed", "running",
                                                      "done", "abandoned"};
 
 /// A column: its heading and the JSON member that it shows.
 struct Column {
-  const char *Name;
+  const char *Heading;
   const char *Key;
 };
 
 /// A table of the state: the kind of its rows, the JSON member that holds them,
 /// and its columns. The first column identifies a row.
-struct Section {
+struct StateTable {
   const char *Name;
   const char *Key;
   std::vector<Column> Columns;
 };
 
-const std::vector<Section> &sections() {
-  static const std::vector<Section> All{
+const std::vector<StateTable> &stateTables() {
+  static const std::vector<StateTable> Tables{
       {"entry host",
        "entry_hosts",
        {{"ENTRY HOST", "name"},
@@ -68,7 +68,7 @@
         {"STEPS", "steps"},
         {"ASKED", "asked"}}},
   };
-  return All;
+  return Tables;
 }
 
 constexpr std::array<std::pair<const char *, const char *>, 2> DrainedLists{{
@@ -104,21 +104,21 @@
   return *Member;
 }
 
-std::vector<TableRow> rowsOf(const Json &Answer, const Section &Table) {
+std::vector<TableRow> rowsOf(const Json &Answer, const StateTable &Table) {
   std::vector<TableRow> Result;
   for (const Json &Entry : listAt(Answer, Table.Key)) {
     TableRow Row;
-    for (const Column &Heading : Table.Columns)
-      Row.push_back(cellOf(Entry, Heading.Key));
+    for (const Column &TableColumn : Table.Columns)
+      Row.push_back(cellOf(Entry, TableColumn.Key));
     Result.push_back(std::move(Row));
   }
   return Result;
 }
 
-TableRow headOf(const Section &Table) {
+TableRow headOf(const StateTable &Table) {
   TableRow Result;
-  for (const Column &Heading : Table.Columns)
-    Result.emplace_back(Heading.Name);
+  for (const Column &TableColumn : Table.Columns)
+    Result.emplace_back(TableColumn.Heading);
   return Result;
 }
 
@@ -138,7 +138,7 @@
 /// The objects of a state: "kind name" mapped to a line with the other columns.
 std::map<std::string, std::string> describeObjects(const Json &Answer) {
   std::map<std::string, std::string> Result;
-  for (const Section &Table : sections())
+  for (const StateTable &Table : stateTables())
     for (const TableRow &Row : rowsOf(Answer, Table)) {
       std::string Line;
       for (std::size_t Index = 1; Index < Row.size(); ++Index)
@@ -214,7 +214,7 @@
 
 std::string renderState(const Json &Answer) {
   std::string Result;
-  for (const Section &Table : sections()) {
+  for (const StateTable &Table : stateTables()) {
     const std::vector<TableRow> Rows = rowsOf(Answer, Table);
     if (!Rows.empty())
       Result += renderTable(headOf(Table), Rows) + "\n";
--- a/packages/process/src/coltsfoottrail/settings/settings.cpp
+++ b/packages/process/src/coltsfoottrail/settings/settings.cpp
@@ -46,9 +46,9 @@
 }
 
 bool isAddress(const std::string &Text) {
-  boost::system::error_code Problem;
-  (void)boost::asio::ip::make_address(Text, Problem);
-  return !Problem;
+  boost::system::error_code ErrorCode;
+  (void)boost::asio::ip::make_address(Text, ErrorCode);
+  return !ErrorCode;
 }
 
 bool isWildcard(const std::string &Text) {
@@ -254,8 +254,8 @@
 
 std::string readFile(const std::filesystem::path &File) {
   std::ifstream Input(File, std::ios::binary);
-  std::error_code Problem;
-  if (!Input || std::filesystem::is_directory(File, Problem))
+  std::error_code Ignored;
+  if (!Input || std::filesystem::is_directory(File, Ignored))
     throw InputError(File.string(), "",
                      "a file that cannot be read: " +
                          std::string(std::strerror(Input ? EISDIR : errno)),
--- a/packages/process/src/coltsfoottrail/settings/settings.hpp
+++ b/packages/process/src/coltsfoottrail/settings/settings.hpp
@@ -94,9 +94,9 @@
 
 /// Traces and logs.
 struct TelemetrySettings {
-  /// Empty for none.
+  /// File that trace spans are appended to; empty if none are written.
   std::filesystem::path TraceFile;
-  /// Empty for the standard error stream.
+  /// Empty to log to standard error.
   std::filesystem::path LogFile;
   LogLevel Level = LogLevel::Info;
 };
--- a/packages/process/src/coltsfoottrail/telemetry/metrics.cpp
+++ b/packages/process/src/coltsfoottrail/telemetry/metrics.cpp
@@ -78,8 +78,8 @@
   if (Labels.empty() && Quantile.empty())
     return;
   Output += '{';
-  for (const Label &Each : Labels)
-    appendLabel(Output, Each.Key, Each.Value);
+  for (const Label &Item : Labels)
+    appendLabel(Output, Item.Key, Item.Value);
   if (!Quantile.empty())
     appendLabel(Output, "quantile", Quantile);
   Output += '}';
@@ -100,11 +100,11 @@
 
 void normalizeLabels(std::vector<Label> &Labels, std::size_t MaxBytes) {
   std::sort(Labels.begin(), Labels.end());
-  for (Label &Each : Labels) {
-    if (!isMetricName(Each.Key))
-      throw Error("the metric label \"" + Each.Key + "\" is malformed");
-    if (Each.Value.size() > MaxBytes)
-      Each.Value.resize(MaxBytes);
+  for (Label &Item : Labels) {
+    if (!isMetricName(Item.Key))
+      throw Error("the metric label \"" + Item.Key + "\" is malformed");
+    if (Item.Value.size() > MaxBytes)
+      Item.Value.resize(MaxBytes);
   }
 }
 
--- a/packages/process/src/coltsfoottrail/telemetry/span.cpp
+++ b/packages/process/src/coltsfoottrail/telemetry/span.cpp
@@ -40,27 +40,28 @@
 } // namespace
 
 std::string otlpLine(const Span &Source, const HostName &Host) {
-  Json Line;
-  Line["traceId"] = hexText(Source.Context.TraceId);
-  Line["spanId"] = hexText(Source.Context.SpanId);
+  Json SpanJson;
+  SpanJson["traceId"] = hexText(Source.Context.TraceId);
+  SpanJson["spanId"] = hexText(Source.Context.SpanId);
   if (Source.Parent)
-    Line["parentSpanId"] = hexText(*Source.Parent);
-  Line["name"] = Source.Name;
-  Line["kind"] = static_cast<int>(Source.Kind);
-  Line["startTimeUnixNano"] = unixNanos(Source.Begin);
-  Line["endTimeUnixNano"] = unixNanos(Source.End);
-  Line["attributes"] = Json::array();
+    SpanJson["parentSpanId"] = hexText(*Source.Parent);
+  SpanJson["name"] = Source.Name;
+  SpanJson["kind"] = static_cast<int>(Source.Kind);
+  SpanJson["startTimeUnixNano"] = unixNanos(Source.Begin);
+  SpanJson["endTimeUnixNano"] = unixNanos(Source.End);
+  SpanJson["attributes"] = Json::array();
   for (const SpanAttribute &Attribute : Source.Attributes)
-    Line["attributes"].push_back(
+    SpanJson["attributes"].push_back(
         attribute(KeyNames.at(static_cast<std::size_t>(Attribute.Key)),
                   std::visit(ValueWriter{}, Attribute.Value)));
-  Line["status"] = Source.Failed ? Json{{"code", StatusError}} : Json::object();
+  SpanJson["status"] =
+      Source.Failed ? Json{{"code", StatusError}} : Json::object();
   const Json Resource = {
       {"attributes",
        Json::array({attribute("service.name", ValueWriter{}("coltsfoottrail")),
                     attribute("host.name", ValueWriter{}(Host.Text))})}};
   const Json Scope = {{"scope", {{"name", "coltsfoottrail"}}},
-                      {"spans", Json::array({std::move(Line)})}};
+                      {"spans", Json::array({std::move(SpanJson)})}};
   const Json Request = {
       {"resourceSpans", Json::array({{{"resource", Resource},
                                       {"scopeSpans", Json::array({Scope})}}})}};
--- a/packages/process/test/coltsfoottrail/cli/run.cpp
+++ b/packages/process/test/coltsfoottrail/cli/run.cpp
@@ -100,9 +100,9 @@
   EXPECT_NE(Planned.Out.find("nothing has changed"), std::string::npos);
   EXPECT_EQ(run({"diff", File}).Code, ExitCode::Differs);
   declareByCli();
-  const CommandResult Same = run({"diff", File});
-  EXPECT_EQ(Same.Code, ExitCode::Ok) << Same.Out;
-  EXPECT_EQ(Same.Out, "");
+  const CommandResult Unchanged = run({"diff", File});
+  EXPECT_EQ(Unchanged.Code, ExitCode::Ok) << Unchanged.Out;
+  EXPECT_EQ(Unchanged.Out, "");
   const CommandResult Status = run({"status"});
   EXPECT_NE(Status.Out.find("entry-2"), std::string::npos) << Status.Out;
   EXPECT_EQ(run({"status", "999999"}).Code, ExitCode::CannotPlan);
@@ -148,11 +148,11 @@
   const std::string First = plan({"drain-data-centre", "west"}, address(0));
   const std::string Second = plan({"drain-data-centre", "west"}, address(1));
   EXPECT_EQ(run({"confirm", First}, address(0)).Code, ExitCode::Ok);
-  const CommandResult Late = run({"confirm", Second}, address(1));
-  EXPECT_EQ(Late.Code, ExitCode::Conflict);
-  EXPECT_NE(Late.ErrorOut.find("was first"), std::string::npos)
-      << Late.ErrorOut;
-  EXPECT_NE(Late.ErrorOut.find("ask for a new plan"), std::string::npos);
+  const CommandResult Refused = run({"confirm", Second}, address(1));
+  EXPECT_EQ(Refused.Code, ExitCode::Conflict);
+  EXPECT_NE(Refused.ErrorOut.find("was first"), std::string::npos)
+      << Refused.ErrorOut;
+  EXPECT_NE(Refused.ErrorOut.find("ask for a new plan"), std::string::npos);
 }
 
 TEST_F(Cli, AbandonedPlanHasItsOwnCode) {
--- a/packages/process/test/coltsfoottrail/settings/settings.cpp
+++ b/packages/process/test/coltsfoottrail/settings/settings.cpp
@@ -267,8 +267,8 @@
 }
 
 template <class T>
-concept Streamable = requires(std::ostream &Out, const T &Value) {
-  Out << Value;
+concept Streamable = requires(std::ostream &Stream, const T &Value) {
+  Stream << Value;
 };
 
 TEST_F(SettingsTest, SecretsAreNotShown) {
--- a/packages/process/test/coltsfoottrail/telemetry/span.cpp
+++ b/packages/process/test/coltsfoottrail/telemetry/span.cpp
@@ -63,9 +63,9 @@
     EXPECT_TRUE(Writer.write(makeSpan(false)));
     EXPECT_TRUE(Writer.write(makeSpan(true)));
   }
-  std::ifstream In(File);
+  std::ifstream Input(File);
   int Lines = 0;
-  for (std::string Line; std::getline(In, Line); ++Lines)
+  for (std::string Line; std::getline(Input, Line); ++Lines)
     EXPECT_NO_THROW((void)parseJson(Line, "line"));
   EXPECT_EQ(Lines, 2);
   std::filesystem::remove(File);
--- a/packages/process/test/coltsfoottrail/telemetry/summary.cpp
+++ b/packages/process/test/coltsfoottrail/telemetry/summary.cpp
@@ -68,9 +68,9 @@
   const TimePoint Later = Start + LatencySummary::Window;
   Summary.record(1, Later);
   EXPECT_NEAR(quantile(Summary, Later, 0.99), 100, 1e-9);
-  const TimePoint Last = Later + LatencySummary::Window;
-  EXPECT_NEAR(quantile(Summary, Last, 0.99), 1, 1e-9);
-  EXPECT_EQ(quantile(Summary, Last + LatencySummary::Window, 0.99), -1);
+  const TimePoint Latest = Later + LatencySummary::Window;
+  EXPECT_NEAR(quantile(Summary, Latest, 0.99), 1, 1e-9);
+  EXPECT_EQ(quantile(Summary, Latest + LatencySummary::Window, 0.99), -1);
   EXPECT_EQ(Summary.count(), 2U);
 }
 
