--- a/packages/process/src/coltsfoottrail/cli/client.hpp
+++ b/packages/process/src/coltsfoottrail/cli/client.hpp
@@ -47,7 +47,8 @@
   OperatorClient(ConnectionOptions Connection, Secret OperatorCredential,
                  Send SendFunction);
 
-  /// @brief Sends a GET request; retried on the other hosts.
+  /// @brief Sends a GET request; if a host does not answer, the next one is
+  /// asked.
   /// @param Target Path of the request.
   /// @return The answer's body.
   /// @throws CommandError No host answers, or the answer is a refusal.
