--- a/bench/fold.cpp
+++ b/bench/fold.cpp
@@ -47,19 +47,19 @@
               const DataCentreName &Where, const ModelName &Model) {
   const GroupId Which{1000 + Number, 0};
   Group &Made = Into.Groups[Which];
-  Made.Formed.Model = Model;
-  Made.Formed.Version = VersionName("2026-11-30");
-  Made.Formed.DataCentre = Where;
+  Made.Spec.Model = Model;
+  Made.Spec.Version = VersionName("2026-11-30");
+  Made.Spec.DataCentre = Where;
   Made.Phase = GroupPhase::Serving;
   Made.Generation = 1000 + Number;
   for (std::uint32_t Index = 0; Index < Members; ++Index) {
     Into.Declared.Hosts.push_back(makeHost(
         static_cast<std::uint32_t>(Into.Declared.Hosts.size()), Number, Where));
     const HostName &Name = Into.Declared.Hosts.back().Name;
-    Made.Formed.Members.push_back(Name);
+    Made.Spec.Members.push_back(Name);
     Made.MemberRuns.push_back(0x9E3779B97F4A7C15ULL * (Number + Index + 1));
-    Made.Held.insert(Name);
-    Into.Occupied[Name] = Which;
+    Made.HeldHosts.insert(Name);
+    Into.OccupiedHosts[Name] = Which;
   }
 }
 
@@ -139,13 +139,13 @@
 /// One group breaks, its hosts are released, and a plan puts another one in its
 /// place: the records of one repair.
 std::vector<Record> repairOf(const State &Now, const GroupId &Broken) {
-  const FormGroup Formed = Now.Groups.at(Broken).Formed;
+  const FormGroup Formed = Now.Groups.at(Broken).Spec;
   std::vector<Record> Out{GroupBroken{Broken, Formed.Members.front(), "lost"}};
   for (const HostName &Host : Formed.Members)
     Out.emplace_back(HostReleased{Host, Broken});
   const Offset PlanAt = Now.Next + Out.size();
   Plan Proposal;
-  Proposal.Asked = SetCapacity{Formed.Model, Formed.DataCentre, 1};
+  Proposal.RequestedIntent = SetCapacity{Formed.Model, Formed.DataCentre, 1};
   Proposal.PlannedAt = PlanAt;
   Proposal.Steps.emplace_back(Formed);
   Out.emplace_back(PlanProposed{std::move(Proposal), "repair"});
@@ -198,7 +198,7 @@
     Declaration Wanted = Now.Declared;
     Wanted.Hosts.back().Accelerators = Sequence % 8 + 1;
     Plan Proposal;
-    Proposal.Asked = ApplyDeclaration{std::move(Wanted)};
+    Proposal.RequestedIntent = ApplyDeclaration{std::move(Wanted)};
     Proposal.PlannedAt = Now.Next;
     if (Shortened)
       shortenPlan(Proposal, Now);
@@ -247,10 +247,10 @@
 void writeCheckpoint(benchmark::State &Run) {
   const State &Now = stateOf(Run);
   for (auto _ : Run)
-    benchmark::DoNotOptimize(cutCheckpoint(Now));
+    benchmark::DoNotOptimize(splitCheckpoint(Now));
   Run.counters["checkpoint_bytes"] =
       static_cast<double>(encodeState(Now).size());
-  Run.counters["parts"] = static_cast<double>(cutCheckpoint(Now).size());
+  Run.counters["parts"] = static_cast<double>(splitCheckpoint(Now).size());
   setHosts(Run);
 }
 
--- a/bench/groups.cpp
+++ b/bench/groups.cpp
@@ -75,11 +75,11 @@
 void loseMember(State &Now) {
   Group &Lost = Now.Groups.begin()->second;
   Lost.Phase = GroupPhase::Broken;
-  const HostName Dead = Lost.Formed.Members.front();
-  for (const HostName &Member : Lost.Formed.Members)
+  const HostName Dead = Lost.Spec.Members.front();
+  for (const HostName &Member : Lost.Spec.Members)
     if (Member != Dead)
-      Now.Occupied.erase(Member);
-  Lost.Held = {Dead};
+      Now.OccupiedHosts.erase(Member);
+  Lost.HeldHosts = {Dead};
 }
 
 void measurePlanner(Figures &Out) {
@@ -193,7 +193,7 @@
     Now.EntryHosts = entryHosts(Of.Nodes, Of.Centres);
     int Number = 0;
     for (auto &[Id, Known] : Now.Groups)
-      Known.Formed.DataCentre = centreOf(Number++ % Of.Centres);
+      Known.Spec.DataCentre = centreOf(Number++ % Of.Centres);
     const std::string At = " at " + std::to_string(Of.Nodes) + " nodes, " +
                            std::to_string(Of.Groups) + " groups of " +
                            std::to_string(Of.Members);
@@ -312,9 +312,9 @@
   const std::size_t Appends = World.Log.size();
   const TimePoint Lost = World.Clock;
   for (int Number = 0; Number < Of.Lost; ++Number) {
-    FakeEngine &Engine = World.Engines.at(
-        Before.Formed.Members[static_cast<std::size_t>(Number) + 1 -
-                              (Of.Lost == 4 ? 1 : 0)]);
+    FakeEngine &Engine =
+        World.Engines.at(Before.Spec.Members[static_cast<std::size_t>(Number) +
+                                             1 - (Of.Lost == 4 ? 1 : 0)]);
     if (Of.Restarts)
       Engine.restart();
     else
@@ -345,9 +345,9 @@
   Out.print("loss until all entry hosts use it" + At,
             secondsOf(World.Clock - Lost), "s");
   std::size_t Moved = 0;
-  for (const HostName &Member : World.Agreed.Groups.at(Next).Formed.Members)
-    Moved += std::count(Before.Formed.Members.begin(),
-                        Before.Formed.Members.end(), Member) == 0
+  for (const HostName &Member : World.Agreed.Groups.at(Next).Spec.Members)
+    Moved += std::count(Before.Spec.Members.begin(), Before.Spec.Members.end(),
+                        Member) == 0
                  ? 1
                  : 0;
   Out.print("hosts moved, of 4" + At, static_cast<double>(Moved), "");
--- a/packages/process/src/coltsfoottrail/cli/run.cpp
+++ b/packages/process/src/coltsfoottrail/cli/run.cpp
@@ -79,7 +79,7 @@
 
   ExitCode operator()(const ApplyCommand &Asked) {
     ApplyDeclaration Out;
-    Out.Wanted = readDeclarationFile(Asked.File);
+    Out.Desired = readDeclarationFile(Asked.File);
     return propose(Out);
   }
 
--- a/packages/process/src/coltsfoottrail/server/agreedstream.cpp
+++ b/packages/process/src/coltsfoottrail/server/agreedstream.cpp
@@ -56,7 +56,7 @@
 }
 
 void AgreedStream::findStart() {
-  Start = Starter(Folded.Next);
+  Start = CheckpointRecovery(Folded.Next);
   perform(Start.start());
 }
 
@@ -77,7 +77,7 @@
   if (auto *const From = std::get_if<StartFrom>(&Next)) {
     for (const std::string &Problem : Start.problems())
       logEvent(Event::CheckpointRefused, {{"why", Problem}});
-    begin(std::move(From->Found));
+    begin(std::move(From->InitialState));
     return;
   }
   if (const auto *const Lost = std::get_if<HistoryLost>(&Next))
@@ -172,7 +172,7 @@
     Listener.OnProof(Left);
 }
 
-void AgreedStream::perform(const FoldNow &Command) {
+void AgreedStream::perform(const FoldRecords &Command) {
   for (const RecordPtr &Record : Command.Records)
     fold(*Record);
   publish();
@@ -180,15 +180,15 @@
 
 void AgreedStream::perform(const RelayRecords &Command) {
   const Json Message = writeFollowMessage(FollowRecords{Command.Records});
-  for (const HostName &Peer : Command.To)
+  for (const HostName &Peer : Command.Receivers)
     Listener.ToPeer(Peer, Message);
 }
 
-void AgreedStream::perform(const AskRecords &Command) {
+void AgreedStream::perform(const RequestRecords &Command) {
   Listener.ToPeer(Command.Peer, writeFollowMessage(FollowAsk{Command.From}));
 }
 
-void AgreedStream::perform(const TellGone &Command) {
+void AgreedStream::perform(const ReportRecordsGone &Command) {
   Listener.ToPeer(Command.Peer, writeFollowMessage(FollowGone{Command.From}));
 }
 
@@ -208,7 +208,7 @@
            {{"now", freshnessText(Command.Now)}, {"next", Folded.Next}});
 }
 
-void AgreedStream::perform(const StartOver &Command) {
+void AgreedStream::perform(const RecoverState &Command) {
   logEvent(Event::Trimmed, {{"floor", Command.Floor}});
   findStart();
 }
@@ -232,9 +232,9 @@
     if (const auto *const Given = std::get_if<FollowRecords>(&Read))
       Follows->onRecords(From, Given->Records, Now, Due);
     else if (const auto *const Ask = std::get_if<FollowAsk>(&Read))
-      Follows->onAsked(From, Ask->From, Now, Due);
+      Follows->onRecordsRequested(From, Ask->From, Now, Due);
     else if (const auto *const Gone = std::get_if<FollowGone>(&Read))
-      Follows->onGone(From, Gone->From, Now, Due);
+      Follows->onRecordsGone(From, Gone->From, Now, Due);
     else if (const auto *const Query = std::get_if<FollowQuery>(&Read))
       Follows->onQuery(From, *Query, Now, Due);
     else
@@ -273,7 +273,7 @@
 
 void AgreedStream::answerFolded(const LogEntry &Entry,
                                 const FoldResult &Effect) {
-  if (Waiting.empty() || Effect.Effect == FoldEffect::Twin)
+  if (Waiting.empty() || Effect.Effect == FoldEffect::Duplicate)
     return;
   WriterId Writer;
   try {
@@ -284,7 +284,7 @@
   if (Waiting.front().Writer != Writer)
     return;
   if (Effect.Effect == FoldEffect::Void)
-    logEvent(Event::RecordVoid, {{"offset", Entry.At}, {"why", Effect.Why}});
+    logEvent(Event::RecordVoid, {{"offset", Entry.At}, {"why", Effect.Reason}});
   const Outcome Done = std::move(Waiting.front().Done);
   Waiting.pop_front();
   Appending = false;
@@ -381,14 +381,15 @@
   Writing = true;
   noteDigest();
   writePart(
-      std::make_shared<std::vector<CheckpointPart>>(cutCheckpoint(Folded)), 0);
+      std::make_shared<std::vector<CheckpointPart>>(splitCheckpoint(Folded)),
+      0);
 }
 
 void AgreedStream::writePart(std::shared_ptr<std::vector<CheckpointPart>> Parts,
                              std::size_t Index) {
   if (Index == Parts->size()) {
     append(announcementOf(Parts->front()), Options.AppendTimeout,
-           [this, At = Parts->front().At](const AppendOutcome &Got) {
+           [this, At = Parts->front().StateNext](const AppendOutcome &Got) {
              Writing = false;
              if (Got.OnLog)
                logEvent(Event::CheckpointWritten, {{"at", At}});
--- a/packages/process/src/coltsfoottrail/server/agreedstream.hpp
+++ b/packages/process/src/coltsfoottrail/server/agreedstream.hpp
@@ -108,14 +108,14 @@
 
   void perform(FollowCommands Due);
   void perform(const ReadAgreed &Command);
-  void perform(const FoldNow &Command);
+  void perform(const FoldRecords &Command);
   void perform(const RelayRecords &Command);
-  void perform(const AskRecords &Command);
-  void perform(const TellGone &Command);
+  void perform(const RequestRecords &Command);
+  void perform(const ReportRecordsGone &Command);
   void perform(const SendQuery &Command);
   void perform(const SendAnswer &Command);
   void perform(const FreshnessChanged &Command);
-  void perform(const StartOver &Command);
+  void perform(const RecoverState &Command);
   void taken(std::uint64_t Number, const ReadResult &Result, TimePoint Left);
   void dispatch(const HostName &From, const Json &Message);
   void tick();
@@ -140,7 +140,7 @@
   AgreedOptions Options;
   StreamName CheckpointStream;
   AgreedListener Listener;
-  Starter Start;
+  CheckpointRecovery Start;
   bool Started = false;
   bool Stopped = false;
   bool Unreachable = false;
--- a/packages/process/src/coltsfoottrail/server/operators.cpp
+++ b/packages/process/src/coltsfoottrail/server/operators.cpp
@@ -83,9 +83,9 @@
 }
 
 HttpResponse beaten(const AppendOutcome &Outcome) {
-  Json Body{{"error", "conflict"}, {"detail", Outcome.Effect.Why}};
-  if (Outcome.Effect.BeatenBy)
-    Body["beaten_by"] = *Outcome.Effect.BeatenBy;
+  Json Body{{"error", "conflict"}, {"detail", Outcome.Effect.Reason}};
+  if (Outcome.Effect.ConflictingOffset)
+    Body["beaten_by"] = *Outcome.Effect.ConflictingOffset;
   return jsonResponse(
       409, Body.dump(-1, ' ', false, Json::error_handler_t::replace));
 }
@@ -100,7 +100,7 @@
     Wanted += Count;
   std::array<std::uint32_t, GroupWords.size()> ByPhase{};
   for (const auto &[Id, Grouped] : Shown.Groups)
-    if (Grouped.Formed.Model == Model.Name)
+    if (Grouped.Spec.Model == Model.Name)
       ++ByPhase.at(static_cast<std::size_t>(Grouped.Phase));
   Json Out{{"name", Model.Name.Text},
            {"version", Model.Version.Text},
@@ -112,12 +112,12 @@
 
 Json describeGroup(const GroupId &Id, const Group &Shown) {
   Json Members = Json::array();
-  for (const HostName &Member : Shown.Formed.Members)
+  for (const HostName &Member : Shown.Spec.Members)
     Members.push_back(Member.Text);
   return {{"id", textOf(Id)},
-          {"model", Shown.Formed.Model.Text},
-          {"version", Shown.Formed.Version.Text},
-          {"data_centre", Shown.Formed.DataCentre.Text},
+          {"model", Shown.Spec.Model.Text},
+          {"version", Shown.Spec.Version.Text},
+          {"data_centre", Shown.Spec.DataCentre.Text},
           {"phase", GroupWords.at(static_cast<std::size_t>(Shown.Phase))},
           {"members", std::move(Members)}};
 }
@@ -137,8 +137,8 @@
            {"plan", writePlan(Shown.Proposed.Proposal)}};
   if (!Shown.Executor.empty())
     Out["executor"] = Shown.Executor.Text;
-  if (!Shown.Why.empty())
-    Out["why"] = Shown.Why;
+  if (!Shown.Reason.empty())
+    Out["why"] = Shown.Reason;
   return Out;
 }
 
@@ -173,7 +173,8 @@
          {"phase", PlanWords.at(static_cast<std::size_t>(Progress.Phase))},
          {"steps", Progress.Proposed.Proposal.Steps.size()},
          {"steps_done", Progress.StepsDone},
-         {"asked", describeIntent(Progress.Proposed.Proposal.Asked)}});
+         {"asked",
+          describeIntent(Progress.Proposed.Proposal.RequestedIntent)}});
   return Out;
 }
 
--- a/packages/process/src/coltsfoottrail/server/process.cpp
+++ b/packages/process/src/coltsfoottrail/server/process.cpp
@@ -407,7 +407,7 @@
     if (Progress.Phase == PlanPhase::Done)
       logEvent(Event::PlanFinished, {{"plan", Id}});
     if (Progress.Phase == PlanPhase::Abandoned)
-      logEvent(Event::PlanAbandoned, {{"plan", Id}, {"why", Progress.Why}});
+      logEvent(Event::PlanAbandoned, {{"plan", Id}, {"why", Progress.Reason}});
     if (Progress.Phase == PlanPhase::Running)
       logEvent(Event::PlanTaken, {{"plan", Id}});
   }
--- a/packages/process/test/coltsfoottrail/faults/matrix.cpp
+++ b/packages/process/test/coltsfoottrail/faults/matrix.cpp
@@ -380,7 +380,8 @@
       GroupsSeen Groups;
       Groups.Next = Now->Next;
       for (const auto &[Id, Grouped] : Now->Groups)
-        Groups.Members[Id].assign(Grouped.Held.begin(), Grouped.Held.end());
+        Groups.Members[Id].assign(Grouped.HeldHosts.begin(),
+                                  Grouped.HeldHosts.end());
       Past.record(std::move(Groups));
     }
   }
--- a/packages/version/src/coltsfoottrail/checkpoint/fwd.hpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/fwd.hpp
@@ -10,7 +10,7 @@
 struct CheckpointPolicy;
 class CheckpointSchedule;
 class DigestHistory;
-class Starter;
+class CheckpointRecovery;
 
 } // namespace coltsfoottrail
 
--- a/packages/version/src/coltsfoottrail/checkpoint/parts.cpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/parts.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t MaxSets = 4;
 } // namespace
 
-std::vector<CheckpointPart> cutCheckpoint(const State &Of) {
+std::vector<CheckpointPart> splitCheckpoint(const State &Of) {
   const std::vector<std::byte> Bytes = encodeState(Of);
   const std::size_t Count =
       (Bytes.size() + CheckpointPartBytes - 1) / CheckpointPartBytes;
@@ -29,7 +29,7 @@
   for (std::size_t Index = 0; Index < Count; ++Index) {
     const ByteView Chunk = ByteView(Bytes).subspan(Index * CheckpointPartBytes);
     CheckpointPart Part;
-    Part.At = Of.Next;
+    Part.StateNext = Of.Next;
     Part.Part = static_cast<std::uint32_t>(Index);
     Part.Parts = static_cast<std::uint32_t>(Count);
     Part.Digest = Digest;
@@ -43,7 +43,7 @@
 
 CheckpointPart announcementOf(const CheckpointPart &Part) {
   CheckpointPart Out;
-  Out.At = Part.At;
+  Out.StateNext = Part.StateNext;
   Out.Digest = Part.Digest;
   Out.Parts = 0;
   return Out;
@@ -61,7 +61,8 @@
     if (Part == nullptr || Part->Part >= Part->Parts ||
         Part->Parts > MaxCheckpointParts)
       return;
-    const Key Which{Part->At, Read.Writer.Run, Part->Digest, Part->Parts};
+    const Key Which{Part->StateNext, Read.Writer.Run, Part->Digest,
+                    Part->Parts};
     Sets[Which].insert_or_assign(Part->Part, std::move(Part->Bytes));
     dropOld();
   } catch (const Error &Problem) {
--- a/packages/version/src/coltsfoottrail/checkpoint/parts.hpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/parts.hpp
@@ -22,7 +22,7 @@
 /// @param Of The state.
 /// @return The parts in order, at least one.
 /// @throws Error The state is too large for MaxCheckpointParts.
-[[nodiscard]] std::vector<CheckpointPart> cutCheckpoint(const State &Of);
+[[nodiscard]] std::vector<CheckpointPart> splitCheckpoint(const State &Of);
 
 /// @brief The record for the agreed stream that announces a checkpoint whose
 /// parts are all on the log. Thread-safe.
--- a/packages/version/src/coltsfoottrail/checkpoint/schedule.cpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/schedule.cpp
@@ -40,19 +40,19 @@
                                TimePoint At) const {
   if (Now.Next <= Newest.AnnouncedAt + 1) {
     // Nothing but the announcement itself is new; but the parts grow old too.
-    return Newest.At > 0 &&
+    return Newest.StateNext > 0 &&
            At - *NewestSince >= Policy.Retention / ShareOfRetention;
   }
-  if (Now.Next - Newest.At >= Policy.EveryRecords)
+  if (Now.Next - Newest.StateNext >= Policy.EveryRecords)
     return true;
   if (At - *NewestSince >= Policy.Retention / ShareOfRetention)
     return true;
   const Offset Kept = Now.Next - std::min(Horizon, Now.Next);
-  return Horizon > 0 && Now.Next - Newest.At > Kept / 2;
+  return Horizon > 0 && Now.Next - Newest.StateNext > Kept / 2;
 }
 
 std::size_t CheckpointSchedule::rank(const State &Now) const {
-  const std::string Key = "checkpoint/" + std::to_string(Newest.At);
+  const std::string Key = "checkpoint/" + std::to_string(Newest.StateNext);
   const std::uint64_t Own = rendezvousWeight(Key, Self.Text);
   return static_cast<std::size_t>(
       std::ranges::count_if(Now.EntryHosts, [&](const auto &Entry) {
@@ -69,7 +69,7 @@
 std::optional<bool>
 DigestHistory::matches(const AnnouncedCheckpoint &Announced) const {
   const auto Found = std::ranges::find(
-      Kept, Announced.At, &std::pair<Offset, std::uint64_t>::first);
+      Kept, Announced.StateNext, &std::pair<Offset, std::uint64_t>::first);
   if (Found == Kept.end())
     return std::nullopt;
   return Found->second == Announced.Digest;
--- a/packages/version/src/coltsfoottrail/checkpoint/starter.cpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/starter.cpp
@@ -12,13 +12,13 @@
 constexpr std::size_t PartsAtOnce = 8;
 } // namespace
 
-StartCommand Starter::start() {
+StartCommand CheckpointRecovery::start() {
   Now = Phase::FindParts;
   Parts = CheckpointAssembler();
   return StartRead{true, BeyondEnd, 1};
 }
 
-StartCommand Starter::onRead(const ReadResult &Result) {
+StartCommand CheckpointRecovery::onRead(const ReadResult &Result) {
   const auto *const Failure = std::get_if<LogFailure>(&Result);
   if (Failure != nullptr)
     // A stream that was trimmed while it was read is read anew.
@@ -37,7 +37,7 @@
   return StartRetry{};
 }
 
-StartCommand Starter::readParts(Offset From) {
+StartCommand CheckpointRecovery::readParts(Offset From) {
   if (From >= PartsEnd) {
     Now = Phase::FindTail;
     return StartRead{false, BeyondEnd, 1};
@@ -46,7 +46,7 @@
   return StartRead{true, From, PartsAtOnce};
 }
 
-StartCommand Starter::takeParts(const LogBatch &Batch) {
+StartCommand CheckpointRecovery::takeParts(const LogBatch &Batch) {
   for (const LogEntry &Each : Batch.Entries)
     Parts.add(Each.Payload);
   if (Batch.Entries.empty())
@@ -54,7 +54,7 @@
   return readParts(Batch.Entries.back().At + 1);
 }
 
-StartCommand Starter::decide(Offset Horizon) {
+StartCommand CheckpointRecovery::decide(Offset Horizon) {
   std::optional<State> Found = Parts.newest(LowestNext);
   if (Found && Found->Next >= Horizon)
     return StartFrom{*std::move(Found)};
--- a/packages/version/src/coltsfoottrail/checkpoint/starter.hpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/starter.hpp
@@ -21,7 +21,7 @@
 };
 /// The state to go on from: read the agreed stream from its Next.
 struct StartFrom {
-  State Found;
+  State InitialState;
 };
 /// The log no longer holds what leads to the present state: the agreed stream
 /// is trimmed above the newest checkpoint. Do not serve; an entry host that
@@ -39,12 +39,12 @@
 
 /// @brief Finds the newest whole checkpoint whose tail the log still holds.
 /// Pure. Not thread-safe.
-class Starter {
+class CheckpointRecovery {
 public:
   /// @brief Makes a starter.
   /// @param Floor Never starts from a state below it: what this host has
   /// served, or a peer is known to have.
-  explicit Starter(Offset Floor = 0) : LowestNext(Floor) {}
+  explicit CheckpointRecovery(Offset Floor = 0) : LowestNext(Floor) {}
 
   /// @brief Begins, or begins again.
   [[nodiscard]] StartCommand start();
--- a/packages/version/src/coltsfoottrail/checkpoint/statecodec.cpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/statecodec.cpp
@@ -106,7 +106,7 @@
 }
 
 Json writeHead(const State &Of) {
-  return Json{{"form", StateFormVersion},
+  return Json{{"form", StateFormatVersion},
               {"next", Of.Next},
               {"entry_hosts_change", Of.EntryHostsChange},
               {"last_change", Of.LastChange},
@@ -116,14 +116,15 @@
               {"host_changes", writeChanges(Of.HostChanges)},
               {"drained_data_centres", writeNames(Of.DrainedDataCentres)},
               {"drained_hosts", writeNames(Of.DrainedHosts)},
-              {"checkpoint_at", Of.Checkpoint.At},
+              {"checkpoint_at", Of.Checkpoint.StateNext},
               {"checkpoint_digest", Of.Checkpoint.Digest},
               {"checkpoint_announced_at", Of.Checkpoint.AnnouncedAt}};
 }
 
 void readHead(const Json &Item, State &Into) {
   ObjectReader From(Item, Source);
-  static_cast<void>(From.number("form", StateFormVersion, StateFormVersion));
+  static_cast<void>(
+      From.number("form", StateFormatVersion, StateFormatVersion));
   Into.Next = From.number("next");
   Into.EntryHostsChange = From.number("entry_hosts_change");
   Into.LastChange = From.number("last_change");
@@ -135,7 +136,7 @@
   Into.DrainedDataCentres =
       readNames<DataCentreName>(From, "drained_data_centres");
   Into.DrainedHosts = readNames<HostName>(From, "drained_hosts");
-  Into.Checkpoint.At = From.number("checkpoint_at");
+  Into.Checkpoint.StateNext = From.number("checkpoint_at");
   Into.Checkpoint.Digest = From.number("checkpoint_digest");
   Into.Checkpoint.AnnouncedAt = From.number("checkpoint_announced_at");
   From.finish();
@@ -181,12 +182,12 @@
 Json writeGroup(const std::pair<const GroupId, Group> &Entry) {
   const auto &[Which, Known] = Entry;
   Json Out{{"plan", Which.Plan},
-           {"formed", writeStep(Known.Formed)},
+           {"formed", writeStep(Known.Spec)},
            {"phase", GroupWords.at(static_cast<std::size_t>(Known.Phase))},
            {"generation", Known.Generation},
            {"runs", Known.MemberRuns}};
-  if (Known.Held.size() != Known.Formed.Members.size())
-    Out["held"] = writeNames(Known.Held);
+  if (Known.HeldHosts.size() != Known.Spec.Members.size())
+    Out["held"] = writeNames(Known.HeldHosts);
   return Out;
 }
 
@@ -205,17 +206,18 @@
   Step Formed = readStep(From.raw("formed"), Source, UnknownKeys::Refuse);
   if (!std::holds_alternative<FormGroup>(Formed))
     From.refuse("formed", "a step that forms a group");
-  Known.Formed = std::get<FormGroup>(std::move(Formed));
-  const GroupId Which{From.number("plan"), Known.Formed.Number};
+  Known.Spec = std::get<FormGroup>(std::move(Formed));
+  const GroupId Which{From.number("plan"), Known.Spec.Number};
   Known.Phase = static_cast<GroupPhase>(From.word("phase", GroupWords));
   Known.Generation = From.number("generation");
   Known.MemberRuns = readRuns(From);
   if (From.has("held"))
-    Known.Held = readNames<HostName>(From, "held");
+    Known.HeldHosts = readNames<HostName>(From, "held");
   else
-    Known.Held.insert(Known.Formed.Members.begin(), Known.Formed.Members.end());
-  for (const HostName &Host : Known.Held)
-    Into.Occupied[Host] = Which;
+    Known.HeldHosts.insert(Known.Spec.Members.begin(),
+                           Known.Spec.Members.end());
+  for (const HostName &Host : Known.HeldHosts)
+    Into.OccupiedHosts[Host] = Which;
   Into.Groups[Which] = std::move(Known);
 }
 
@@ -228,7 +230,7 @@
               {"executor", Json::array({Progress.Executor.Text})},
               {"executor_run", Progress.ExecutorRun},
               {"steps_done", Progress.StepsDone},
-              {"why", Json::array({Progress.Why})},
+              {"why", Json::array({Progress.Reason})},
               {"confirmed_at", Progress.ConfirmedAt},
               {"ended_at", Progress.EndedAt},
               {"formed", Progress.Formed}};
@@ -263,7 +265,7 @@
   Progress.ExecutorRun = From.number("executor_run");
   Progress.StepsDone =
       static_cast<std::uint32_t>(From.number("steps_done", 0, MaxCount));
-  Progress.Why = readMaybeEmpty(From, "why");
+  Progress.Reason = readMaybeEmpty(From, "why");
   Progress.ConfirmedAt = From.number("confirmed_at");
   Progress.EndedAt = From.number("ended_at");
   readFormedNumbers(From, Progress);
@@ -273,22 +275,22 @@
 Json writeWriter(const std::pair<const Incarnation, WriterMark> &Entry) {
   return Json{{"run", Entry.first},
               {"sequence", Entry.second.Sequence},
-              {"last_at", Entry.second.LastAt}};
+              {"last_at", Entry.second.LastOffset}};
 }
 
 void readWriter(ObjectReader &From, State &Into) {
   const Incarnation Run = From.number("run");
   WriterMark &Mark = Into.Writers[Run];
   Mark.Sequence = From.number("sequence");
-  Mark.LastAt = From.number("last_at");
+  Mark.LastOffset = From.number("last_at");
 }
 
 void addDeparted(const State &Of, ItemWriter &Into) {
-  if (Of.Departed.empty())
+  if (Of.DepartedHosts.empty())
     return;
   Declaration Part;
   std::set<DataCentreName> DataCentres;
-  for (const auto &[Name, Host] : Of.Departed) {
+  for (const auto &[Name, Host] : Of.DepartedHosts) {
     Part.Hosts.push_back(Host);
     DataCentres.insert(Host.DataCentre);
   }
@@ -300,7 +302,7 @@
   const Declaration Part =
       readDeclaration(Item.at("departed"), Source, UnknownKeys::Refuse);
   for (const HostSpec &Host : Part.Hosts)
-    Into.Departed.emplace(Host.Name, Host);
+    Into.DepartedHosts.emplace(Host.Name, Host);
 }
 
 using EntryReader = void (*)(ObjectReader &, State &);
--- a/packages/version/src/coltsfoottrail/checkpoint/statecodec.hpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/statecodec.hpp
@@ -11,7 +11,7 @@
 namespace coltsfoottrail {
 
 /// Version of the form of encoded states that this build writes and reads.
-inline constexpr std::uint64_t StateFormVersion = 1;
+inline constexpr std::uint64_t StateFormatVersion = 1;
 
 /// @brief Writes a state as a row of CBOR items, each with its length before
 /// it, so that neither side ever holds more than one small item as JSON.
--- a/packages/version/src/coltsfoottrail/config/follower.cpp
+++ b/packages/version/src/coltsfoottrail/config/follower.cpp
@@ -96,7 +96,7 @@
 void Follower::takeFailure(LogFailure Why, TimePoint Now, FollowCommands &Out) {
   if (Why == LogFailure::Trimmed && !Halted) {
     Halted = true;
-    Out.emplace_back(StartOver{Tail.next()});
+    Out.emplace_back(RecoverState{Tail.next()});
   }
   ++Failures;
   delayNextRead(Now);
@@ -133,7 +133,7 @@
   if (!Ready.empty()) {
     relay(Ready, Out);
     Proof.reach(Tail.next());
-    Out.emplace_back(FoldNow{std::move(Ready)});
+    Out.emplace_back(FoldRecords{std::move(Ready)});
   }
   Proof.hear(Highest, Now);
 }
@@ -178,17 +178,17 @@
   advance(Now, Out);
 }
 
-void Follower::onAsked(const HostName &From, Offset First, TimePoint /*Now*/,
-                       FollowCommands &Out) {
+void Follower::onRecordsRequested(const HostName &From, Offset First,
+                                  TimePoint /*Now*/, FollowCommands &Out) {
   std::optional<std::vector<RecordPtr>> Found = Tail.read(First);
   if (Found)
     Out.emplace_back(RelayRecords{{From}, *std::move(Found)});
   else
-    Out.emplace_back(TellGone{From, First});
+    Out.emplace_back(ReportRecordsGone{From, First});
 }
 
-void Follower::onGone(const HostName &From, Offset First, TimePoint Now,
-                      FollowCommands &Out) {
+void Follower::onRecordsGone(const HostName &From, Offset First, TimePoint Now,
+                             FollowCommands &Out) {
   if (!Asked || Asked->Peer != From || First != Tail.next())
     return;
   Unable.insert(From);
@@ -242,7 +242,7 @@
     Unable.clear();
     return;
   }
-  const Duration Patience = logFails() ? Duration{} : Options.GapPatience;
+  const Duration Patience = logFails() ? Duration{} : Options.GapDelay;
   if (Now < std::max(*Since + Patience, NextGap) ||
       (Asked && Now < Asked->Until))
     return;
@@ -266,7 +266,7 @@
     return;
   }
   Asked = Asking{*Best, Now + Options.AskTimeout};
-  Out.emplace_back(AskRecords{*Best, Tail.next()});
+  Out.emplace_back(RequestRecords{*Best, Tail.next()});
 }
 
 void Follower::query(TimePoint Now, FollowCommands &Out) {
@@ -371,7 +371,7 @@
   if (Asked)
     Wake = std::min(Wake, Asked->Until);
   else if (const auto Since = Proof.behindSince())
-    Wake = std::min(Wake, std::max(*Since + Options.GapPatience, NextGap));
+    Wake = std::min(Wake, std::max(*Since + Options.GapDelay, NextGap));
   const auto AsOf = Proof.asOf();
   if (AsOf && Verdict == Freshness::Fresh)
     Wake = std::min(Wake, *AsOf + Options.StaleAfter + ClockStep);
--- a/packages/version/src/coltsfoottrail/config/follower.hpp
+++ b/packages/version/src/coltsfoottrail/config/follower.hpp
@@ -45,22 +45,22 @@
   milliseconds Wait{0};
 };
 /// Fold these records: they are the next ones, in order.
-struct FoldNow {
+struct FoldRecords {
   std::vector<RecordPtr> Records;
 };
 /// Send records to peers, which take them by onRecords().
 struct RelayRecords {
-  std::vector<HostName> To;
+  std::vector<HostName> Receivers;
   std::vector<RecordPtr> Records;
 };
-/// Ask a peer for records, by its onAsked().
-struct AskRecords {
+/// Ask a peer for records, by its onRecordsRequested().
+struct RequestRecords {
   HostName Peer;
   Offset From = 0;
 };
 /// Tell a peer that asked for records that they are not kept here, by its
-/// onGone().
-struct TellGone {
+/// onRecordsGone().
+struct ReportRecordsGone {
   HostName Peer;
   Offset From = 0;
 };
@@ -80,13 +80,13 @@
 };
 /// The log was trimmed above the own Next: find a state through Starter with
 /// this floor, and then call restart().
-struct StartOver {
+struct RecoverState {
   Offset Floor = 0;
 };
 
-using FollowCommand =
-    std::variant<ReadAgreed, FoldNow, RelayRecords, AskRecords, TellGone,
-                 SendQuery, SendAnswer, FreshnessChanged, StartOver>;
+using FollowCommand = std::variant<ReadAgreed, FoldRecords, RelayRecords,
+                                   RequestRecords, ReportRecordsGone, SendQuery,
+                                   SendAnswer, FreshnessChanged, RecoverState>;
 /// Commands in the order in which they are to be carried out.
 using FollowCommands = std::vector<FollowCommand>;
 
@@ -107,7 +107,7 @@
   /// Between two queries while the own reads of the log fail.
   Duration QueryEveryWhenCut = milliseconds(250);
   /// How long a known gap may wait for the log or the parent to fill it.
-  Duration GapPatience = milliseconds(200);
+  Duration GapDelay = milliseconds(200);
   /// How long a peer may take to send what it was asked for.
   Duration AskTimeout = milliseconds(500);
   /// How long the log may hold a read back.
@@ -144,7 +144,7 @@
   /// @param Members All entry hosts that have joined.
   void setMembers(std::span<const Member> Members);
 
-  /// @brief Goes on from another state, found after StartOver.
+  /// @brief Goes on from another state, found after RecoverState.
   /// @param Next Its Next; not below the floor that was named.
   void restart(Offset Next);
 
@@ -161,11 +161,11 @@
   void onAnswer(const HostName &From, const FollowAnswer &Answer, TimePoint Now,
                 FollowCommands &Out);
   /// @brief Answers a peer that wants records.
-  void onAsked(const HostName &From, Offset First, TimePoint Now,
-               FollowCommands &Out);
+  void onRecordsRequested(const HostName &From, Offset First, TimePoint Now,
+                          FollowCommands &Out);
   /// @brief Takes note that a peer no longer keeps records.
-  void onGone(const HostName &From, Offset First, TimePoint Now,
-              FollowCommands &Out);
+  void onRecordsGone(const HostName &From, Offset First, TimePoint Now,
+                     FollowCommands &Out);
   /// @brief Does what time alone brings.
   /// @param Now The time.
   /// @param Out Commands are added here.
--- a/packages/version/src/coltsfoottrail/fold/apply.hpp
+++ b/packages/version/src/coltsfoottrail/fold/apply.hpp
@@ -13,9 +13,9 @@
 [[nodiscard]] FoldResult applied();
 /// @brief Result of a void record.
 /// @param Why For people.
-/// @param BeatenBy The record that stands in its way, if there is one.
-[[nodiscard]] FoldResult voided(std::string Why,
-                                std::optional<Offset> BeatenBy = std::nullopt);
+/// @param ConflictingOffset The record that stands in its way, if there is one.
+[[nodiscard]] FoldResult
+voided(std::string Why, std::optional<Offset> ConflictingOffset = std::nullopt);
 
 /// @brief Marks that something that plans for a model rest on has changed.
 void touchModel(State &Into, Offset At, const ModelName &Model);
--- a/packages/version/src/coltsfoottrail/fold/digest.cpp
+++ b/packages/version/src/coltsfoottrail/fold/digest.cpp
@@ -155,7 +155,7 @@
 }
 
 void feed(Feed &Into, const ApplyDeclaration &Value) {
-  feed(Into, Value.Wanted);
+  feed(Into, Value.Desired);
   feed(Into, std::uint64_t{Value.Dropped.has_value()});
   const DroppedNames Dropped = Value.Dropped.value_or(DroppedNames{});
   feedList(Into, Dropped.Teams);
@@ -200,7 +200,7 @@
 }
 
 void feed(Feed &Into, const Plan &Value) {
-  feed(Into, Value.Asked);
+  feed(Into, Value.RequestedIntent);
   feed(Into, Value.PlannedAt);
   feedList(Into, Value.Steps);
   feedList(Into, Value.Forecast);
@@ -208,11 +208,11 @@
 }
 
 void feed(Feed &Into, const Group &Value) {
-  feed(Into, Value.Formed);
+  feed(Into, Value.Spec);
   feed(Into, Value.Phase);
   feed(Into, Value.Generation);
   feedList(Into, Value.MemberRuns);
-  feedList(Into, Value.Held);
+  feedList(Into, Value.HeldHosts);
 }
 
 void feed(Feed &Into, const PlanProgress &Value) {
@@ -223,7 +223,7 @@
   feed(Into, Value.Executor);
   feed(Into, Value.ExecutorRun);
   feed(Into, Value.StepsDone);
-  feed(Into, Value.Why);
+  feed(Into, Value.Reason);
   feed(Into, Value.ConfirmedAt);
   feed(Into, Value.EndedAt);
   feedList(Into, Value.Formed);
@@ -231,7 +231,7 @@
 
 void feed(Feed &Into, const WriterMark &Value) {
   feed(Into, Value.Sequence);
-  feed(Into, Value.LastAt);
+  feed(Into, Value.LastOffset);
 }
 
 } // namespace
@@ -244,11 +244,11 @@
   feedList(Into, Of.DrainedDataCentres);
   feedList(Into, Of.DrainedHosts);
   feedMap(Into, Of.Groups);
-  feedMap(Into, Of.Occupied);
-  feedMap(Into, Of.Departed);
+  feedMap(Into, Of.OccupiedHosts);
+  feedMap(Into, Of.DepartedHosts);
   feedMap(Into, Of.Plans);
   feedMap(Into, Of.Writers);
-  feed(Into, Of.Checkpoint.At);
+  feed(Into, Of.Checkpoint.StateNext);
   feed(Into, Of.Checkpoint.Digest);
   feed(Into, Of.Checkpoint.AnnouncedAt);
   feed(Into, Of.EntryHostsChange);
--- a/packages/version/src/coltsfoottrail/fold/enforce.cpp
+++ b/packages/version/src/coltsfoottrail/fold/enforce.cpp
@@ -39,8 +39,8 @@
 void keepDeparted(State &Into, const Declaration &Before,
                   const std::vector<HostName> &Dropped) {
   for (const HostName &Name : Dropped)
-    if (Into.Occupied.contains(Name))
-      Into.Departed.emplace(Name, *findHost(Before, Name));
+    if (Into.OccupiedHosts.contains(Name))
+      Into.DepartedHosts.emplace(Name, *findHost(Before, Name));
 }
 
 /// Puts each kind of intent in force.
@@ -50,10 +50,10 @@
 
   void operator()(ApplyDeclaration &Asked) const {
     if (Asked.Dropped)
-      Asked.Wanted = applyChange(Into.Declared, Asked.Wanted, *Asked.Dropped);
+      Asked.Desired = applyChange(Into.Declared, Asked.Desired, *Asked.Dropped);
     Asked.Dropped.reset();
     const Declaration Before =
-        std::exchange(Into.Declared, std::exchange(Asked.Wanted, {}));
+        std::exchange(Into.Declared, std::exchange(Asked.Desired, {}));
     Into.DeclaredChange = At + 1;
     forgetUndeclared(Into);
     const DeclarationChange Change = diffDeclarations(Before, Into.Declared);
@@ -104,15 +104,15 @@
 namespace coltsfoottrail {
 
 void shortenPlan(Plan &Proposal, const State &Now) {
-  auto *const Apply = std::get_if<ApplyDeclaration>(&Proposal.Asked);
+  auto *const Apply = std::get_if<ApplyDeclaration>(&Proposal.RequestedIntent);
   if (Apply == nullptr || Apply->Dropped || Proposal.PlannedAt != Now.Next)
     return;
-  DeclarationChange Change = diffDeclarations(Now.Declared, Apply->Wanted);
+  DeclarationChange Change = diffDeclarations(Now.Declared, Apply->Desired);
   // Where nearly all hosts change, the names of those dropped come on top.
   if (Change.Put.Hosts.size() + Change.Dropped.Hosts.size() >
-      Apply->Wanted.Hosts.size())
+      Apply->Desired.Hosts.size())
     return;
-  Apply->Wanted = std::move(Change.Put);
+  Apply->Desired = std::move(Change.Put);
   Apply->Dropped = std::move(Change.Dropped);
 }
 
--- a/packages/version/src/coltsfoottrail/fold/fold.cpp
+++ b/packages/version/src/coltsfoottrail/fold/fold.cpp
@@ -12,8 +12,8 @@
 
 FoldResult applied() { return FoldResult{}; }
 
-FoldResult voided(std::string Why, std::optional<Offset> BeatenBy) {
-  return FoldResult{FoldEffect::Void, std::move(Why), BeatenBy};
+FoldResult voided(std::string Why, std::optional<Offset> ConflictingOffset) {
+  return FoldResult{FoldEffect::Void, std::move(Why), ConflictingOffset};
 }
 
 void touchModel(State &Into, Offset At, const ModelName &Model) {
@@ -44,12 +44,12 @@
 FoldResult applyRecord(State &Into, Offset At, const CheckpointPart &Said) {
   if (Said.Parts != 0)
     return voided("parts of checkpoints belong on their own stream");
-  if (Said.At > At)
+  if (Said.StateNext > At)
     return voided("a checkpoint of a state that is yet to come");
-  if (Said.At <= Into.Checkpoint.At)
+  if (Said.StateNext <= Into.Checkpoint.StateNext)
     return voided("a newer checkpoint was announced before",
                   Into.Checkpoint.AnnouncedAt);
-  Into.Checkpoint = AnnouncedCheckpoint{Said.At, Said.Digest, At};
+  Into.Checkpoint = AnnouncedCheckpoint{Said.StateNext, Said.Digest, At};
   return applied();
 }
 
@@ -62,8 +62,8 @@
   return Known != In.Writers.end() && Writer.Sequence <= Known->second.Sequence;
 }
 
-bool isForgotten(Offset LastAt, Offset Memory, Offset Next) {
-  return LastAt + Memory <= Next;
+bool isForgotten(Offset LastOffset, Offset Memory, Offset Next) {
+  return LastOffset + Memory <= Next;
 }
 
 void forgetPlans(State &Into) {
@@ -73,7 +73,7 @@
       return false;
     const Offset Since =
         Progress.Phase == PlanPhase::Proposed ? Entry.first : Progress.EndedAt;
-    return isForgotten(Since, PlanMemory, Into.Next);
+    return isForgotten(Since, PlanRetention, Into.Next);
   });
 }
 
@@ -83,7 +83,7 @@
     Joined.insert(Host.Joined.Run);
   std::erase_if(Into.Writers, [&](const auto &Entry) {
     return !Joined.contains(Entry.first) &&
-           isForgotten(Entry.second.LastAt, WriterMemory, Into.Next);
+           isForgotten(Entry.second.LastOffset, WriterRetention, Into.Next);
   });
 }
 
@@ -100,8 +100,8 @@
 
 FoldResult foldEnvelope(State &Into, Offset At, Envelope &Read) {
   if (isTwin(Into, Read.Writer))
-    return FoldResult{FoldEffect::Twin, "a retry of a record folded before",
-                      std::nullopt};
+    return FoldResult{FoldEffect::Duplicate,
+                      "a retry of a record folded before", std::nullopt};
   Into.Writers[Read.Writer.Run] = WriterMark{Read.Writer.Sequence, At};
   return std::visit(
       [&](auto &Said) { return internal::applyRecord(Into, At, Said); },
@@ -121,7 +121,7 @@
 
 FoldResult foldRecord(State &Into, Offset At, ByteView Bytes) {
   if (At < Into.Next)
-    return FoldResult{FoldEffect::Twin, "folded before", std::nullopt};
+    return FoldResult{FoldEffect::Duplicate, "folded before", std::nullopt};
   FoldResult Result = foldBytes(Into, At, Bytes);
   moveNext(Into, At);
   return Result;
--- a/packages/version/src/coltsfoottrail/fold/fold.hpp
+++ b/packages/version/src/coltsfoottrail/fold/fold.hpp
@@ -12,11 +12,11 @@
 
 /// Ended plans, and proposals that nobody confirmed, stay in the state for this
 /// many records.
-inline constexpr Offset PlanMemory = 4096;
+inline constexpr Offset PlanRetention = 4096;
 /// A run that is no joined entry host stays known as a writer for this many
 /// records after its last one; a retry that comes later still is not recognised
 /// as a twin.
-inline constexpr Offset WriterMemory = 65536;
+inline constexpr Offset WriterRetention = 65536;
 /// What is to be forgotten is dropped whenever Next passes a multiple of this.
 inline constexpr Offset SweepInterval = 1024;
 /// Most proposals of whole declarations that wait for confirmation at once; the
@@ -24,15 +24,15 @@
 inline constexpr std::size_t MaxDeclarationProposals = 8;
 
 /// What became of a record at its offset.
-enum class FoldEffect : std::uint8_t { Applied, Void, Twin, Unreadable };
+enum class FoldEffect : std::uint8_t { Applied, Void, Duplicate, Unreadable };
 
 /// @brief What became of a record and, where it was void, why.
 struct FoldResult {
   FoldEffect Effect = FoldEffect::Applied;
   /// For people; names the record that beat this one where there is one.
-  std::string Why;
+  std::string Reason;
   /// Offset of the record that beat this one.
-  std::optional<Offset> BeatenBy;
+  std::optional<Offset> ConflictingOffset;
 };
 
 /// @brief Folds one record into a state. Pure: reads no clock, draws nothing,
--- a/packages/version/src/coltsfoottrail/fold/groups.cpp
+++ b/packages/version/src/coltsfoottrail/fold/groups.cpp
@@ -13,7 +13,7 @@
 
 /// Removes a group whose hosts are all released.
 void dropIfReleased(State &Into, std::map<GroupId, Group>::iterator Which) {
-  if (Which->second.Held.empty())
+  if (Which->second.HeldHosts.empty())
     Into.Groups.erase(Which);
 }
 
@@ -25,18 +25,18 @@
 
 bool hostsAreFree(const State &In, const FormGroup &Wanted) {
   return std::ranges::none_of(Wanted.Members, [&](const HostName &Host) {
-    return In.Occupied.contains(Host);
+    return In.OccupiedHosts.contains(Host);
   });
 }
 
 void formGroup(State &Into, Offset At, Offset Plan, const FormGroup &Wanted) {
   const GroupId Which{Plan, Wanted.Number};
   Group &Made = Into.Groups[Which];
-  Made.Formed = Wanted;
+  Made.Spec = Wanted;
   Made.Generation = At;
-  Made.Held.insert(Wanted.Members.begin(), Wanted.Members.end());
+  Made.HeldHosts.insert(Wanted.Members.begin(), Wanted.Members.end());
   for (const HostName &Host : Wanted.Members)
-    Into.Occupied[Host] = Which;
+    Into.OccupiedHosts[Host] = Which;
   Into.Plans.at(Plan).Formed.insert(Wanted.Number);
 }
 
@@ -53,7 +53,7 @@
   if (Said.Lease == 0 || Plan->second.Lease != Said.Lease)
     return voided("the executor's lease has been taken over",
                   Plan->second.Lease);
-  if (Said.MemberRuns.size() != Known.Formed.Members.size())
+  if (Said.MemberRuns.size() != Known.Spec.Members.size())
     return voided("not every member of " + describe(Said.Group) +
                   " is confirmed");
   Known.Phase = GroupPhase::Serving;
@@ -69,25 +69,26 @@
   Group &Known = Found->second;
   if (Known.Phase == GroupPhase::Broken)
     return voided(describe(Said.Group) + " is broken already");
-  if (std::ranges::find(Known.Formed.Members, Said.Lost) ==
-      Known.Formed.Members.end())
-    return voided("host " + Said.Lost.Text + " is no member of " +
+  if (std::ranges::find(Known.Spec.Members, Said.LostMember) ==
+      Known.Spec.Members.end())
+    return voided("host " + Said.LostMember.Text + " is no member of " +
                   describe(Said.Group));
   Known.Phase = GroupPhase::Broken;
-  touchModel(Into, At, Known.Formed.Model);
+  touchModel(Into, At, Known.Spec.Model);
   return applied();
 }
 
 FoldResult applyRecord(State &Into, Offset At, const HostReleased &Said) {
   const auto Found = Into.Groups.find(Said.Group);
-  if (Found == Into.Groups.end() || !Found->second.Held.contains(Said.Host))
+  if (Found == Into.Groups.end() ||
+      !Found->second.HeldHosts.contains(Said.Host))
     return voided(describe(Said.Group) + " does not hold host " +
                   Said.Host.Text);
   if (!isStopped(Found->second.Phase))
     return voided(describe(Said.Group) + " is neither stopping nor broken");
-  Found->second.Held.erase(Said.Host);
-  Into.Occupied.erase(Said.Host);
-  Into.Departed.erase(Said.Host);
+  Found->second.HeldHosts.erase(Said.Host);
+  Into.OccupiedHosts.erase(Said.Host);
+  Into.DepartedHosts.erase(Said.Host);
   Into.LastChange = At;
   dropIfReleased(Into, Found);
   return applied();
--- a/packages/version/src/coltsfoottrail/fold/objection.cpp
+++ b/packages/version/src/coltsfoottrail/fold/objection.cpp
@@ -16,13 +16,14 @@
 public:
   PlanCheck(const State &Met, const Plan &Proposal)
       : In(Met), Wanted(Proposal) {
-    const auto *const Apply = std::get_if<ApplyDeclaration>(&Wanted.Asked);
+    const auto *const Apply =
+        std::get_if<ApplyDeclaration>(&Wanted.RequestedIntent);
     if (Apply == nullptr)
       return;
-    After = &Apply->Wanted;
+    After = &Apply->Desired;
     if (!Apply->Dropped)
       return;
-    Changed = applyChange(In.Declared, Apply->Wanted, *Apply->Dropped);
+    Changed = applyChange(In.Declared, Apply->Desired, *Apply->Dropped);
     After = &Changed;
   }
   PlanCheck(const PlanCheck &) = delete;
@@ -33,7 +34,7 @@
       return voided("planned on a state that is yet to come");
     if (Objection Found =
             std::visit([&](const auto &Asked) { return checkIntent(Asked); },
-                       Wanted.Asked))
+                       Wanted.RequestedIntent))
       return Found;
     collectPromised();
     for (const Step &Each : Wanted.Steps)
@@ -133,14 +134,14 @@
     const DeclarationChange Change = diffDeclarations(In.Declared, *After);
     for (const HostSpec &Then : Change.Put.Hosts) {
       const HostSpec *const Now = findHost(In.Declared, Then.Name);
-      const auto Holder = In.Occupied.find(Then.Name);
-      if (Now != nullptr && Holder != In.Occupied.end() &&
+      const auto Holder = In.OccupiedHosts.find(Then.Name);
+      if (Now != nullptr && Holder != In.OccupiedHosts.end() &&
           !samePlace(*Now, Then))
         return stillHeld(Holder->first, Holder->second);
     }
     for (const HostName &Name : Change.Dropped.Hosts) {
-      const auto Holder = In.Occupied.find(Name);
-      if (Holder != In.Occupied.end() && !isBroken(Holder->second))
+      const auto Holder = In.OccupiedHosts.find(Name);
+      if (Holder != In.OccupiedHosts.end() && !isBroken(Holder->second))
         return stillHeld(Holder->first, Holder->second);
     }
     return checkDeparted(Change.Dropped.Hosts);
@@ -160,17 +161,17 @@
   [[nodiscard]] Objection
   checkDeparted(const std::vector<HostName> &Dropped) const {
     std::set<std::pair<std::string_view, std::uint16_t>> Held;
-    for (const auto &[Name, Host] : In.Departed)
+    for (const auto &[Name, Host] : In.DepartedHosts)
       Held.emplace(Host.Address, Host.Port);
     for (const HostName &Name : Dropped)
-      if (In.Occupied.contains(Name)) {
+      if (In.OccupiedHosts.contains(Name)) {
         const HostSpec &Host = *findHost(In.Declared, Name);
         Held.emplace(Host.Address, Host.Port);
       }
     if (Held.empty())
       return std::nullopt;
     for (const HostSpec &Host : After->Hosts)
-      if (In.Departed.contains(Host.Name) ||
+      if (In.DepartedHosts.contains(Host.Name) ||
           Held.contains({Host.Address, Host.Port}))
         return voided("host " + Host.Name.Text +
                       " was dropped and is not released by its group yet");
@@ -213,33 +214,38 @@
     if (Known == nullptr)
       return std::nullopt;
     ModelSpec Out = *Known;
-    if (const auto *const Asked = std::get_if<SetVersion>(&Wanted.Asked))
+    if (const auto *const Asked =
+            std::get_if<SetVersion>(&Wanted.RequestedIntent))
       if (Asked->Model == Model)
         Out.Version = Asked->Version;
-    if (const auto *const Asked = std::get_if<SetAdapters>(&Wanted.Asked))
+    if (const auto *const Asked =
+            std::get_if<SetAdapters>(&Wanted.RequestedIntent))
       if (Asked->Model == Model)
         Out.Adapters = Asked->Adapters;
     return Out;
   }
 
   [[nodiscard]] bool isDrainedAfter(const HostSpec &Host) const {
-    if (const auto *const Asked = std::get_if<DrainDataCentre>(&Wanted.Asked))
+    if (const auto *const Asked =
+            std::get_if<DrainDataCentre>(&Wanted.RequestedIntent))
       if (Asked->DataCentre == Host.DataCentre)
         return true;
-    if (const auto *const Asked = std::get_if<DrainHost>(&Wanted.Asked))
+    if (const auto *const Asked =
+            std::get_if<DrainHost>(&Wanted.RequestedIntent))
       if (Asked->Host == Host.Name)
         return true;
     return isDataCentreOutAfter(Host.DataCentre) || isHostOutAfter(Host.Name);
   }
 
   [[nodiscard]] bool isDataCentreOutAfter(const DataCentreName &Name) const {
-    const auto *const Asked = std::get_if<ReturnDataCentre>(&Wanted.Asked);
+    const auto *const Asked =
+        std::get_if<ReturnDataCentre>(&Wanted.RequestedIntent);
     const bool Returns = Asked != nullptr && Asked->DataCentre == Name;
     return !Returns && In.DrainedDataCentres.contains(Name);
   }
 
   [[nodiscard]] bool isHostOutAfter(const HostName &Name) const {
-    const auto *const Asked = std::get_if<ReturnHost>(&Wanted.Asked);
+    const auto *const Asked = std::get_if<ReturnHost>(&Wanted.RequestedIntent);
     const bool Returns = Asked != nullptr && Asked->Host == Name;
     return !Returns && In.DrainedHosts.contains(Name);
   }
@@ -291,8 +297,8 @@
     if (Owed != Promised.end())
       return voided("host " + Host.Name.Text + " is meant for another plan",
                     Owed->second);
-    const auto Holder = In.Occupied.find(Host.Name);
-    if (Holder != In.Occupied.end() && !Stops.contains(Holder->second))
+    const auto Holder = In.OccupiedHosts.find(Host.Name);
+    if (Holder != In.OccupiedHosts.end() && !Stops.contains(Holder->second))
       return voided("host " + Host.Name.Text + " is in another group",
                     generationOf(Holder->second));
     return std::nullopt;
--- a/packages/version/src/coltsfoottrail/fold/plans.cpp
+++ b/packages/version/src/coltsfoottrail/fold/plans.cpp
@@ -20,7 +20,7 @@
   if (Known.Phase != GroupPhase::Forming && Known.Phase != GroupPhase::Serving)
     return;
   Known.Phase = GroupPhase::Stopping;
-  touchModel(Into, At, Known.Formed.Model);
+  touchModel(Into, At, Known.Spec.Model);
 }
 
 void stopForming(State &Into, Offset At, Offset Plan) {
@@ -35,7 +35,7 @@
 /// Drops the declaration that a plan carries: once in force it stands in the
 /// state, and a plan that ended needs it no more.
 void dropDeclaration(PlanProgress &Progress) {
-  Intent &Asked = Progress.Proposed.Proposal.Asked;
+  Intent &Asked = Progress.Proposed.Proposal.RequestedIntent;
   if (auto *const Apply = std::get_if<ApplyDeclaration>(&Asked))
     *Apply = ApplyDeclaration{};
 }
@@ -44,7 +44,7 @@
              std::string Why) {
   Progress.Phase = Phase;
   Progress.EndedAt = At;
-  Progress.Why = std::move(Why);
+  Progress.Reason = std::move(Why);
   Progress.Formed.clear();
   dropDeclaration(Progress);
 }
@@ -107,7 +107,7 @@
         Stop != nullptr ? Stop->Group : std::get<SwapAdapters>(Each).Group;
     const auto Found = Into.Groups.find(Which);
     if (Found != Into.Groups.end())
-      touchModel(Into, At, Found->second.Formed.Model);
+      touchModel(Into, At, Found->second.Spec.Model);
   }
 }
 
@@ -117,7 +117,7 @@
   for (auto Each = Into.Plans.begin(); Each != Into.Plans.end(); ++Each)
     if (Each->second.Phase == PlanPhase::Proposed &&
         std::holds_alternative<ApplyDeclaration>(
-            Each->second.Proposed.Proposal.Asked))
+            Each->second.Proposed.Proposal.RequestedIntent))
       Waiting.push_back(Each);
   if (Waiting.size() > MaxDeclarationProposals)
     abandonPlan(Into, At, Waiting.front(), "newer declarations were proposed");
@@ -152,7 +152,7 @@
   const std::vector<Step> &Steps = Progress.Proposed.Proposal.Steps;
   const Step &Done = Steps[Progress.StepsDone];
   if (const auto *const Swap = std::get_if<SwapAdapters>(&Done))
-    Into.Groups.at(Swap->Group).Formed.Adapters = Swap->Adapters;
+    Into.Groups.at(Swap->Group).Spec.Adapters = Swap->Adapters;
   ++Progress.StepsDone;
   Into.LastChange = At;
   if (Progress.StepsDone == Steps.size())
@@ -185,7 +185,7 @@
     return *std::move(Objection);
   Progress.Phase = PlanPhase::Running;
   Progress.ConfirmedAt = At;
-  enforceIntent(Into, At, Proposal.Asked);
+  enforceIntent(Into, At, Proposal.RequestedIntent);
   touchStepModels(Into, At, Proposal);
   if (Proposal.Steps.empty()) {
     endPlan(Progress, At, PlanPhase::Done, {});
@@ -202,7 +202,7 @@
     return voided(describe(Said.Plan) + " is not known");
   if (Found->second.EndedAt > 0)
     return voided(describe(Said.Plan) + " has ended", Found->second.EndedAt);
-  abandonPlan(Into, At, Found, Said.Why);
+  abandonPlan(Into, At, Found, Said.Reason);
   return applied();
 }
 
@@ -213,7 +213,7 @@
   PlanProgress &Progress = Found->second;
   if (Progress.Phase != PlanPhase::Running)
     return voided(describe(Said.Plan) + " is not running");
-  if (Progress.Lease != Said.Replaces)
+  if (Progress.Lease != Said.ReplacedLease)
     return voided("the lease on " + describe(Said.Plan) +
                       " was taken by entry host " + Progress.Executor.Text,
                   Progress.Lease);
--- a/packages/version/src/coltsfoottrail/fold/state.hpp
+++ b/packages/version/src/coltsfoottrail/fold/state.hpp
@@ -25,14 +25,14 @@
 
 /// @brief A serving group.
 struct Group {
-  FormGroup Formed;
+  FormGroup Spec;
   GroupPhase Phase = GroupPhase::Forming;
   /// Offset of the record that made it: the fencing number of its members'
   /// orders.
   Offset Generation = 0;
   std::vector<Incarnation> MemberRuns;
   /// Members whose hosts are not released yet.
-  std::set<HostName> Held;
+  std::set<HostName> HeldHosts;
   [[nodiscard]] friend bool operator==(const Group &, const Group &) = default;
 };
 
@@ -48,7 +48,7 @@
   HostName Executor;
   Incarnation ExecutorRun = 0;
   std::uint32_t StepsDone = 0;
-  std::string Why;
+  std::string Reason;
   /// Offset of the confirmation; zero before.
   Offset ConfirmedAt = 0;
   /// Offset of the record that ended it; zero while it is Proposed or Running.
@@ -65,7 +65,7 @@
   /// Highest sequence folded.
   std::uint64_t Sequence = 0;
   /// Offset of its last record.
-  Offset LastAt = 0;
+  Offset LastOffset = 0;
   [[nodiscard]] friend bool operator==(const WriterMark &,
                                        const WriterMark &) = default;
 };
@@ -73,7 +73,7 @@
 /// @brief The newest checkpoint that was announced on the agreed stream.
 struct AnnouncedCheckpoint {
   /// Next of the state that it holds; zero before the first.
-  Offset At = 0;
+  Offset StateNext = 0;
   std::uint64_t Digest = 0;
   /// Offset of the announcement.
   Offset AnnouncedAt = 0;
@@ -92,10 +92,10 @@
   std::map<GroupId, Group> Groups;
   /// The group that each occupied host belongs to; a host stands here once at
   /// the most.
-  std::map<HostName, GroupId> Occupied;
+  std::map<HostName, GroupId> OccupiedHosts;
   /// Hosts that were dropped from the declaration while a broken group still
   /// held them, with the address at which their stop can be proved.
-  std::map<HostName, HostSpec> Departed;
+  std::map<HostName, HostSpec> DepartedHosts;
   std::map<Offset, PlanProgress> Plans;
   /// Highest sequence folded of each writer, to drop twins.
   std::map<Incarnation, WriterMark> Writers;
--- a/packages/version/src/coltsfoottrail/groups/former.cpp
+++ b/packages/version/src/coltsfoottrail/groups/former.cpp
@@ -39,12 +39,12 @@
                     std::size_t Rank) {
   JoinGroup Join;
   Join.Group = Id;
-  Join.Model = Known.Formed.Model;
-  Join.Version = Known.Formed.Version;
-  Join.Adapters = Known.Formed.Adapters;
-  Join.Role = Known.Formed.Role;
+  Join.Model = Known.Spec.Model;
+  Join.Version = Known.Spec.Version;
+  Join.Adapters = Known.Spec.Adapters;
+  Join.Role = Known.Spec.Role;
   Join.Rank = static_cast<std::uint32_t>(Rank);
-  for (const HostName &Member : Known.Formed.Members) {
+  for (const HostName &Member : Known.Spec.Members) {
     const HostSpec *Host = findHost(Now.Declared, Member);
     Join.Members.push_back(Host == nullptr
                                ? EngineAddress{}
@@ -56,7 +56,7 @@
 bool isReady(const EngineReport &Report, const GroupId &Id,
              const Group &Known) {
   return Report.Group == Id && Report.Phase == EnginePhase::Ready &&
-         Report.Version == Known.Formed.Version;
+         Report.Version == Known.Spec.Version;
 }
 
 } // namespace
@@ -83,7 +83,7 @@
 
 void Former::formGroup(const Pass &In, const GroupId &Id, const Group &Known,
                        const PlanLease &Lease) {
-  const std::vector<HostName> &Members = Known.Formed.Members;
+  const std::vector<HostName> &Members = Known.Spec.Members;
   std::size_t Ready = 0;
   const HostName *Waiting = nullptr;
   for (std::size_t Rank = 0; Rank < Members.size(); ++Rank) {
@@ -111,7 +111,7 @@
 
 bool Former::joinMember(const Pass &In, const GroupId &Id, const Group &Known,
                         const PlanLease &Lease, std::size_t Rank) const {
-  const HostSpec *Host = findHost(In.Now.Declared, Known.Formed.Members[Rank]);
+  const HostSpec *Host = findHost(In.Now.Declared, Known.Spec.Members[Rank]);
   if (Host == nullptr)
     return false;
   if (In.Book.takeRefusedFence(Host->Name))
@@ -141,7 +141,7 @@
   GroupConfirmed Said;
   Said.Group = Id;
   Said.Lease = Lease.Fence;
-  for (const HostName &Member : Known.Formed.Members)
+  for (const HostName &Member : Known.Spec.Members)
     Said.MemberRuns.push_back(
         In.Book.reportSince(Member, In.At - Times.ConfirmWindow)->Run);
   In.Pace.append("confirm/" + textOf(Id) + "/" + std::to_string(Lease.Fence),
--- a/packages/version/src/coltsfoottrail/groups/releaser.cpp
+++ b/packages/version/src/coltsfoottrail/groups/releaser.cpp
@@ -18,8 +18,8 @@
 const HostSpec *findPlace(const State &Now, const HostName &Name) {
   if (const HostSpec *Host = findHost(Now.Declared, Name))
     return Host;
-  const auto Gone = Now.Departed.find(Name);
-  return Gone == Now.Departed.end() ? nullptr : &Gone->second;
+  const auto Gone = Now.DepartedHosts.find(Name);
+  return Gone == Now.DepartedHosts.end() ? nullptr : &Gone->second;
 }
 
 } // namespace
@@ -70,7 +70,7 @@
       Known.Phase == GroupPhase::Stopping && !Known.MemberRuns.empty();
   if (!HasWork)
     How.MayLeave = true;
-  for (const HostName &Name : Known.Held) {
+  for (const HostName &Name : Known.HeldHosts) {
     const HostSpec *Host = findPlace(In.Now, Name);
     if (Host == nullptr)
       continue;
@@ -85,7 +85,7 @@
 void Releaser::watchQuiet(const Pass &In, const GroupId &Id, const Group &Known,
                           Leaving &How) const {
   bool Quiet = In.At - How.Since >= Times.StopSettle;
-  for (const HostName &Name : Known.Held) {
+  for (const HostName &Name : Known.HeldHosts) {
     if (!In.Book.seemsCutOff(In.At) &&
         In.Book.silentFor(Name, In.At) >= Times.MemberSilent) {
       In.Pace.append(
--- a/packages/version/src/coltsfoottrail/groups/repairer.cpp
+++ b/packages/version/src/coltsfoottrail/groups/repairer.cpp
@@ -89,9 +89,8 @@
     return false;
   bool Awaits = false;
   for (const auto &[Id, Known] : In.Now.Groups)
-    if (Known.Phase == GroupPhase::Broken &&
-        Known.Formed.Model == Where.Model &&
-        Known.Formed.DataCentre == Where.DataCentre)
+    if (Known.Phase == GroupPhase::Broken && Known.Spec.Model == Where.Model &&
+        Known.Spec.DataCentre == Where.DataCentre)
       Awaits = hasSurvivors(In, Known) || Awaits;
   return Awaits;
 }
@@ -100,7 +99,7 @@
 /// answers, or has not been asked long enough to tell.
 bool Repairer::hasSurvivors(const Pass &In, const Group &Broken) {
   bool Any = false;
-  for (const HostName &Member : Broken.Held) {
+  for (const HostName &Member : Broken.HeldHosts) {
     const HostSpec *Host = findHost(In.Now.Declared, Member);
     if (Host == nullptr)
       continue;
@@ -114,7 +113,7 @@
                                              const MissingGroups &Where) const {
   for (const auto &[Id, Progress] : In.Now.Plans) {
     const auto *Asked =
-        std::get_if<SetCapacity>(&Progress.Proposed.Proposal.Asked);
+        std::get_if<SetCapacity>(&Progress.Proposed.Proposal.RequestedIntent);
     const bool Fits =
         Progress.Phase == PlanPhase::Proposed && Asked != nullptr &&
         Progress.Proposed.Operator == RepairOperator &&
--- a/packages/version/src/coltsfoottrail/groups/steps.cpp
+++ b/packages/version/src/coltsfoottrail/groups/steps.cpp
@@ -108,9 +108,9 @@
     return Outcome{Standing::Finished, {}};
   const Group &Known = Found->second;
   if (Known.Phase != GroupPhase::Broken ||
-      !patienceIsOver(In, Plan, Progress.StepsDone, Known.Held.size()))
+      !patienceIsOver(In, Plan, Progress.StepsDone, Known.HeldHosts.size()))
     return Outcome{};
-  return Outcome{Standing::Impossible, "host " + Known.Held.begin()->Text +
+  return Outcome{Standing::Impossible, "host " + Known.HeldHosts.begin()->Text +
                                            " of group " + textOf(Stop.Group) +
                                            " has not proved that it stopped"};
 }
@@ -125,7 +125,7 @@
     return Outcome{Standing::Impossible,
                    "group " + textOf(Swap.Group) + " broke"};
   std::size_t Waiting = 0;
-  for (const HostName &Member : Found->second.Formed.Members) {
+  for (const HostName &Member : Found->second.Spec.Members) {
     const HostSpec *Host = findHost(In.Now.Declared, Member);
     if (Host == nullptr)
       continue;
--- a/packages/version/src/coltsfoottrail/groups/watch.cpp
+++ b/packages/version/src/coltsfoottrail/groups/watch.cpp
@@ -36,9 +36,9 @@
 GroupWatch::Watched GroupWatch::start(const State &Now, const Group &Known,
                                       TimePoint At) const {
   Watched Over;
-  for (std::size_t Rank = 0; Rank < Known.Formed.Members.size(); ++Rank) {
+  for (std::size_t Rank = 0; Rank < Known.Spec.Members.size(); ++Rank) {
     Member Of;
-    Of.Host = Known.Formed.Members[Rank];
+    Of.Host = Known.Spec.Members[Rank];
     if (const HostSpec *Host = findHost(Now.Declared, Of.Host))
       Of.Address = EngineAddress{Host->Address, Host->Port};
     if (Rank < Known.MemberRuns.size())
--- a/packages/version/src/coltsfoottrail/groups/watchplan.cpp
+++ b/packages/version/src/coltsfoottrail/groups/watchplan.cpp
@@ -35,7 +35,7 @@
   for (const auto &[Id, Known] : Now.Groups) {
     if (Known.Phase != GroupPhase::Serving || Watchers.contains(Id))
       continue;
-    std::vector<HostName> Chosen = choose(Id, Known.Formed.DataCentre);
+    std::vector<HostName> Chosen = choose(Id, Known.Spec.DataCentre);
     for (const HostName &Name : Chosen)
       Watched[Name].insert(Id);
     Watchers.emplace(Id, std::move(Chosen));
--- a/packages/version/src/coltsfoottrail/intents/convergence.cpp
+++ b/packages/version/src/coltsfoottrail/intents/convergence.cpp
@@ -119,7 +119,7 @@
   }
 
   void sortGroup(const GroupId &Id, const Group &Found) {
-    const FormGroup &Formed = Found.Formed;
+    const FormGroup &Formed = Found.Spec;
     if (Found.Phase == GroupPhase::Broken) {
       openSite({Formed.Model, Formed.DataCentre}).Broken.push_back(&Formed);
       return;
@@ -176,7 +176,7 @@
 
   void collectFree() {
     for (const HostSpec &Host : To.Declared->Hosts)
-      if (mayBeUsed(Host) && !To.Now->Occupied.contains(Host.Name))
+      if (mayBeUsed(Host) && !To.Now->OccupiedHosts.contains(Host.Name))
         Free.add(Host);
   }
 
@@ -425,7 +425,7 @@
         Models[Key.first].Model = Key.first;
     std::map<ModelName, std::uint32_t> StillToCome;
     for (auto &[Id, Found] : To.Now->Groups) {
-      const auto Of = Models.find(Found.Formed.Model);
+      const auto Of = Models.find(Found.Spec.Model);
       if (Of == Models.end())
         continue;
       if (isInRoutes(Found, To.Now->DrainedDataCentres, To.Now->DrainedHosts))
@@ -433,8 +433,8 @@
       if (isInRoutes(Found, To.DrainedDataCentres, To.DrainedHosts))
         ++Of->second.GroupsAfter;
       if (Found.Phase == GroupPhase::Forming &&
-          !isDrained(Found.Formed.DataCentre))
-        ++StillToCome[Found.Formed.Model];
+          !isDrained(Found.Spec.DataCentre))
+        ++StillToCome[Found.Spec.Model];
     }
     for (const Known &Planned : Pending)
       if (!isDrained(Planned.Formed->DataCentre))
@@ -468,7 +468,7 @@
     if (Found == To.Now->Groups.end() ||
         !isInRoutes(Found->second, To.DrainedDataCentres, To.DrainedHosts))
       return;
-    const auto Of = Models.find(Found->second.Formed.Model);
+    const auto Of = Models.find(Found->second.Spec.Model);
     if (Of == Models.end())
       return;
     --Of->second.GroupsAfter;
--- a/packages/version/src/coltsfoottrail/intents/describe.cpp
+++ b/packages/version/src/coltsfoottrail/intents/describe.cpp
@@ -47,14 +47,14 @@
       Overloaded{
           [](const ApplyDeclaration &Apply) {
             // A plan that has ended no longer keeps its declaration.
-            if (Apply.Wanted == Declaration{} && !Apply.Dropped)
+            if (Apply.Desired == Declaration{} && !Apply.Dropped)
               return std::string("apply a declaration");
             return std::string(Apply.Dropped ? "change the declaration of "
                                              : "apply a declaration with ") +
-                   std::to_string(Apply.Wanted.Models.size()) + " models, " +
-                   std::to_string(Apply.Wanted.Services.size()) +
+                   std::to_string(Apply.Desired.Models.size()) + " models, " +
+                   std::to_string(Apply.Desired.Services.size()) +
                    " services and " +
-                   std::to_string(Apply.Wanted.Hosts.size()) + " hosts";
+                   std::to_string(Apply.Desired.Hosts.size()) + " hosts";
           },
           [](const SetCapacity &Set) {
             return "set the capacity of " + Set.Model.Text + " in " +
@@ -108,7 +108,7 @@
 
 std::vector<std::string> describePlan(const Plan &Proposal) {
   std::vector<std::string> Lines;
-  Lines.push_back("asked: " + describeIntent(Proposal.Asked));
+  Lines.push_back("asked: " + describeIntent(Proposal.RequestedIntent));
   Lines.push_back("planned at offset " + std::to_string(Proposal.PlannedAt));
   if (Proposal.Steps.empty())
     Lines.emplace_back("no steps: in force everywhere once it is confirmed");
--- a/packages/version/src/coltsfoottrail/intents/planner.cpp
+++ b/packages/version/src/coltsfoottrail/intents/planner.cpp
@@ -67,7 +67,7 @@
 Plan planFor(const Aim &To, Intent Asked) {
   Course Found = internal::converge(To);
   Plan Made;
-  Made.Asked = std::move(Asked);
+  Made.RequestedIntent = std::move(Asked);
   Made.PlannedAt = To.Now->Next;
   Made.Steps = std::move(Found.Steps);
   Made.Forecast = std::move(Found.Forecast);
@@ -105,10 +105,10 @@
   IntentAim &operator=(const IntentAim &) = delete;
 
   void operator()(const ApplyDeclaration &Apply) {
-    for (const auto &[Name, Group] : Now.Occupied)
-      requireUnchanged(Name, Group, Apply.Wanted);
-    requireReleased(Apply.Wanted);
-    Declared = Apply.Wanted;
+    for (const auto &[Name, Group] : Now.OccupiedHosts)
+      requireUnchanged(Name, Group, Apply.Desired);
+    requireReleased(Apply.Desired);
+    Declared = Apply.Desired;
   }
 
   void operator()(const SetCapacity &Set) {
@@ -152,16 +152,16 @@
     requireHost(Declared, Drain.Host);
     if (!To.DrainedHosts.insert(Drain.Host).second)
       refuse("drain " + Drain.Host.Text + " again: it is drained");
-    const auto Holder = Now.Occupied.find(Drain.Host);
-    if (Holder == Now.Occupied.end()) {
+    const auto Holder = Now.OccupiedHosts.find(Drain.Host);
+    if (Holder == Now.OccupiedHosts.end()) {
       To.May = Extent::ForecastOnly;
       return;
     }
     const auto Found = Now.Groups.find(Holder->second);
     if (Found == Now.Groups.end())
       return;
-    To.OnlyModel = Found->second.Formed.Model;
-    To.OnlyDataCentre = Found->second.Formed.DataCentre;
+    To.OnlyModel = Found->second.Spec.Model;
+    To.OnlyDataCentre = Found->second.Spec.DataCentre;
   }
 
   void operator()(const ReturnHost &Return) {
@@ -210,7 +210,7 @@
   /// Failure guarded against: a machine that an engine of a broken group may
   /// still run on is declared again and gets a second group.
   void requireReleased(const Declaration &Wanted) const {
-    for (const auto &[Name, Before] : Now.Departed)
+    for (const auto &[Name, Before] : Now.DepartedHosts)
       if (findHost(Wanted, Name) != nullptr)
         throw PlanError("host \"" + Name.Text +
                         "\" was dropped while a broken group held it and has "
@@ -270,9 +270,9 @@
                 const std::set<DataCentreName> &DrainedDataCentres,
                 const std::set<HostName> &DrainedHosts) {
   if (Asked.Phase != GroupPhase::Serving ||
-      DrainedDataCentres.contains(Asked.Formed.DataCentre))
+      DrainedDataCentres.contains(Asked.Spec.DataCentre))
     return false;
-  return std::none_of(Asked.Formed.Members.begin(), Asked.Formed.Members.end(),
+  return std::none_of(Asked.Spec.Members.begin(), Asked.Spec.Members.end(),
                       [&DrainedHosts](const HostName &Member) {
                         return DrainedHosts.contains(Member);
                       });
--- a/packages/version/src/coltsfoottrail/record/codec.cpp
+++ b/packages/version/src/coltsfoottrail/record/codec.cpp
@@ -110,7 +110,7 @@
 }
 
 Json writeApply(const ApplyDeclaration &Each) {
-  Json Out{{"declaration", writeDeclaration(Each.Wanted)}};
+  Json Out{{"declaration", writeDeclaration(Each.Desired)}};
   if (Each.Dropped)
     Out["dropped"] = Json{{"teams", writeNames(Each.Dropped->Teams)},
                           {"hosts", writeNames(Each.Dropped->Hosts)},
@@ -290,13 +290,13 @@
 
 Json writeAbandoned(const PlanAbandoned &Each) {
   Json Out{{"plan", Each.Plan}};
-  putText(Out, "why", Each.Why);
+  putText(Out, "why", Each.Reason);
   return Out;
 }
 
 Json writeBroken(const GroupBroken &Each) {
-  Json Out{{"group", writeGroupId(Each.Group)}, {"lost", Each.Lost.Text}};
-  putText(Out, "why", Each.Why);
+  Json Out{{"group", writeGroupId(Each.Group)}, {"lost", Each.LostMember.Text}};
+  putText(Out, "why", Each.Reason);
   return Out;
 }
 
@@ -321,7 +321,7 @@
             return Json{{"plan", Each.Plan},
                         {"host", Each.Host.Text},
                         {"run", Each.Run},
-                        {"replaces", Each.Replaces}};
+                        {"replaces", Each.ReplacedLease}};
           },
           [](const StepFinished &Each) {
             return Json{{"plan", Each.Plan},
@@ -339,7 +339,7 @@
                         {"group", writeGroupId(Each.Group)}};
           },
           [](const CheckpointPart &Each) {
-            return Json{{"at", Each.At},
+            return Json{{"at", Each.StateNext},
                         {"part", Each.Part},
                         {"parts", Each.Parts},
                         {"digest", Each.Digest},
@@ -369,7 +369,7 @@
   Out.Plan = From.number("plan");
   Out.Host = readName<HostName>(From, "host");
   Out.Run = From.number("run", 1);
-  Out.Replaces = From.number("replaces");
+  Out.ReplacedLease = From.number("replaces");
   return Out;
 }
 
@@ -392,14 +392,14 @@
 GroupBroken readBroken(ObjectReader &From) {
   GroupBroken Out;
   Out.Group = readGroupId(From, "group");
-  Out.Lost = readName<HostName>(From, "lost");
-  Out.Why = From.textOr("why", "");
+  Out.LostMember = readName<HostName>(From, "lost");
+  Out.Reason = From.textOr("why", "");
   return Out;
 }
 
 CheckpointPart readPart(ObjectReader &From) {
   CheckpointPart Out;
-  Out.At = From.number("at");
+  Out.StateNext = From.number("at");
   Out.Part = readCount(From, "part");
   Out.Parts = readCount(From, "parts");
   Out.Digest = From.number("digest");
@@ -487,7 +487,7 @@
   Json Forecast = Json::array();
   for (const CapacityForecast &Each : Proposal.Forecast)
     Forecast.push_back(writeForecast(Each));
-  return Json{{"intent", writeIntent(Proposal.Asked)},
+  return Json{{"intent", writeIntent(Proposal.RequestedIntent)},
               {"planned_at", Proposal.PlannedAt},
               {"steps", std::move(Steps)},
               {"forecast", std::move(Forecast)},
@@ -497,7 +497,7 @@
 Plan readPlan(const Json &Value, std::string_view Source, UnknownKeys Policy) {
   ObjectReader From(Value, Source, {}, Policy);
   Plan Out;
-  Out.Asked = readIntent(From.raw("intent"), Source, Policy);
+  Out.RequestedIntent = readIntent(From.raw("intent"), Source, Policy);
   Out.PlannedAt = From.number("planned_at");
   From.eachObject("steps", [&](ObjectReader &Each) {
     Out.Steps.push_back(readStepFrom(Each));
@@ -523,7 +523,7 @@
 }
 
 std::vector<std::byte> encodeRecord(const Envelope &Written) {
-  const Json Value{{"form", RecordFormVersion},
+  const Json Value{{"form", RecordFormatVersion},
                    {"run", Written.Writer.Run},
                    {"sequence", Written.Writer.Sequence},
                    {"record", writeRecord(Written.Body)}};
@@ -541,7 +541,7 @@
                      "at most " + std::to_string(MaxRecordBytes) + " bytes");
   const Json Value = parseCbor(Bytes, RecordSource);
   ObjectReader From(Value, RecordSource, {}, UnknownKeys::Ignore);
-  static_cast<void>(From.number("form", 1, RecordFormVersion));
+  static_cast<void>(From.number("form", 1, RecordFormatVersion));
   Envelope Out;
   Out.Writer.Run = From.number("run", 1);
   Out.Writer.Sequence = From.number("sequence");
--- a/packages/version/src/coltsfoottrail/record/codec.hpp
+++ b/packages/version/src/coltsfoottrail/record/codec.hpp
@@ -13,7 +13,7 @@
 
 /// Version of the record form that this build writes; a record of a newer one
 /// is refused by every reader alike.
-inline constexpr std::uint64_t RecordFormVersion = 1;
+inline constexpr std::uint64_t RecordFormatVersion = 1;
 /// Largest record that is read or written.
 inline constexpr std::size_t MaxRecordBytes = std::size_t{4} << 20U;
 
--- a/packages/version/src/coltsfoottrail/record/intent.hpp
+++ b/packages/version/src/coltsfoottrail/record/intent.hpp
@@ -31,7 +31,7 @@
 /// Replace what is declared.
 struct ApplyDeclaration {
   /// All that is wanted; when Dropped is there, only what changes.
-  Declaration Wanted;
+  Declaration Desired;
   /// Makes it a change of what is declared at the plan's PlannedAt.
   std::optional<DroppedNames> Dropped = std::nullopt;
   [[nodiscard]] friend bool operator==(const ApplyDeclaration &,
@@ -133,7 +133,7 @@
 
 /// @brief The answer to an intent; nothing changes until it is confirmed.
 struct Plan {
-  Intent Asked;
+  Intent RequestedIntent;
   /// The state that it was planned on.
   Offset PlannedAt = 0;
   std::vector<Step> Steps;
--- a/packages/version/src/coltsfoottrail/record/record.hpp
+++ b/packages/version/src/coltsfoottrail/record/record.hpp
@@ -49,7 +49,7 @@
 /// begun.
 struct PlanAbandoned {
   Offset Plan = 0;
-  std::string Why;
+  std::string Reason;
   [[nodiscard]] friend bool operator==(const PlanAbandoned &,
                                        const PlanAbandoned &) = default;
 };
@@ -61,7 +61,7 @@
   HostName Host;
   Incarnation Run = 0;
   /// The lease that this one replaces; zero for the first.
-  Offset Replaces = 0;
+  Offset ReplacedLease = 0;
   [[nodiscard]] friend bool operator==(const ExecutorTaken &,
                                        const ExecutorTaken &) = default;
 };
@@ -86,8 +86,8 @@
 /// await a proven stop.
 struct GroupBroken {
   GroupId Group;
-  HostName Lost;
-  std::string Why;
+  HostName LostMember;
+  std::string Reason;
   [[nodiscard]] friend bool operator==(const GroupBroken &,
                                        const GroupBroken &) = default;
 };
@@ -103,7 +103,7 @@
 /// their own; on the agreed stream a record of this kind without parts and
 /// bytes announces that all parts are written.
 struct CheckpointPart {
-  Offset At = 0;
+  Offset StateNext = 0;
   std::uint32_t Part = 0;
   std::uint32_t Parts = 1;
   std::uint64_t Digest = 0;
--- a/packages/version/src/coltsfoottrail/route/table.cpp
+++ b/packages/version/src/coltsfoottrail/route/table.cpp
@@ -26,7 +26,7 @@
 /// Adds the addresses of all members.
 /// @return Whether each member is declared and none is drained.
 bool addMembers(const State &In, const Group &Known, EndpointSpec &Into) {
-  for (const HostName &Name : Known.Formed.Members) {
+  for (const HostName &Name : Known.Spec.Members) {
     const HostSpec *const Host = findHost(In.Declared, Name);
     if (Host == nullptr || isDrained(In, Name, Host->DataCentre))
       return false;
@@ -37,7 +37,7 @@
 
 void addGroup(const State &In, const GroupId &Which, const Group &Known,
               RouteTable &Into) {
-  const ModelSpec *const Model = findModel(In.Declared, Known.Formed.Model);
+  const ModelSpec *const Model = findModel(In.Declared, Known.Spec.Model);
   if (Known.Phase != GroupPhase::Serving || Model == nullptr)
     return;
   EndpointSpec Made;
@@ -45,13 +45,13 @@
     return;
   Made.Key = keyOf(Which, Known.Generation);
   Made.Address = Made.Members.front();
-  Made.Host = Known.Formed.Members.front();
-  Made.DataCentre = Known.Formed.DataCentre;
+  Made.Host = Known.Spec.Members.front();
+  Made.DataCentre = Known.Spec.DataCentre;
   Made.WarmBound = Model->WarmBound;
   Made.ColdBound = Model->ColdBound;
   Made.MemberRuns = Known.MemberRuns;
-  Made.Role = Known.Formed.Role;
-  Made.Version = Known.Formed.Version;
+  Made.Role = Known.Spec.Role;
+  Made.Version = Known.Spec.Version;
   Into.Pools.find(poolOfModel(Model->Name.Text))
       ->second.Endpoints.push_back(std::move(Made));
 }
--- a/packages/version/test/coltsfoottrail/checkpoint/parts.cpp
+++ b/packages/version/test/coltsfoottrail/checkpoint/parts.cpp
@@ -29,7 +29,7 @@
                                                 Incarnation Run) {
   std::vector<std::vector<std::byte>> Out;
   std::uint64_t Sequence = 0;
-  for (CheckpointPart &Part : cutCheckpoint(Of))
+  for (CheckpointPart &Part : splitCheckpoint(Of))
     Out.push_back(
         encodeRecord(Envelope{WriterId{Run, ++Sequence}, std::move(Part)}));
   return Out;
@@ -41,7 +41,7 @@
 }
 
 /// Carries a start out to its end against a log.
-StartCommand start(FakeLog &From, Starter &Begun) {
+StartCommand start(FakeLog &From, CheckpointRecovery &Begun) {
   StartCommand Next = Begun.start();
   while (const auto *const Read = std::get_if<StartRead>(&Next)) {
     std::optional<ReadResult> Result;
@@ -85,10 +85,10 @@
   Unfinished.pop_back();
   for (auto &Bytes : Unfinished)
     Log.push(Checkpoints, std::move(Bytes));
-  Starter Begun;
+  CheckpointRecovery Begun;
   const StartCommand End = start(Log, Begun);
   ASSERT_TRUE(std::holds_alternative<StartFrom>(End));
-  EXPECT_EQ(std::get<StartFrom>(End).Found, First);
+  EXPECT_EQ(std::get<StartFrom>(End).InitialState, First);
   EXPECT_FALSE(Begun.problems().empty());
 }
 
@@ -113,10 +113,10 @@
   for (const auto &Bytes : Told.Bytes)
     Log.push(Agreed, Bytes);
   Log.trim(Agreed, 4);
-  Starter Begun;
+  CheckpointRecovery Begun;
   StartCommand End = start(Log, Begun);
   ASSERT_TRUE(std::holds_alternative<StartFrom>(End));
-  State Now = std::get<StartFrom>(std::move(End)).Found;
+  State Now = std::get<StartFrom>(std::move(End)).InitialState;
   for (const LogEntry &Each : Log.entries(Agreed))
     foldRecord(Now, Each.At, Each.Payload);
   EXPECT_EQ(digestOf(Now), digestOf(Told.Now));
@@ -134,7 +134,7 @@
   for (const auto &Bytes : Told.Bytes)
     Log.push(Agreed, Bytes);
   Log.trim(Agreed, Told.Now.Next);
-  Starter Begun;
+  CheckpointRecovery Begun;
   const StartCommand Lost = start(Log, Begun);
   ASSERT_TRUE(std::holds_alternative<HistoryLost>(Lost));
   EXPECT_EQ(std::get<HistoryLost>(Lost).Horizon, Told.Now.Next);
@@ -149,7 +149,7 @@
   write(Log, Told.Now, 11);
   const StartCommand Found = start(Log, Begun);
   ASSERT_TRUE(std::holds_alternative<StartFrom>(Found));
-  EXPECT_EQ(std::get<StartFrom>(Found).Found, Told.Now);
+  EXPECT_EQ(std::get<StartFrom>(Found).InitialState, Told.Now);
 }
 
 // Everything is gone: no host runs and both streams are trimmed. What groups
@@ -161,19 +161,19 @@
   for (const auto &Bytes : Told.Bytes)
     Log.push(Agreed, Bytes);
   Log.trim(Agreed, Told.Now.Next);
-  Starter Begun;
+  CheckpointRecovery Begun;
   const StartCommand End = start(Log, Begun);
   ASSERT_TRUE(std::holds_alternative<HistoryLost>(End));
   EXPECT_FALSE(std::get<HistoryLost>(End).NewestCheckpoint);
   FakeLog Empty;
-  Starter Anew;
+  CheckpointRecovery Anew;
   EXPECT_TRUE(std::holds_alternative<StartFrom>(start(Empty, Anew)));
 }
 
 TEST(Checkpoint, StartWaitsWhileTheLogIsDown) {
   FakeLog Log;
   Log.setDown(true);
-  Starter Begun;
+  CheckpointRecovery Begun;
   EXPECT_TRUE(std::holds_alternative<StartRetry>(start(Log, Begun)));
 }
 
@@ -203,11 +203,11 @@
   Story Told = largeStory();
   CheckpointSchedule Each{HostName("entry-a"), CheckpointPolicy{}};
   const CheckpointPart Announced =
-      announcementOf(cutCheckpoint(Told.Now).front());
+      announcementOf(splitCheckpoint(Told.Now).front());
   DigestHistory Known;
   Known.note(Told.Now.Next, digestOf(Told.Now));
   EXPECT_EQ(Told.say(Announced).Effect, FoldEffect::Applied);
-  EXPECT_EQ(Told.Now.Checkpoint.At, Announced.At);
+  EXPECT_EQ(Told.Now.Checkpoint.StateNext, Announced.StateNext);
   EXPECT_EQ(Known.matches(Told.Now.Checkpoint), true);
   AnnouncedCheckpoint Other = Told.Now.Checkpoint;
   ++Other.Digest;
--- a/packages/version/test/coltsfoottrail/config/world.hpp
+++ b/packages/version/test/coltsfoottrail/config/world.hpp
@@ -201,7 +201,7 @@
       releaseReaders();
     });
   }
-  void carry(std::size_t Index, const FoldNow &Fold) {
+  void carry(std::size_t Index, const FoldRecords &Fold) {
     Host &Each = All[Index];
     for (const RecordPtr &Record : Fold.Records)
       Each.InOrder = Each.InOrder && Record->At == Each.Folded++;
@@ -210,25 +210,25 @@
     std::size_t Bytes = SmallMessage;
     for (const RecordPtr &Record : Relay.Records)
       Bytes += Record->Payload.size() + 16;
-    for (const HostName &To : Relay.To)
+    for (const HostName &To : Relay.Receivers)
       send(Index, To, Bytes,
            [Records = Relay.Records](Follower &Peer, const HostName &From,
                                      TimePoint When, FollowCommands &Out) {
              Peer.onRecords(From, Records, When, Out);
            });
   }
-  void carry(std::size_t Index, const AskRecords &Ask) {
+  void carry(std::size_t Index, const RequestRecords &Ask) {
     send(Index, Ask.Peer, SmallMessage,
          [Ask](Follower &Peer, const HostName &From, TimePoint When,
                FollowCommands &Out) {
-           Peer.onAsked(From, Ask.From, When, Out);
+           Peer.onRecordsRequested(From, Ask.From, When, Out);
          });
   }
-  void carry(std::size_t Index, const TellGone &Gone) {
+  void carry(std::size_t Index, const ReportRecordsGone &Gone) {
     send(Index, Gone.Peer, SmallMessage,
          [Gone](Follower &Peer, const HostName &From, TimePoint When,
                 FollowCommands &Out) {
-           Peer.onGone(From, Gone.From, When, Out);
+           Peer.onRecordsGone(From, Gone.From, When, Out);
          });
   }
   void carry(std::size_t Index, const SendQuery &Query) {
@@ -249,7 +249,7 @@
     All[Index].Verdict = Change.Now;
     All[Index].Verdicts.insert(Change.Now);
   }
-  void carry(std::size_t Index, const StartOver &Over) {
+  void carry(std::size_t Index, const RecoverState &Over) {
     All[Index].Floors.push_back(Over.Floor);
   }
 
--- a/packages/version/test/coltsfoottrail/fold/fold.cpp
+++ b/packages/version/test/coltsfoottrail/fold/fold.cpp
@@ -77,8 +77,8 @@
   EXPECT_EQ(Told.say(PlanConfirmed{PlanA, "a"}).Effect, FoldEffect::Applied);
   const FoldResult Lost = Told.say(PlanConfirmed{PlanB, "b"});
   EXPECT_EQ(Lost.Effect, FoldEffect::Void);
-  EXPECT_EQ(Lost.BeatenBy, Winner);
-  EXPECT_EQ(Told.Now.Occupied.at(host(0, 0, 1)), (GroupId{PlanA, 0}));
+  EXPECT_EQ(Lost.ConflictingOffset, Winner);
+  EXPECT_EQ(Told.Now.OccupiedHosts.at(host(0, 0, 1)), (GroupId{PlanA, 0}));
   EXPECT_FALSE(Told.Now.Groups.contains(GroupId{PlanB, 0}));
   EXPECT_TRUE(Told.Now.DrainedDataCentres.empty());
 }
@@ -88,14 +88,14 @@
 // could be confirmed.
 TEST_F(Fold, RetriedAppendIsDropped) {
   Plan Proposal;
-  Proposal.Asked = DrainDataCentre{dataCentre(1)};
+  Proposal.RequestedIntent = DrainDataCentre{dataCentre(1)};
   Proposal.PlannedAt = Told.Now.Next;
   const WriterId Retried{77, 5};
   EXPECT_EQ(Told.sayAs(Retried, PlanProposed{Proposal, "a"}).Effect,
             FoldEffect::Applied);
   const std::size_t Plans = Told.Now.Plans.size();
   EXPECT_EQ(Told.sayAs(Retried, PlanProposed{Proposal, "a"}).Effect,
-            FoldEffect::Twin);
+            FoldEffect::Duplicate);
   EXPECT_EQ(Told.Now.Plans.size(), Plans);
 }
 
@@ -111,7 +111,7 @@
   EXPECT_GT(New, Old);
   const FoldResult Late = Told.confirmGroup(GroupId{Plan, 0}, Old);
   EXPECT_EQ(Late.Effect, FoldEffect::Void);
-  EXPECT_EQ(Late.BeatenBy, New);
+  EXPECT_EQ(Late.ConflictingOffset, New);
   const FoldResult Again = Told.say(ExecutorTaken{Plan, EntryA, 11, Old});
   EXPECT_EQ(Again.Effect, FoldEffect::Void);
   EXPECT_EQ(Told.Now.Plans.at(Plan).Lease, New);
@@ -127,8 +127,8 @@
   Told.say(GroupBroken{Group, host(0, 0, 1), "no heartbeat"});
   EXPECT_TRUE(buildRoutes(Told.Now).Pools.at("model/model0").Endpoints.empty());
   Told.say(HostReleased{host(0, 0, 0), Group});
-  EXPECT_FALSE(Told.Now.Occupied.contains(host(0, 0, 0)));
-  EXPECT_TRUE(Told.Now.Occupied.contains(host(0, 0, 1)));
+  EXPECT_FALSE(Told.Now.OccupiedHosts.contains(host(0, 0, 0)));
+  EXPECT_TRUE(Told.Now.OccupiedHosts.contains(host(0, 0, 1)));
   Told.say(HostReleased{host(0, 0, 1), Group});
   EXPECT_TRUE(Told.Now.Groups.empty());
   EXPECT_EQ(Told.say(HostReleased{host(0, 0, 1), Group}).Effect,
@@ -157,7 +157,7 @@
   EXPECT_EQ(Told.say(PlanConfirmed{Rival, "b"}).Effect, FoldEffect::Void);
   Told.say(HostReleased{host(0, 0, 1), Old});
   EXPECT_EQ(Told.say(StepFinished{Plan, Lease, 0}).Effect, FoldEffect::Applied);
-  EXPECT_EQ(Told.Now.Groups.at(GroupId{Plan, 0}).Formed.Version.Text, "v2");
+  EXPECT_EQ(Told.Now.Groups.at(GroupId{Plan, 0}).Spec.Version.Text, "v2");
 }
 
 // An operator removes a host from the declaration while its engine still
@@ -182,7 +182,7 @@
   Larger.Hosts.front().Accelerators = 4;
   Larger.Hosts.erase(Larger.Hosts.begin() + 7);
   Plan Proposal;
-  Proposal.Asked = ApplyDeclaration{Larger};
+  Proposal.RequestedIntent = ApplyDeclaration{Larger};
   Proposal.PlannedAt = Told.Now.Next;
   shortenPlan(Proposal, Told.Now);
   const Offset At = Told.Now.Next;
@@ -197,7 +197,7 @@
   Declaration Wrong = Declared;
   Wrong.DataCentres.pop_back();
   Plan Proposal;
-  Proposal.Asked = ApplyDeclaration{Wrong};
+  Proposal.RequestedIntent = ApplyDeclaration{Wrong};
   Proposal.PlannedAt = Told.Now.Next;
   shortenPlan(Proposal, Told.Now);
   EXPECT_EQ(Told.say(PlanProposed{Proposal, "operator"}).Effect,
@@ -217,7 +217,7 @@
             FoldEffect::Void);
   Told.say(HostReleased{host(0, 0, 0), GroupId{Plan, 0}});
   Told.say(HostReleased{host(0, 0, 1), GroupId{Plan, 0}});
-  EXPECT_TRUE(Told.Now.Occupied.empty());
+  EXPECT_TRUE(Told.Now.OccupiedHosts.empty());
 }
 
 // An entry host restarts under its own name. A late farewell of its first run
@@ -234,12 +234,12 @@
   Told.sayAs(WriterId{500, 1}, EntryHostLeft{EntryB, 99});
   const Offset Writer = Told.Now.Next;
   const auto Skip = [&](Offset To) { foldRecord(Told.Now, To, {}); };
-  Skip(Plan + PlanMemory - SweepInterval);
+  Skip(Plan + PlanRetention - SweepInterval);
   EXPECT_TRUE(Told.Now.Plans.contains(Plan));
-  Skip(Plan + PlanMemory + SweepInterval + 2);
+  Skip(Plan + PlanRetention + SweepInterval + 2);
   EXPECT_FALSE(Told.Now.Plans.contains(Plan));
   EXPECT_TRUE(Told.Now.Writers.contains(500));
-  Skip(Writer + WriterMemory + SweepInterval);
+  Skip(Writer + WriterRetention + SweepInterval);
   EXPECT_FALSE(Told.Now.Writers.contains(500));
   EXPECT_TRUE(Told.Now.DrainedDataCentres.contains(dataCentre(1)));
 }
--- a/packages/version/test/coltsfoottrail/fold/planned.cpp
+++ b/packages/version/test/coltsfoottrail/fold/planned.cpp
@@ -46,7 +46,7 @@
     std::advance(Which,
                  static_cast<std::ptrdiff_t>(Number % Told.Now.Groups.size()));
     const GroupId Group = Which->first;
-    Told.say(GroupBroken{Group, Which->second.Formed.Members.front(), "lost"});
+    Told.say(GroupBroken{Group, Which->second.Spec.Members.front(), "lost"});
     release(Group);
   }
 
@@ -60,16 +60,17 @@
     Plan Written = Made;
     shortenPlan(Written, Told.Now);
     const FoldResult Proposed = Told.say(PlanProposed{Written, "operator"});
-    ASSERT_EQ(Proposed.Effect, FoldEffect::Applied) << Proposed.Why;
+    ASSERT_EQ(Proposed.Effect, FoldEffect::Applied) << Proposed.Reason;
     const FoldResult Confirmed = Told.say(PlanConfirmed{Id, "operator"});
-    ASSERT_EQ(Confirmed.Effect, FoldEffect::Applied) << Confirmed.Why;
+    ASSERT_EQ(Confirmed.Effect, FoldEffect::Applied) << Confirmed.Reason;
     checkCapacity(Made);
-    const auto *const Apply = std::get_if<ApplyDeclaration>(&Made.Asked);
-    EXPECT_TRUE(Apply == nullptr || Told.Now.Declared == Apply->Wanted);
+    const auto *const Apply =
+        std::get_if<ApplyDeclaration>(&Made.RequestedIntent);
+    EXPECT_TRUE(Apply == nullptr || Told.Now.Declared == Apply->Desired);
     if (Told.Now.Plans.at(Id).Phase == PlanPhase::Running)
       execute(Id, Made);
     EXPECT_EQ(Told.Now.Plans.at(Id).Phase, PlanPhase::Done)
-        << Told.Now.Plans.at(Id).Why;
+        << Told.Now.Plans.at(Id).Reason;
     ++Done;
   }
 
@@ -82,7 +83,7 @@
       if (const auto *const Stop = std::get_if<StopGroup>(&Each))
         release(Stop->Group);
       const FoldResult Finished = Told.say(StepFinished{Id, Lease, Index});
-      ASSERT_EQ(Finished.Effect, FoldEffect::Applied) << Finished.Why;
+      ASSERT_EQ(Finished.Effect, FoldEffect::Applied) << Finished.Reason;
       checkCapacity(Made);
     }
   }
@@ -91,7 +92,7 @@
     const auto Found = Told.Now.Groups.find(Which);
     if (Found == Told.Now.Groups.end())
       return;
-    const std::set<HostName> Held = Found->second.Held;
+    const std::set<HostName> Held = Found->second.HeldHosts;
     for (const HostName &Host : Held)
       Told.say(HostReleased{Host, Which});
   }
--- a/packages/version/test/coltsfoottrail/fold/stream.cpp
+++ b/packages/version/test/coltsfoottrail/fold/stream.cpp
@@ -27,22 +27,22 @@
 void checkOccupation(const State &Now) {
   std::map<HostName, GroupId> Held;
   for (const auto &[Which, Known] : Now.Groups) {
-    RC_ASSERT(!Known.Held.empty());
-    for (const HostName &Host : Known.Held)
+    RC_ASSERT(!Known.HeldHosts.empty());
+    for (const HostName &Host : Known.HeldHosts)
       RC_ASSERT(Held.emplace(Host, Which).second);
     if (Known.Phase == GroupPhase::Serving) {
-      RC_ASSERT(Known.Held.size() == Known.Formed.Members.size());
-      RC_ASSERT(Known.MemberRuns.size() == Known.Formed.Members.size());
+      RC_ASSERT(Known.HeldHosts.size() == Known.Spec.Members.size());
+      RC_ASSERT(Known.MemberRuns.size() == Known.Spec.Members.size());
     }
   }
-  RC_ASSERT(Held == Now.Occupied);
+  RC_ASSERT(Held == Now.OccupiedHosts);
 }
 
 /// No machine is known under the names of two hosts of which one is held.
 void checkMachines(const State &Now) {
   std::map<std::pair<std::string, std::uint16_t>, HostName> Machines;
-  for (const auto &[Name, Host] : Now.Departed) {
-    RC_ASSERT(Now.Occupied.contains(Name));
+  for (const auto &[Name, Host] : Now.DepartedHosts) {
+    RC_ASSERT(Now.OccupiedHosts.contains(Name));
     Machines[{Host.Address, Host.Port}] = Name;
   }
   for (const HostSpec &Host : Now.Declared.Hosts)
@@ -107,7 +107,7 @@
       Cases, LongestStream);
   EXPECT_GT(Seen[FoldEffect::Applied], 100U);
   EXPECT_GT(Seen[FoldEffect::Void], 100U);
-  EXPECT_GT(Seen[FoldEffect::Twin], 100U);
+  EXPECT_GT(Seen[FoldEffect::Duplicate], 100U);
   EXPECT_GT(Seen[FoldEffect::Unreadable], 100U);
 }
 
--- a/packages/version/test/coltsfoottrail/fold/stream.hpp
+++ b/packages/version/test/coltsfoottrail/fold/stream.hpp
@@ -104,7 +104,7 @@
     const HostName Host = pickKey(Told.Now.EntryHosts);
     ExecutorTaken Said{Plan, Host, 1, 0};
     if (Told.Now.Plans.contains(Plan) && Draw.below(4) > 0)
-      Said.Replaces = Told.Now.Plans.at(Plan).Lease;
+      Said.ReplacedLease = Told.Now.Plans.at(Plan).Lease;
     if (Told.Now.EntryHosts.contains(Host))
       Said.Run = Told.Now.EntryHosts.at(Host).Joined.Run;
     return Said;
@@ -123,16 +123,17 @@
   }
 
   [[nodiscard]] Record nextRelease() {
-    const HostName Host = pickKey(Told.Now.Occupied);
-    const auto Found = Told.Now.Occupied.find(Host);
-    return HostReleased{Host, Found == Told.Now.Occupied.end() ? GroupId{}
-                                                               : Found->second};
+    const HostName Host = pickKey(Told.Now.OccupiedHosts);
+    const auto Found = Told.Now.OccupiedHosts.find(Host);
+    return HostReleased{Host, Found == Told.Now.OccupiedHosts.end()
+                                  ? GroupId{}
+                                  : Found->second};
   }
 
   [[nodiscard]] Plan nextPlan() {
     Plan Out;
     Out.PlannedAt = Told.Now.Next - Draw.below(3);
-    Out.Asked = nextIntent();
+    Out.RequestedIntent = nextIntent();
     const std::uint64_t Steps = Draw.below(4);
     for (std::uint32_t Index = 0; Index < Steps; ++Index)
       Out.Steps.push_back(nextStep(Index));
--- a/packages/version/test/coltsfoottrail/groups/executor.cpp
+++ b/packages/version/test/coltsfoottrail/groups/executor.cpp
@@ -69,7 +69,7 @@
     World.run(seconds(100));
     EXPECT_TRUE(World.allServe(2));
     for (const auto &[Id, Known] : World.Agreed.Groups)
-      EXPECT_EQ(Known.Formed.Version, NextVersion);
+      EXPECT_EQ(Known.Spec.Version, NextVersion);
     EXPECT_EQ(World.Agreed.Plans.at(Plan).Phase, PlanPhase::Done);
     expectSound(World);
   }
@@ -165,7 +165,7 @@
   const TimePoint Broken = World.Clock;
   World.breakGroup(Id, hostIn(East, 0, 1));
   ASSERT_TRUE(World.runUntil(
-      [&] { return !World.Agreed.Occupied.contains(Host); }, Long));
+      [&] { return !World.Agreed.OccupiedHosts.contains(Host); }, Long));
   EXPECT_LE(World.Clock - Broken, seconds(5));
   JoinGroup Late;
   Late.Group = Id;
@@ -187,7 +187,7 @@
     World.Engines.at(Host).Dark = true;
   ASSERT_TRUE(World.runUntil(
       [&] { return World.serving() == 2 && !World.plansRun(); }, Long));
-  for (const auto &[Host, Group] : World.Agreed.Occupied) {
+  for (const auto &[Host, Group] : World.Agreed.OccupiedHosts) {
     const bool Serves =
         World.Agreed.Groups.at(Group).Phase == GroupPhase::Serving;
     EXPECT_TRUE(Serves || World.Engines.at(Host).Dark) << Host.Text;
@@ -195,7 +195,7 @@
   for (const HostName &Host : Dark)
     World.Engines.at(Host).Dark = false;
   EXPECT_TRUE(World.runUntil([&] { return World.allServe(2); }, Long));
-  EXPECT_EQ(World.Agreed.Occupied.size(), 4U);
+  EXPECT_EQ(World.Agreed.OccupiedHosts.size(), 4U);
   expectSound(World);
 }
 
@@ -205,14 +205,15 @@
   Fleet World(declare(2, 4, signageModel(3, 1)), 3, 2);
   ASSERT_TRUE(World.runUntil([&] { return World.allServe(1); }, Long));
   const auto [Id, Known] = *World.Agreed.Groups.begin();
-  const HostName Lost = Known.Formed.Members[1];
+  const HostName Lost = Known.Spec.Members[1];
   World.Engines.at(Lost).Dark = true;
   World.breakGroup(Id, Lost);
   ASSERT_TRUE(World.runUntil([&] { return World.serving() == 1; }, Long));
   std::size_t Kept = 0;
-  for (const HostName &Member : Known.Formed.Members) {
-    const auto Now = World.Agreed.Occupied.find(Member);
-    Kept += Now != World.Agreed.Occupied.end() && Now->second != Id ? 1 : 0;
+  for (const HostName &Member : Known.Spec.Members) {
+    const auto Now = World.Agreed.OccupiedHosts.find(Member);
+    Kept +=
+        Now != World.Agreed.OccupiedHosts.end() && Now->second != Id ? 1 : 0;
   }
   EXPECT_EQ(Kept, 2U);
   expectSound(World);
@@ -233,7 +234,7 @@
     EXPECT_FALSE(Node->Agent->mayRoute(Id, World.Clock));
   ASSERT_TRUE(
       World.runUntil([&] { return World.serving() == 1; }, seconds(60)));
-  const GroupId Next = World.Agreed.Occupied.at(hostIn(East, 0, 0));
+  const GroupId Next = World.Agreed.OccupiedHosts.at(hostIn(East, 0, 0));
   EXPECT_NE(Next, Id);
   World.run(seconds(4));
   for (const auto &Node : World.Nodes)
@@ -258,11 +259,11 @@
   std::erase_if(Without.Hosts,
                 [&](const HostSpec &Host) { return Host.Name == Lost; });
   World.ask(ApplyDeclaration{Without});
-  ASSERT_TRUE(World.Agreed.Departed.contains(Lost));
+  ASSERT_TRUE(World.Agreed.DepartedHosts.contains(Lost));
   EXPECT_THROW((void)planIntent(World.Agreed, ApplyDeclaration{Declared}),
                PlanError);
   World.run(seconds(60));
-  EXPECT_TRUE(World.Agreed.Occupied.contains(Lost));
+  EXPECT_TRUE(World.Agreed.OccupiedHosts.contains(Lost));
   World.Engines.at(Lost).Dark = false;
   EXPECT_TRUE(World.runUntil([&] { return World.allServe(1); }, Long));
   EXPECT_FALSE(World.Engines.at(Lost).Now.Group);
@@ -276,10 +277,10 @@
   Fleet World(declare(2, 4, signageModel(3, 1)), 3, 2);
   ASSERT_TRUE(World.runUntil([&] { return World.allServe(1); }, Long));
   const auto [Id, Known] = *World.Agreed.Groups.begin();
-  World.Engines.at(Known.Formed.Members[1]).Dark = true;
+  World.Engines.at(Known.Spec.Members[1]).Dark = true;
   World.Engines.at(hostIn(East, 0, 3)).Dark = true;
   const TimePoint Broken = World.Clock;
-  World.breakGroup(Id, Known.Formed.Members[1]);
+  World.breakGroup(Id, Known.Spec.Members[1]);
   ASSERT_TRUE(World.runUntil([&] { return World.serving() == 1; }, Long));
   EXPECT_LE(World.Clock - Broken, seconds(30));
   expectSound(World);
@@ -300,7 +301,7 @@
   EXPECT_EQ(World.Agreed.Plans.at(Plan).Phase, PlanPhase::Running);
   Leader.Now.Running = 0;
   EXPECT_TRUE(World.runUntil([&] { return !World.plansRun(); }, seconds(30)));
-  EXPECT_TRUE(World.Agreed.Occupied.empty());
+  EXPECT_TRUE(World.Agreed.OccupiedHosts.empty());
   expectSound(World);
 }
 
@@ -333,7 +334,7 @@
       World.runUntil([&] { return World.serving() == 2; }, seconds(40)));
   EXPECT_TRUE(World.runUntil(
       [&] { return World.allServe(3) && !World.plansRun(); }, Long));
-  EXPECT_FALSE(World.Agreed.Occupied.contains(Bad));
+  EXPECT_FALSE(World.Agreed.OccupiedHosts.contains(Bad));
   expectSound(World);
 }
 
@@ -344,7 +345,7 @@
   World.LoseOneIn = 3;
   World.ask(SetAdapters{Signage, Adapters});
   EXPECT_TRUE(World.runUntil([&] { return !World.plansRun(); }, Long));
-  EXPECT_EQ(World.Agreed.Groups.begin()->second.Formed.Adapters, Adapters);
+  EXPECT_EQ(World.Agreed.Groups.begin()->second.Spec.Adapters, Adapters);
   EXPECT_EQ(World.Engines.at(hostIn(East, 0, 1)).Now.Adapters, Adapters);
   expectSound(World);
 }
@@ -381,7 +382,7 @@
   case 6: {
     const auto Some = World.Agreed.Groups.begin();
     if (Some != World.Agreed.Groups.end())
-      World.breakGroup(Some->first, Some->second.Formed.Members.front());
+      World.breakGroup(Some->first, Some->second.Spec.Members.front());
     break;
   }
   case 7:
--- a/packages/version/test/coltsfoottrail/groups/fleet.hpp
+++ b/packages/version/test/coltsfoottrail/groups/fleet.hpp
@@ -340,7 +340,7 @@
   void appendBytes(std::vector<std::byte> Bytes) {
     const FoldResult Result = foldRecord(Agreed, Log.size(), Bytes);
     if (Result.Effect != FoldEffect::Applied)
-      Refused.push_back(std::to_string(Log.size()) + ": " + Result.Why);
+      Refused.push_back(std::to_string(Log.size()) + ": " + Result.Reason);
     Log.push_back(std::move(Bytes));
   }
 
@@ -356,8 +356,8 @@
 
   /// An engine of this group's own run that has gone to another group.
   void checkMembers(const GroupId &Id, const Group &Known) {
-    for (std::size_t Rank = 0; Rank < Known.Formed.Members.size(); ++Rank) {
-      const HostName &Host = Known.Formed.Members[Rank];
+    for (std::size_t Rank = 0; Rank < Known.Spec.Members.size(); ++Rank) {
+      const HostName &Host = Known.Spec.Members[Rank];
       const EngineReport Report = Engines.at(Host).report(Clock);
       if (Report.Run == Known.MemberRuns[Rank] && Report.Group &&
           Report.Group != Id)
--- a/packages/version/test/coltsfoottrail/groups/lease.cpp
+++ b/packages/version/test/coltsfoottrail/groups/lease.cpp
@@ -34,7 +34,7 @@
 private:
   void take(const ExecutorTaken &Said) {
     PlanProgress &Progress = Agreed.Plans.at(Plan);
-    if (Progress.Lease != Said.Replaces)
+    if (Progress.Lease != Said.ReplacedLease)
       return;
     Progress.Lease = ++Agreed.Next;
     Progress.Executor = Said.Host;
--- a/packages/version/test/coltsfoottrail/groups/liveness.cpp
+++ b/packages/version/test/coltsfoottrail/groups/liveness.cpp
@@ -51,7 +51,7 @@
   World.run(World.Times.AskEvery + milliseconds(200));
   EXPECT_EQ(World.routers(First), 0U);
   ASSERT_FALSE(World.Breaks.empty());
-  EXPECT_EQ(World.Breaks[0].Lost, hostIn(East, 0, 1));
+  EXPECT_EQ(World.Breaks[0].LostMember, hostIn(East, 0, 1));
   EXPECT_EQ(World.routers(GroupId{10, 1}), 9U);
 }
 
@@ -65,7 +65,7 @@
   EXPECT_EQ(World.routers(First), 0U);
   World.run(seconds(3));
   ASSERT_FALSE(World.Breaks.empty());
-  EXPECT_EQ(World.Breaks[0].Lost, hostIn(East, 0, 1));
+  EXPECT_EQ(World.Breaks[0].LostMember, hostIn(East, 0, 1));
 }
 
 // The data centre of a group is cut off from the others, where most of its
--- a/packages/version/test/coltsfoottrail/groups/watchers.hpp
+++ b/packages/version/test/coltsfoottrail/groups/watchers.hpp
@@ -39,8 +39,8 @@
                GroupLiveness(Times, Name, Host.Joined.Run),
                seconds(Draw.below(1000)), TimePoint(), true, nullptr}));
     for (const auto &[Id, Known] : Agreed.Groups)
-      for (std::size_t Rank = 0; Rank < Known.Formed.Members.size(); ++Rank) {
-        EngineReport &Report = Engines[Known.Formed.Members[Rank]];
+      for (std::size_t Rank = 0; Rank < Known.Spec.Members.size(); ++Rank) {
+        EngineReport &Report = Engines[Known.Spec.Members[Rank]];
         Report.Run = Known.MemberRuns[Rank];
         Report.Group = Id;
         Report.Phase = EnginePhase::Ready;
--- a/packages/version/test/coltsfoottrail/intents/planner.cpp
+++ b/packages/version/test/coltsfoottrail/intents/planner.cpp
@@ -234,8 +234,8 @@
   const GroupId Id =
       addGroup(Now, 10, 0, East, hostsOf(East, 0, 0, 3), GroupPhase::Broken);
   for (const int Survivor : {0, 2}) {
-    Now.Groups[Id].Held.erase(hostIn(East, 0, Survivor));
-    Now.Occupied.erase(hostIn(East, 0, Survivor));
+    Now.Groups[Id].HeldHosts.erase(hostIn(East, 0, Survivor));
+    Now.OccupiedHosts.erase(hostIn(East, 0, Survivor));
   }
   const std::optional<Plan> Made = planRepair(Now);
   ASSERT_TRUE(Made);
@@ -259,16 +259,16 @@
 
 bool mayJoin(const State &Now, const Plan &Made, const FormGroup &Form,
              const HostName &Member) {
-  const auto *Drain = std::get_if<DrainHost>(&Made.Asked);
+  const auto *Drain = std::get_if<DrainHost>(&Made.RequestedIntent);
   return findHost(Now.Declared, Member)->FabricDomain ==
              findHost(Now.Declared, Form.Members[0])->FabricDomain &&
          (Drain == nullptr || Drain->Host != Member);
 }
 
 bool carryOut(const State &Now, const Plan &Made, const Step &What,
-              std::map<HostName, GroupId> &Occupied) {
+              std::map<HostName, GroupId> &OccupiedHosts) {
   if (const auto *Stop = std::get_if<StopGroup>(&What)) {
-    std::erase_if(Occupied, [Stop](const auto &Entry) {
+    std::erase_if(OccupiedHosts, [Stop](const auto &Entry) {
       return Entry.second == Stop->Group;
     });
     return true;
@@ -277,7 +277,7 @@
   return std::all_of(Form.Members.begin(), Form.Members.end(),
                      [&](const HostName &Member) {
                        const GroupId Id{Made.PlannedAt, Form.Number};
-                       return Occupied.emplace(Member, Id).second &&
+                       return OccupiedHosts.emplace(Member, Id).second &&
                               mayJoin(Now, Made, Form, Member);
                      });
 }
@@ -300,9 +300,9 @@
         SetCapacity{Signage, East, static_cast<std::uint32_t>(Draw.below(6))},
         DrainHost{hostIn(East, 0, static_cast<int>(Draw.below(6)))}};
     const Plan Made = planIntent(Now, Choices[Draw.below(3)]);
-    std::map<HostName, GroupId> Occupied = Now.Occupied;
+    std::map<HostName, GroupId> OccupiedHosts = Now.OccupiedHosts;
     for (const Step &What : Made.Steps)
-      ASSERT_TRUE(carryOut(Now, Made, What, Occupied)) << "seed " << Seed;
+      ASSERT_TRUE(carryOut(Now, Made, What, OccupiedHosts)) << "seed " << Seed;
   }
 }
 
--- a/packages/version/test/coltsfoottrail/intents/states.hpp
+++ b/packages/version/test/coltsfoottrail/intents/states.hpp
@@ -58,17 +58,17 @@
                         GroupPhase Phase = GroupPhase::Serving) {
   const GroupId Id{Plan, Number};
   Group Added;
-  Added.Formed.Number = Number;
-  Added.Formed.Model = Signage;
-  Added.Formed.Version = VersionName("v1");
-  Added.Formed.DataCentre = Where;
-  Added.Formed.Members = std::move(Members);
+  Added.Spec.Number = Number;
+  Added.Spec.Model = Signage;
+  Added.Spec.Version = VersionName("v1");
+  Added.Spec.DataCentre = Where;
+  Added.Spec.Members = std::move(Members);
   Added.Phase = Phase;
   Added.Generation = Plan;
-  for (const HostName &Member : Added.Formed.Members) {
-    Added.Held.insert(Member);
+  for (const HostName &Member : Added.Spec.Members) {
+    Added.HeldHosts.insert(Member);
     Added.MemberRuns.push_back(1);
-    To.Occupied[Member] = Id;
+    To.OccupiedHosts[Member] = Id;
   }
   To.Groups[Id] = std::move(Added);
   return Id;
--- a/packages/version/test/coltsfoottrail/record/codec.cpp
+++ b/packages/version/test/coltsfoottrail/record/codec.cpp
@@ -18,7 +18,7 @@
   const Declaration Declared = test::makeDeclaration();
   const GroupId Group{12, 3};
   Plan Whole;
-  Whole.Asked = ApplyDeclaration{Declared};
+  Whole.RequestedIntent = ApplyDeclaration{Declared};
   Whole.PlannedAt = 9;
   Whole.Steps = {
       StopGroup{Group}, SwapAdapters{Group, {AdapterName("polish")}},
@@ -67,7 +67,7 @@
   Value["record"]["added_too"] = Json::array({1, 2});
   EXPECT_NO_THROW(static_cast<void>(decodeRecord(writeCbor(Value))));
   Json Newer = Value;
-  Newer["form"] = RecordFormVersion + 1;
+  Newer["form"] = RecordFormatVersion + 1;
   EXPECT_THROW(static_cast<void>(decodeRecord(writeCbor(Newer))), InputError);
   Json Unknown = Value;
   Unknown["record"]["kind"] = "entry_host_danced";
--- a/packages/version/test/coltsfoottrail/route/table.cpp
+++ b/packages/version/test/coltsfoottrail/route/table.cpp
@@ -19,8 +19,8 @@
   for (std::uint32_t Index = 0; Index < 3; ++Index) {
     const GroupId Which{10 + Index, 0};
     Group &Each = Now.Groups[Which];
-    Each.Formed = test::formStep(Now.Declared, 0, model(0),
-                                 {host(Index, 0, 0), host(Index, 0, 1)});
+    Each.Spec = test::formStep(Now.Declared, 0, model(0),
+                               {host(Index, 0, 0), host(Index, 0, 1)});
     Each.Phase = GroupPhase::Serving;
     Each.Generation = 20 + Index;
     Each.MemberRuns = {1, 2};
--- a/packages/version/test/coltsfoottrail/support.hpp
+++ b/packages/version/test/coltsfoottrail/support.hpp
@@ -145,7 +145,7 @@
   /// @return The plan's offset.
   Offset propose(Intent Asked, std::vector<Step> Steps = {}) {
     Plan Proposal;
-    Proposal.Asked = std::move(Asked);
+    Proposal.RequestedIntent = std::move(Asked);
     Proposal.PlannedAt = Now.Next;
     Proposal.Steps = std::move(Steps);
     const Offset At = Now.Next;
@@ -170,7 +170,7 @@
   /// Confirms a group with the run 100 + rank of each member.
   FoldResult confirmGroup(const GroupId &Which, Offset Lease) {
     GroupConfirmed Said{Which, Lease, {}};
-    const std::size_t Members = Now.Groups.at(Which).Formed.Members.size();
+    const std::size_t Members = Now.Groups.at(Which).Spec.Members.size();
     for (std::size_t Rank = 0; Rank < Members; ++Rank)
       Said.MemberRuns.push_back(100 + Rank);
     return say(std::move(Said));
