--- a/packages/version/src/coltsfoottrail/fold/apply.hpp
+++ b/packages/version/src/coltsfoottrail/fold/apply.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The parts of the fold, one for each kind of record.
+/// Internal functions of the fold: one applyRecord() overload for each kind of
+/// record, and the state changes they share.
 #ifndef COLTSFOOTTRAIL_FOLD_APPLY_HPP
 #define COLTSFOOTTRAIL_FOLD_APPLY_HPP
 
@@ -9,49 +10,64 @@
 
 namespace coltsfoottrail::internal {
 
-/// @brief Result of a record that changed the state.
+/// @brief Returns the result of a record that changed the state.
 [[nodiscard]] FoldResult applied();
-/// @brief Result of a void record.
-/// @param Why For people.
-/// @param ConflictingOffset The record that stands in its way, if there is one.
+/// @brief Returns the result of a void record.
+/// @param Reason Human-readable reason.
+/// @param ConflictingOffset Offset of the record it conflicts with, if any.
 [[nodiscard]] FoldResult
-voided(std::string Why, std::optional<Offset> ConflictingOffset = std::nullopt);
+voided(std::string Reason,
+       std::optional<Offset> ConflictingOffset = std::nullopt);
 
-/// @brief Marks that something that plans for a model rest on has changed.
-void touchModel(State &Into, Offset At, const ModelName &Model);
+/// @brief Records that state which plans for a model depend on has changed, so
+/// that plans made before this record become void.
+void markModelChanged(State &Current, Offset RecordOffset,
+                      const ModelName &Model);
 
-/// @brief Makes a group and occupies its hosts.
-/// @param Into The state.
-/// @param At Generation of the group.
+/// @brief Creates a group and marks its hosts as occupied.
+/// @param Current The state.
+/// @param RecordOffset Generation of the group.
 /// @param Plan The plan that it belongs to.
-/// @param Wanted The group; all its hosts must be free.
-void formGroup(State &Into, Offset At, Offset Plan, const FormGroup &Wanted);
-/// @brief Tells whether no member of a group to be is occupied.
-[[nodiscard]] bool hostsAreFree(const State &In, const FormGroup &Wanted);
+/// @param Spec The group; all its hosts must be free.
+void formGroup(State &Current, Offset RecordOffset, Offset Plan,
+               const FormGroup &Spec);
+/// @brief Returns whether no member of a group to be formed is occupied.
+[[nodiscard]] bool hostsAreFree(const State &Current, const FormGroup &Spec);
 
-/// @brief Tells whether a plan still holds at the state's end.
-/// @param In The state.
+/// @brief Checks whether a plan is still valid against the current state.
+/// @param Current The state.
 /// @param Proposal The plan.
-/// @return Nothing when it holds, else the result for the record that wants it.
-[[nodiscard]] std::optional<FoldResult> planObjection(const State &In,
-                                                      const Plan &Proposal);
+/// @return Nothing if it is valid, else the result for the record that proposes
+/// or confirms it.
+[[nodiscard]] std::optional<FoldResult> validatePlan(const State &Current,
+                                                     const Plan &Proposal);
 /// @brief Puts a plan's intent in force.
-/// @param Into The state.
-/// @param At Offset of the confirmation.
-/// @param Asked The intent; its declaration is moved from.
-void enforceIntent(State &Into, Offset At, Intent &Asked);
-
-FoldResult applyRecord(State &Into, Offset At, const EntryHostJoined &Said);
-FoldResult applyRecord(State &Into, Offset At, const EntryHostLeft &Said);
-FoldResult applyRecord(State &Into, Offset At, PlanProposed &Said);
-FoldResult applyRecord(State &Into, Offset At, const PlanConfirmed &Said);
-FoldResult applyRecord(State &Into, Offset At, const PlanAbandoned &Said);
-FoldResult applyRecord(State &Into, Offset At, const ExecutorTaken &Said);
-FoldResult applyRecord(State &Into, Offset At, const StepFinished &Said);
-FoldResult applyRecord(State &Into, Offset At, const GroupConfirmed &Said);
-FoldResult applyRecord(State &Into, Offset At, const GroupBroken &Said);
-FoldResult applyRecord(State &Into, Offset At, const HostReleased &Said);
-FoldResult applyRecord(State &Into, Offset At, const CheckpointPart &Said);
+/// @param Current The state.
+/// @param RecordOffset Offset of the confirmation.
+/// @param Requested The intent; its declaration is moved from.
+void applyIntent(State &Current, Offset RecordOffset, Intent &Requested);
+
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const EntryHostJoined &Body);
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const EntryHostLeft &Body);
+FoldResult applyRecord(State &Current, Offset RecordOffset, PlanProposed &Body);
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const PlanConfirmed &Body);
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const PlanAbandoned &Body);
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const ExecutorTaken &Body);
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const StepFinished &Body);
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const GroupConfirmed &Body);
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const GroupBroken &Body);
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const HostReleased &Body);
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const CheckpointPart &Body);
 
 } // namespace coltsfoottrail::internal
 
--- a/packages/version/src/coltsfoottrail/fold/digest.cpp
+++ b/packages/version/src/coltsfoottrail/fold/digest.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// Hashes values in the order in which they are added. Each is written with its
-/// length, so that no two states feed the same bytes.
-class Feed {
+/// Hashes values in the order in which they are added. Texts, lists and maps
+/// are preceded by their length, so that no two states produce the same bytes.
+class StateHasher {
 public:
   void add(std::uint64_t Value) {
     std::array<char, sizeof Value> Raw{};
-    for (char &Each : Raw) {
-      Each = static_cast<char>(Value & 0xFFU);
+    for (char &Byte : Raw) {
+      Byte = static_cast<char>(Value & 0xFFU);
       Value >>= 8U;
     }
     Buffer.append(Raw.data(), Raw.size());
@@ -48,216 +48,223 @@
 
 template <class Enum>
 requires std::is_enum_v<Enum>
-void feed(Feed &Into, Enum Value) {
-  Into.add(static_cast<std::uint64_t>(Value));
+void hash(StateHasher &Hasher, Enum Value) {
+  Hasher.add(static_cast<std::uint64_t>(Value));
 }
-void feed(Feed &Into, std::uint64_t Value) { Into.add(Value); }
-void feed(Feed &Into, const std::string &Text) {
-  Into.add(std::string_view(Text));
+void hash(StateHasher &Hasher, std::uint64_t Value) { Hasher.add(Value); }
+void hash(StateHasher &Hasher, const std::string &Text) {
+  Hasher.add(std::string_view(Text));
 }
-template <class Tag> void feed(Feed &Into, const Name<Tag> &Value) {
-  Into.add(std::string_view(Value.Text));
+template <class Tag> void hash(StateHasher &Hasher, const Name<Tag> &Value) {
+  Hasher.add(std::string_view(Value.Text));
 }
-void feed(Feed &Into, const GroupId &Value) {
-  feed(Into, Value.Plan);
-  feed(Into, Value.Number);
+void hash(StateHasher &Hasher, const GroupId &Value) {
+  hash(Hasher, Value.Plan);
+  hash(Hasher, Value.Number);
 }
 
-template <class List> void feedList(Feed &Into, const List &Values) {
-  feed(Into, Values.size());
-  for (const auto &Each : Values)
-    feed(Into, Each);
+template <class List> void hashList(StateHasher &Hasher, const List &Values) {
+  hash(Hasher, Values.size());
+  for (const auto &Item : Values)
+    hash(Hasher, Item);
 }
 
-template <class Map> void feedMap(Feed &Into, const Map &Values) {
-  feed(Into, Values.size());
+template <class Map> void hashMap(StateHasher &Hasher, const Map &Values) {
+  hash(Hasher, Values.size());
   for (const auto &[Key, Value] : Values) {
-    feed(Into, Key);
-    feed(Into, Value);
+    hash(Hasher, Key);
+    hash(Hasher, Value);
   }
 }
 
-void feed(Feed &Into, const TeamSpec &Value) {
-  feed(Into, Value.Name);
-  feed(Into, Value.CredentialSha256);
-  feed(Into, std::bit_cast<std::uint64_t>(Value.Weight));
-  feed(Into, Value.MaxInFlight);
+void hash(StateHasher &Hasher, const TeamSpec &Value) {
+  hash(Hasher, Value.Name);
+  hash(Hasher, Value.CredentialSha256);
+  hash(Hasher, std::bit_cast<std::uint64_t>(Value.Weight));
+  hash(Hasher, Value.MaxInFlight);
 }
 
-void feed(Feed &Into, const HostSpec &Value) {
-  feed(Into, Value.Name);
-  feed(Into, Value.DataCentre);
-  feed(Into, Value.FabricDomain);
-  feed(Into, Value.Address);
-  feed(Into, Value.Port);
-  feed(Into, Value.Accelerators);
-  feed(Into, std::uint64_t{Value.RefusesOldFences});
+void hash(StateHasher &Hasher, const HostSpec &Value) {
+  hash(Hasher, Value.Name);
+  hash(Hasher, Value.DataCentre);
+  hash(Hasher, Value.FabricDomain);
+  hash(Hasher, Value.Address);
+  hash(Hasher, Value.Port);
+  hash(Hasher, Value.Accelerators);
+  hash(Hasher, std::uint64_t{Value.RefusesOldFences});
 }
 
-void feed(Feed &Into, const ModelSpec &Value) {
-  feed(Into, Value.Name);
-  feed(Into, Value.Version);
-  feedList(Into, Value.Adapters);
-  feed(Into, Value.Role);
-  feed(Into, Value.MembersPerGroup);
-  feedMap(Into, Value.Groups);
-  feed(Into, Value.WarmBound);
-  feed(Into, Value.ColdBound);
+void hash(StateHasher &Hasher, const ModelSpec &Value) {
+  hash(Hasher, Value.Name);
+  hash(Hasher, Value.Version);
+  hashList(Hasher, Value.Adapters);
+  hash(Hasher, Value.Role);
+  hash(Hasher, Value.MembersPerGroup);
+  hashMap(Hasher, Value.Groups);
+  hash(Hasher, Value.WarmBound);
+  hash(Hasher, Value.ColdBound);
 }
 
-void feed(Feed &Into, const ServiceInstance &Value) {
-  feed(Into, Value.Host);
-  feed(Into, Value.DataCentre);
-  feed(Into, Value.Address);
-  feed(Into, Value.Port);
+void hash(StateHasher &Hasher, const ServiceInstance &Value) {
+  hash(Hasher, Value.Host);
+  hash(Hasher, Value.DataCentre);
+  hash(Hasher, Value.Address);
+  hash(Hasher, Value.Port);
 }
 
-void feed(Feed &Into, const ServiceSpec &Value) {
-  feed(Into, Value.Name);
-  feedList(Into, Value.RepeatablePaths);
-  feed(Into, Value.WarmBound);
-  feed(Into, Value.ColdBound);
-  feedList(Into, Value.Instances);
+void hash(StateHasher &Hasher, const ServiceSpec &Value) {
+  hash(Hasher, Value.Name);
+  hashList(Hasher, Value.RepeatablePaths);
+  hash(Hasher, Value.WarmBound);
+  hash(Hasher, Value.ColdBound);
+  hashList(Hasher, Value.Instances);
 }
 
-void feed(Feed &Into, const Declaration &Value) {
-  feedList(Into, Value.DataCentres);
-  feedList(Into, Value.Teams);
-  feedList(Into, Value.Hosts);
-  feedList(Into, Value.Models);
-  feedList(Into, Value.Services);
-  feed(Into, Value.WeightLoadsAtOnce);
+void hash(StateHasher &Hasher, const Declaration &Value) {
+  hashList(Hasher, Value.DataCentres);
+  hashList(Hasher, Value.Teams);
+  hashList(Hasher, Value.Hosts);
+  hashList(Hasher, Value.Models);
+  hashList(Hasher, Value.Services);
+  hash(Hasher, Value.WeightLoadsAtOnce);
 }
 
-void feed(Feed &Into, const EntryHost &Value) {
-  feed(Into, Value.Joined.Host);
-  feed(Into, Value.Joined.Run);
-  feed(Into, Value.Joined.DataCentre);
-  feed(Into, Value.Joined.Address);
-  feed(Into, Value.Joined.MeshPort);
-  feed(Into, Value.Joined.CallerPort);
-  feed(Into, Value.Since);
+void hash(StateHasher &Hasher, const EntryHost &Value) {
+  hash(Hasher, Value.Joined.Host);
+  hash(Hasher, Value.Joined.Run);
+  hash(Hasher, Value.Joined.DataCentre);
+  hash(Hasher, Value.Joined.Address);
+  hash(Hasher, Value.Joined.MeshPort);
+  hash(Hasher, Value.Joined.CallerPort);
+  hash(Hasher, Value.Since);
 }
 
-void feed(Feed &Into, const FormGroup &Value) {
-  feed(Into, Value.Number);
-  feed(Into, Value.Model);
-  feed(Into, Value.Version);
-  feedList(Into, Value.Adapters);
-  feed(Into, Value.Role);
-  feed(Into, Value.DataCentre);
-  feedList(Into, Value.Members);
+void hash(StateHasher &Hasher, const FormGroup &Value) {
+  hash(Hasher, Value.Number);
+  hash(Hasher, Value.Model);
+  hash(Hasher, Value.Version);
+  hashList(Hasher, Value.Adapters);
+  hash(Hasher, Value.Role);
+  hash(Hasher, Value.DataCentre);
+  hashList(Hasher, Value.Members);
 }
-void feed(Feed &Into, const StopGroup &Value) { feed(Into, Value.Group); }
-void feed(Feed &Into, const SwapAdapters &Value) {
-  feed(Into, Value.Group);
-  feedList(Into, Value.Adapters);
+void hash(StateHasher &Hasher, const StopGroup &Value) {
+  hash(Hasher, Value.Group);
+}
+void hash(StateHasher &Hasher, const SwapAdapters &Value) {
+  hash(Hasher, Value.Group);
+  hashList(Hasher, Value.Adapters);
 }
 
-void feed(Feed &Into, const ApplyDeclaration &Value) {
-  feed(Into, Value.Desired);
-  feed(Into, std::uint64_t{Value.Dropped.has_value()});
+void hash(StateHasher &Hasher, const ApplyDeclaration &Value) {
+  hash(Hasher, Value.Desired);
+  hash(Hasher, std::uint64_t{Value.Dropped.has_value()});
   const DroppedNames Dropped = Value.Dropped.value_or(DroppedNames{});
-  feedList(Into, Dropped.Teams);
-  feedList(Into, Dropped.Hosts);
-  feedList(Into, Dropped.Models);
-  feedList(Into, Dropped.Services);
+  hashList(Hasher, Dropped.Teams);
+  hashList(Hasher, Dropped.Hosts);
+  hashList(Hasher, Dropped.Models);
+  hashList(Hasher, Dropped.Services);
+}
+void hash(StateHasher &Hasher, const SetCapacity &Value) {
+  hash(Hasher, Value.Model);
+  hash(Hasher, Value.DataCentre);
+  hash(Hasher, Value.Groups);
+}
+void hash(StateHasher &Hasher, const SetVersion &Value) {
+  hash(Hasher, Value.Model);
+  hash(Hasher, Value.Version);
 }
-void feed(Feed &Into, const SetCapacity &Value) {
-  feed(Into, Value.Model);
-  feed(Into, Value.DataCentre);
-  feed(Into, Value.Groups);
+void hash(StateHasher &Hasher, const SetAdapters &Value) {
+  hash(Hasher, Value.Model);
+  hashList(Hasher, Value.Adapters);
 }
-void feed(Feed &Into, const SetVersion &Value) {
-  feed(Into, Value.Model);
-  feed(Into, Value.Version);
+void hash(StateHasher &Hasher, const DrainDataCentre &Value) {
+  hash(Hasher, Value.DataCentre);
 }
-void feed(Feed &Into, const SetAdapters &Value) {
-  feed(Into, Value.Model);
-  feedList(Into, Value.Adapters);
+void hash(StateHasher &Hasher, const ReturnDataCentre &Value) {
+  hash(Hasher, Value.DataCentre);
 }
-void feed(Feed &Into, const DrainDataCentre &Value) {
-  feed(Into, Value.DataCentre);
+void hash(StateHasher &Hasher, const DrainHost &Value) {
+  hash(Hasher, Value.Host);
 }
-void feed(Feed &Into, const ReturnDataCentre &Value) {
-  feed(Into, Value.DataCentre);
+void hash(StateHasher &Hasher, const ReturnHost &Value) {
+  hash(Hasher, Value.Host);
 }
-void feed(Feed &Into, const DrainHost &Value) { feed(Into, Value.Host); }
-void feed(Feed &Into, const ReturnHost &Value) { feed(Into, Value.Host); }
 
 template <class... Kinds>
-void feed(Feed &Into, const std::variant<Kinds...> &Value) {
-  feed(Into, Value.index());
-  std::visit([&](const auto &Each) { feed(Into, Each); }, Value);
+void hash(StateHasher &Hasher, const std::variant<Kinds...> &Value) {
+  hash(Hasher, Value.index());
+  std::visit([&](const auto &Alternative) { hash(Hasher, Alternative); },
+             Value);
 }
 
-void feed(Feed &Into, const CapacityForecast &Value) {
-  feed(Into, Value.Model);
-  feed(Into, Value.GroupsNow);
-  feed(Into, Value.GroupsAtWorst);
-  feed(Into, Value.GroupsAfter);
-  feed(Into, Value.GroupsWanted);
+void hash(StateHasher &Hasher, const CapacityForecast &Value) {
+  hash(Hasher, Value.Model);
+  hash(Hasher, Value.GroupsNow);
+  hash(Hasher, Value.GroupsAtWorst);
+  hash(Hasher, Value.GroupsAfter);
+  hash(Hasher, Value.GroupsWanted);
 }
 
-void feed(Feed &Into, const Plan &Value) {
-  feed(Into, Value.RequestedIntent);
-  feed(Into, Value.PlannedAt);
-  feedList(Into, Value.Steps);
-  feedList(Into, Value.Forecast);
-  feedList(Into, Value.WillNotDo);
+void hash(StateHasher &Hasher, const Plan &Value) {
+  hash(Hasher, Value.RequestedIntent);
+  hash(Hasher, Value.PlannedAt);
+  hashList(Hasher, Value.Steps);
+  hashList(Hasher, Value.Forecast);
+  hashList(Hasher, Value.WillNotDo);
 }
 
-void feed(Feed &Into, const Group &Value) {
-  feed(Into, Value.Spec);
-  feed(Into, Value.Phase);
-  feed(Into, Value.Generation);
-  feedList(Into, Value.MemberRuns);
-  feedList(Into, Value.HeldHosts);
+void hash(StateHasher &Hasher, const Group &Value) {
+  hash(Hasher, Value.Spec);
+  hash(Hasher, Value.Phase);
+  hash(Hasher, Value.Generation);
+  hashList(Hasher, Value.MemberRuns);
+  hashList(Hasher, Value.HeldHosts);
 }
 
-void feed(Feed &Into, const PlanProgress &Value) {
-  feed(Into, Value.Proposed.Proposal);
-  feed(Into, Value.Proposed.Operator);
-  feed(Into, Value.Phase);
-  feed(Into, Value.Lease);
-  feed(Into, Value.Executor);
-  feed(Into, Value.ExecutorRun);
-  feed(Into, Value.StepsDone);
-  feed(Into, Value.Reason);
-  feed(Into, Value.ConfirmedAt);
-  feed(Into, Value.EndedAt);
-  feedList(Into, Value.Formed);
+void hash(StateHasher &Hasher, const PlanProgress &Value) {
+  hash(Hasher, Value.Proposed.Proposal);
+  hash(Hasher, Value.Proposed.Operator);
+  hash(Hasher, Value.Phase);
+  hash(Hasher, Value.Lease);
+  hash(Hasher, Value.Executor);
+  hash(Hasher, Value.ExecutorRun);
+  hash(Hasher, Value.StepsDone);
+  hash(Hasher, Value.Reason);
+  hash(Hasher, Value.ConfirmedAt);
+  hash(Hasher, Value.EndedAt);
+  hashList(Hasher, Value.Formed);
 }
 
-void feed(Feed &Into, const WriterMark &Value) {
-  feed(Into, Value.Sequence);
-  feed(Into, Value.LastOffset);
+void hash(StateHasher &Hasher, const WriterMark &Value) {
+  hash(Hasher, Value.Sequence);
+  hash(Hasher, Value.LastOffset);
 }
 
 } // namespace
 
-std::uint64_t digestOf(const State &Of) {
-  Feed Into;
-  feed(Into, Of.Next);
-  feed(Into, Of.Declared);
-  feedMap(Into, Of.EntryHosts);
-  feedList(Into, Of.DrainedDataCentres);
-  feedList(Into, Of.DrainedHosts);
-  feedMap(Into, Of.Groups);
-  feedMap(Into, Of.OccupiedHosts);
-  feedMap(Into, Of.DepartedHosts);
-  feedMap(Into, Of.Plans);
-  feedMap(Into, Of.Writers);
-  feed(Into, Of.Checkpoint.StateNext);
-  feed(Into, Of.Checkpoint.Digest);
-  feed(Into, Of.Checkpoint.AnnouncedAt);
-  feed(Into, Of.EntryHostsChange);
-  feed(Into, Of.LastChange);
-  feed(Into, Of.DeclaredChange);
-  feedMap(Into, Of.ModelChanges);
-  feedMap(Into, Of.DataCentreChanges);
-  feedMap(Into, Of.HostChanges);
-  return Into.finish();
+std::uint64_t digestOf(const State &Source) {
+  StateHasher Hasher;
+  hash(Hasher, Source.Next);
+  hash(Hasher, Source.Declared);
+  hashMap(Hasher, Source.EntryHosts);
+  hashList(Hasher, Source.DrainedDataCentres);
+  hashList(Hasher, Source.DrainedHosts);
+  hashMap(Hasher, Source.Groups);
+  hashMap(Hasher, Source.OccupiedHosts);
+  hashMap(Hasher, Source.DepartedHosts);
+  hashMap(Hasher, Source.Plans);
+  hashMap(Hasher, Source.Writers);
+  hash(Hasher, Source.Checkpoint.StateNext);
+  hash(Hasher, Source.Checkpoint.Digest);
+  hash(Hasher, Source.Checkpoint.AnnouncedAt);
+  hash(Hasher, Source.EntryHostsChange);
+  hash(Hasher, Source.LastChange);
+  hash(Hasher, Source.DeclaredChange);
+  hashMap(Hasher, Source.ModelChanges);
+  hashMap(Hasher, Source.DataCentreChanges);
+  hashMap(Hasher, Source.HostChanges);
+  return Hasher.finish();
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/fold/enforce.cpp
+++ b/packages/version/src/coltsfoottrail/fold/enforce.cpp
@@ -7,108 +7,119 @@
 
 namespace {
 
-ModelSpec &model(State &Into, const ModelName &Name) {
-  return *std::ranges::lower_bound(Into.Declared.Models, Name, {},
+ModelSpec &declaredModel(State &Current, const ModelName &Name) {
+  return *std::ranges::lower_bound(Current.Declared.Models, Name, {},
                                    &ModelSpec::Name);
 }
 
-/// Sets a member of what is declared. A repair asks for what stands there
-/// already and must not beat the plans of operators.
-template <class Value>
-void change(State &Into, Offset At, Value &Member, const Value &Wanted) {
-  if (Member == Wanted)
+/// Sets a member of the declaration. A value that is already declared, which is
+/// what a repair requests, is no change: it must not invalidate the plans of
+/// operators.
+template <class ValueType>
+void setDeclared(State &Current, Offset RecordOffset, ValueType &Member,
+                 const ValueType &Value) {
+  if (Member == Value)
     return;
-  Member = Wanted;
-  Into.DeclaredChange = At + 1;
+  Member = Value;
+  Current.DeclaredChange = RecordOffset + 1;
 }
 
-/// Forgets what is known of things that are declared no more. The drain of a
-/// data centre stays: one that is declared again must not come back undrained.
-void forgetUndeclared(State &Into) {
-  std::erase_if(Into.ModelChanges, [&](const auto &Entry) {
-    return findModel(Into.Declared, Entry.first) == nullptr;
+/// Erases the change marks and drains of models and hosts that are no longer
+/// declared. The drain of a data centre is kept: one that is declared again
+/// must not come back undrained.
+void eraseUndeclared(State &Current) {
+  std::erase_if(Current.ModelChanges, [&](const auto &Entry) {
+    return findModel(Current.Declared, Entry.first) == nullptr;
   });
-  std::erase_if(Into.HostChanges, [&](const auto &Entry) {
-    return !isKnownHost(Into.Declared, Entry.first);
+  std::erase_if(Current.HostChanges, [&](const auto &Entry) {
+    return !isKnownHost(Current.Declared, Entry.first);
   });
-  std::erase_if(Into.DrainedHosts, [&](const HostName &Name) {
-    return !isKnownHost(Into.Declared, Name);
+  std::erase_if(Current.DrainedHosts, [&](const HostName &Name) {
+    return !isKnownHost(Current.Declared, Name);
   });
 }
 
-void keepDeparted(State &Into, const Declaration &Before,
-                  const std::vector<HostName> &Dropped) {
+/// Keeps dropped hosts that a group still occupies.
+void keepDepartedHosts(State &Current, const Declaration &Before,
+                       const std::vector<HostName> &Dropped) {
   for (const HostName &Name : Dropped)
-    if (Into.OccupiedHosts.contains(Name))
-      Into.DepartedHosts.emplace(Name, *findHost(Before, Name));
+    if (Current.OccupiedHosts.contains(Name))
+      Current.DepartedHosts.emplace(Name, *findHost(Before, Name));
 }
 
-/// Puts each kind of intent in force.
-struct Enforcer {
-  State &Into;
-  Offset At;
+/// Applies each kind of intent to the state.
+struct IntentApplier {
+  State &Current;
+  Offset RecordOffset;
 
-  void operator()(ApplyDeclaration &Asked) const {
-    if (Asked.Dropped)
-      Asked.Desired = applyChange(Into.Declared, Asked.Desired, *Asked.Dropped);
-    Asked.Dropped.reset();
+  void operator()(ApplyDeclaration &Requested) const {
+    if (Requested.Dropped)
+      Requested.Desired =
+          applyChange(Current.Declared, Requested.Desired, *Requested.Dropped);
+    Requested.Dropped.reset();
     const Declaration Before =
-        std::exchange(Into.Declared, std::exchange(Asked.Desired, {}));
-    Into.DeclaredChange = At + 1;
-    forgetUndeclared(Into);
-    const DeclarationChange Change = diffDeclarations(Before, Into.Declared);
-    keepDeparted(Into, Before, Change.Dropped.Hosts);
+        std::exchange(Current.Declared, std::exchange(Requested.Desired, {}));
+    Current.DeclaredChange = RecordOffset + 1;
+    eraseUndeclared(Current);
+    const DeclarationChange Change = diffDeclarations(Before, Current.Declared);
+    keepDepartedHosts(Current, Before, Change.Dropped.Hosts);
     for (const ModelSpec &Model : Change.Put.Models)
-      touchModel(Into, At, Model.Name);
+      markModelChanged(Current, RecordOffset, Model.Name);
   }
-  void operator()(const SetCapacity &Asked) const {
-    ModelSpec &Model = model(Into, Asked.Model);
-    change(Into, At, Model.Groups[Asked.DataCentre], Asked.Groups);
-    touchModel(Into, At, Asked.Model);
+  void operator()(const SetCapacity &Requested) const {
+    ModelSpec &Model = declaredModel(Current, Requested.Model);
+    setDeclared(Current, RecordOffset, Model.Groups[Requested.DataCentre],
+                Requested.Groups);
+    markModelChanged(Current, RecordOffset, Requested.Model);
   }
-  void operator()(const SetVersion &Asked) const {
-    change(Into, At, model(Into, Asked.Model).Version, Asked.Version);
-    touchModel(Into, At, Asked.Model);
+  void operator()(const SetVersion &Requested) const {
+    setDeclared(Current, RecordOffset,
+                declaredModel(Current, Requested.Model).Version,
+                Requested.Version);
+    markModelChanged(Current, RecordOffset, Requested.Model);
   }
-  void operator()(const SetAdapters &Asked) const {
-    change(Into, At, model(Into, Asked.Model).Adapters, Asked.Adapters);
-    touchModel(Into, At, Asked.Model);
+  void operator()(const SetAdapters &Requested) const {
+    setDeclared(Current, RecordOffset,
+                declaredModel(Current, Requested.Model).Adapters,
+                Requested.Adapters);
+    markModelChanged(Current, RecordOffset, Requested.Model);
   }
-  void operator()(const DrainDataCentre &Asked) const {
-    Into.DrainedDataCentres.insert(Asked.DataCentre);
-    Into.DataCentreChanges[Asked.DataCentre] = At + 1;
+  void operator()(const DrainDataCentre &Requested) const {
+    Current.DrainedDataCentres.insert(Requested.DataCentre);
+    Current.DataCentreChanges[Requested.DataCentre] = RecordOffset + 1;
   }
-  void operator()(const ReturnDataCentre &Asked) const {
-    Into.DrainedDataCentres.erase(Asked.DataCentre);
-    Into.DataCentreChanges[Asked.DataCentre] = At + 1;
+  void operator()(const ReturnDataCentre &Requested) const {
+    Current.DrainedDataCentres.erase(Requested.DataCentre);
+    Current.DataCentreChanges[Requested.DataCentre] = RecordOffset + 1;
   }
-  void operator()(const DrainHost &Asked) const {
-    Into.DrainedHosts.insert(Asked.Host);
-    Into.HostChanges[Asked.Host] = At + 1;
+  void operator()(const DrainHost &Requested) const {
+    Current.DrainedHosts.insert(Requested.Host);
+    Current.HostChanges[Requested.Host] = RecordOffset + 1;
   }
-  void operator()(const ReturnHost &Asked) const {
-    Into.DrainedHosts.erase(Asked.Host);
-    Into.HostChanges[Asked.Host] = At + 1;
+  void operator()(const ReturnHost &Requested) const {
+    Current.DrainedHosts.erase(Requested.Host);
+    Current.HostChanges[Requested.Host] = RecordOffset + 1;
   }
 };
 
 } // namespace
 
-void enforceIntent(State &Into, Offset At, Intent &Asked) {
-  Into.LastChange = At;
-  std::visit(Enforcer{Into, At}, Asked);
+void applyIntent(State &Current, Offset RecordOffset, Intent &Requested) {
+  Current.LastChange = RecordOffset;
+  std::visit(IntentApplier{Current, RecordOffset}, Requested);
 }
 
 } // namespace coltsfoottrail::internal
 
 namespace coltsfoottrail {
 
-void shortenPlan(Plan &Proposal, const State &Now) {
+void shortenPlan(Plan &Proposal, const State &Current) {
   auto *const Apply = std::get_if<ApplyDeclaration>(&Proposal.RequestedIntent);
-  if (Apply == nullptr || Apply->Dropped || Proposal.PlannedAt != Now.Next)
+  if (Apply == nullptr || Apply->Dropped || Proposal.PlannedAt != Current.Next)
     return;
-  DeclarationChange Change = diffDeclarations(Now.Declared, Apply->Desired);
-  // Where nearly all hosts change, the names of those dropped come on top.
+  DeclarationChange Change = diffDeclarations(Current.Declared, Apply->Desired);
+  // If nearly all hosts change, the difference is larger than the declaration:
+  // it holds the names of the dropped hosts as well.
   if (Change.Put.Hosts.size() + Change.Dropped.Hosts.size() >
       Apply->Desired.Hosts.size())
     return;
--- a/packages/version/src/coltsfoottrail/fold/fold.cpp
+++ b/packages/version/src/coltsfoottrail/fold/fold.cpp
@@ -12,44 +12,49 @@
 
 FoldResult applied() { return FoldResult{}; }
 
-FoldResult voided(std::string Why, std::optional<Offset> ConflictingOffset) {
-  return FoldResult{FoldEffect::Void, std::move(Why), ConflictingOffset};
+FoldResult voided(std::string Reason, std::optional<Offset> ConflictingOffset) {
+  return FoldResult{FoldEffect::Void, std::move(Reason), ConflictingOffset};
 }
 
-void touchModel(State &Into, Offset At, const ModelName &Model) {
-  Into.LastChange = At;
-  if (findModel(Into.Declared, Model) != nullptr)
-    Into.ModelChanges[Model] = At + 1;
+void markModelChanged(State &Current, Offset RecordOffset,
+                      const ModelName &Model) {
+  Current.LastChange = RecordOffset;
+  if (findModel(Current.Declared, Model) != nullptr)
+    Current.ModelChanges[Model] = RecordOffset + 1;
 }
 
-FoldResult applyRecord(State &Into, Offset At, const EntryHostJoined &Said) {
-  Into.EntryHosts[Said.Host] = EntryHost{Said, At};
-  Into.EntryHostsChange = At + 1;
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const EntryHostJoined &Body) {
+  Current.EntryHosts[Body.Host] = EntryHost{Body, RecordOffset};
+  Current.EntryHostsChange = RecordOffset + 1;
   return applied();
 }
 
-FoldResult applyRecord(State &Into, Offset At, const EntryHostLeft &Said) {
-  const auto Found = Into.EntryHosts.find(Said.Host);
-  if (Found == Into.EntryHosts.end())
-    return voided("entry host " + Said.Host.Text + " has not joined");
-  if (Found->second.Joined.Run != Said.Run)
-    return voided("another run of entry host " + Said.Host.Text +
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const EntryHostLeft &Body) {
+  const auto It = Current.EntryHosts.find(Body.Host);
+  if (It == Current.EntryHosts.end())
+    return voided("entry host " + Body.Host.Text + " has not joined");
+  if (It->second.Joined.Run != Body.Run)
+    return voided("another run of entry host " + Body.Host.Text +
                       " has joined since",
-                  Found->second.Since);
-  Into.EntryHosts.erase(Found);
-  Into.EntryHostsChange = At + 1;
+                  It->second.Since);
+  Current.EntryHosts.erase(It);
+  Current.EntryHostsChange = RecordOffset + 1;
   return applied();
 }
 
-FoldResult applyRecord(State &Into, Offset At, const CheckpointPart &Said) {
-  if (Said.Parts != 0)
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const CheckpointPart &Body) {
+  if (Body.Parts != 0)
     return voided("parts of checkpoints belong on their own stream");
-  if (Said.StateNext > At)
+  if (Body.StateNext > RecordOffset)
     return voided("a checkpoint of a state that is yet to come");
-  if (Said.StateNext <= Into.Checkpoint.StateNext)
+  if (Body.StateNext <= Current.Checkpoint.StateNext)
     return voided("a newer checkpoint was announced before",
-                  Into.Checkpoint.AnnouncedAt);
-  Into.Checkpoint = AnnouncedCheckpoint{Said.StateNext, Said.Digest, At};
+                  Current.Checkpoint.AnnouncedAt);
+  Current.Checkpoint =
+      AnnouncedCheckpoint{Body.StateNext, Body.Digest, RecordOffset};
   return applied();
 }
 
@@ -57,73 +62,78 @@
 
 namespace {
 
-bool isTwin(const State &In, const WriterId &Writer) {
-  const auto Known = In.Writers.find(Writer.Run);
-  return Known != In.Writers.end() && Writer.Sequence <= Known->second.Sequence;
+bool isDuplicate(const State &Current, const WriterId &Writer) {
+  const auto It = Current.Writers.find(Writer.Run);
+  return It != Current.Writers.end() && Writer.Sequence <= It->second.Sequence;
 }
 
-bool isForgotten(Offset LastOffset, Offset Memory, Offset Next) {
-  return LastOffset + Memory <= Next;
+bool isExpired(Offset LastOffset, Offset Retention, Offset Next) {
+  return LastOffset + Retention <= Next;
 }
 
-void forgetPlans(State &Into) {
-  std::erase_if(Into.Plans, [&](const auto &Entry) {
+void eraseExpiredPlans(State &Current) {
+  std::erase_if(Current.Plans, [&](const auto &Entry) {
     const PlanProgress &Progress = Entry.second;
     if (Progress.Phase == PlanPhase::Running)
       return false;
-    const Offset Since =
+    const Offset LastUsed =
         Progress.Phase == PlanPhase::Proposed ? Entry.first : Progress.EndedAt;
-    return isForgotten(Since, PlanRetention, Into.Next);
+    return isExpired(LastUsed, PlanRetention, Current.Next);
   });
 }
 
-void forgetWriters(State &Into) {
+void eraseExpiredWriters(State &Current) {
   std::set<Incarnation> Joined;
-  for (const auto &[Name, Host] : Into.EntryHosts)
+  for (const auto &[Name, Host] : Current.EntryHosts)
     Joined.insert(Host.Joined.Run);
-  std::erase_if(Into.Writers, [&](const auto &Entry) {
+  std::erase_if(Current.Writers, [&](const auto &Entry) {
     return !Joined.contains(Entry.first) &&
-           isForgotten(Entry.second.LastOffset, WriterRetention, Into.Next);
+           isExpired(Entry.second.LastOffset, WriterRetention, Current.Next);
   });
 }
 
-/// Moves Next past a record and forgets what has become old. Depends on nothing
-/// but offsets and the state, so all readers forget alike.
-void moveNext(State &Into, Offset At) {
-  const bool Sweep = Into.Next / SweepInterval != (At + 1) / SweepInterval;
-  Into.Next = At + 1;
+/// Moves Next past a record and erases expired plans and writers. Depends only
+/// on offsets and the state, so that all readers erase the same entries.
+void advanceNext(State &Current, Offset RecordOffset) {
+  const bool Sweep =
+      Current.Next / SweepInterval != (RecordOffset + 1) / SweepInterval;
+  Current.Next = RecordOffset + 1;
   if (!Sweep)
     return;
-  forgetPlans(Into);
-  forgetWriters(Into);
+  eraseExpiredPlans(Current);
+  eraseExpiredWriters(Current);
 }
 
-FoldResult foldEnvelope(State &Into, Offset At, Envelope &Read) {
-  if (isTwin(Into, Read.Writer))
+FoldResult foldEnvelope(State &Current, Offset RecordOffset,
+                        Envelope &Decoded) {
+  if (isDuplicate(Current, Decoded.Writer))
     return FoldResult{FoldEffect::Duplicate,
                       "a retry of a record folded before", std::nullopt};
-  Into.Writers[Read.Writer.Run] = WriterMark{Read.Writer.Sequence, At};
+  Current.Writers[Decoded.Writer.Run] =
+      WriterMark{Decoded.Writer.Sequence, RecordOffset};
   return std::visit(
-      [&](auto &Said) { return internal::applyRecord(Into, At, Said); },
-      Read.Body);
+      [&](auto &Body) {
+        return internal::applyRecord(Current, RecordOffset, Body);
+      },
+      Decoded.Body);
 }
 
-FoldResult foldBytes(State &Into, Offset At, ByteView Bytes) {
+FoldResult foldBytes(State &Current, Offset RecordOffset, ByteView Bytes) {
   try {
-    Envelope Read = decodeRecord(Bytes);
-    return foldEnvelope(Into, At, Read);
-  } catch (const Error &Problem) {
-    return FoldResult{FoldEffect::Unreadable, Problem.what(), std::nullopt};
+    Envelope Decoded = decodeRecord(Bytes);
+    return foldEnvelope(Current, RecordOffset, Decoded);
+  } catch (const Error &Failure) {
+    return FoldResult{FoldEffect::Unreadable, Failure.what(), std::nullopt};
   }
 }
 
 } // namespace
 
-FoldResult foldRecord(State &Into, Offset At, ByteView Bytes) {
-  if (At < Into.Next)
+FoldResult foldRecord(State &Current, Offset RecordOffset, ByteView Bytes) {
+  if (RecordOffset < Current.Next)
     return FoldResult{FoldEffect::Duplicate, "folded before", std::nullopt};
-  FoldResult Result = foldBytes(Into, At, Bytes);
-  moveNext(Into, At);
+  FoldResult Result = foldBytes(Current, RecordOffset, Bytes);
+  advanceNext(Current, RecordOffset);
   return Result;
 }
 
--- a/packages/version/src/coltsfoottrail/fold/fwd.hpp
+++ b/packages/version/src/coltsfoottrail/fold/fwd.hpp
@@ -19,7 +19,7 @@
 enum class PlanPhase : std::uint8_t;
 enum class FoldEffect : std::uint8_t;
 
-/// A state that is shared between threads and never changes.
+/// An immutable state shared between threads.
 using StatePtr = std::shared_ptr<const State>;
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/fold/groups.cpp
+++ b/packages/version/src/coltsfoottrail/fold/groups.cpp
@@ -6,15 +6,14 @@
 
 namespace {
 
-std::string describe(const GroupId &Which) {
-  return "group " + std::to_string(Which.Plan) + "." +
-         std::to_string(Which.Number);
+std::string describe(const GroupId &Id) {
+  return "group " + std::to_string(Id.Plan) + "." + std::to_string(Id.Number);
 }
 
-/// Removes a group whose hosts are all released.
-void dropIfReleased(State &Into, std::map<GroupId, Group>::iterator Which) {
-  if (Which->second.HeldHosts.empty())
-    Into.Groups.erase(Which);
+/// Erases a group if all its hosts are released.
+void eraseIfReleased(State &Current, std::map<GroupId, Group>::iterator It) {
+  if (It->second.HeldHosts.empty())
+    Current.Groups.erase(It);
 }
 
 bool isStopped(GroupPhase Phase) {
@@ -23,74 +22,77 @@
 
 } // namespace
 
-bool hostsAreFree(const State &In, const FormGroup &Wanted) {
-  return std::ranges::none_of(Wanted.Members, [&](const HostName &Host) {
-    return In.OccupiedHosts.contains(Host);
+bool hostsAreFree(const State &Current, const FormGroup &Spec) {
+  return std::ranges::none_of(Spec.Members, [&](const HostName &Host) {
+    return Current.OccupiedHosts.contains(Host);
   });
 }
 
-void formGroup(State &Into, Offset At, Offset Plan, const FormGroup &Wanted) {
-  const GroupId Which{Plan, Wanted.Number};
-  Group &Made = Into.Groups[Which];
-  Made.Spec = Wanted;
-  Made.Generation = At;
-  Made.HeldHosts.insert(Wanted.Members.begin(), Wanted.Members.end());
-  for (const HostName &Host : Wanted.Members)
-    Into.OccupiedHosts[Host] = Which;
-  Into.Plans.at(Plan).Formed.insert(Wanted.Number);
+void formGroup(State &Current, Offset RecordOffset, Offset Plan,
+               const FormGroup &Spec) {
+  const GroupId Id{Plan, Spec.Number};
+  Group &NewGroup = Current.Groups[Id];
+  NewGroup.Spec = Spec;
+  NewGroup.Generation = RecordOffset;
+  NewGroup.HeldHosts.insert(Spec.Members.begin(), Spec.Members.end());
+  for (const HostName &Host : Spec.Members)
+    Current.OccupiedHosts[Host] = Id;
+  Current.Plans.at(Plan).Formed.insert(Spec.Number);
 }
 
-FoldResult applyRecord(State &Into, Offset At, const GroupConfirmed &Said) {
-  const auto Found = Into.Groups.find(Said.Group);
-  if (Found == Into.Groups.end())
-    return voided(describe(Said.Group) + " does not exist");
-  Group &Known = Found->second;
-  if (Known.Phase != GroupPhase::Forming)
-    return voided(describe(Said.Group) + " is not forming");
-  const auto Plan = Into.Plans.find(Said.Group.Plan);
-  if (Plan == Into.Plans.end() || Plan->second.Phase != PlanPhase::Running)
-    return voided("the plan of " + describe(Said.Group) + " is not running");
-  if (Said.Lease == 0 || Plan->second.Lease != Said.Lease)
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const GroupConfirmed &Body) {
+  const auto It = Current.Groups.find(Body.Group);
+  if (It == Current.Groups.end())
+    return voided(describe(Body.Group) + " does not exist");
+  Group &Existing = It->second;
+  if (Existing.Phase != GroupPhase::Forming)
+    return voided(describe(Body.Group) + " is not forming");
+  const auto Plan = Current.Plans.find(Body.Group.Plan);
+  if (Plan == Current.Plans.end() || Plan->second.Phase != PlanPhase::Running)
+    return voided("the plan of " + describe(Body.Group) + " is not running");
+  if (Body.Lease == 0 || Plan->second.Lease != Body.Lease)
     return voided("the executor's lease has been taken over",
                   Plan->second.Lease);
-  if (Said.MemberRuns.size() != Known.Spec.Members.size())
-    return voided("not every member of " + describe(Said.Group) +
+  if (Body.MemberRuns.size() != Existing.Spec.Members.size())
+    return voided("not every member of " + describe(Body.Group) +
                   " is confirmed");
-  Known.Phase = GroupPhase::Serving;
-  Known.MemberRuns = Said.MemberRuns;
-  Into.LastChange = At;
+  Existing.Phase = GroupPhase::Serving;
+  Existing.MemberRuns = Body.MemberRuns;
+  Current.LastChange = RecordOffset;
   return applied();
 }
 
-FoldResult applyRecord(State &Into, Offset At, const GroupBroken &Said) {
-  const auto Found = Into.Groups.find(Said.Group);
-  if (Found == Into.Groups.end())
-    return voided(describe(Said.Group) + " does not exist");
-  Group &Known = Found->second;
-  if (Known.Phase == GroupPhase::Broken)
-    return voided(describe(Said.Group) + " is broken already");
-  if (std::ranges::find(Known.Spec.Members, Said.LostMember) ==
-      Known.Spec.Members.end())
-    return voided("host " + Said.LostMember.Text + " is no member of " +
-                  describe(Said.Group));
-  Known.Phase = GroupPhase::Broken;
-  touchModel(Into, At, Known.Spec.Model);
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const GroupBroken &Body) {
+  const auto It = Current.Groups.find(Body.Group);
+  if (It == Current.Groups.end())
+    return voided(describe(Body.Group) + " does not exist");
+  Group &Existing = It->second;
+  if (Existing.Phase == GroupPhase::Broken)
+    return voided(describe(Body.Group) + " is broken already");
+  if (std::ranges::find(Existing.Spec.Members, Body.LostMember) ==
+      Existing.Spec.Members.end())
+    return voided("host " + Body.LostMember.Text + " is no member of " +
+                  describe(Body.Group));
+  Existing.Phase = GroupPhase::Broken;
+  markModelChanged(Current, RecordOffset, Existing.Spec.Model);
   return applied();
 }
 
-FoldResult applyRecord(State &Into, Offset At, const HostReleased &Said) {
-  const auto Found = Into.Groups.find(Said.Group);
-  if (Found == Into.Groups.end() ||
-      !Found->second.HeldHosts.contains(Said.Host))
-    return voided(describe(Said.Group) + " does not hold host " +
-                  Said.Host.Text);
-  if (!isStopped(Found->second.Phase))
-    return voided(describe(Said.Group) + " is neither stopping nor broken");
-  Found->second.HeldHosts.erase(Said.Host);
-  Into.OccupiedHosts.erase(Said.Host);
-  Into.DepartedHosts.erase(Said.Host);
-  Into.LastChange = At;
-  dropIfReleased(Into, Found);
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const HostReleased &Body) {
+  const auto It = Current.Groups.find(Body.Group);
+  if (It == Current.Groups.end() || !It->second.HeldHosts.contains(Body.Host))
+    return voided(describe(Body.Group) + " does not hold host " +
+                  Body.Host.Text);
+  if (!isStopped(It->second.Phase))
+    return voided(describe(Body.Group) + " is neither stopping nor broken");
+  It->second.HeldHosts.erase(Body.Host);
+  Current.OccupiedHosts.erase(Body.Host);
+  Current.DepartedHosts.erase(Body.Host);
+  Current.LastChange = RecordOffset;
+  eraseIfReleased(Current, It);
   return applied();
 }
 
--- a/packages/version/src/coltsfoottrail/fold/objection.cpp
+++ b/packages/version/src/coltsfoottrail/fold/objection.cpp
@@ -9,245 +9,256 @@
 
 namespace {
 
-using Objection = std::optional<FoldResult>;
+using Rejection = std::optional<FoldResult>;
 
-/// Compares a plan with the state that it meets.
-class PlanCheck {
+/// Checks a plan against the state at the offset at which it is proposed or
+/// confirmed.
+class PlanValidator {
 public:
-  PlanCheck(const State &Met, const Plan &Proposal)
-      : In(Met), Wanted(Proposal) {
+  PlanValidator(const State &Base, const Plan &Proposal)
+      : Current(Base), Candidate(Proposal) {
     const auto *const Apply =
-        std::get_if<ApplyDeclaration>(&Wanted.RequestedIntent);
+        std::get_if<ApplyDeclaration>(&Candidate.RequestedIntent);
     if (Apply == nullptr)
       return;
-    After = &Apply->Desired;
+    NewDeclaration = &Apply->Desired;
     if (!Apply->Dropped)
       return;
-    Changed = applyChange(In.Declared, Apply->Desired, *Apply->Dropped);
-    After = &Changed;
+    MergedDeclaration =
+        applyChange(Current.Declared, Apply->Desired, *Apply->Dropped);
+    NewDeclaration = &MergedDeclaration;
   }
-  PlanCheck(const PlanCheck &) = delete;
-  PlanCheck &operator=(const PlanCheck &) = delete;
+  PlanValidator(const PlanValidator &) = delete;
+  PlanValidator &operator=(const PlanValidator &) = delete;
 
-  Objection run() {
-    if (Wanted.PlannedAt > In.Next)
+  Rejection run() {
+    if (Candidate.PlannedAt > Current.Next)
       return voided("planned on a state that is yet to come");
-    if (Objection Found =
-            std::visit([&](const auto &Asked) { return checkIntent(Asked); },
-                       Wanted.RequestedIntent))
-      return Found;
-    collectPromised();
-    for (const Step &Each : Wanted.Steps)
-      if (Objection Found = std::visit(
-              [&](const auto &Planned) { return checkStep(Planned); }, Each))
-        return Found;
+    if (Rejection Failure = std::visit(
+            [&](const auto &Requested) { return checkIntent(Requested); },
+            Candidate.RequestedIntent))
+      return Failure;
+    collectReservedHosts();
+    for (const Step &PlanStep : Candidate.Steps)
+      if (Rejection Failure = std::visit(
+              [&](const auto &PlannedStep) { return checkStep(PlannedStep); },
+              PlanStep))
+        return Failure;
     return std::nullopt;
   }
 
 private:
-  [[nodiscard]] const Declaration &declaredAfter() const {
-    return After != nullptr ? *After : In.Declared;
+  [[nodiscard]] const Declaration &resultingDeclaration() const {
+    return NewDeclaration != nullptr ? *NewDeclaration : Current.Declared;
   }
 
-  /// Objects to a change that the plan has not seen.
-  [[nodiscard]] Objection unseen(Offset Change, const std::string &What) const {
-    if (Change <= Wanted.PlannedAt)
+  /// Rejects the plan if a change was made after it was planned.
+  [[nodiscard]] Rejection rejectIfChanged(Offset Change,
+                                          const std::string &What) const {
+    if (Change <= Candidate.PlannedAt)
       return std::nullopt;
     return voided(What + " has changed since the plan was made", Change - 1);
   }
 
   template <class Name>
-  [[nodiscard]] Objection unseenOf(const std::map<Name, Offset> &Changes,
-                                   const Name &Key, const char *Kind) const {
-    const auto Found = Changes.find(Key);
-    if (Found == Changes.end())
+  [[nodiscard]] Rejection
+  rejectIfEntryChanged(const std::map<Name, Offset> &Changes, const Name &Key,
+                       const char *Kind) const {
+    const auto It = Changes.find(Key);
+    if (It == Changes.end())
       return std::nullopt;
-    return unseen(Found->second, Kind + Key.Text);
+    return rejectIfChanged(It->second, Kind + Key.Text);
   }
 
-  [[nodiscard]] Objection undeclared(const std::string &What) const {
-    const Offset Change = In.DeclaredChange;
+  [[nodiscard]] Rejection rejectUndeclared(const std::string &What) const {
+    const Offset Change = Current.DeclaredChange;
     return voided(What + " is not declared",
                   Change > 0 ? std::optional(Change - 1) : std::nullopt);
   }
 
-  [[nodiscard]] Objection checkModel(const ModelName &Model) const {
-    if (findModel(In.Declared, Model) == nullptr)
-      return undeclared("model " + Model.Text);
-    return unseenOf(In.ModelChanges, Model, "model ");
+  [[nodiscard]] Rejection checkModel(const ModelName &Model) const {
+    if (findModel(Current.Declared, Model) == nullptr)
+      return rejectUndeclared("model " + Model.Text);
+    return rejectIfEntryChanged(Current.ModelChanges, Model, "model ");
   }
 
-  [[nodiscard]] Objection checkDataCentre(const DataCentreName &Name) const {
-    if (!std::ranges::binary_search(In.Declared.DataCentres, Name))
-      return undeclared("data centre " + Name.Text);
-    return unseenOf(In.DataCentreChanges, Name, "data centre ");
+  [[nodiscard]] Rejection checkDataCentre(const DataCentreName &Name) const {
+    if (!std::ranges::binary_search(Current.Declared.DataCentres, Name))
+      return rejectUndeclared("data centre " + Name.Text);
+    return rejectIfEntryChanged(Current.DataCentreChanges, Name,
+                                "data centre ");
   }
 
-  [[nodiscard]] Objection checkHost(const HostName &Name) const {
-    if (!isKnownHost(In.Declared, Name))
-      return undeclared("host " + Name.Text);
-    return unseenOf(In.HostChanges, Name, "host ");
+  [[nodiscard]] Rejection checkHost(const HostName &Name) const {
+    if (!isKnownHost(Current.Declared, Name))
+      return rejectUndeclared("host " + Name.Text);
+    return rejectIfEntryChanged(Current.HostChanges, Name, "host ");
   }
 
-  [[nodiscard]] Objection checkIntent(const ApplyDeclaration &Asked) const {
-    if (Objection Found = unseen(In.DeclaredChange, "what is declared"))
-      return Found;
-    for (const auto &[Model, Change] : In.ModelChanges)
-      if (Objection Found = unseen(Change, "model " + Model.Text))
-        return Found;
-    if (Asked.Dropped)
-      if (const auto Problem = declarationProblem(*After))
+  [[nodiscard]] Rejection checkIntent(const ApplyDeclaration &Requested) const {
+    if (Rejection Failure =
+            rejectIfChanged(Current.DeclaredChange, "what is declared"))
+      return Failure;
+    for (const auto &[Model, Change] : Current.ModelChanges)
+      if (Rejection Failure = rejectIfChanged(Change, "model " + Model.Text))
+        return Failure;
+    if (Requested.Dropped)
+      if (const auto Problem = declarationProblem(*NewDeclaration))
         return voided("with the change, " + *Problem);
     return checkOccupied();
   }
 
-  [[nodiscard]] Objection checkIntent(const SetCapacity &Asked) const {
-    if (!std::ranges::binary_search(In.Declared.DataCentres, Asked.DataCentre))
-      return undeclared("data centre " + Asked.DataCentre.Text);
-    return checkModel(Asked.Model);
+  [[nodiscard]] Rejection checkIntent(const SetCapacity &Requested) const {
+    if (!std::ranges::binary_search(Current.Declared.DataCentres,
+                                    Requested.DataCentre))
+      return rejectUndeclared("data centre " + Requested.DataCentre.Text);
+    return checkModel(Requested.Model);
   }
-  [[nodiscard]] Objection checkIntent(const SetVersion &Asked) const {
-    return checkModel(Asked.Model);
+  [[nodiscard]] Rejection checkIntent(const SetVersion &Requested) const {
+    return checkModel(Requested.Model);
   }
-  [[nodiscard]] Objection checkIntent(const SetAdapters &Asked) const {
-    return checkModel(Asked.Model);
+  [[nodiscard]] Rejection checkIntent(const SetAdapters &Requested) const {
+    return checkModel(Requested.Model);
   }
-  [[nodiscard]] Objection checkIntent(const DrainDataCentre &Asked) const {
-    return checkDataCentre(Asked.DataCentre);
+  [[nodiscard]] Rejection checkIntent(const DrainDataCentre &Requested) const {
+    return checkDataCentre(Requested.DataCentre);
   }
-  [[nodiscard]] Objection checkIntent(const ReturnDataCentre &Asked) const {
-    return checkDataCentre(Asked.DataCentre);
+  [[nodiscard]] Rejection checkIntent(const ReturnDataCentre &Requested) const {
+    return checkDataCentre(Requested.DataCentre);
   }
-  [[nodiscard]] Objection checkIntent(const DrainHost &Asked) const {
-    return checkHost(Asked.Host);
+  [[nodiscard]] Rejection checkIntent(const DrainHost &Requested) const {
+    return checkHost(Requested.Host);
   }
-  [[nodiscard]] Objection checkIntent(const ReturnHost &Asked) const {
-    return checkHost(Asked.Host);
+  [[nodiscard]] Rejection checkIntent(const ReturnHost &Requested) const {
+    return checkHost(Requested.Host);
   }
 
   /// Failure guarded against: a declaration drops or moves a host whose engine
-  /// still serves a group. Nobody would know its address any more, so it could
-  /// neither be reached for its requests in progress nor be stopped. Only a
-  /// host of a broken group, which answers nothing, may be dropped; it is kept
-  /// under Departed until it is released.
-  [[nodiscard]] Objection checkOccupied() const {
-    const DeclarationChange Change = diffDeclarations(In.Declared, *After);
-    for (const HostSpec &Then : Change.Put.Hosts) {
-      const HostSpec *const Now = findHost(In.Declared, Then.Name);
-      const auto Holder = In.OccupiedHosts.find(Then.Name);
-      if (Now != nullptr && Holder != In.OccupiedHosts.end() &&
-          !samePlace(*Now, Then))
-        return stillHeld(Holder->first, Holder->second);
+  /// still serves a group. Its address would be lost, so that its requests in
+  /// progress could not be reached and its engine could not be stopped. Only a
+  /// host of a broken group, which serves no requests, may be dropped; it is
+  /// kept in DepartedHosts until it is released.
+  [[nodiscard]] Rejection checkOccupied() const {
+    const DeclarationChange Change =
+        diffDeclarations(Current.Declared, *NewDeclaration);
+    for (const HostSpec &NewSpec : Change.Put.Hosts) {
+      const HostSpec *const CurrentSpec =
+          findHost(Current.Declared, NewSpec.Name);
+      const auto Holder = Current.OccupiedHosts.find(NewSpec.Name);
+      if (CurrentSpec != nullptr && Holder != Current.OccupiedHosts.end() &&
+          !sameLocation(*CurrentSpec, NewSpec))
+        return rejectOccupied(Holder->first, Holder->second);
     }
     for (const HostName &Name : Change.Dropped.Hosts) {
-      const auto Holder = In.OccupiedHosts.find(Name);
-      if (Holder != In.OccupiedHosts.end() && !isBroken(Holder->second))
-        return stillHeld(Holder->first, Holder->second);
+      const auto Holder = Current.OccupiedHosts.find(Name);
+      if (Holder != Current.OccupiedHosts.end() && !isBroken(Holder->second))
+        return rejectOccupied(Holder->first, Holder->second);
     }
     return checkDeparted(Change.Dropped.Hosts);
   }
 
-  [[nodiscard]] Objection stillHeld(const HostName &Name,
-                                    const GroupId &Which) const {
+  [[nodiscard]] Rejection rejectOccupied(const HostName &Name,
+                                         const GroupId &Id) const {
     return voided("host " + Name.Text +
                       " is still in a group: drain it before its "
                       "declaration changes",
-                  generationOf(Which));
+                  generationOf(Id));
   }
 
-  /// Failure guarded against: a machine that an engine of a broken group may
-  /// still run on is declared again, perhaps under another name, and gets a
-  /// second group.
-  [[nodiscard]] Objection
+  /// Failure guarded against: a machine on which an engine of a broken group
+  /// may still run is declared again, perhaps under another name, and is put
+  /// into a second group.
+  [[nodiscard]] Rejection
   checkDeparted(const std::vector<HostName> &Dropped) const {
-    std::set<std::pair<std::string_view, std::uint16_t>> Held;
-    for (const auto &[Name, Host] : In.DepartedHosts)
-      Held.emplace(Host.Address, Host.Port);
+    std::set<std::pair<std::string_view, std::uint16_t>> HeldAddresses;
+    for (const auto &[Name, Host] : Current.DepartedHosts)
+      HeldAddresses.emplace(Host.Address, Host.Port);
     for (const HostName &Name : Dropped)
-      if (In.OccupiedHosts.contains(Name)) {
-        const HostSpec &Host = *findHost(In.Declared, Name);
-        Held.emplace(Host.Address, Host.Port);
+      if (Current.OccupiedHosts.contains(Name)) {
+        const HostSpec &Host = *findHost(Current.Declared, Name);
+        HeldAddresses.emplace(Host.Address, Host.Port);
       }
-    if (Held.empty())
+    if (HeldAddresses.empty())
       return std::nullopt;
-    for (const HostSpec &Host : After->Hosts)
-      if (In.DepartedHosts.contains(Host.Name) ||
-          Held.contains({Host.Address, Host.Port}))
+    for (const HostSpec &Host : NewDeclaration->Hosts)
+      if (Current.DepartedHosts.contains(Host.Name) ||
+          HeldAddresses.contains({Host.Address, Host.Port}))
         return voided("host " + Host.Name.Text +
                       " was dropped and is not released by its group yet");
     return std::nullopt;
   }
 
-  [[nodiscard]] static bool samePlace(const HostSpec &Left,
-                                      const HostSpec &Right) {
+  [[nodiscard]] static bool sameLocation(const HostSpec &Left,
+                                         const HostSpec &Right) {
     return Left.DataCentre == Right.DataCentre &&
            Left.FabricDomain == Right.FabricDomain &&
            Left.Address == Right.Address && Left.Port == Right.Port;
   }
 
-  [[nodiscard]] bool isBroken(const GroupId &Which) const {
-    return In.Groups.at(Which).Phase == GroupPhase::Broken;
+  [[nodiscard]] bool isBroken(const GroupId &Id) const {
+    return Current.Groups.at(Id).Phase == GroupPhase::Broken;
   }
 
-  [[nodiscard]] Offset generationOf(const GroupId &Which) const {
-    return In.Groups.at(Which).Generation;
+  [[nodiscard]] Offset generationOf(const GroupId &Id) const {
+    return Current.Groups.at(Id).Generation;
   }
 
-  /// Hosts that running plans have still to occupy.
-  void collectPromised() {
-    for (const auto &[Id, Progress] : In.Plans) {
+  /// Collects the hosts that running plans have yet to occupy.
+  void collectReservedHosts() {
+    for (const auto &[Id, Progress] : Current.Plans) {
       if (Progress.Phase != PlanPhase::Running)
         continue;
-      for (const Step &Each : Progress.Proposed.Proposal.Steps) {
-        const auto *const Form = std::get_if<FormGroup>(&Each);
+      for (const Step &PlanStep : Progress.Proposed.Proposal.Steps) {
+        const auto *const Form = std::get_if<FormGroup>(&PlanStep);
         if (Form == nullptr || Progress.Formed.contains(Form->Number))
           continue;
         for (const HostName &Host : Form->Members)
-          Promised.emplace(Host, Progress.ConfirmedAt);
+          ReservedHosts.emplace(Host, Progress.ConfirmedAt);
       }
     }
   }
 
   [[nodiscard]] std::optional<ModelSpec>
-  modelAfter(const ModelName &Model) const {
-    const ModelSpec *const Known = findModel(declaredAfter(), Model);
-    if (Known == nullptr)
+  resultingModel(const ModelName &Model) const {
+    const ModelSpec *const Declared = findModel(resultingDeclaration(), Model);
+    if (Declared == nullptr)
       return std::nullopt;
-    ModelSpec Out = *Known;
-    if (const auto *const Asked =
-            std::get_if<SetVersion>(&Wanted.RequestedIntent))
-      if (Asked->Model == Model)
-        Out.Version = Asked->Version;
-    if (const auto *const Asked =
-            std::get_if<SetAdapters>(&Wanted.RequestedIntent))
-      if (Asked->Model == Model)
-        Out.Adapters = Asked->Adapters;
-    return Out;
-  }
-
-  [[nodiscard]] bool isDrainedAfter(const HostSpec &Host) const {
-    if (const auto *const Asked =
-            std::get_if<DrainDataCentre>(&Wanted.RequestedIntent))
-      if (Asked->DataCentre == Host.DataCentre)
+    ModelSpec Result = *Declared;
+    if (const auto *const Requested =
+            std::get_if<SetVersion>(&Candidate.RequestedIntent))
+      if (Requested->Model == Model)
+        Result.Version = Requested->Version;
+    if (const auto *const Requested =
+            std::get_if<SetAdapters>(&Candidate.RequestedIntent))
+      if (Requested->Model == Model)
+        Result.Adapters = Requested->Adapters;
+    return Result;
+  }
+
+  [[nodiscard]] bool isDrainedByPlan(const HostSpec &Host) const {
+    if (const auto *const Requested =
+            std::get_if<DrainDataCentre>(&Candidate.RequestedIntent))
+      if (Requested->DataCentre == Host.DataCentre)
         return true;
-    if (const auto *const Asked =
-            std::get_if<DrainHost>(&Wanted.RequestedIntent))
-      if (Asked->Host == Host.Name)
+    if (const auto *const Requested =
+            std::get_if<DrainHost>(&Candidate.RequestedIntent))
+      if (Requested->Host == Host.Name)
         return true;
-    return isDataCentreOutAfter(Host.DataCentre) || isHostOutAfter(Host.Name);
+    return isDataCentreDrained(Host.DataCentre) || isHostDrained(Host.Name);
   }
 
-  [[nodiscard]] bool isDataCentreOutAfter(const DataCentreName &Name) const {
-    const auto *const Asked =
-        std::get_if<ReturnDataCentre>(&Wanted.RequestedIntent);
-    const bool Returns = Asked != nullptr && Asked->DataCentre == Name;
-    return !Returns && In.DrainedDataCentres.contains(Name);
+  [[nodiscard]] bool isDataCentreDrained(const DataCentreName &Name) const {
+    const auto *const Requested =
+        std::get_if<ReturnDataCentre>(&Candidate.RequestedIntent);
+    const bool Returns = Requested != nullptr && Requested->DataCentre == Name;
+    return !Returns && Current.DrainedDataCentres.contains(Name);
   }
 
-  [[nodiscard]] bool isHostOutAfter(const HostName &Name) const {
-    const auto *const Asked = std::get_if<ReturnHost>(&Wanted.RequestedIntent);
-    const bool Returns = Asked != nullptr && Asked->Host == Name;
-    return !Returns && In.DrainedHosts.contains(Name);
+  [[nodiscard]] bool isHostDrained(const HostName &Name) const {
+    const auto *const Requested =
+        std::get_if<ReturnHost>(&Candidate.RequestedIntent);
+    const bool Returns = Requested != nullptr && Requested->Host == Name;
+    return !Returns && Current.DrainedHosts.contains(Name);
   }
 
   [[nodiscard]] static bool
@@ -257,82 +268,83 @@
            std::set(Right.begin(), Right.end());
   }
 
-  Objection checkStep(const FormGroup &Planned) {
-    if (!Numbers.insert(Planned.Number).second)
+  Rejection checkStep(const FormGroup &Form) {
+    if (!GroupNumbers.insert(Form.Number).second)
       return voided("the plan forms two groups of one number");
-    const std::optional<ModelSpec> Model = modelAfter(Planned.Model);
+    const std::optional<ModelSpec> Model = resultingModel(Form.Model);
     if (!Model)
-      return undeclared("model " + Planned.Model.Text);
-    if (Model->Version != Planned.Version || Model->Role != Planned.Role ||
-        Model->MembersPerGroup != Planned.Members.size() ||
-        !sameAdapters(Model->Adapters, Planned.Adapters))
-      return voided("a group to be formed is not as model " +
-                    Planned.Model.Text + " is declared");
-    return checkMembers(Planned);
+      return rejectUndeclared("model " + Form.Model.Text);
+    if (Model->Version != Form.Version || Model->Role != Form.Role ||
+        Model->MembersPerGroup != Form.Members.size() ||
+        !sameAdapters(Model->Adapters, Form.Adapters))
+      return voided("a group to be formed is not as model " + Form.Model.Text +
+                    " is declared");
+    return checkMembers(Form);
   }
 
-  Objection checkMembers(const FormGroup &Planned) {
+  Rejection checkMembers(const FormGroup &Form) {
     const HostSpec *const Leader =
-        findHost(declaredAfter(), Planned.Members.front());
-    for (const HostName &Name : Planned.Members) {
-      const HostSpec *const Host = findHost(declaredAfter(), Name);
+        findHost(resultingDeclaration(), Form.Members.front());
+    for (const HostName &Name : Form.Members) {
+      const HostSpec *const Host = findHost(resultingDeclaration(), Name);
       if (Host == nullptr)
-        return undeclared("host " + Name.Text);
-      if (Host->DataCentre != Planned.DataCentre ||
+        return rejectUndeclared("host " + Name.Text);
+      if (Host->DataCentre != Form.DataCentre ||
           Host->FabricDomain != Leader->FabricDomain)
         return voided("the members of a group to be formed are not in one "
                       "fabric domain");
-      if (Objection Found = checkMember(*Host))
-        return Found;
+      if (Rejection Failure = checkMember(*Host))
+        return Failure;
     }
     return std::nullopt;
   }
 
-  Objection checkMember(const HostSpec &Host) {
-    if (!Taken.insert(Host.Name).second)
+  Rejection checkMember(const HostSpec &Host) {
+    if (!PlannedHosts.insert(Host.Name).second)
       return voided("the plan puts host " + Host.Name.Text + " in two groups");
-    if (isDrainedAfter(Host))
+    if (isDrainedByPlan(Host))
       return voided("host " + Host.Name.Text + " is drained");
-    const auto Owed = Promised.find(Host.Name);
-    if (Owed != Promised.end())
+    const auto Reservation = ReservedHosts.find(Host.Name);
+    if (Reservation != ReservedHosts.end())
       return voided("host " + Host.Name.Text + " is meant for another plan",
-                    Owed->second);
-    const auto Holder = In.OccupiedHosts.find(Host.Name);
-    if (Holder != In.OccupiedHosts.end() && !Stops.contains(Holder->second))
+                    Reservation->second);
+    const auto Holder = Current.OccupiedHosts.find(Host.Name);
+    if (Holder != Current.OccupiedHosts.end() &&
+        !StoppedGroups.contains(Holder->second))
       return voided("host " + Host.Name.Text + " is in another group",
                     generationOf(Holder->second));
     return std::nullopt;
   }
 
-  Objection checkStep(const StopGroup &Planned) {
-    Stops.insert(Planned.Group);
+  Rejection checkStep(const StopGroup &Stop) {
+    StoppedGroups.insert(Stop.Group);
     return std::nullopt;
   }
 
-  Objection checkStep(const SwapAdapters &Planned) {
-    const auto Found = In.Groups.find(Planned.Group);
-    if (Found == In.Groups.end() ||
-        Found->second.Phase != GroupPhase::Serving ||
-        Stops.contains(Planned.Group))
+  Rejection checkStep(const SwapAdapters &Swap) {
+    const auto It = Current.Groups.find(Swap.Group);
+    if (It == Current.Groups.end() || It->second.Phase != GroupPhase::Serving ||
+        StoppedGroups.contains(Swap.Group))
       return voided("a group whose adapters are to change is not serving",
-                    In.LastChange);
+                    Current.LastChange);
     return std::nullopt;
   }
 
-  const State &In;
-  const Plan &Wanted;
-  const Declaration *After = nullptr;
-  Declaration Changed;
-  std::map<HostName, Offset> Promised;
-  std::set<GroupId> Stops;
-  std::set<std::uint32_t> Numbers;
-  std::set<HostName> Taken;
+  const State &Current;
+  const Plan &Candidate;
+  const Declaration *NewDeclaration = nullptr;
+  Declaration MergedDeclaration;
+  std::map<HostName, Offset> ReservedHosts;
+  std::set<GroupId> StoppedGroups;
+  std::set<std::uint32_t> GroupNumbers;
+  std::set<HostName> PlannedHosts;
 };
 
 } // namespace
 
-std::optional<FoldResult> planObjection(const State &In, const Plan &Proposal) {
-  return PlanCheck(In, Proposal).run();
+std::optional<FoldResult> validatePlan(const State &Current,
+                                       const Plan &Proposal) {
+  return PlanValidator(Current, Proposal).run();
 }
 
 } // namespace coltsfoottrail::internal
--- a/packages/version/src/coltsfoottrail/fold/plans.cpp
+++ b/packages/version/src/coltsfoottrail/fold/plans.cpp
@@ -12,119 +12,123 @@
 
 std::string describe(Offset Plan) { return "plan " + std::to_string(Plan); }
 
-void stopGroup(State &Into, Offset At, const GroupId &Which) {
-  const auto Found = Into.Groups.find(Which);
-  if (Found == Into.Groups.end())
+void stopGroup(State &Current, Offset RecordOffset, const GroupId &Id) {
+  const auto It = Current.Groups.find(Id);
+  if (It == Current.Groups.end())
     return;
-  Group &Known = Found->second;
-  if (Known.Phase != GroupPhase::Forming && Known.Phase != GroupPhase::Serving)
+  Group &Existing = It->second;
+  if (Existing.Phase != GroupPhase::Forming &&
+      Existing.Phase != GroupPhase::Serving)
     return;
-  Known.Phase = GroupPhase::Stopping;
-  touchModel(Into, At, Known.Spec.Model);
+  Existing.Phase = GroupPhase::Stopping;
+  markModelChanged(Current, RecordOffset, Existing.Spec.Model);
 }
 
-void stopForming(State &Into, Offset At, Offset Plan) {
+void stopForming(State &Current, Offset RecordOffset, Offset Plan) {
   const GroupId First{Plan, 0};
   const GroupId Last{Plan, std::numeric_limits<std::uint32_t>::max()};
-  for (auto Each = Into.Groups.lower_bound(First);
-       Each != Into.Groups.end() && Each->first <= Last; ++Each)
-    if (Each->second.Phase == GroupPhase::Forming)
-      stopGroup(Into, At, Each->first);
+  for (auto It = Current.Groups.lower_bound(First);
+       It != Current.Groups.end() && It->first <= Last; ++It)
+    if (It->second.Phase == GroupPhase::Forming)
+      stopGroup(Current, RecordOffset, It->first);
 }
 
-/// Drops the declaration that a plan carries: once in force it stands in the
-/// state, and a plan that ended needs it no more.
+/// Drops the declaration that a plan carries: once in force it is part of the
+/// state, and an ended plan no longer needs it.
 void dropDeclaration(PlanProgress &Progress) {
-  Intent &Asked = Progress.Proposed.Proposal.RequestedIntent;
-  if (auto *const Apply = std::get_if<ApplyDeclaration>(&Asked))
+  Intent &Requested = Progress.Proposed.Proposal.RequestedIntent;
+  if (auto *const Apply = std::get_if<ApplyDeclaration>(&Requested))
     *Apply = ApplyDeclaration{};
 }
 
-void endPlan(PlanProgress &Progress, Offset At, PlanPhase Phase,
-             std::string Why) {
+void endPlan(PlanProgress &Progress, Offset RecordOffset, PlanPhase Phase,
+             std::string Reason) {
   Progress.Phase = Phase;
-  Progress.EndedAt = At;
-  Progress.Reason = std::move(Why);
+  Progress.EndedAt = RecordOffset;
+  Progress.Reason = std::move(Reason);
   Progress.Formed.clear();
   dropDeclaration(Progress);
 }
 
-void abandonPlan(State &Into, Offset At, Plans::iterator Which,
-                 std::string Why) {
-  endPlan(Which->second, At, PlanPhase::Abandoned, std::move(Why));
-  stopForming(Into, At, Which->first);
+void abandonPlan(State &Current, Offset RecordOffset, Plans::iterator It,
+                 std::string Reason) {
+  endPlan(It->second, RecordOffset, PlanPhase::Abandoned, std::move(Reason));
+  stopForming(Current, RecordOffset, It->first);
 }
 
-bool mayForm(const State &In, const FormGroup &Wanted) {
+bool canForm(const State &Current, const FormGroup &Spec) {
   const bool Usable =
-      std::ranges::all_of(Wanted.Members, [&](const HostName &Name) {
-        const HostSpec *const Host = findHost(In.Declared, Name);
-        return Host != nullptr && !In.DrainedHosts.contains(Name) &&
-               !In.DrainedDataCentres.contains(Host->DataCentre);
+      std::ranges::all_of(Spec.Members, [&](const HostName &Name) {
+        const HostSpec *const Host = findHost(Current.Declared, Name);
+        return Host != nullptr && !Current.DrainedHosts.contains(Name) &&
+               !Current.DrainedDataCentres.contains(Host->DataCentre);
       });
-  return Usable && hostsAreFree(In, Wanted);
+  return Usable && hostsAreFree(Current, Spec);
 }
 
-/// Begins the step that is next, and with a StopGroup those that follow it.
-void beginSteps(State &Into, Offset At, Plans::iterator Which) {
-  PlanProgress &Progress = Which->second;
+/// Begins the next step; if it is a StopGroup, also the StopGroup steps that
+/// directly follow it.
+void beginSteps(State &Current, Offset RecordOffset, Plans::iterator It) {
+  PlanProgress &Progress = It->second;
   const std::vector<Step> &Steps = Progress.Proposed.Proposal.Steps;
   for (std::size_t Index = Progress.StepsDone; Index < Steps.size(); ++Index) {
     const auto *const Stop = std::get_if<StopGroup>(&Steps[Index]);
     if (Stop == nullptr)
       break;
-    stopGroup(Into, At, Stop->Group);
+    stopGroup(Current, RecordOffset, Stop->Group);
   }
   const auto *const Form = std::get_if<FormGroup>(&Steps[Progress.StepsDone]);
   if (Form == nullptr || Progress.Formed.contains(Form->Number))
     return;
-  if (mayForm(Into, *Form))
-    formGroup(Into, At, Which->first, *Form);
+  if (canForm(Current, *Form))
+    formGroup(Current, RecordOffset, It->first, *Form);
   else
-    abandonPlan(Into, At, Which,
+    abandonPlan(Current, RecordOffset, It,
                 "the hosts of group " + std::to_string(Form->Number) +
                     " can no longer be used");
 }
 
-/// Occupies the hosts of all groups whose hosts are free now.
-void formFreeGroups(State &Into, Offset At, Offset Plan) {
-  const PlanProgress &Progress = Into.Plans.at(Plan);
-  for (const Step &Each : Progress.Proposed.Proposal.Steps) {
-    const auto *const Form = std::get_if<FormGroup>(&Each);
-    if (Form != nullptr && hostsAreFree(Into, *Form))
-      formGroup(Into, At, Plan, *Form);
+/// Forms all groups of a plan whose hosts are already free.
+void formFreeGroups(State &Current, Offset RecordOffset, Offset Plan) {
+  const PlanProgress &Progress = Current.Plans.at(Plan);
+  for (const Step &PlanStep : Progress.Proposed.Proposal.Steps) {
+    const auto *const Form = std::get_if<FormGroup>(&PlanStep);
+    if (Form != nullptr && hostsAreFree(Current, *Form))
+      formGroup(Current, RecordOffset, Plan, *Form);
   }
 }
 
-void touchStepModels(State &Into, Offset At, const Plan &Proposal) {
-  for (const Step &Each : Proposal.Steps) {
-    if (const auto *const Form = std::get_if<FormGroup>(&Each)) {
-      touchModel(Into, At, Form->Model);
+void markStepModelsChanged(State &Current, Offset RecordOffset,
+                           const Plan &Proposal) {
+  for (const Step &PlanStep : Proposal.Steps) {
+    if (const auto *const Form = std::get_if<FormGroup>(&PlanStep)) {
+      markModelChanged(Current, RecordOffset, Form->Model);
       continue;
     }
-    const auto *const Stop = std::get_if<StopGroup>(&Each);
-    const GroupId Which =
-        Stop != nullptr ? Stop->Group : std::get<SwapAdapters>(Each).Group;
-    const auto Found = Into.Groups.find(Which);
-    if (Found != Into.Groups.end())
-      touchModel(Into, At, Found->second.Spec.Model);
+    const auto *const Stop = std::get_if<StopGroup>(&PlanStep);
+    const GroupId Id =
+        Stop != nullptr ? Stop->Group : std::get<SwapAdapters>(PlanStep).Group;
+    const auto It = Current.Groups.find(Id);
+    if (It != Current.Groups.end())
+      markModelChanged(Current, RecordOffset, It->second.Spec.Model);
   }
 }
 
-/// Keeps the proposals of whole declarations bounded: the oldest gives way.
-void limitDeclarations(State &Into, Offset At) {
+/// Bounds the number of proposed declarations by abandoning the oldest.
+void limitProposedDeclarations(State &Current, Offset RecordOffset) {
   std::vector<Plans::iterator> Waiting;
-  for (auto Each = Into.Plans.begin(); Each != Into.Plans.end(); ++Each)
-    if (Each->second.Phase == PlanPhase::Proposed &&
+  for (auto It = Current.Plans.begin(); It != Current.Plans.end(); ++It)
+    if (It->second.Phase == PlanPhase::Proposed &&
         std::holds_alternative<ApplyDeclaration>(
-            Each->second.Proposed.Proposal.RequestedIntent))
-      Waiting.push_back(Each);
+            It->second.Proposed.Proposal.RequestedIntent))
+      Waiting.push_back(It);
   if (Waiting.size() > MaxDeclarationProposals)
-    abandonPlan(Into, At, Waiting.front(), "newer declarations were proposed");
+    abandonPlan(Current, RecordOffset, Waiting.front(),
+                "newer declarations were proposed");
 }
 
-std::optional<FoldResult> leaseObjection(const PlanProgress &Progress,
-                                         Offset Plan, Offset Lease) {
+std::optional<FoldResult> validateLease(const PlanProgress &Progress,
+                                        Offset Plan, Offset Lease) {
   if (Progress.Phase != PlanPhase::Running)
     return voided(describe(Plan) + " is not running");
   if (Lease == 0 || Progress.Lease != Lease)
@@ -133,115 +137,123 @@
   return std::nullopt;
 }
 
-std::string stepObjection(const State &In, Offset Plan, const Step &Which) {
-  if (const auto *const Stop = std::get_if<StopGroup>(&Which))
-    return In.Groups.contains(Stop->Group)
+/// Returns why a step is not finished; empty if it is.
+std::string unfinishedReason(const State &Current, Offset Plan,
+                             const Step &Candidate) {
+  if (const auto *const Stop = std::get_if<StopGroup>(&Candidate))
+    return Current.Groups.contains(Stop->Group)
                ? "the hosts of the group are not all released"
                : "";
-  const auto *const Form = std::get_if<FormGroup>(&Which);
-  const GroupId Group = Form != nullptr ? GroupId{Plan, Form->Number}
-                                        : std::get<SwapAdapters>(Which).Group;
-  const auto Found = In.Groups.find(Group);
+  const auto *const Form = std::get_if<FormGroup>(&Candidate);
+  const GroupId Group = Form != nullptr
+                            ? GroupId{Plan, Form->Number}
+                            : std::get<SwapAdapters>(Candidate).Group;
+  const auto It = Current.Groups.find(Group);
   const bool Serves =
-      Found != In.Groups.end() && Found->second.Phase == GroupPhase::Serving;
+      It != Current.Groups.end() && It->second.Phase == GroupPhase::Serving;
   return Serves ? "" : "the group is not serving";
 }
 
-void finishStep(State &Into, Offset At, Plans::iterator Which) {
-  PlanProgress &Progress = Which->second;
+void finishStep(State &Current, Offset RecordOffset, Plans::iterator It) {
+  PlanProgress &Progress = It->second;
   const std::vector<Step> &Steps = Progress.Proposed.Proposal.Steps;
-  const Step &Done = Steps[Progress.StepsDone];
-  if (const auto *const Swap = std::get_if<SwapAdapters>(&Done))
-    Into.Groups.at(Swap->Group).Spec.Adapters = Swap->Adapters;
+  const Step &Finished = Steps[Progress.StepsDone];
+  if (const auto *const Swap = std::get_if<SwapAdapters>(&Finished))
+    Current.Groups.at(Swap->Group).Spec.Adapters = Swap->Adapters;
   ++Progress.StepsDone;
-  Into.LastChange = At;
+  Current.LastChange = RecordOffset;
   if (Progress.StepsDone == Steps.size())
-    endPlan(Progress, At, PlanPhase::Done, {});
+    endPlan(Progress, RecordOffset, PlanPhase::Done, {});
   else
-    beginSteps(Into, At, Which);
+    beginSteps(Current, RecordOffset, It);
 }
 
 } // namespace
 
-FoldResult applyRecord(State &Into, Offset At, PlanProposed &Said) {
-  if (std::optional<FoldResult> Found = planObjection(Into, Said.Proposal))
-    return *std::move(Found);
-  Into.Plans[At].Proposed = std::move(Said);
-  limitDeclarations(Into, At);
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       PlanProposed &Body) {
+  if (std::optional<FoldResult> Failure = validatePlan(Current, Body.Proposal))
+    return *std::move(Failure);
+  Current.Plans[RecordOffset].Proposed = std::move(Body);
+  limitProposedDeclarations(Current, RecordOffset);
   return applied();
 }
 
-FoldResult applyRecord(State &Into, Offset At, const PlanConfirmed &Said) {
-  const auto Found = Into.Plans.find(Said.Plan);
-  if (Found == Into.Plans.end())
-    return voided(describe(Said.Plan) + " is not known");
-  PlanProgress &Progress = Found->second;
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const PlanConfirmed &Body) {
+  const auto It = Current.Plans.find(Body.Plan);
+  if (It == Current.Plans.end())
+    return voided(describe(Body.Plan) + " is not known");
+  PlanProgress &Progress = It->second;
   if (Progress.Phase != PlanPhase::Proposed)
-    return voided(describe(Said.Plan) + " does not wait for confirmation",
+    return voided(describe(Body.Plan) + " does not wait for confirmation",
                   Progress.EndedAt > 0 ? Progress.EndedAt
                                        : Progress.ConfirmedAt);
   Plan &Proposal = Progress.Proposed.Proposal;
-  if (std::optional<FoldResult> Objection = planObjection(Into, Proposal))
-    return *std::move(Objection);
+  if (std::optional<FoldResult> Failure = validatePlan(Current, Proposal))
+    return *std::move(Failure);
   Progress.Phase = PlanPhase::Running;
-  Progress.ConfirmedAt = At;
-  enforceIntent(Into, At, Proposal.RequestedIntent);
-  touchStepModels(Into, At, Proposal);
+  Progress.ConfirmedAt = RecordOffset;
+  applyIntent(Current, RecordOffset, Proposal.RequestedIntent);
+  markStepModelsChanged(Current, RecordOffset, Proposal);
   if (Proposal.Steps.empty()) {
-    endPlan(Progress, At, PlanPhase::Done, {});
+    endPlan(Progress, RecordOffset, PlanPhase::Done, {});
     return applied();
   }
-  formFreeGroups(Into, At, Found->first);
-  beginSteps(Into, At, Found);
+  formFreeGroups(Current, RecordOffset, It->first);
+  beginSteps(Current, RecordOffset, It);
   return applied();
 }
 
-FoldResult applyRecord(State &Into, Offset At, const PlanAbandoned &Said) {
-  const auto Found = Into.Plans.find(Said.Plan);
-  if (Found == Into.Plans.end())
-    return voided(describe(Said.Plan) + " is not known");
-  if (Found->second.EndedAt > 0)
-    return voided(describe(Said.Plan) + " has ended", Found->second.EndedAt);
-  abandonPlan(Into, At, Found, Said.Reason);
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const PlanAbandoned &Body) {
+  const auto It = Current.Plans.find(Body.Plan);
+  if (It == Current.Plans.end())
+    return voided(describe(Body.Plan) + " is not known");
+  if (It->second.EndedAt > 0)
+    return voided(describe(Body.Plan) + " has ended", It->second.EndedAt);
+  abandonPlan(Current, RecordOffset, It, Body.Reason);
   return applied();
 }
 
-FoldResult applyRecord(State &Into, Offset At, const ExecutorTaken &Said) {
-  const auto Found = Into.Plans.find(Said.Plan);
-  if (Found == Into.Plans.end())
-    return voided(describe(Said.Plan) + " is not known");
-  PlanProgress &Progress = Found->second;
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const ExecutorTaken &Body) {
+  const auto It = Current.Plans.find(Body.Plan);
+  if (It == Current.Plans.end())
+    return voided(describe(Body.Plan) + " is not known");
+  PlanProgress &Progress = It->second;
   if (Progress.Phase != PlanPhase::Running)
-    return voided(describe(Said.Plan) + " is not running");
-  if (Progress.Lease != Said.ReplacedLease)
-    return voided("the lease on " + describe(Said.Plan) +
+    return voided(describe(Body.Plan) + " is not running");
+  if (Progress.Lease != Body.ReplacedLease)
+    return voided("the lease on " + describe(Body.Plan) +
                       " was taken by entry host " + Progress.Executor.Text,
                   Progress.Lease);
-  const auto Host = Into.EntryHosts.find(Said.Host);
-  if (Host == Into.EntryHosts.end() || Host->second.Joined.Run != Said.Run)
-    return voided("this run of entry host " + Said.Host.Text +
+  const auto Host = Current.EntryHosts.find(Body.Host);
+  if (Host == Current.EntryHosts.end() || Host->second.Joined.Run != Body.Run)
+    return voided("this run of entry host " + Body.Host.Text +
                   " has not joined");
-  Progress.Lease = At;
-  Progress.Executor = Said.Host;
-  Progress.ExecutorRun = Said.Run;
+  Progress.Lease = RecordOffset;
+  Progress.Executor = Body.Host;
+  Progress.ExecutorRun = Body.Run;
   return applied();
 }
 
-FoldResult applyRecord(State &Into, Offset At, const StepFinished &Said) {
-  const auto Found = Into.Plans.find(Said.Plan);
-  if (Found == Into.Plans.end())
-    return voided(describe(Said.Plan) + " is not known");
-  const PlanProgress &Progress = Found->second;
-  if (auto Objection = leaseObjection(Progress, Said.Plan, Said.Lease))
-    return *std::move(Objection);
-  if (Said.StepIndex != Progress.StepsDone)
+FoldResult applyRecord(State &Current, Offset RecordOffset,
+                       const StepFinished &Body) {
+  const auto It = Current.Plans.find(Body.Plan);
+  if (It == Current.Plans.end())
+    return voided(describe(Body.Plan) + " is not known");
+  const PlanProgress &Progress = It->second;
+  if (auto Failure = validateLease(Progress, Body.Plan, Body.Lease))
+    return *std::move(Failure);
+  if (Body.StepIndex != Progress.StepsDone)
     return voided("the step that is next is " +
                   std::to_string(Progress.StepsDone));
-  const Step &Which = Progress.Proposed.Proposal.Steps[Said.StepIndex];
-  std::string Problem = stepObjection(Into, Said.Plan, Which);
+  const Step &Finished = Progress.Proposed.Proposal.Steps[Body.StepIndex];
+  std::string Problem = unfinishedReason(Current, Body.Plan, Finished);
   if (!Problem.empty())
     return voided(std::move(Problem));
-  finishStep(Into, At, Found);
+  finishStep(Current, RecordOffset, It);
   return applied();
 }
 
--- a/packages/version/src/coltsfoottrail/fold/state.hpp
+++ b/packages/version/src/coltsfoottrail/fold/state.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The agreed state: what all records up to an offset come to.
+/// The agreed state: the result of folding all records up to an offset.
 #ifndef COLTSFOOTTRAIL_FOLD_STATE_HPP
 #define COLTSFOOTTRAIL_FOLD_STATE_HPP
 
@@ -20,49 +20,49 @@
                                        const EntryHost &) = default;
 };
 
-/// Where a group stands in its life. Only a Serving one gets requests.
+/// Lifecycle phase of a group. Only a Serving group gets requests.
 enum class GroupPhase : std::uint8_t { Forming, Serving, Stopping, Broken };
 
 /// @brief A serving group.
 struct Group {
   FormGroup Spec;
   GroupPhase Phase = GroupPhase::Forming;
-  /// Offset of the record that made it: the fencing number of its members'
-  /// orders.
+  /// Offset of the record that created it; the fencing token of orders to its
+  /// members.
   Offset Generation = 0;
   std::vector<Incarnation> MemberRuns;
-  /// Members whose hosts are not released yet.
+  /// Members whose hosts have not been released yet.
   std::set<HostName> HeldHosts;
   [[nodiscard]] friend bool operator==(const Group &, const Group &) = default;
 };
 
-/// Where a plan stands.
+/// Lifecycle phase of a plan.
 enum class PlanPhase : std::uint8_t { Proposed, Running, Done, Abandoned };
 
-/// @brief A plan and how far it has come.
+/// @brief A plan and its progress.
 struct PlanProgress {
   PlanProposed Proposed;
   PlanPhase Phase = PlanPhase::Proposed;
-  /// Fencing number of its executor's orders; zero before the first.
+  /// Fencing token of its executor's orders; zero before the first lease.
   Offset Lease = 0;
   HostName Executor;
   Incarnation ExecutorRun = 0;
   std::uint32_t StepsDone = 0;
   std::string Reason;
-  /// Offset of the confirmation; zero before.
+  /// Offset of the confirmation; zero before it.
   Offset ConfirmedAt = 0;
   /// Offset of the record that ended it; zero while it is Proposed or Running.
   Offset EndedAt = 0;
-  /// Numbers of the groups that its steps have formed so far; a number is never
-  /// formed twice, so a late record for a gone group finds nothing.
+  /// Numbers of the groups that its steps have formed so far. A number is never
+  /// formed twice, so that a late record for a removed group has no effect.
   std::set<std::uint32_t> Formed;
   [[nodiscard]] friend bool operator==(const PlanProgress &,
                                        const PlanProgress &) = default;
 };
 
-/// @brief What is known of the appends of one run.
+/// @brief Last append folded of one run.
 struct WriterMark {
-  /// Highest sequence folded.
+  /// Highest sequence number folded.
   std::uint64_t Sequence = 0;
   /// Offset of its last record.
   Offset LastOffset = 0;
@@ -70,9 +70,9 @@
                                        const WriterMark &) = default;
 };
 
-/// @brief The newest checkpoint that was announced on the agreed stream.
+/// @brief The newest checkpoint announced on the agreed stream.
 struct AnnouncedCheckpoint {
-  /// Next of the state that it holds; zero before the first.
+  /// Next of the state that it holds; zero before the first checkpoint.
   Offset StateNext = 0;
   std::uint64_t Digest = 0;
   /// Offset of the announcement.
@@ -81,32 +81,32 @@
                                        const AnnouncedCheckpoint &) = default;
 };
 
-/// @brief The agreed state after all records up to At.
+/// @brief The agreed state after all records below Next.
 struct State {
-  /// Offset of the next record to fold: all below it are in.
+  /// Offset of the next record to fold; all below it have been folded.
   Offset Next = 0;
   Declaration Declared;
   std::map<HostName, EntryHost> EntryHosts;
   std::set<DataCentreName> DrainedDataCentres;
   std::set<HostName> DrainedHosts;
   std::map<GroupId, Group> Groups;
-  /// The group that each occupied host belongs to; a host stands here once at
-  /// the most.
+  /// Group of each occupied host; a host is in at most one group.
   std::map<HostName, GroupId> OccupiedHosts;
   /// Hosts that were dropped from the declaration while a broken group still
-  /// held them, with the address at which their stop can be proved.
+  /// held them, with the address needed to verify that their engines have
+  /// stopped.
   std::map<HostName, HostSpec> DepartedHosts;
   std::map<Offset, PlanProgress> Plans;
-  /// Highest sequence folded of each writer, to drop twins.
+  /// Last append folded of each writer, to drop duplicates.
   std::map<Incarnation, WriterMark> Writers;
   AnnouncedCheckpoint Checkpoint;
-  /// Next of the state that the last change of the entry hosts made.
+  /// Next of the state after the last change of the entry hosts.
   Offset EntryHostsChange = 0;
-  /// Offset of the last record that changed what plans rest on.
+  /// Offset of the last record that changed state on which plans depend.
   Offset LastChange = 0;
-  /// What a plan rests on, and the Next of the state that its last change made:
-  /// a plan has not seen the change when its PlannedAt is below. Zero or absent
-  /// when it never changed.
+  /// Last changes of the state on which plans depend, each as the Next of the
+  /// state after the change: a plan whose PlannedAt is lower was made before
+  /// the change. Zero or absent if there was none.
   Offset DeclaredChange = 0;
   std::map<ModelName, Offset> ModelChanges;
   std::map<DataCentreName, Offset> DataCentreChanges;
--- a/packages/version/test/coltsfoottrail/fold/fold.cpp
+++ b/packages/version/test/coltsfoottrail/fold/fold.cpp
@@ -20,228 +20,239 @@
 class Fold : public testing::Test {
 protected:
   void SetUp() override {
-    Told.join(EntryA, 11);
-    Told.join(EntryB, 12);
-    Told.carry(ApplyDeclaration{Declared});
+    History.join(EntryA, 11);
+    History.join(EntryB, 12);
+    History.carry(ApplyDeclaration{Declared});
   }
 
   /// Forms a group on two hosts of a fabric domain and lets it serve.
   GroupId serve(std::uint32_t DataCentre, std::uint32_t First = 0) {
     const Offset Plan =
-        Told.carry(SetCapacity{model(0), dataCentre(DataCentre), 1},
-                   {formStep(Declared, 0, model(0),
-                             {host(DataCentre, 0, First),
-                              host(DataCentre, 0, First + 1)})});
-    const Offset Lease = Told.lead(Plan, EntryA);
-    EXPECT_EQ(Told.confirmGroup(GroupId{Plan, 0}, Lease).Effect,
+        History.carry(SetCapacity{model(0), dataCentre(DataCentre), 1},
+                      {formStep(Declared, 0, model(0),
+                                {host(DataCentre, 0, First),
+                                 host(DataCentre, 0, First + 1)})});
+    const Offset Lease = History.lead(Plan, EntryA);
+    EXPECT_EQ(History.confirmGroup(GroupId{Plan, 0}, Lease).Effect,
               FoldEffect::Applied);
-    EXPECT_EQ(Told.say(StepFinished{Plan, Lease, 0}).Effect,
+    EXPECT_EQ(History.say(StepFinished{Plan, Lease, 0}).Effect,
               FoldEffect::Applied);
     return GroupId{Plan, 0};
   }
 
   Declaration Declared = test::makeDeclaration();
-  Story Told;
+  Story History;
 };
 
 TEST_F(Fold, ServingGroupIsRoutedToUntilItsDataCentreIsDrained) {
   const GroupId Group = serve(0);
-  EXPECT_EQ(Told.Now.Plans.at(Group.Plan).Phase, PlanPhase::Done);
-  const RouteTable Before = buildRoutes(Told.Now);
+  EXPECT_EQ(History.Now.Plans.at(Group.Plan).Phase, PlanPhase::Done);
+  const RouteTable Before = buildRoutes(History.Now);
   ASSERT_EQ(Before.Pools.at("model/model0").Endpoints.size(), 1U);
   const EndpointSpec &Endpoint = Before.Pools.at("model/model0").Endpoints[0];
   EXPECT_EQ(Endpoint.Key,
             std::to_string(Group.Plan) + ".0@" +
-                std::to_string(Told.Now.Groups.at(Group).Generation));
+                std::to_string(History.Now.Groups.at(Group).Generation));
   EXPECT_EQ(Endpoint.MemberRuns, (std::vector<Incarnation>{100, 101}));
   EXPECT_EQ(Before.Pools.at("service/permits").Endpoints.size(), 3U);
 
-  Told.carry(DrainDataCentre{dataCentre(0)});
-  const RouteTable After = buildRoutes(Told.Now);
+  History.carry(DrainDataCentre{dataCentre(0)});
+  const RouteTable After = buildRoutes(History.Now);
   EXPECT_TRUE(After.Pools.at("model/model0").Endpoints.empty());
   EXPECT_EQ(After.Pools.at("service/permits").Endpoints.size(), 2U);
 }
 
 // Two operators plan a group on the same hosts at the same time. If both plans
-// held, one machine would serve two groups. The first confirmation in the order
-// of the log wins, and the second operator is told which record beat it.
+// were applied, one machine would serve two groups. The first confirmation in
+// log order wins, and the second operator gets the offset of the record that
+// conflicts.
 TEST_F(Fold, SecondPlanForTheSameHostsIsVoid) {
   const FormGroup First =
       formStep(Declared, 0, model(0), {host(0, 0, 0), host(0, 0, 1)});
   const FormGroup Second =
       formStep(Declared, 0, model(0), {host(0, 0, 1), host(0, 0, 2)});
   const Offset PlanA =
-      Told.propose(SetCapacity{model(0), dataCentre(0), 1}, {First});
-  const Offset PlanB = Told.propose(DrainDataCentre{dataCentre(2)}, {Second});
-  const Offset Winner = Told.Now.Next;
-  EXPECT_EQ(Told.say(PlanConfirmed{PlanA, "a"}).Effect, FoldEffect::Applied);
-  const FoldResult Lost = Told.say(PlanConfirmed{PlanB, "b"});
-  EXPECT_EQ(Lost.Effect, FoldEffect::Void);
-  EXPECT_EQ(Lost.ConflictingOffset, Winner);
-  EXPECT_EQ(Told.Now.OccupiedHosts.at(host(0, 0, 1)), (GroupId{PlanA, 0}));
-  EXPECT_FALSE(Told.Now.Groups.contains(GroupId{PlanB, 0}));
-  EXPECT_TRUE(Told.Now.DrainedDataCentres.empty());
+      History.propose(SetCapacity{model(0), dataCentre(0), 1}, {First});
+  const Offset PlanB =
+      History.propose(DrainDataCentre{dataCentre(2)}, {Second});
+  const Offset Winner = History.Now.Next;
+  EXPECT_EQ(History.say(PlanConfirmed{PlanA, "a"}).Effect, FoldEffect::Applied);
+  const FoldResult Rejected = History.say(PlanConfirmed{PlanB, "b"});
+  EXPECT_EQ(Rejected.Effect, FoldEffect::Void);
+  EXPECT_EQ(Rejected.ConflictingOffset, Winner);
+  EXPECT_EQ(History.Now.OccupiedHosts.at(host(0, 0, 1)), (GroupId{PlanA, 0}));
+  EXPECT_FALSE(History.Now.Groups.contains(GroupId{PlanB, 0}));
+  EXPECT_TRUE(History.Now.DrainedDataCentres.empty());
 }
 
-// The answer to an append is lost although the record is on the log, so its
+// The response to an append is lost although the record is on the log, so its
 // writer appends it again. Folded twice, the plan would exist twice and both
-// could be confirmed.
+// copies could be confirmed.
 TEST_F(Fold, RetriedAppendIsDropped) {
   Plan Proposal;
   Proposal.RequestedIntent = DrainDataCentre{dataCentre(1)};
-  Proposal.PlannedAt = Told.Now.Next;
+  Proposal.PlannedAt = History.Now.Next;
   const WriterId Retried{77, 5};
-  EXPECT_EQ(Told.sayAs(Retried, PlanProposed{Proposal, "a"}).Effect,
+  EXPECT_EQ(History.sayAs(Retried, PlanProposed{Proposal, "a"}).Effect,
             FoldEffect::Applied);
-  const std::size_t Plans = Told.Now.Plans.size();
-  EXPECT_EQ(Told.sayAs(Retried, PlanProposed{Proposal, "a"}).Effect,
+  const std::size_t Plans = History.Now.Plans.size();
+  EXPECT_EQ(History.sayAs(Retried, PlanProposed{Proposal, "a"}).Effect,
             FoldEffect::Duplicate);
-  EXPECT_EQ(Told.Now.Plans.size(), Plans);
+  EXPECT_EQ(History.Now.Plans.size(), Plans);
 }
 
-// An executor is paused for minutes. Another entry host has taken its lease and
-// carried the plan on; the first wakes and reports its step as if nothing had
-// happened.
+// An executor is paused for minutes. Another entry host has taken over its
+// lease and continued the plan; the first one resumes and reports its step
+// under the old lease.
 TEST_F(Fold, PausedExecutorHasLostItsLease) {
-  const Offset Plan = Told.carry(
+  const Offset Plan = History.carry(
       SetCapacity{model(0), dataCentre(0), 1},
       {formStep(Declared, 0, model(0), {host(0, 0, 0), host(0, 0, 1)})});
-  const Offset Old = Told.lead(Plan, EntryA);
-  const Offset New = Told.lead(Plan, EntryB);
-  EXPECT_GT(New, Old);
-  const FoldResult Late = Told.confirmGroup(GroupId{Plan, 0}, Old);
+  const Offset OldLease = History.lead(Plan, EntryA);
+  const Offset NewLease = History.lead(Plan, EntryB);
+  EXPECT_GT(NewLease, OldLease);
+  const FoldResult Late = History.confirmGroup(GroupId{Plan, 0}, OldLease);
   EXPECT_EQ(Late.Effect, FoldEffect::Void);
-  EXPECT_EQ(Late.ConflictingOffset, New);
-  const FoldResult Again = Told.say(ExecutorTaken{Plan, EntryA, 11, Old});
+  EXPECT_EQ(Late.ConflictingOffset, NewLease);
+  const FoldResult Again =
+      History.say(ExecutorTaken{Plan, EntryA, 11, OldLease});
   EXPECT_EQ(Again.Effect, FoldEffect::Void);
-  EXPECT_EQ(Told.Now.Plans.at(Plan).Lease, New);
-  EXPECT_EQ(Told.confirmGroup(GroupId{Plan, 0}, New).Effect,
+  EXPECT_EQ(History.Now.Plans.at(Plan).Lease, NewLease);
+  EXPECT_EQ(History.confirmGroup(GroupId{Plan, 0}, NewLease).Effect,
             FoldEffect::Applied);
 }
 
-// A member of a group dies and the group breaks. Its survivors still hold the
-// old group's weights and may still answer: they are free for another group
-// only one by one, as each proves its stop.
-TEST_F(Fold, HostsOfABrokenGroupAreFreeOneByOne) {
+// A member of a group fails and the group is broken. The surviving engines
+// still hold the old group's weights and may still serve requests: each host is
+// free for another group only once its own stop is proved.
+TEST_F(Fold, HostsOfABrokenGroupAreReleasedOneByOne) {
   const GroupId Group = serve(0);
-  Told.say(GroupBroken{Group, host(0, 0, 1), "no heartbeat"});
-  EXPECT_TRUE(buildRoutes(Told.Now).Pools.at("model/model0").Endpoints.empty());
-  Told.say(HostReleased{host(0, 0, 0), Group});
-  EXPECT_FALSE(Told.Now.OccupiedHosts.contains(host(0, 0, 0)));
-  EXPECT_TRUE(Told.Now.OccupiedHosts.contains(host(0, 0, 1)));
-  Told.say(HostReleased{host(0, 0, 1), Group});
-  EXPECT_TRUE(Told.Now.Groups.empty());
-  EXPECT_EQ(Told.say(HostReleased{host(0, 0, 1), Group}).Effect,
+  History.say(GroupBroken{Group, host(0, 0, 1), "no heartbeat"});
+  EXPECT_TRUE(
+      buildRoutes(History.Now).Pools.at("model/model0").Endpoints.empty());
+  History.say(HostReleased{host(0, 0, 0), Group});
+  EXPECT_FALSE(History.Now.OccupiedHosts.contains(host(0, 0, 0)));
+  EXPECT_TRUE(History.Now.OccupiedHosts.contains(host(0, 0, 1)));
+  History.say(HostReleased{host(0, 0, 1), Group});
+  EXPECT_TRUE(History.Now.Groups.empty());
+  EXPECT_EQ(History.say(HostReleased{host(0, 0, 1), Group}).Effect,
             FoldEffect::Void);
 }
 
-// There are no spare hosts, so a new version takes the hosts of the old group.
-// Were they taken before the old group's engines had stopped, one machine would
-// serve both versions.
+// There are no spare hosts, so a new version uses the hosts of the old group.
+// If they were occupied before the old group's engines had stopped, one machine
+// would serve both versions.
 TEST_F(Fold, RollOntoTheSameHostsWaitsForTheirRelease) {
   const GroupId Old = serve(0);
   FormGroup Form =
       formStep(Declared, 0, model(0), {host(0, 0, 0), host(0, 0, 1)});
   Form.Version = VersionName("v2");
-  const Offset Plan = Told.carry(SetVersion{model(0), VersionName("v2")},
-                                 {StopGroup{Old}, Form});
-  EXPECT_EQ(Told.Now.Groups.at(Old).Phase, GroupPhase::Stopping);
-  EXPECT_FALSE(Told.Now.Groups.contains(GroupId{Plan, 0}));
-  const Offset Lease = Told.lead(Plan, EntryA);
-  Told.say(HostReleased{host(0, 0, 0), Old});
-  EXPECT_EQ(Told.say(StepFinished{Plan, Lease, 0}).Effect, FoldEffect::Void);
-  // A second plan sees a free host, but it is meant for the first one.
+  const Offset Plan = History.carry(SetVersion{model(0), VersionName("v2")},
+                                    {StopGroup{Old}, Form});
+  EXPECT_EQ(History.Now.Groups.at(Old).Phase, GroupPhase::Stopping);
+  EXPECT_FALSE(History.Now.Groups.contains(GroupId{Plan, 0}));
+  const Offset Lease = History.lead(Plan, EntryA);
+  History.say(HostReleased{host(0, 0, 0), Old});
+  EXPECT_EQ(History.say(StepFinished{Plan, Lease, 0}).Effect, FoldEffect::Void);
+  // A second plan finds a free host, but it is reserved for the first plan.
   FormGroup Other = Form;
   Other.Members = {host(0, 0, 0), host(0, 0, 2)};
-  const Offset Rival = Told.propose(DrainDataCentre{dataCentre(2)}, {Other});
-  EXPECT_EQ(Told.say(PlanConfirmed{Rival, "b"}).Effect, FoldEffect::Void);
-  Told.say(HostReleased{host(0, 0, 1), Old});
-  EXPECT_EQ(Told.say(StepFinished{Plan, Lease, 0}).Effect, FoldEffect::Applied);
-  EXPECT_EQ(Told.Now.Groups.at(GroupId{Plan, 0}).Spec.Version.Text, "v2");
+  const Offset OtherPlan =
+      History.propose(DrainDataCentre{dataCentre(2)}, {Other});
+  EXPECT_EQ(History.say(PlanConfirmed{OtherPlan, "b"}).Effect,
+            FoldEffect::Void);
+  History.say(HostReleased{host(0, 0, 1), Old});
+  EXPECT_EQ(History.say(StepFinished{Plan, Lease, 0}).Effect,
+            FoldEffect::Applied);
+  EXPECT_EQ(History.Now.Groups.at(GroupId{Plan, 0}).Spec.Version.Text, "v2");
 }
 
-// An operator removes a host from the declaration while its engine still
-// answers requests. Nobody would know its address any more.
+// An operator removes a host from the declaration while its engine still serves
+// requests. Its address would be lost.
 TEST_F(Fold, DeclarationMustNotDropAnOccupiedHost) {
   serve(0);
   Declaration Smaller = Declared;
-  std::erase_if(Smaller.Hosts, [](const HostSpec &Each) {
-    return Each.Name == host(0, 0, 1);
+  std::erase_if(Smaller.Hosts, [](const HostSpec &Host) {
+    return Host.Name == host(0, 0, 1);
   });
-  const Offset At = Told.Now.Next;
-  Told.propose(ApplyDeclaration{Smaller});
-  EXPECT_FALSE(Told.Now.Plans.contains(At));
-  EXPECT_EQ(Told.Now.Declared.Hosts.size(), Declared.Hosts.size());
+  const Offset ProposalOffset = History.Now.Next;
+  History.propose(ApplyDeclaration{Smaller});
+  EXPECT_FALSE(History.Now.Plans.contains(ProposalOffset));
+  EXPECT_EQ(History.Now.Declared.Hosts.size(), Declared.Hosts.size());
 }
 
-// At 10,000 hosts a declaration is a megabyte and more, and every entry host
-// gets it. Only what changes is written, and it must come to the same.
+// At 10,000 hosts a declaration is more than a megabyte, and every entry host
+// receives it. Only the difference is written, and applying it must give the
+// same declaration.
 TEST_F(Fold, DeclarationIsWrittenAsItsDifference) {
   Declaration Larger = test::makeDeclaration({3, 2, 200, 1, 2, 1});
-  Told.carry(ApplyDeclaration{Larger});
+  History.carry(ApplyDeclaration{Larger});
   Larger.Hosts.front().Accelerators = 4;
   Larger.Hosts.erase(Larger.Hosts.begin() + 7);
   Plan Proposal;
   Proposal.RequestedIntent = ApplyDeclaration{Larger};
-  Proposal.PlannedAt = Told.Now.Next;
-  shortenPlan(Proposal, Told.Now);
-  const Offset At = Told.Now.Next;
-  Told.say(PlanProposed{Proposal, "operator"});
-  EXPECT_LT(Told.Bytes.back().size(), 2000U);
-  Told.say(PlanConfirmed{At, "operator"});
-  EXPECT_EQ(Told.Now.Declared, Larger);
+  Proposal.PlannedAt = History.Now.Next;
+  shortenPlan(Proposal, History.Now);
+  const Offset ProposalOffset = History.Now.Next;
+  History.say(PlanProposed{Proposal, "operator"});
+  EXPECT_LT(History.Bytes.back().size(), 2000U);
+  History.say(PlanConfirmed{ProposalOffset, "operator"});
+  EXPECT_EQ(History.Now.Declared, Larger);
 }
 
-// The same, but the change leaves hosts in a data centre that it takes out.
+// The difference removes a data centre but leaves hosts in it.
 TEST_F(Fold, ChangeThatDoesNotFitWhatIsDeclaredIsVoid) {
   Declaration Wrong = Declared;
   Wrong.DataCentres.pop_back();
   Plan Proposal;
   Proposal.RequestedIntent = ApplyDeclaration{Wrong};
-  Proposal.PlannedAt = Told.Now.Next;
-  shortenPlan(Proposal, Told.Now);
-  EXPECT_EQ(Told.say(PlanProposed{Proposal, "operator"}).Effect,
+  Proposal.PlannedAt = History.Now.Next;
+  shortenPlan(Proposal, History.Now);
+  EXPECT_EQ(History.say(PlanProposed{Proposal, "operator"}).Effect,
             FoldEffect::Void);
 }
 
-// A broken group's plan is abandoned while another of its groups is still
-// loading. Its hosts must come free again and it must never serve.
+// A plan is abandoned while one of its groups is still loading. The hosts of
+// the group must be released and it must never serve.
 TEST_F(Fold, AbandonedPlanStopsWhatIsForming) {
-  const Offset Plan = Told.carry(
+  const Offset Plan = History.carry(
       SetCapacity{model(0), dataCentre(0), 1},
       {formStep(Declared, 0, model(0), {host(0, 0, 0), host(0, 0, 1)})});
-  const Offset Lease = Told.lead(Plan, EntryA);
-  Told.say(PlanAbandoned{Plan, "given up"});
-  EXPECT_EQ(Told.Now.Groups.at(GroupId{Plan, 0}).Phase, GroupPhase::Stopping);
-  EXPECT_EQ(Told.confirmGroup(GroupId{Plan, 0}, Lease).Effect,
+  const Offset Lease = History.lead(Plan, EntryA);
+  History.say(PlanAbandoned{Plan, "given up"});
+  EXPECT_EQ(History.Now.Groups.at(GroupId{Plan, 0}).Phase,
+            GroupPhase::Stopping);
+  EXPECT_EQ(History.confirmGroup(GroupId{Plan, 0}, Lease).Effect,
             FoldEffect::Void);
-  Told.say(HostReleased{host(0, 0, 0), GroupId{Plan, 0}});
-  Told.say(HostReleased{host(0, 0, 1), GroupId{Plan, 0}});
-  EXPECT_TRUE(Told.Now.OccupiedHosts.empty());
+  History.say(HostReleased{host(0, 0, 0), GroupId{Plan, 0}});
+  History.say(HostReleased{host(0, 0, 1), GroupId{Plan, 0}});
+  EXPECT_TRUE(History.Now.OccupiedHosts.empty());
 }
 
-// An entry host restarts under its own name. A late farewell of its first run
-// must not remove the second from the membership.
-TEST_F(Fold, LateFarewellOfAnEarlierRunIsVoid) {
-  Told.join(EntryA, 21);
-  EXPECT_EQ(Told.say(EntryHostLeft{EntryA, 11}).Effect, FoldEffect::Void);
-  EXPECT_EQ(Told.Now.EntryHosts.at(EntryA).Joined.Run, 21U);
-  EXPECT_EQ(Told.say(EntryHostLeft{EntryA, 21}).Effect, FoldEffect::Applied);
+// An entry host restarts under the same name. A late EntryHostLeft record of
+// its first run must not remove the second run from the membership.
+TEST_F(Fold, LateLeaveOfAnEarlierRunIsVoid) {
+  History.join(EntryA, 21);
+  EXPECT_EQ(History.say(EntryHostLeft{EntryA, 11}).Effect, FoldEffect::Void);
+  EXPECT_EQ(History.Now.EntryHosts.at(EntryA).Joined.Run, 21U);
+  EXPECT_EQ(History.say(EntryHostLeft{EntryA, 21}).Effect, FoldEffect::Applied);
 }
 
-TEST_F(Fold, EndedPlansAndGoneWritersAreForgottenByOffset) {
-  const Offset Plan = Told.carry(DrainDataCentre{dataCentre(1)});
-  Told.sayAs(WriterId{500, 1}, EntryHostLeft{EntryB, 99});
-  const Offset Writer = Told.Now.Next;
-  const auto Skip = [&](Offset To) { foldRecord(Told.Now, To, {}); };
-  Skip(Plan + PlanRetention - SweepInterval);
-  EXPECT_TRUE(Told.Now.Plans.contains(Plan));
-  Skip(Plan + PlanRetention + SweepInterval + 2);
-  EXPECT_FALSE(Told.Now.Plans.contains(Plan));
-  EXPECT_TRUE(Told.Now.Writers.contains(500));
-  Skip(Writer + WriterRetention + SweepInterval);
-  EXPECT_FALSE(Told.Now.Writers.contains(500));
-  EXPECT_TRUE(Told.Now.DrainedDataCentres.contains(dataCentre(1)));
+TEST_F(Fold, EndedPlansAndInactiveWritersAreErasedByOffset) {
+  const Offset Plan = History.carry(DrainDataCentre{dataCentre(1)});
+  History.sayAs(WriterId{500, 1}, EntryHostLeft{EntryB, 99});
+  const Offset Writer = History.Now.Next;
+  const auto FoldUnreadableAt = [&](Offset RecordOffset) {
+    foldRecord(History.Now, RecordOffset, {});
+  };
+  FoldUnreadableAt(Plan + PlanRetention - SweepInterval);
+  EXPECT_TRUE(History.Now.Plans.contains(Plan));
+  FoldUnreadableAt(Plan + PlanRetention + SweepInterval + 2);
+  EXPECT_FALSE(History.Now.Plans.contains(Plan));
+  EXPECT_TRUE(History.Now.Writers.contains(500));
+  FoldUnreadableAt(Writer + WriterRetention + SweepInterval);
+  EXPECT_FALSE(History.Now.Writers.contains(500));
+  EXPECT_TRUE(History.Now.DrainedDataCentres.contains(dataCentre(1)));
 }
 
 } // namespace
--- a/packages/version/test/coltsfoottrail/fold/planned.cpp
+++ b/packages/version/test/coltsfoottrail/fold/planned.cpp
@@ -13,131 +13,131 @@
 using test::model;
 using test::Story;
 
-/// Operators, an executor and engines that do as they are told.
+/// Simulates operators, an executor and engines that carry out every order.
 class Operation {
 public:
   Operation() {
-    Told.join(Executor, 11);
-    Told.carry(ApplyDeclaration{test::makeDeclaration({3, 2, 4, 2, 2, 0})});
+    History.join(Executor, 11);
+    History.carry(ApplyDeclaration{test::makeDeclaration({3, 2, 4, 2, 2, 0})});
   }
 
-  /// Plans an intent and carries it out; groups may break on the way.
-  void ask(const Intent &Asked) {
-    Plan Made;
+  /// Plans an intent and runs the plan to its end.
+  void request(const Intent &Requested) {
+    Plan NewPlan;
     try {
-      Made = planIntent(Told.Now, Asked);
+      NewPlan = planIntent(History.Now, Requested);
     } catch (const PlanError &) {
-      ++Refused;
+      ++RefusedIntents;
       return;
     }
-    carryOut(Made);
+    runPlan(NewPlan);
   }
 
   void repair() {
-    if (const std::optional<Plan> Made = planRepair(Told.Now))
-      carryOut(*Made);
+    if (const std::optional<Plan> NewPlan = planRepair(History.Now))
+      runPlan(*NewPlan);
   }
 
-  /// Breaks a group and frees its hosts.
+  /// Breaks a group and releases its hosts.
   void breakGroup(std::uint64_t Number) {
-    if (Told.Now.Groups.empty())
+    if (History.Now.Groups.empty())
       return;
-    auto Which = Told.Now.Groups.begin();
-    std::advance(Which,
-                 static_cast<std::ptrdiff_t>(Number % Told.Now.Groups.size()));
-    const GroupId Group = Which->first;
-    Told.say(GroupBroken{Group, Which->second.Spec.Members.front(), "lost"});
+    auto It = History.Now.Groups.begin();
+    std::advance(
+        It, static_cast<std::ptrdiff_t>(Number % History.Now.Groups.size()));
+    const GroupId Group = It->first;
+    History.say(GroupBroken{Group, It->second.Spec.Members.front(), "lost"});
     release(Group);
   }
 
-  Story Told;
-  std::size_t Done = 0;
-  std::size_t Refused = 0;
+  Story History;
+  std::size_t FinishedPlans = 0;
+  std::size_t RefusedIntents = 0;
 
 private:
-  void carryOut(const Plan &Made) {
-    const Offset Id = Told.Now.Next;
-    Plan Written = Made;
-    shortenPlan(Written, Told.Now);
-    const FoldResult Proposed = Told.say(PlanProposed{Written, "operator"});
+  void runPlan(const Plan &NewPlan) {
+    const Offset Id = History.Now.Next;
+    Plan Written = NewPlan;
+    shortenPlan(Written, History.Now);
+    const FoldResult Proposed = History.say(PlanProposed{Written, "operator"});
     ASSERT_EQ(Proposed.Effect, FoldEffect::Applied) << Proposed.Reason;
-    const FoldResult Confirmed = Told.say(PlanConfirmed{Id, "operator"});
+    const FoldResult Confirmed = History.say(PlanConfirmed{Id, "operator"});
     ASSERT_EQ(Confirmed.Effect, FoldEffect::Applied) << Confirmed.Reason;
-    checkCapacity(Made);
+    checkCapacity(NewPlan);
     const auto *const Apply =
-        std::get_if<ApplyDeclaration>(&Made.RequestedIntent);
-    EXPECT_TRUE(Apply == nullptr || Told.Now.Declared == Apply->Desired);
-    if (Told.Now.Plans.at(Id).Phase == PlanPhase::Running)
-      execute(Id, Made);
-    EXPECT_EQ(Told.Now.Plans.at(Id).Phase, PlanPhase::Done)
-        << Told.Now.Plans.at(Id).Reason;
-    ++Done;
+        std::get_if<ApplyDeclaration>(&NewPlan.RequestedIntent);
+    EXPECT_TRUE(Apply == nullptr || History.Now.Declared == Apply->Desired);
+    if (History.Now.Plans.at(Id).Phase == PlanPhase::Running)
+      execute(Id, NewPlan);
+    EXPECT_EQ(History.Now.Plans.at(Id).Phase, PlanPhase::Done)
+        << History.Now.Plans.at(Id).Reason;
+    ++FinishedPlans;
   }
 
-  void execute(Offset Id, const Plan &Made) {
-    const Offset Lease = Told.lead(Id, Executor);
-    for (std::uint32_t Index = 0; Index < Made.Steps.size(); ++Index) {
-      const Step &Each = Made.Steps[Index];
-      if (const auto *const Form = std::get_if<FormGroup>(&Each))
-        Told.confirmGroup(GroupId{Id, Form->Number}, Lease);
-      if (const auto *const Stop = std::get_if<StopGroup>(&Each))
+  void execute(Offset Id, const Plan &NewPlan) {
+    const Offset Lease = History.lead(Id, Executor);
+    for (std::uint32_t Index = 0; Index < NewPlan.Steps.size(); ++Index) {
+      const Step &PlanStep = NewPlan.Steps[Index];
+      if (const auto *const Form = std::get_if<FormGroup>(&PlanStep))
+        History.confirmGroup(GroupId{Id, Form->Number}, Lease);
+      if (const auto *const Stop = std::get_if<StopGroup>(&PlanStep))
         release(Stop->Group);
-      const FoldResult Finished = Told.say(StepFinished{Id, Lease, Index});
+      const FoldResult Finished = History.say(StepFinished{Id, Lease, Index});
       ASSERT_EQ(Finished.Effect, FoldEffect::Applied) << Finished.Reason;
-      checkCapacity(Made);
+      checkCapacity(NewPlan);
     }
   }
 
-  void release(const GroupId &Which) {
-    const auto Found = Told.Now.Groups.find(Which);
-    if (Found == Told.Now.Groups.end())
+  void release(const GroupId &Id) {
+    const auto It = History.Now.Groups.find(Id);
+    if (It == History.Now.Groups.end())
       return;
-    const std::set<HostName> Held = Found->second.HeldHosts;
+    const std::set<HostName> Held = It->second.HeldHosts;
     for (const HostName &Host : Held)
-      Told.say(HostReleased{Host, Which});
+      History.say(HostReleased{Host, Id});
   }
 
-  /// Capacity is never below what the plan told the operator.
-  void checkCapacity(const Plan &Made) const {
-    const RouteTable Routes = buildRoutes(Told.Now);
-    for (const CapacityForecast &Each : Made.Forecast) {
-      const auto Pool = Routes.Pools.find(poolOfModel(Each.Model.Text));
+  /// Checks that the capacity is never below the forecast of the plan.
+  void checkCapacity(const Plan &NewPlan) const {
+    const RouteTable Routes = buildRoutes(History.Now);
+    for (const CapacityForecast &Forecast : NewPlan.Forecast) {
+      const auto Pool = Routes.Pools.find(poolOfModel(Forecast.Model.Text));
       const std::size_t Now =
           Pool == Routes.Pools.end() ? 0 : Pool->second.Endpoints.size();
-      EXPECT_GE(Now, Each.GroupsAtWorst) << Each.Model.Text;
+      EXPECT_GE(Now, Forecast.GroupsAtWorst) << Forecast.Model.Text;
     }
   }
 
   const HostName Executor{"entry-a"};
 };
 
-Intent drawIntent(Random &Draw, const State &Now) {
-  const auto Where = dataCentre(static_cast<std::uint32_t>(Draw.below(3)));
-  const auto Which = model(static_cast<std::uint32_t>(Draw.below(2)));
-  const auto Host = host(static_cast<std::uint32_t>(Draw.below(3)),
-                         static_cast<std::uint32_t>(Draw.below(2)),
-                         static_cast<std::uint32_t>(Draw.below(4)));
-  switch (Draw.below(9)) {
+Intent drawIntent(Random &Rng, const State &Now) {
+  const auto DataCentre = dataCentre(static_cast<std::uint32_t>(Rng.below(3)));
+  const auto Model = model(static_cast<std::uint32_t>(Rng.below(2)));
+  const auto Host = host(static_cast<std::uint32_t>(Rng.below(3)),
+                         static_cast<std::uint32_t>(Rng.below(2)),
+                         static_cast<std::uint32_t>(Rng.below(4)));
+  switch (Rng.below(9)) {
   case 0:
-    return DrainDataCentre{Where};
+    return DrainDataCentre{DataCentre};
   case 1:
-    return ReturnDataCentre{Where};
+    return ReturnDataCentre{DataCentre};
   case 2:
     return DrainHost{Host};
   case 3:
     return ReturnHost{Host};
   case 4:
-    return SetVersion{Which, VersionName("v" + std::to_string(Draw.below(3)))};
+    return SetVersion{Model, VersionName("v" + std::to_string(Rng.below(3)))};
   case 5:
-    return SetAdapters{Which,
-                       {AdapterName("a" + std::to_string(Draw.below(2)))}};
+    return SetAdapters{Model,
+                       {AdapterName("a" + std::to_string(Rng.below(2)))}};
   case 6: {
     Declaration Wanted = Now.Declared;
-    Wanted.Models.front().Groups[Where] =
-        static_cast<std::uint32_t>(Draw.below(3));
+    Wanted.Models.front().Groups[DataCentre] =
+        static_cast<std::uint32_t>(Rng.below(3));
     Wanted.Hosts.erase(
         Wanted.Hosts.begin() +
-        static_cast<std::ptrdiff_t>(Draw.below(Wanted.Hosts.size())));
+        static_cast<std::ptrdiff_t>(Rng.below(Wanted.Hosts.size())));
     HostSpec Added = Now.Declared.Hosts.front();
     Added.Name = HostName("added-" + std::to_string(Now.Next));
     Added.Address = "10.9.9.9";
@@ -147,30 +147,31 @@
     return ApplyDeclaration{std::move(Wanted)};
   }
   default:
-    return SetCapacity{Which, Where, static_cast<std::uint32_t>(Draw.below(3))};
+    return SetCapacity{Model, DataCentre,
+                       static_cast<std::uint32_t>(Rng.below(3))};
   }
 }
 
-// The planner and the fold each know the rules of what may be done. If they
-// differed, an operator's plan would be void for no reason that he can mend, or
-// stop half way with hosts held in a group that is never formed.
+// The planner and the fold both implement the rules of valid plans. If they
+// differed, a plan would be void for a reason that the operator cannot fix, or
+// stop halfway with hosts held by a group that is never formed.
 TEST(PlannedOperation, PlansAreTakenAndRunToTheirEnd) {
-  std::size_t Done = 0;
+  std::size_t FinishedPlans = 0;
   for (std::uint64_t Seed = 1; Seed <= 60; ++Seed) {
-    Operation All;
-    Random Draw(Seed);
+    Operation Simulation;
+    Random Rng(Seed);
     for (int Round = 0; Round < 25; ++Round) {
-      if (Draw.below(6) == 0)
-        All.breakGroup(Draw());
-      else if (Draw.below(6) == 0)
-        All.repair();
+      if (Rng.below(6) == 0)
+        Simulation.breakGroup(Rng());
+      else if (Rng.below(6) == 0)
+        Simulation.repair();
       else
-        All.ask(drawIntent(Draw, All.Told.Now));
+        Simulation.request(drawIntent(Rng, Simulation.History.Now));
       ASSERT_FALSE(HasFailure()) << "seed " << Seed << " round " << Round;
     }
-    Done += All.Done;
+    FinishedPlans += Simulation.FinishedPlans;
   }
-  EXPECT_GT(Done, 500U);
+  EXPECT_GT(FinishedPlans, 500U);
 }
 
 } // namespace
--- a/packages/version/test/coltsfoottrail/fold/stream.cpp
+++ b/packages/version/test/coltsfoottrail/fold/stream.cpp
@@ -18,90 +18,92 @@
 constexpr int Cases = 150;
 constexpr int LongestStream = 400;
 
-Numbers drawNumbers() {
+Numbers drawSeeds() {
   return *rc::gen::container<Numbers>(rc::gen::arbitrary<std::uint32_t>());
 }
 
-/// Each group holds its hosts, each host one group at the most, and both sides
-/// say the same.
-void checkOccupation(const State &Now) {
-  std::map<HostName, GroupId> Held;
-  for (const auto &[Which, Known] : Now.Groups) {
-    RC_ASSERT(!Known.HeldHosts.empty());
-    for (const HostName &Host : Known.HeldHosts)
-      RC_ASSERT(Held.emplace(Host, Which).second);
-    if (Known.Phase == GroupPhase::Serving) {
-      RC_ASSERT(Known.HeldHosts.size() == Known.Spec.Members.size());
-      RC_ASSERT(Known.MemberRuns.size() == Known.Spec.Members.size());
+/// Checks that each group holds its hosts, that each host is in at most one
+/// group, and that both maps agree.
+void checkOccupiedHosts(const State &Current) {
+  std::map<HostName, GroupId> HolderOf;
+  for (const auto &[Id, Existing] : Current.Groups) {
+    RC_ASSERT(!Existing.HeldHosts.empty());
+    for (const HostName &Host : Existing.HeldHosts)
+      RC_ASSERT(HolderOf.emplace(Host, Id).second);
+    if (Existing.Phase == GroupPhase::Serving) {
+      RC_ASSERT(Existing.HeldHosts.size() == Existing.Spec.Members.size());
+      RC_ASSERT(Existing.MemberRuns.size() == Existing.Spec.Members.size());
     }
   }
-  RC_ASSERT(Held == Now.OccupiedHosts);
+  RC_ASSERT(HolderOf == Current.OccupiedHosts);
 }
 
-/// No machine is known under the names of two hosts of which one is held.
-void checkMachines(const State &Now) {
+/// Checks that no machine that a group still holds is declared under another
+/// host name.
+void checkMachines(const State &Current) {
   std::map<std::pair<std::string, std::uint16_t>, HostName> Machines;
-  for (const auto &[Name, Host] : Now.DepartedHosts) {
-    RC_ASSERT(Now.OccupiedHosts.contains(Name));
+  for (const auto &[Name, Host] : Current.DepartedHosts) {
+    RC_ASSERT(Current.OccupiedHosts.contains(Name));
     Machines[{Host.Address, Host.Port}] = Name;
   }
-  for (const HostSpec &Host : Now.Declared.Hosts)
+  for (const HostSpec &Host : Current.Declared.Hosts)
     RC_ASSERT(!Machines.contains({Host.Address, Host.Port}));
 }
 
-void checkRoutes(const State &Now) {
-  for (const auto &[Name, Each] : buildRoutes(Now).Pools)
-    for (const EndpointSpec &Endpoint : Each.Endpoints) {
-      RC_ASSERT(!Now.DrainedDataCentres.contains(Endpoint.DataCentre));
-      RC_ASSERT(!Now.DrainedHosts.contains(Endpoint.Host));
+void checkRoutes(const State &Current) {
+  for (const auto &[Name, Pool] : buildRoutes(Current).Pools)
+    for (const EndpointSpec &Endpoint : Pool.Endpoints) {
+      RC_ASSERT(!Current.DrainedDataCentres.contains(Endpoint.DataCentre));
+      RC_ASSERT(!Current.DrainedHosts.contains(Endpoint.Host));
     }
 }
 
-/// A host is in one group at a time whatever stands on the log: operators that
-/// race, executors that lost their lease, retries, damaged records.
+/// A host is in at most one group at a time whatever the log contains: records
+/// of concurrent operators, of executors that lost their lease, retries and
+/// damaged records.
 TEST(FoldProperty, NoHostIsEverInTwoGroups) {
   std::size_t Formed = 0;
   std::size_t Serving = 0;
   expectProperty(
       [&] {
-        StreamMaker Made;
-        for (const std::uint32_t Number : drawNumbers()) {
-          Made.move(Number);
-          checkOccupation(Made.now());
-          checkMachines(Made.now());
-          checkRoutes(Made.now());
-          Formed += Made.now().Groups.empty() ? 0 : 1;
-          for (const auto &[Which, Known] : Made.now().Groups)
-            Serving += Known.Phase == GroupPhase::Serving ? 1 : 0;
+        StreamMaker Maker;
+        for (const std::uint32_t Seed : drawSeeds()) {
+          Maker.appendRecord(Seed);
+          checkOccupiedHosts(Maker.now());
+          checkMachines(Maker.now());
+          checkRoutes(Maker.now());
+          Formed += Maker.now().Groups.empty() ? 0 : 1;
+          for (const auto &[Id, Existing] : Maker.now().Groups)
+            Serving += Existing.Phase == GroupPhase::Serving ? 1 : 0;
         }
       },
       Cases, LongestStream);
-  // The streams are worth their name: groups were there, and served.
+  // Ensures coverage: the streams formed groups, and these reached Serving.
   EXPECT_GT(Formed, 1000U);
   EXPECT_GT(Serving, 100U);
 }
 
-/// Records that have no effect leave the state as it was but for Next and what
-/// is known of writers.
+/// Records without effect leave the state unchanged except for Next and
+/// Writers.
 TEST(FoldProperty, RecordsWithoutEffectChangeNothing) {
   std::map<FoldEffect, std::size_t> Seen;
   expectProperty(
       [&] {
-        StreamMaker Made;
-        for (const std::uint32_t Number : drawNumbers())
-          Made.move(Number);
-        State Now;
-        for (const auto &Bytes : Made.bytes()) {
-          State Before = Now;
-          const FoldResult Result = foldRecord(Now, Now.Next, Bytes);
+        StreamMaker Maker;
+        for (const std::uint32_t Seed : drawSeeds())
+          Maker.appendRecord(Seed);
+        State Current;
+        for (const auto &Bytes : Maker.bytes()) {
+          State Before = Current;
+          const FoldResult Result = foldRecord(Current, Current.Next, Bytes);
           ++Seen[Result.Effect];
           if (Result.Effect == FoldEffect::Applied)
             continue;
           if (Result.Effect == FoldEffect::Unreadable)
-            RC_ASSERT(Before.Writers == Now.Writers);
-          Before.Next = Now.Next;
-          Before.Writers = Now.Writers;
-          RC_ASSERT(Before == Now);
+            RC_ASSERT(Before.Writers == Current.Writers);
+          Before.Next = Current.Next;
+          Before.Writers = Current.Writers;
+          RC_ASSERT(Before == Current);
         }
       },
       Cases, LongestStream);
@@ -111,32 +113,33 @@
   EXPECT_GT(Seen[FoldEffect::Unreadable], 100U);
 }
 
-/// A reader that gets the stream in pieces, some records twice, and restarts
-/// from checkpoints on the way.
-std::uint64_t digestOfRestlessReader(const Stream &Records,
-                                     std::uint64_t Seed) {
-  Random Draw(Seed);
-  State Now;
-  while (Now.Next < Records.size()) {
-    foldRecord(Now, Now.Next, Records[Now.Next]);
-    const Offset Again = Draw.below(Now.Next);
-    if (Draw.below(4) == 0)
-      foldRecord(Now, Again, Records[Again]);
-    if (Draw.below(4) == 0)
-      Now = decodeState(encodeState(Now));
+/// Digest of a reader that folds some records twice and restarts from
+/// checkpoints in between.
+std::uint64_t digestOfInterruptedReader(const Stream &Records,
+                                        std::uint64_t Seed) {
+  Random Rng(Seed);
+  State Current;
+  while (Current.Next < Records.size()) {
+    foldRecord(Current, Current.Next, Records[Current.Next]);
+    const Offset Earlier = Rng.below(Current.Next);
+    if (Rng.below(4) == 0)
+      foldRecord(Current, Earlier, Records[Earlier]);
+    if (Rng.below(4) == 0)
+      Current = decodeState(encodeState(Current));
   }
-  return digestOf(Now);
+  return digestOf(Current);
 }
 
 TEST(FoldProperty, AllReadersComeToTheSameState) {
   expectProperty(
       [] {
-        StreamMaker Made;
-        for (const std::uint32_t Number : drawNumbers())
-          Made.move(Number);
-        const std::uint64_t Digest = digestOf(Made.now());
-        const auto Seed = *rc::gen::arbitrary<std::uint64_t>();
-        RC_ASSERT(digestOfRestlessReader(Made.bytes(), Seed) == Digest);
+        StreamMaker Maker;
+        for (const std::uint32_t Seed : drawSeeds())
+          Maker.appendRecord(Seed);
+        const std::uint64_t Digest = digestOf(Maker.now());
+        const auto ReaderSeed = *rc::gen::arbitrary<std::uint64_t>();
+        RC_ASSERT(digestOfInterruptedReader(Maker.bytes(), ReaderSeed) ==
+                  Digest);
       },
       Cases, LongestStream / 4);
 }
--- a/packages/version/test/coltsfoottrail/fold/stream.hpp
+++ b/packages/version/test/coltsfoottrail/fold/stream.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Random streams of records, likely and hostile ones mixed.
+/// Random streams of records, a mix of valid and faulty ones.
 #ifndef COLTSFOOTTRAIL_TEST_FOLD_STREAM_HPP
 #define COLTSFOOTTRAIL_TEST_FOLD_STREAM_HPP
 
@@ -12,71 +12,74 @@
 
 namespace coltsfoottrail::test {
 
-/// Makes the next record of a stream out of a number: the same numbers make the
-/// same stream. Most records fit the state; others name what is gone, repeat an
-/// append, or are damaged.
+/// Generates the next record of a stream from a seed: the same seeds give the
+/// same stream. Most records fit the state; others refer to removed entries,
+/// repeat an append, or are damaged.
 class StreamMaker {
 public:
   StreamMaker() : Declared(makeDeclaration({2, 1, 4, 1, 2, 1, true})) {
-    Told.join(HostName("entry-0"), 1);
-    Told.carry(ApplyDeclaration{Declared});
+    History.join(HostName("entry-0"), 1);
+    History.carry(ApplyDeclaration{Declared});
   }
 
-  /// Appends one record, or a few that belong together, and folds them.
-  void move(std::uint32_t Number) {
-    Draw = Random(Number);
-    constexpr std::uint64_t Damage = 12;
-    if (Draw.below(Damage) == 0)
-      return damage();
-    if (Draw.below(Damage) == 0)
-      return repeat();
-    Told.Writer = WriterId{1 + Draw.below(3), Sequence++};
-    Told.say(nextRecord());
+  /// Appends one record and folds it.
+  void appendRecord(std::uint32_t Seed) {
+    Rng = Random(Seed);
+    constexpr std::uint64_t FaultPeriod = 12;
+    if (Rng.below(FaultPeriod) == 0)
+      return appendDamaged();
+    if (Rng.below(FaultPeriod) == 0)
+      return appendDuplicate();
+    History.Writer = WriterId{1 + Rng.below(3), Sequence++};
+    History.say(nextRecord());
   }
 
-  [[nodiscard]] const State &now() const { return Told.Now; }
+  [[nodiscard]] const State &now() const { return History.Now; }
   [[nodiscard]] const std::vector<std::vector<std::byte>> &bytes() const {
-    return Told.Bytes;
+    return History.Bytes;
   }
 
 private:
-  template <class Map> [[nodiscard]] auto pickKey(const Map &From) {
-    auto Found = From.begin();
-    if (!From.empty())
-      std::advance(Found, static_cast<std::ptrdiff_t>(Draw.below(From.size())));
-    return Found == From.end() ? typename Map::key_type{} : Found->first;
+  template <class Map> [[nodiscard]] auto pickKey(const Map &Source) {
+    auto It = Source.begin();
+    if (!Source.empty())
+      std::advance(It, static_cast<std::ptrdiff_t>(Rng.below(Source.size())));
+    return It == Source.end() ? typename Map::key_type{} : It->first;
   }
   [[nodiscard]] HostName pickHost() {
-    return Declared.Hosts[Draw.below(Declared.Hosts.size())].Name;
+    return Declared.Hosts[Rng.below(Declared.Hosts.size())].Name;
   }
 
-  void damage() {
-    std::vector<std::byte> Bytes = Told.Bytes[Draw.below(Told.Bytes.size())];
-    if (Draw.below(2) == 0)
-      Bytes.resize(Draw.below(Bytes.size()));
+  void appendDamaged() {
+    std::vector<std::byte> Bytes =
+        History.Bytes[Rng.below(History.Bytes.size())];
+    if (Rng.below(2) == 0)
+      Bytes.resize(Rng.below(Bytes.size()));
     else
-      Bytes[Draw.below(Bytes.size())] ^=
-          static_cast<std::byte>(1 + Draw.below(255));
-    add(std::move(Bytes));
+      Bytes[Rng.below(Bytes.size())] ^=
+          static_cast<std::byte>(1 + Rng.below(255));
+    appendBytes(std::move(Bytes));
   }
-  void repeat() { add(Told.Bytes[Draw.below(Told.Bytes.size())]); }
-  void add(std::vector<std::byte> Bytes) {
-    Told.Bytes.push_back(std::move(Bytes));
-    foldRecord(Told.Now, Told.Now.Next, Told.Bytes.back());
+  void appendDuplicate() {
+    appendBytes(History.Bytes[Rng.below(History.Bytes.size())]);
+  }
+  void appendBytes(std::vector<std::byte> Bytes) {
+    History.Bytes.push_back(std::move(Bytes));
+    foldRecord(History.Now, History.Now.Next, History.Bytes.back());
   }
 
   [[nodiscard]] Record nextRecord() {
-    switch (Draw.below(14)) {
+    switch (Rng.below(14)) {
     case 0:
-      return EntryHostJoined{HostName("entry-" + std::to_string(Draw.below(3))),
-                             1 + Draw.below(3),
+      return EntryHostJoined{HostName("entry-" + std::to_string(Rng.below(3))),
+                             1 + Rng.below(3),
                              dataCentre(0),
                              "10.0.0.1",
                              1,
                              2};
     case 1:
-      return EntryHostLeft{HostName("entry-" + std::to_string(Draw.below(3))),
-                           1 + Draw.below(3)};
+      return EntryHostLeft{HostName("entry-" + std::to_string(Rng.below(3))),
+                           1 + Rng.below(3)};
     case 2:
     case 3:
     case 4:
@@ -84,66 +87,65 @@
     case 5:
     case 6:
     case 7:
-      return PlanConfirmed{pickKey(Told.Now.Plans), "operator"};
+      return PlanConfirmed{pickKey(History.Now.Plans), "operator"};
     case 8:
       return nextLease();
     case 9:
     case 10:
       return nextProgress();
     case 11:
-      return GroupBroken{pickKey(Told.Now.Groups), pickHost(), "lost"};
+      return GroupBroken{pickKey(History.Now.Groups), pickHost(), "lost"};
     case 12:
       return nextRelease();
     default:
-      return PlanAbandoned{pickKey(Told.Now.Plans), ""};
+      return PlanAbandoned{pickKey(History.Now.Plans), ""};
     }
   }
 
   [[nodiscard]] Record nextLease() {
-    const Offset Plan = pickKey(Told.Now.Plans);
-    const HostName Host = pickKey(Told.Now.EntryHosts);
-    ExecutorTaken Said{Plan, Host, 1, 0};
-    if (Told.Now.Plans.contains(Plan) && Draw.below(4) > 0)
-      Said.ReplacedLease = Told.Now.Plans.at(Plan).Lease;
-    if (Told.Now.EntryHosts.contains(Host))
-      Said.Run = Told.Now.EntryHosts.at(Host).Joined.Run;
-    return Said;
+    const Offset Plan = pickKey(History.Now.Plans);
+    const HostName Host = pickKey(History.Now.EntryHosts);
+    ExecutorTaken Body{Plan, Host, 1, 0};
+    if (History.Now.Plans.contains(Plan) && Rng.below(4) > 0)
+      Body.ReplacedLease = History.Now.Plans.at(Plan).Lease;
+    if (History.Now.EntryHosts.contains(Host))
+      Body.Run = History.Now.EntryHosts.at(Host).Joined.Run;
+    return Body;
   }
 
   [[nodiscard]] Record nextProgress() {
-    const GroupId Which = pickKey(Told.Now.Groups);
-    const auto Plan = Told.Now.Plans.find(
-        Draw.below(2) == 0 ? Which.Plan : pickKey(Told.Now.Plans));
-    if (Plan == Told.Now.Plans.end())
-      return GroupConfirmed{Which, 0, {1, 2}};
-    if (Draw.below(2) == 0)
+    const GroupId Id = pickKey(History.Now.Groups);
+    const auto Plan = History.Now.Plans.find(
+        Rng.below(2) == 0 ? Id.Plan : pickKey(History.Now.Plans));
+    if (Plan == History.Now.Plans.end())
+      return GroupConfirmed{Id, 0, {1, 2}};
+    if (Rng.below(2) == 0)
       return StepFinished{Plan->first, Plan->second.Lease,
                           Plan->second.StepsDone};
-    return GroupConfirmed{Which, Plan->second.Lease, {1, 2}};
+    return GroupConfirmed{Id, Plan->second.Lease, {1, 2}};
   }
 
   [[nodiscard]] Record nextRelease() {
-    const HostName Host = pickKey(Told.Now.OccupiedHosts);
-    const auto Found = Told.Now.OccupiedHosts.find(Host);
-    return HostReleased{Host, Found == Told.Now.OccupiedHosts.end()
-                                  ? GroupId{}
-                                  : Found->second};
+    const HostName Host = pickKey(History.Now.OccupiedHosts);
+    const auto It = History.Now.OccupiedHosts.find(Host);
+    return HostReleased{
+        Host, It == History.Now.OccupiedHosts.end() ? GroupId{} : It->second};
   }
 
   [[nodiscard]] Plan nextPlan() {
-    Plan Out;
-    Out.PlannedAt = Told.Now.Next - Draw.below(3);
-    Out.RequestedIntent = nextIntent();
-    const std::uint64_t Steps = Draw.below(4);
+    Plan Result;
+    Result.PlannedAt = History.Now.Next - Rng.below(3);
+    Result.RequestedIntent = nextIntent();
+    const std::uint64_t Steps = Rng.below(4);
     for (std::uint32_t Index = 0; Index < Steps; ++Index)
-      Out.Steps.push_back(nextStep(Index));
-    if (Draw.below(2) == 0)
-      shortenPlan(Out, Told.Now);
-    return Out;
+      Result.Steps.push_back(nextStep(Index));
+    if (Rng.below(2) == 0)
+      shortenPlan(Result, History.Now);
+    return Result;
   }
 
   [[nodiscard]] Intent nextIntent() {
-    switch (Draw.below(7)) {
+    switch (Rng.below(7)) {
     case 0:
       return DrainDataCentre{dataCentre(0)};
     case 1:
@@ -156,25 +158,25 @@
       return nextDeclaration();
     default:
       return SetCapacity{model(0), dataCentre(0),
-                         static_cast<std::uint32_t>(Draw.below(3))};
+                         static_cast<std::uint32_t>(Rng.below(3))};
     }
   }
 
   [[nodiscard]] ApplyDeclaration nextDeclaration() {
     Declaration Wanted = Declared;
-    if (Draw.below(2) == 0)
+    if (Rng.below(2) == 0)
       Wanted.Hosts.erase(
           Wanted.Hosts.begin() +
-          static_cast<std::ptrdiff_t>(Draw.below(Wanted.Hosts.size())));
-    if (Draw.below(3) == 0)
+          static_cast<std::ptrdiff_t>(Rng.below(Wanted.Hosts.size())));
+    if (Rng.below(3) == 0)
       Wanted.Hosts.front().Name = HostName("another");
     std::ranges::sort(Wanted.Hosts, {}, &HostSpec::Name);
     return ApplyDeclaration{std::move(Wanted)};
   }
 
   [[nodiscard]] Step nextStep(std::uint32_t Number) {
-    if (Draw.below(3) == 0)
-      return StopGroup{pickKey(Told.Now.Groups)};
+    if (Rng.below(3) == 0)
+      return StopGroup{pickKey(History.Now.Groups)};
     HostName First = pickHost();
     HostName Second = pickHost();
     return formStep(Declared, Number, model(0),
@@ -182,8 +184,8 @@
   }
 
   Declaration Declared;
-  Story Told;
-  Random Draw{0};
+  Story History;
+  Random Rng{0};
   std::uint64_t Sequence = 1000;
 };
 
