--- a/packages/version/src/coltsfoottrail/record/codec.cpp
+++ b/packages/version/src/coltsfoottrail/record/codec.cpp
@@ -19,53 +19,54 @@
 constexpr std::uint64_t MaxPort = std::numeric_limits<std::uint16_t>::max();
 constexpr std::string_view RecordSource = "record";
 
-constexpr std::array<std::string_view, 3> RoleWords{"mixed", "prefill",
+constexpr std::array<std::string_view, 3> RoleNames{"mixed", "prefill",
                                                     "decode"};
 /// In the order of the alternatives of Intent.
 constexpr std::array<std::string_view, std::variant_size_v<Intent> + 1>
-    IntentWords{"apply_declaration", "set_capacity",      "set_version",
+    IntentKinds{"apply_declaration", "set_capacity",      "set_version",
                 "set_adapters",      "drain_data_centre", "return_data_centre",
                 "drain_host",        "return_host",       "change_declaration"};
-/// A change of the declaration has a word of its own, so that a reader that
-/// does not know it refuses it and does not take the change for the whole.
-constexpr std::size_t ChangeWord = IntentWords.size() - 1;
+/// A change of the declaration has a kind of its own, so that a reader that
+/// does not know it refuses it instead of taking the change for a whole
+/// declaration.
+constexpr std::size_t ChangeIntentKind = IntentKinds.size() - 1;
 /// In the order of the alternatives of Step.
-constexpr std::array<std::string_view, std::variant_size_v<Step>> StepWords{
+constexpr std::array<std::string_view, std::variant_size_v<Step>> StepKinds{
     "form_group", "stop_group", "swap_adapters"};
 /// In the order of the alternatives of Record.
-constexpr std::array<std::string_view, std::variant_size_v<Record>> RecordWords{
+constexpr std::array<std::string_view, std::variant_size_v<Record>> RecordKinds{
     "entry_host_joined", "entry_host_left", "plan_proposed",  "plan_confirmed",
     "plan_abandoned",    "executor_taken",  "step_finished",  "group_confirmed",
     "group_broken",      "host_released",   "checkpoint_part"};
 
 template <class NameType>
-NameType readName(ObjectReader &From, std::string_view Key) {
-  return NameType(From.text(Key, MaxNameBytes));
+NameType readName(ObjectReader &Reader, std::string_view Key) {
+  return NameType(Reader.text(Key, MaxNameBytes));
 }
 
-std::uint32_t readCount(ObjectReader &From, std::string_view Key) {
-  return static_cast<std::uint32_t>(From.number(Key, 0, MaxCount));
+std::uint32_t readCount(ObjectReader &Reader, std::string_view Key) {
+  return static_cast<std::uint32_t>(Reader.number(Key, 0, MaxCount));
 }
 
 template <class NameType> Json writeNames(const std::vector<NameType> &List) {
-  Json Out = Json::array();
+  Json Result = Json::array();
   for (const NameType &Name : List)
-    Out.push_back(Name.Text);
-  return Out;
+    Result.push_back(Name.Text);
+  return Result;
 }
 
 template <class NameType>
-std::vector<NameType> readNames(ObjectReader &From, std::string_view Key) {
-  std::vector<NameType> Out;
-  for (std::string &Text : From.texts(Key, MaxNameBytes))
-    Out.emplace_back(std::move(Text));
-  return Out;
+std::vector<NameType> readNames(ObjectReader &Reader, std::string_view Key) {
+  std::vector<NameType> Result;
+  for (std::string &Text : Reader.texts(Key, MaxNameBytes))
+    Result.emplace_back(std::move(Text));
+  return Result;
 }
 
-/// Leaves an empty text out, as the reader refuses one that stands there.
-void putText(Json &Into, const char *Key, const std::string &Text) {
+/// Omits an empty text, as the reader refuses empty texts.
+void putNonEmpty(Json &Object, const char *Key, const std::string &Text) {
   if (!Text.empty())
-    Into[Key] = Text;
+    Object[Key] = Text;
 }
 
 Json writeGroupId(const GroupId &Group) {
@@ -73,420 +74,422 @@
 }
 
 GroupId readGroupId(ObjectReader &Parent, std::string_view Key) {
-  ObjectReader From = Parent.object(Key);
-  GroupId Out;
-  Out.Plan = From.number("plan");
-  Out.Number = readCount(From, "number");
-  From.finish();
-  return Out;
+  ObjectReader Reader = Parent.object(Key);
+  GroupId Result;
+  Result.Plan = Reader.number("plan");
+  Result.Number = readCount(Reader, "number");
+  Reader.finish();
+  return Result;
 }
 
 Json writeRuns(const std::vector<Incarnation> &Runs) {
-  Json Out = Json::array();
+  Json Result = Json::array();
   for (const Incarnation Run : Runs)
-    Out.push_back(Run);
-  return Out;
+    Result.push_back(Run);
+  return Result;
 }
 
-std::vector<Incarnation> readRuns(ObjectReader &From, std::string_view Key) {
-  std::vector<Incarnation> Out;
-  const Json &List = From.raw(Key);
+std::vector<Incarnation> readRuns(ObjectReader &Reader, std::string_view Key) {
+  std::vector<Incarnation> Result;
+  const Json &List = Reader.raw(Key);
   if (!List.is_array())
-    From.refuse(Key, "a list of whole numbers");
-  for (const Json &Each : List) {
-    if (!Each.is_number_unsigned())
-      From.refuse(Key, "a list of whole numbers");
-    Out.push_back(Each.get<Incarnation>());
+    Reader.refuse(Key, "a list of whole numbers");
+  for (const Json &Item : List) {
+    if (!Item.is_number_unsigned())
+      Reader.refuse(Key, "a list of whole numbers");
+    Result.push_back(Item.get<Incarnation>());
   }
-  return Out;
+  return Result;
 }
 
-template <class Asked> Json writeDataCentre(const Asked &Each) {
-  return Json{{"data_centre", Each.DataCentre.Text}};
+template <class IntentType> Json writeDataCentre(const IntentType &Value) {
+  return Json{{"data_centre", Value.DataCentre.Text}};
 }
 
-template <class Asked> Json writeHostName(const Asked &Each) {
-  return Json{{"host", Each.Host.Text}};
+template <class IntentType> Json writeHostName(const IntentType &Value) {
+  return Json{{"host", Value.Host.Text}};
 }
 
-Json writeApply(const ApplyDeclaration &Each) {
-  Json Out{{"declaration", writeDeclaration(Each.Desired)}};
-  if (Each.Dropped)
-    Out["dropped"] = Json{{"teams", writeNames(Each.Dropped->Teams)},
-                          {"hosts", writeNames(Each.Dropped->Hosts)},
-                          {"models", writeNames(Each.Dropped->Models)},
-                          {"services", writeNames(Each.Dropped->Services)}};
-  return Out;
+Json writeApply(const ApplyDeclaration &Value) {
+  Json Result{{"declaration", writeDeclaration(Value.Desired)}};
+  if (Value.Dropped)
+    Result["dropped"] = Json{{"teams", writeNames(Value.Dropped->Teams)},
+                             {"hosts", writeNames(Value.Dropped->Hosts)},
+                             {"models", writeNames(Value.Dropped->Models)},
+                             {"services", writeNames(Value.Dropped->Services)}};
+  return Result;
 }
 
 DroppedNames readDropped(ObjectReader &Parent) {
-  ObjectReader From = Parent.object("dropped");
-  DroppedNames Out;
-  Out.Teams = readNames<TeamName>(From, "teams");
-  Out.Hosts = readNames<HostName>(From, "hosts");
-  Out.Models = readNames<ModelName>(From, "models");
-  Out.Services = readNames<ServiceName>(From, "services");
-  From.finish();
-  return Out;
+  ObjectReader Reader = Parent.object("dropped");
+  DroppedNames Result;
+  Result.Teams = readNames<TeamName>(Reader, "teams");
+  Result.Hosts = readNames<HostName>(Reader, "hosts");
+  Result.Models = readNames<ModelName>(Reader, "models");
+  Result.Services = readNames<ServiceName>(Reader, "services");
+  Reader.finish();
+  return Result;
 }
 
-Json writeIntentBody(const Intent &Asked) {
+Json writeIntentBody(const Intent &Requested) {
   return std::visit(
       Overloaded{
-          [](const ApplyDeclaration &Each) { return writeApply(Each); },
-          [](const SetCapacity &Each) {
-            return Json{{"model", Each.Model.Text},
-                        {"data_centre", Each.DataCentre.Text},
-                        {"groups", Each.Groups}};
+          [](const ApplyDeclaration &Value) { return writeApply(Value); },
+          [](const SetCapacity &Value) {
+            return Json{{"model", Value.Model.Text},
+                        {"data_centre", Value.DataCentre.Text},
+                        {"groups", Value.Groups}};
           },
-          [](const SetVersion &Each) {
-            return Json{{"model", Each.Model.Text},
-                        {"version", Each.Version.Text}};
+          [](const SetVersion &Value) {
+            return Json{{"model", Value.Model.Text},
+                        {"version", Value.Version.Text}};
           },
-          [](const SetAdapters &Each) {
-            return Json{{"model", Each.Model.Text},
-                        {"adapters", writeNames(Each.Adapters)}};
+          [](const SetAdapters &Value) {
+            return Json{{"model", Value.Model.Text},
+                        {"adapters", writeNames(Value.Adapters)}};
           },
-          [](const DrainDataCentre &Each) { return writeDataCentre(Each); },
-          [](const ReturnDataCentre &Each) { return writeDataCentre(Each); },
-          [](const DrainHost &Each) { return writeHostName(Each); },
-          [](const ReturnHost &Each) { return writeHostName(Each); },
+          [](const DrainDataCentre &Value) { return writeDataCentre(Value); },
+          [](const ReturnDataCentre &Value) { return writeDataCentre(Value); },
+          [](const DrainHost &Value) { return writeHostName(Value); },
+          [](const ReturnHost &Value) { return writeHostName(Value); },
       },
-      Asked);
+      Requested);
 }
 
-SetCapacity readSetCapacity(ObjectReader &From) {
-  SetCapacity Out;
-  Out.Model = readName<ModelName>(From, "model");
-  Out.DataCentre = readName<DataCentreName>(From, "data_centre");
-  Out.Groups = readCount(From, "groups");
-  return Out;
+SetCapacity readSetCapacity(ObjectReader &Reader) {
+  SetCapacity Result;
+  Result.Model = readName<ModelName>(Reader, "model");
+  Result.DataCentre = readName<DataCentreName>(Reader, "data_centre");
+  Result.Groups = readCount(Reader, "groups");
+  return Result;
 }
 
-SetVersion readSetVersion(ObjectReader &From) {
-  SetVersion Out;
-  Out.Model = readName<ModelName>(From, "model");
-  Out.Version = readName<VersionName>(From, "version");
-  return Out;
+SetVersion readSetVersion(ObjectReader &Reader) {
+  SetVersion Result;
+  Result.Model = readName<ModelName>(Reader, "model");
+  Result.Version = readName<VersionName>(Reader, "version");
+  return Result;
 }
 
-SetAdapters readSetAdapters(ObjectReader &From) {
-  SetAdapters Out;
-  Out.Model = readName<ModelName>(From, "model");
-  Out.Adapters = readNames<AdapterName>(From, "adapters");
-  return Out;
+SetAdapters readSetAdapters(ObjectReader &Reader) {
+  SetAdapters Result;
+  Result.Model = readName<ModelName>(Reader, "model");
+  Result.Adapters = readNames<AdapterName>(Reader, "adapters");
+  return Result;
 }
 
-Intent readIntentBody(std::size_t Kind, ObjectReader &From,
+Intent readIntentBody(std::size_t Kind, ObjectReader &Reader,
                       std::string_view Source, UnknownKeys Policy) {
   switch (Kind) {
   case 0:
     return ApplyDeclaration{
-        readDeclaration(From.raw("declaration"), Source, Policy)};
+        readDeclaration(Reader.raw("declaration"), Source, Policy)};
   case 1:
-    return readSetCapacity(From);
+    return readSetCapacity(Reader);
   case 2:
-    return readSetVersion(From);
+    return readSetVersion(Reader);
   case 3:
-    return readSetAdapters(From);
+    return readSetAdapters(Reader);
   case 4:
-    return DrainDataCentre{readName<DataCentreName>(From, "data_centre")};
+    return DrainDataCentre{readName<DataCentreName>(Reader, "data_centre")};
   case 5:
-    return ReturnDataCentre{readName<DataCentreName>(From, "data_centre")};
+    return ReturnDataCentre{readName<DataCentreName>(Reader, "data_centre")};
   case 6:
-    return DrainHost{readName<HostName>(From, "host")};
-  case ChangeWord:
+    return DrainHost{readName<HostName>(Reader, "host")};
+  case ChangeIntentKind:
     return ApplyDeclaration{
-        readDeclaration(From.raw("declaration"), Source, Policy),
-        readDropped(From)};
+        readDeclaration(Reader.raw("declaration"), Source, Policy),
+        readDropped(Reader)};
   default:
-    return ReturnHost{readName<HostName>(From, "host")};
+    return ReturnHost{readName<HostName>(Reader, "host")};
   }
 }
 
-Json writeStepBody(const Step &Planned) {
+Json writeStepBody(const Step &PlanStep) {
   return std::visit(
       Overloaded{
-          [](const FormGroup &Each) {
+          [](const FormGroup &Value) {
             return Json{
-                {"number", Each.Number},
-                {"model", Each.Model.Text},
-                {"version", Each.Version.Text},
-                {"adapters", writeNames(Each.Adapters)},
-                {"role", RoleWords.at(static_cast<std::size_t>(Each.Role))},
-                {"data_centre", Each.DataCentre.Text},
-                {"members", writeNames(Each.Members)}};
+                {"number", Value.Number},
+                {"model", Value.Model.Text},
+                {"version", Value.Version.Text},
+                {"adapters", writeNames(Value.Adapters)},
+                {"role", RoleNames.at(static_cast<std::size_t>(Value.Role))},
+                {"data_centre", Value.DataCentre.Text},
+                {"members", writeNames(Value.Members)}};
           },
-          [](const StopGroup &Each) {
-            return Json{{"group", writeGroupId(Each.Group)}};
+          [](const StopGroup &Value) {
+            return Json{{"group", writeGroupId(Value.Group)}};
           },
-          [](const SwapAdapters &Each) {
-            return Json{{"group", writeGroupId(Each.Group)},
-                        {"adapters", writeNames(Each.Adapters)}};
+          [](const SwapAdapters &Value) {
+            return Json{{"group", writeGroupId(Value.Group)},
+                        {"adapters", writeNames(Value.Adapters)}};
           },
       },
-      Planned);
+      PlanStep);
 }
 
-FormGroup readFormGroup(ObjectReader &From) {
-  FormGroup Out;
-  Out.Number = readCount(From, "number");
-  Out.Model = readName<ModelName>(From, "model");
-  Out.Version = readName<VersionName>(From, "version");
-  Out.Adapters = readNames<AdapterName>(From, "adapters");
-  Out.Role = static_cast<EngineRole>(From.word("role", RoleWords));
-  Out.DataCentre = readName<DataCentreName>(From, "data_centre");
-  Out.Members = readNames<HostName>(From, "members");
-  return Out;
+FormGroup readFormGroup(ObjectReader &Reader) {
+  FormGroup Result;
+  Result.Number = readCount(Reader, "number");
+  Result.Model = readName<ModelName>(Reader, "model");
+  Result.Version = readName<VersionName>(Reader, "version");
+  Result.Adapters = readNames<AdapterName>(Reader, "adapters");
+  Result.Role = static_cast<EngineRole>(Reader.word("role", RoleNames));
+  Result.DataCentre = readName<DataCentreName>(Reader, "data_centre");
+  Result.Members = readNames<HostName>(Reader, "members");
+  return Result;
 }
 
-SwapAdapters readSwapAdapters(ObjectReader &From) {
-  SwapAdapters Out;
-  Out.Group = readGroupId(From, "group");
-  Out.Adapters = readNames<AdapterName>(From, "adapters");
-  return Out;
+SwapAdapters readSwapAdapters(ObjectReader &Reader) {
+  SwapAdapters Result;
+  Result.Group = readGroupId(Reader, "group");
+  Result.Adapters = readNames<AdapterName>(Reader, "adapters");
+  return Result;
 }
 
-Step readStepFrom(ObjectReader &From) {
-  switch (From.word("kind", StepWords)) {
+Step readStepBody(ObjectReader &Reader) {
+  switch (Reader.word("kind", StepKinds)) {
   case 0:
-    return readFormGroup(From);
+    return readFormGroup(Reader);
   case 1:
-    return StopGroup{readGroupId(From, "group")};
+    return StopGroup{readGroupId(Reader, "group")};
   default:
-    return readSwapAdapters(From);
+    return readSwapAdapters(Reader);
   }
 }
 
-Json writeForecast(const CapacityForecast &Each) {
-  return Json{{"model", Each.Model.Text},
-              {"groups_now", Each.GroupsNow},
-              {"groups_at_worst", Each.GroupsAtWorst},
-              {"groups_after", Each.GroupsAfter},
-              {"groups_wanted", Each.GroupsWanted}};
+Json writeForecast(const CapacityForecast &Value) {
+  return Json{{"model", Value.Model.Text},
+              {"groups_now", Value.GroupsNow},
+              {"groups_at_worst", Value.GroupsAtWorst},
+              {"groups_after", Value.GroupsAfter},
+              {"groups_wanted", Value.GroupsWanted}};
 }
 
-CapacityForecast readForecast(ObjectReader &From) {
-  CapacityForecast Out;
-  Out.Model = readName<ModelName>(From, "model");
-  Out.GroupsNow = readCount(From, "groups_now");
-  Out.GroupsAtWorst = readCount(From, "groups_at_worst");
-  Out.GroupsAfter = readCount(From, "groups_after");
-  Out.GroupsWanted = readCount(From, "groups_wanted");
-  return Out;
+CapacityForecast readForecast(ObjectReader &Reader) {
+  CapacityForecast Result;
+  Result.Model = readName<ModelName>(Reader, "model");
+  Result.GroupsNow = readCount(Reader, "groups_now");
+  Result.GroupsAtWorst = readCount(Reader, "groups_at_worst");
+  Result.GroupsAfter = readCount(Reader, "groups_after");
+  Result.GroupsWanted = readCount(Reader, "groups_wanted");
+  return Result;
 }
 
-Json writeProposed(const PlanProposed &Each) {
-  Json Out{{"proposal", writePlan(Each.Proposal)}};
-  putText(Out, "operator", Each.Operator);
-  return Out;
+Json writePlanProposed(const PlanProposed &Value) {
+  Json Result{{"proposal", writePlan(Value.Proposal)}};
+  putNonEmpty(Result, "operator", Value.Operator);
+  return Result;
 }
 
-Json writeConfirmed(const PlanConfirmed &Each) {
-  Json Out{{"plan", Each.Plan}};
-  putText(Out, "operator", Each.Operator);
-  return Out;
+Json writePlanConfirmed(const PlanConfirmed &Value) {
+  Json Result{{"plan", Value.Plan}};
+  putNonEmpty(Result, "operator", Value.Operator);
+  return Result;
 }
 
-Json writeAbandoned(const PlanAbandoned &Each) {
-  Json Out{{"plan", Each.Plan}};
-  putText(Out, "why", Each.Reason);
-  return Out;
+Json writePlanAbandoned(const PlanAbandoned &Value) {
+  Json Result{{"plan", Value.Plan}};
+  putNonEmpty(Result, "why", Value.Reason);
+  return Result;
 }
 
-Json writeBroken(const GroupBroken &Each) {
-  Json Out{{"group", writeGroupId(Each.Group)}, {"lost", Each.LostMember.Text}};
-  putText(Out, "why", Each.Reason);
-  return Out;
+Json writeGroupBroken(const GroupBroken &Value) {
+  Json Result{{"group", writeGroupId(Value.Group)},
+              {"lost", Value.LostMember.Text}};
+  putNonEmpty(Result, "why", Value.Reason);
+  return Result;
 }
 
-Json writeRecordBody(const Record &Written) {
+Json writeRecordBody(const Record &Body) {
   return std::visit(
       Overloaded{
-          [](const EntryHostJoined &Each) {
-            return Json{{"host", Each.Host.Text},
-                        {"run", Each.Run},
-                        {"data_centre", Each.DataCentre.Text},
-                        {"address", Each.Address},
-                        {"mesh_port", Each.MeshPort},
-                        {"caller_port", Each.CallerPort}};
+          [](const EntryHostJoined &Value) {
+            return Json{{"host", Value.Host.Text},
+                        {"run", Value.Run},
+                        {"data_centre", Value.DataCentre.Text},
+                        {"address", Value.Address},
+                        {"mesh_port", Value.MeshPort},
+                        {"caller_port", Value.CallerPort}};
           },
-          [](const EntryHostLeft &Each) {
-            return Json{{"host", Each.Host.Text}, {"run", Each.Run}};
+          [](const EntryHostLeft &Value) {
+            return Json{{"host", Value.Host.Text}, {"run", Value.Run}};
           },
-          [](const PlanProposed &Each) { return writeProposed(Each); },
-          [](const PlanConfirmed &Each) { return writeConfirmed(Each); },
-          [](const PlanAbandoned &Each) { return writeAbandoned(Each); },
-          [](const ExecutorTaken &Each) {
-            return Json{{"plan", Each.Plan},
-                        {"host", Each.Host.Text},
-                        {"run", Each.Run},
-                        {"replaces", Each.ReplacedLease}};
+          [](const PlanProposed &Value) { return writePlanProposed(Value); },
+          [](const PlanConfirmed &Value) { return writePlanConfirmed(Value); },
+          [](const PlanAbandoned &Value) { return writePlanAbandoned(Value); },
+          [](const ExecutorTaken &Value) {
+            return Json{{"plan", Value.Plan},
+                        {"host", Value.Host.Text},
+                        {"run", Value.Run},
+                        {"replaces", Value.ReplacedLease}};
           },
-          [](const StepFinished &Each) {
-            return Json{{"plan", Each.Plan},
-                        {"lease", Each.Lease},
-                        {"step", Each.StepIndex}};
+          [](const StepFinished &Value) {
+            return Json{{"plan", Value.Plan},
+                        {"lease", Value.Lease},
+                        {"step", Value.StepIndex}};
           },
-          [](const GroupConfirmed &Each) {
-            return Json{{"group", writeGroupId(Each.Group)},
-                        {"lease", Each.Lease},
-                        {"member_runs", writeRuns(Each.MemberRuns)}};
+          [](const GroupConfirmed &Value) {
+            return Json{{"group", writeGroupId(Value.Group)},
+                        {"lease", Value.Lease},
+                        {"member_runs", writeRuns(Value.MemberRuns)}};
           },
-          [](const GroupBroken &Each) { return writeBroken(Each); },
-          [](const HostReleased &Each) {
-            return Json{{"host", Each.Host.Text},
-                        {"group", writeGroupId(Each.Group)}};
+          [](const GroupBroken &Value) { return writeGroupBroken(Value); },
+          [](const HostReleased &Value) {
+            return Json{{"host", Value.Host.Text},
+                        {"group", writeGroupId(Value.Group)}};
           },
-          [](const CheckpointPart &Each) {
-            return Json{{"at", Each.StateNext},
-                        {"part", Each.Part},
-                        {"parts", Each.Parts},
-                        {"digest", Each.Digest},
-                        {"bytes", Json::binary(Each.Bytes)}};
+          [](const CheckpointPart &Value) {
+            return Json{{"at", Value.StateNext},
+                        {"part", Value.Part},
+                        {"parts", Value.Parts},
+                        {"digest", Value.Digest},
+                        {"bytes", Json::binary(Value.Bytes)}};
           },
       },
-      Written);
-}
-
-EntryHostJoined readJoined(ObjectReader &From) {
-  EntryHostJoined Out;
-  Out.Host = readName<HostName>(From, "host");
-  Out.Run = From.number("run", 1);
-  Out.DataCentre = readName<DataCentreName>(From, "data_centre");
-  Out.Address = From.text("address", MaxNameBytes);
-  if (!isIpNumber(Out.Address))
-    From.refuse("address", "an IP number");
-  Out.MeshPort =
-      static_cast<std::uint16_t>(From.number("mesh_port", 0, MaxPort));
-  Out.CallerPort =
-      static_cast<std::uint16_t>(From.number("caller_port", 0, MaxPort));
-  return Out;
-}
-
-ExecutorTaken readTaken(ObjectReader &From) {
-  ExecutorTaken Out;
-  Out.Plan = From.number("plan");
-  Out.Host = readName<HostName>(From, "host");
-  Out.Run = From.number("run", 1);
-  Out.ReplacedLease = From.number("replaces");
-  return Out;
-}
-
-StepFinished readFinished(ObjectReader &From) {
-  StepFinished Out;
-  Out.Plan = From.number("plan");
-  Out.Lease = From.number("lease");
-  Out.StepIndex = readCount(From, "step");
-  return Out;
-}
-
-GroupConfirmed readGroupConfirmed(ObjectReader &From) {
-  GroupConfirmed Out;
-  Out.Group = readGroupId(From, "group");
-  Out.Lease = From.number("lease");
-  Out.MemberRuns = readRuns(From, "member_runs");
-  return Out;
-}
-
-GroupBroken readBroken(ObjectReader &From) {
-  GroupBroken Out;
-  Out.Group = readGroupId(From, "group");
-  Out.LostMember = readName<HostName>(From, "lost");
-  Out.Reason = From.textOr("why", "");
-  return Out;
-}
-
-CheckpointPart readPart(ObjectReader &From) {
-  CheckpointPart Out;
-  Out.StateNext = From.number("at");
-  Out.Part = readCount(From, "part");
-  Out.Parts = readCount(From, "parts");
-  Out.Digest = From.number("digest");
-  const Json &Bytes = From.raw("bytes");
+      Body);
+}
+
+EntryHostJoined readEntryHostJoined(ObjectReader &Reader) {
+  EntryHostJoined Result;
+  Result.Host = readName<HostName>(Reader, "host");
+  Result.Run = Reader.number("run", 1);
+  Result.DataCentre = readName<DataCentreName>(Reader, "data_centre");
+  Result.Address = Reader.text("address", MaxNameBytes);
+  if (!isIpNumber(Result.Address))
+    Reader.refuse("address", "an IP number");
+  Result.MeshPort =
+      static_cast<std::uint16_t>(Reader.number("mesh_port", 0, MaxPort));
+  Result.CallerPort =
+      static_cast<std::uint16_t>(Reader.number("caller_port", 0, MaxPort));
+  return Result;
+}
+
+ExecutorTaken readExecutorTaken(ObjectReader &Reader) {
+  ExecutorTaken Result;
+  Result.Plan = Reader.number("plan");
+  Result.Host = readName<HostName>(Reader, "host");
+  Result.Run = Reader.number("run", 1);
+  Result.ReplacedLease = Reader.number("replaces");
+  return Result;
+}
+
+StepFinished readStepFinished(ObjectReader &Reader) {
+  StepFinished Result;
+  Result.Plan = Reader.number("plan");
+  Result.Lease = Reader.number("lease");
+  Result.StepIndex = readCount(Reader, "step");
+  return Result;
+}
+
+GroupConfirmed readGroupConfirmed(ObjectReader &Reader) {
+  GroupConfirmed Result;
+  Result.Group = readGroupId(Reader, "group");
+  Result.Lease = Reader.number("lease");
+  Result.MemberRuns = readRuns(Reader, "member_runs");
+  return Result;
+}
+
+GroupBroken readGroupBroken(ObjectReader &Reader) {
+  GroupBroken Result;
+  Result.Group = readGroupId(Reader, "group");
+  Result.LostMember = readName<HostName>(Reader, "lost");
+  Result.Reason = Reader.textOr("why", "");
+  return Result;
+}
+
+CheckpointPart readCheckpointPart(ObjectReader &Reader) {
+  CheckpointPart Result;
+  Result.StateNext = Reader.number("at");
+  Result.Part = readCount(Reader, "part");
+  Result.Parts = readCount(Reader, "parts");
+  Result.Digest = Reader.number("digest");
+  const Json &Bytes = Reader.raw("bytes");
   if (!Bytes.is_binary())
-    From.refuse("bytes", "a string of bytes");
-  Out.Bytes = Bytes.get_binary();
-  return Out;
+    Reader.refuse("bytes", "a string of bytes");
+  Result.Bytes = Bytes.get_binary();
+  return Result;
 }
 
-Record readRecordBody(std::size_t Kind, ObjectReader &From) {
+Record readRecordBody(std::size_t Kind, ObjectReader &Reader) {
   switch (Kind) {
   case 0:
-    return readJoined(From);
+    return readEntryHostJoined(Reader);
   case 1: {
-    HostName Host = readName<HostName>(From, "host");
-    return EntryHostLeft{std::move(Host), From.number("run", 1)};
+    HostName Host = readName<HostName>(Reader, "host");
+    return EntryHostLeft{std::move(Host), Reader.number("run", 1)};
   }
   case 2: {
     Plan Proposal =
-        readPlan(From.raw("proposal"), RecordSource, UnknownKeys::Ignore);
-    return PlanProposed{std::move(Proposal), From.textOr("operator", "")};
+        readPlan(Reader.raw("proposal"), RecordSource, UnknownKeys::Ignore);
+    return PlanProposed{std::move(Proposal), Reader.textOr("operator", "")};
   }
   case 3: {
-    const Offset Which = From.number("plan");
-    return PlanConfirmed{Which, From.textOr("operator", "")};
+    const Offset PlanOffset = Reader.number("plan");
+    return PlanConfirmed{PlanOffset, Reader.textOr("operator", "")};
   }
   case 4: {
-    const Offset Which = From.number("plan");
-    return PlanAbandoned{Which, From.textOr("why", "")};
+    const Offset PlanOffset = Reader.number("plan");
+    return PlanAbandoned{PlanOffset, Reader.textOr("why", "")};
   }
   case 5:
-    return readTaken(From);
+    return readExecutorTaken(Reader);
   case 6:
-    return readFinished(From);
+    return readStepFinished(Reader);
   case 7:
-    return readGroupConfirmed(From);
+    return readGroupConfirmed(Reader);
   case 8:
-    return readBroken(From);
+    return readGroupBroken(Reader);
   case 9: {
-    HostName Host = readName<HostName>(From, "host");
-    return HostReleased{std::move(Host), readGroupId(From, "group")};
+    HostName Host = readName<HostName>(Reader, "host");
+    return HostReleased{std::move(Host), readGroupId(Reader, "group")};
   }
   default:
-    return readPart(From);
+    return readCheckpointPart(Reader);
   }
 }
 
 } // namespace
 
-Json writeIntent(const Intent &Asked) {
-  Json Out = writeIntentBody(Asked);
-  const auto *const Apply = std::get_if<ApplyDeclaration>(&Asked);
+Json writeIntent(const Intent &Requested) {
+  Json Result = writeIntentBody(Requested);
+  const auto *const Apply = std::get_if<ApplyDeclaration>(&Requested);
   const bool IsChange = Apply != nullptr && Apply->Dropped;
-  Out["kind"] = IntentWords.at(IsChange ? ChangeWord : Asked.index());
-  return Out;
+  Result["kind"] =
+      IntentKinds.at(IsChange ? ChangeIntentKind : Requested.index());
+  return Result;
 }
 
 Intent readIntent(const Json &Value, std::string_view Source,
                   UnknownKeys Policy) {
-  ObjectReader From(Value, Source, {}, Policy);
-  const std::size_t Kind = From.word("kind", IntentWords);
-  Intent Out = readIntentBody(Kind, From, Source, Policy);
-  From.finish();
-  return Out;
+  ObjectReader Reader(Value, Source, {}, Policy);
+  const std::size_t Kind = Reader.word("kind", IntentKinds);
+  Intent Result = readIntentBody(Kind, Reader, Source, Policy);
+  Reader.finish();
+  return Result;
 }
 
-Json writeStep(const Step &Planned) {
-  Json Out = writeStepBody(Planned);
-  Out["kind"] = StepWords.at(Planned.index());
-  return Out;
+Json writeStep(const Step &PlanStep) {
+  Json Result = writeStepBody(PlanStep);
+  Result["kind"] = StepKinds.at(PlanStep.index());
+  return Result;
 }
 
 Step readStep(const Json &Value, std::string_view Source, UnknownKeys Policy) {
-  ObjectReader From(Value, Source, {}, Policy);
-  Step Out = readStepFrom(From);
-  From.finish();
-  return Out;
+  ObjectReader Reader(Value, Source, {}, Policy);
+  Step Result = readStepBody(Reader);
+  Reader.finish();
+  return Result;
 }
 
 Json writePlan(const Plan &Proposal) {
   Json Steps = Json::array();
-  for (const Step &Each : Proposal.Steps)
-    Steps.push_back(writeStep(Each));
+  for (const Step &Item : Proposal.Steps)
+    Steps.push_back(writeStep(Item));
   Json Forecast = Json::array();
-  for (const CapacityForecast &Each : Proposal.Forecast)
-    Forecast.push_back(writeForecast(Each));
+  for (const CapacityForecast &Item : Proposal.Forecast)
+    Forecast.push_back(writeForecast(Item));
   return Json{{"intent", writeIntent(Proposal.RequestedIntent)},
               {"planned_at", Proposal.PlannedAt},
               {"steps", std::move(Steps)},
@@ -495,38 +498,38 @@
 }
 
 Plan readPlan(const Json &Value, std::string_view Source, UnknownKeys Policy) {
-  ObjectReader From(Value, Source, {}, Policy);
-  Plan Out;
-  Out.RequestedIntent = readIntent(From.raw("intent"), Source, Policy);
-  Out.PlannedAt = From.number("planned_at");
-  From.eachObject("steps", [&](ObjectReader &Each) {
-    Out.Steps.push_back(readStepFrom(Each));
+  ObjectReader Reader(Value, Source, {}, Policy);
+  Plan Result;
+  Result.RequestedIntent = readIntent(Reader.raw("intent"), Source, Policy);
+  Result.PlannedAt = Reader.number("planned_at");
+  Reader.eachObject("steps", [&](ObjectReader &ItemReader) {
+    Result.Steps.push_back(readStepBody(ItemReader));
   });
-  From.eachObject("forecast", [&](ObjectReader &Each) {
-    Out.Forecast.push_back(readForecast(Each));
+  Reader.eachObject("forecast", [&](ObjectReader &ItemReader) {
+    Result.Forecast.push_back(readForecast(ItemReader));
   });
-  Out.WillNotDo = From.texts("will_not_do");
-  From.finish();
-  return Out;
+  Result.WillNotDo = Reader.texts("will_not_do");
+  Reader.finish();
+  return Result;
 }
 
-Json writeRecord(const Record &Written) {
-  Json Out = writeRecordBody(Written);
-  Out["kind"] = RecordWords.at(Written.index());
-  return Out;
+Json writeRecord(const Record &Body) {
+  Json Result = writeRecordBody(Body);
+  Result["kind"] = RecordKinds.at(Body.index());
+  return Result;
 }
 
 Record readRecord(const Json &Value, std::string_view Source) {
-  ObjectReader From(Value, Source, {}, UnknownKeys::Ignore);
-  const std::size_t Kind = From.word("kind", RecordWords);
-  return readRecordBody(Kind, From);
+  ObjectReader Reader(Value, Source, {}, UnknownKeys::Ignore);
+  const std::size_t Kind = Reader.word("kind", RecordKinds);
+  return readRecordBody(Kind, Reader);
 }
 
-std::vector<std::byte> encodeRecord(const Envelope &Written) {
+std::vector<std::byte> encodeRecord(const Envelope &Source) {
   const Json Value{{"form", RecordFormatVersion},
-                   {"run", Written.Writer.Run},
-                   {"sequence", Written.Writer.Sequence},
-                   {"record", writeRecord(Written.Body)}};
+                   {"run", Source.Writer.Run},
+                   {"sequence", Source.Writer.Sequence},
+                   {"record", writeRecord(Source.Body)}};
   std::vector<std::byte> Bytes = writeCbor(Value);
   if (Bytes.size() > MaxRecordBytes)
     throw Error("a record of " + std::to_string(Bytes.size()) +
@@ -540,13 +543,13 @@
     throw InputError(RecordSource, "", std::to_string(Bytes.size()) + " bytes",
                      "at most " + std::to_string(MaxRecordBytes) + " bytes");
   const Json Value = parseCbor(Bytes, RecordSource);
-  ObjectReader From(Value, RecordSource, {}, UnknownKeys::Ignore);
-  static_cast<void>(From.number("form", 1, RecordFormatVersion));
-  Envelope Out;
-  Out.Writer.Run = From.number("run", 1);
-  Out.Writer.Sequence = From.number("sequence");
-  Out.Body = readRecord(From.raw("record"), RecordSource);
-  return Out;
+  ObjectReader Reader(Value, RecordSource, {}, UnknownKeys::Ignore);
+  static_cast<void>(Reader.number("form", 1, RecordFormatVersion));
+  Envelope Result;
+  Result.Writer.Run = Reader.number("run", 1);
+  Result.Writer.Sequence = Reader.number("sequence");
+  Result.Body = readRecord(Reader.raw("record"), RecordSource);
+  return Result;
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/record/intent.hpp
+++ b/packages/version/src/coltsfoottrail/record/intent.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What an operator may ask for, and the steps that a plan consists of.
+/// Intents of operators, and the plans and steps that implement them.
 #ifndef COLTSFOOTTRAIL_RECORD_INTENT_HPP
 #define COLTSFOOTTRAIL_RECORD_INTENT_HPP
 
@@ -15,24 +15,24 @@
 
 namespace coltsfoottrail {
 
-/// @brief Names a serving group: the offset of the plan that made it and its
-/// number in that plan.
+/// @brief Identifies a serving group: the offset of the plan that forms it and
+/// its number in that plan.
 struct GroupId {
   Offset Plan = 0;
   std::uint32_t Number = 0;
 
-  // The linter reports on the body that the compiler makes.
+  // clang-tidy reports on the function body that the compiler generates.
   // NOLINTBEGIN(readability-identifier-naming,modernize-use-nullptr)
   [[nodiscard]] friend auto operator<=>(const GroupId &,
                                         const GroupId &) = default;
   // NOLINTEND(readability-identifier-naming,modernize-use-nullptr)
 };
 
-/// Replace what is declared.
+/// Replace the declaration.
 struct ApplyDeclaration {
-  /// All that is wanted; when Dropped is there, only what changes.
+  /// The whole new declaration; if Dropped is set, only its changed entries.
   Declaration Desired;
-  /// Makes it a change of what is declared at the plan's PlannedAt.
+  /// If set, this is a change of the declaration at the plan's PlannedAt.
   std::optional<DroppedNames> Dropped = std::nullopt;
   [[nodiscard]] friend bool operator==(const ApplyDeclaration &,
                                        const ApplyDeclaration &) = default;
@@ -45,51 +45,51 @@
   [[nodiscard]] friend bool operator==(const SetCapacity &,
                                        const SetCapacity &) = default;
 };
-/// Put another version of a model in place.
+/// Change the version of a model.
 struct SetVersion {
   ModelName Model;
   VersionName Version;
   [[nodiscard]] friend bool operator==(const SetVersion &,
                                        const SetVersion &) = default;
 };
-/// Put other adapters of a model in place.
+/// Change the adapters of a model.
 struct SetAdapters {
   ModelName Model;
   std::vector<AdapterName> Adapters;
   [[nodiscard]] friend bool operator==(const SetAdapters &,
                                        const SetAdapters &) = default;
 };
-/// Take a data centre out: no new work there.
+/// Drain a data centre: it gets no new work.
 struct DrainDataCentre {
   DataCentreName DataCentre;
   [[nodiscard]] friend bool operator==(const DrainDataCentre &,
                                        const DrainDataCentre &) = default;
 };
-/// Bring a data centre back.
+/// End the drain of a data centre.
 struct ReturnDataCentre {
   DataCentreName DataCentre;
   [[nodiscard]] friend bool operator==(const ReturnDataCentre &,
                                        const ReturnDataCentre &) = default;
 };
-/// Take a host out: its group is replaced, then stopped.
+/// Drain a host: its group is replaced, then stopped.
 struct DrainHost {
   HostName Host;
   [[nodiscard]] friend bool operator==(const DrainHost &,
                                        const DrainHost &) = default;
 };
-/// Bring a host back.
+/// End the drain of a host.
 struct ReturnHost {
   HostName Host;
   [[nodiscard]] friend bool operator==(const ReturnHost &,
                                        const ReturnHost &) = default;
 };
 
-/// What an operator asks for.
+/// A change that an operator requests.
 using Intent =
     std::variant<ApplyDeclaration, SetCapacity, SetVersion, SetAdapters,
                  DrainDataCentre, ReturnDataCentre, DrainHost, ReturnHost>;
 
-/// Occupy hosts and order their engines to load and to form a group.
+/// Occupy hosts and order their engines to load the model and form a group.
 struct FormGroup {
   std::uint32_t Number = 0;
   ModelName Model;
@@ -97,13 +97,13 @@
   std::vector<AdapterName> Adapters;
   EngineRole Role = EngineRole::Mixed;
   DataCentreName DataCentre;
-  /// The first one is the leader, which takes the requests.
+  /// The first one is the leader, which receives the requests.
   std::vector<HostName> Members;
   [[nodiscard]] friend bool operator==(const FormGroup &,
                                        const FormGroup &) = default;
 };
-/// Send a group no new work, let it finish, stop its engines and release its
-/// hosts.
+/// Send no new work to a group, let its requests finish, stop its engines and
+/// release its hosts.
 struct StopGroup {
   GroupId Group;
   [[nodiscard]] friend bool operator==(const StopGroup &,
@@ -120,7 +120,7 @@
 /// One step of a plan; steps are carried out in order.
 using Step = std::variant<FormGroup, StopGroup, SwapAdapters>;
 
-/// @brief What a plan does to the capacity of one model.
+/// @brief Effect of a plan on the capacity of one model.
 struct CapacityForecast {
   ModelName Model;
   std::uint32_t GroupsNow = 0;
@@ -131,14 +131,15 @@
                                        const CapacityForecast &) = default;
 };
 
-/// @brief The answer to an intent; nothing changes until it is confirmed.
+/// @brief The steps that carry out an intent; nothing changes until the plan is
+/// confirmed.
 struct Plan {
   Intent RequestedIntent;
-  /// The state that it was planned on.
+  /// Next of the state that it was planned on.
   Offset PlannedAt = 0;
   std::vector<Step> Steps;
   std::vector<CapacityForecast> Forecast;
-  /// What it will not do, and why; for people.
+  /// Parts of the intent that the plan leaves out, and why; human-readable.
   std::vector<std::string> WillNotDo;
   [[nodiscard]] friend bool operator==(const Plan &, const Plan &) = default;
 };
--- a/packages/version/src/coltsfoottrail/record/record.hpp
+++ b/packages/version/src/coltsfoottrail/record/record.hpp
@@ -10,43 +10,43 @@
 
 namespace coltsfoottrail {
 
-/// An entry host's run says that it is there and how its peers reach it.
+/// A run of an entry host joins and announces its addresses.
 struct EntryHostJoined {
   HostName Host;
   Incarnation Run = 0;
   DataCentreName DataCentre;
-  /// IP number that peers and callers reach it by.
+  /// IP address at which peers and callers reach it.
   std::string Address;
   std::uint16_t MeshPort = 0;
   std::uint16_t CallerPort = 0;
   [[nodiscard]] friend bool operator==(const EntryHostJoined &,
                                        const EntryHostJoined &) = default;
 };
-/// An entry host's run is over: it said so itself, or its peers found it gone.
-/// Void for any other run.
+/// A run of an entry host has ended: it announced its stop, or its peers
+/// detected its failure. Void for any other run.
 struct EntryHostLeft {
   HostName Host;
   Incarnation Run = 0;
   [[nodiscard]] friend bool operator==(const EntryHostLeft &,
                                        const EntryHostLeft &) = default;
 };
-/// A plan is put up for confirmation. Its offset names it.
+/// A plan is proposed for confirmation. The offset of this record identifies
+/// the plan.
 struct PlanProposed {
   Plan Proposal;
   std::string Operator;
   [[nodiscard]] friend bool operator==(const PlanProposed &,
                                        const PlanProposed &) = default;
 };
-/// An operator confirms a plan. Void when something that the plan rests on has
-/// changed since.
+/// An operator confirms a plan. Void if state on which the plan depends has
+/// changed since it was made.
 struct PlanConfirmed {
   Offset Plan = 0;
   std::string Operator;
   [[nodiscard]] friend bool operator==(const PlanConfirmed &,
                                        const PlanConfirmed &) = default;
 };
-/// An operator or the executor gives a plan up; steps not yet begun are not
-/// begun.
+/// An operator or the executor abandons a plan; no further steps are begun.
 struct PlanAbandoned {
   Offset Plan = 0;
   std::string Reason;
@@ -54,18 +54,19 @@
                                        const PlanAbandoned &) = default;
 };
 /// An entry host takes the lease on a plan's execution; the record's offset is
-/// the fencing number of its orders. Void unless the plan's lease is the one
-/// named, so two takers cannot both hold it.
+/// the fencing token of its orders. Void unless the plan's lease is
+/// ReplacedLease, so that two hosts cannot both hold it.
 struct ExecutorTaken {
   Offset Plan = 0;
   HostName Host;
   Incarnation Run = 0;
-  /// The lease that this one replaces; zero for the first.
+  /// The lease that this one replaces; zero for the first one.
   Offset ReplacedLease = 0;
   [[nodiscard]] friend bool operator==(const ExecutorTaken &,
                                        const ExecutorTaken &) = default;
 };
-/// The executor finished a step. Void unless it holds the lease named.
+/// The executor has finished a step. Void unless Lease is the plan's current
+/// lease.
 struct StepFinished {
   Offset Plan = 0;
   Offset Lease = 0;
@@ -73,7 +74,8 @@
   [[nodiscard]] friend bool operator==(const StepFinished &,
                                        const StepFinished &) = default;
 };
-/// All members of a group have confirmed their generation: it may answer.
+/// All members of a group have confirmed their generation: the group may serve
+/// requests.
 struct GroupConfirmed {
   GroupId Group;
   Offset Lease = 0;
@@ -82,8 +84,8 @@
   [[nodiscard]] friend bool operator==(const GroupConfirmed &,
                                        const GroupConfirmed &) = default;
 };
-/// A member of a group is lost: the group answers nothing more and its hosts
-/// await a proven stop.
+/// A member of a group has failed: the group serves no more requests, and its
+/// hosts stay occupied until their stop is proved.
 struct GroupBroken {
   GroupId Group;
   HostName LostMember;
@@ -91,17 +93,17 @@
   [[nodiscard]] friend bool operator==(const GroupBroken &,
                                        const GroupBroken &) = default;
 };
-/// A host's engine has proved that it serves its group no more, or its lease
-/// has run out: it is free.
+/// A host is free: its engine has proved that it no longer serves its group, or
+/// the engine's lease has expired.
 struct HostReleased {
   HostName Host;
   GroupId Group;
   [[nodiscard]] friend bool operator==(const HostReleased &,
                                        const HostReleased &) = default;
 };
-/// A part of a checkpoint of the state at an offset. Parts stand on a stream of
-/// their own; on the agreed stream a record of this kind without parts and
-/// bytes announces that all parts are written.
+/// A part of a checkpoint of the state at an offset. Parts are written to the
+/// checkpoint stream; on the agreed stream, a record of this kind with zero
+/// parts and no bytes announces that all parts are written.
 struct CheckpointPart {
   Offset StateNext = 0;
   std::uint32_t Part = 0;
@@ -112,14 +114,14 @@
                                        const CheckpointPart &) = default;
 };
 
-/// What a record says.
+/// Body of a record.
 using Record =
     std::variant<EntryHostJoined, EntryHostLeft, PlanProposed, PlanConfirmed,
                  PlanAbandoned, ExecutorTaken, StepFinished, GroupConfirmed,
                  GroupBroken, HostReleased, CheckpointPart>;
 
-/// @brief Names one append: a retry carries the same one, so that the fold can
-/// drop the twin.
+/// @brief Identifies one append: a retry carries the same identifier, so that
+/// the fold can drop the duplicate.
 struct WriterId {
   Incarnation Run = 0;
   std::uint64_t Sequence = 0;
@@ -127,7 +129,7 @@
                                         const WriterId &) = default;
 };
 
-/// @brief A record with the append that it came by.
+/// @brief A record with the identifier of its append.
 struct Envelope {
   WriterId Writer;
   Record Body;
--- a/packages/version/test/coltsfoottrail/record/codec.cpp
+++ b/packages/version/test/coltsfoottrail/record/codec.cpp
@@ -14,22 +14,22 @@
 using test::host;
 using test::model;
 
-std::vector<Record> oneOfEach() {
+std::vector<Record> recordsOfEachKind() {
   const Declaration Declared = test::makeDeclaration();
   const GroupId Group{12, 3};
-  Plan Whole;
-  Whole.RequestedIntent = ApplyDeclaration{Declared};
-  Whole.PlannedAt = 9;
-  Whole.Steps = {
+  Plan FullPlan;
+  FullPlan.RequestedIntent = ApplyDeclaration{Declared};
+  FullPlan.PlannedAt = 9;
+  FullPlan.Steps = {
       StopGroup{Group}, SwapAdapters{Group, {AdapterName("polish")}},
       test::formStep(Declared, 4, model(0), {host(0, 0, 0), host(0, 0, 1)})};
-  Whole.Forecast = {CapacityForecast{model(0), 1, 2, 3, 4}};
-  Whole.WillNotDo = {"nothing in dc2"};
-  std::vector<Record> Out{
+  FullPlan.Forecast = {CapacityForecast{model(0), 1, 2, 3, 4}};
+  FullPlan.WillNotDo = {"nothing in dc2"};
+  std::vector<Record> Result{
       EntryHostJoined{HostName("a"), ~Incarnation{0}, dataCentre(0), "::1", 1,
                       65535},
       EntryHostLeft{HostName("a"), 5},
-      PlanProposed{Whole, "Jadwiga"},
+      PlanProposed{FullPlan, "Jadwiga"},
       PlanConfirmed{7, ""},
       PlanAbandoned{7, "why"},
       ExecutorTaken{7, HostName("a"), 5, 2},
@@ -48,13 +48,13 @@
       ReturnHost{host(0, 0, 0)},
       ApplyDeclaration{Declared,
                        DroppedNames{{TeamName("t")}, {host(9, 9, 9)}, {}, {}}}};
-  for (const Intent &Asked : Intents)
-    Out.emplace_back(PlanProposed{Plan{Asked, 0, {}, {}, {}}, "o"});
-  return Out;
+  for (const Intent &Requested : Intents)
+    Result.emplace_back(PlanProposed{Plan{Requested, 0, {}, {}, {}}, "o"});
+  return Result;
 }
 
-TEST(RecordCodec, EachKindComesBackAsItWas) {
-  for (const Record &Body : oneOfEach()) {
+TEST(RecordCodec, EachKindRoundTrips) {
+  for (const Record &Body : recordsOfEachKind()) {
     const Envelope Written{WriterId{3, 4}, Body};
     EXPECT_EQ(decodeRecord(encodeRecord(Written)), Written) << Body.index();
   }
@@ -74,18 +74,18 @@
   EXPECT_THROW(static_cast<void>(decodeRecord(writeCbor(Unknown))), InputError);
 }
 
-// A record is cut off or bytes of it flip. Each reader must refuse it alike and
-// none may crash over it.
+// A record is truncated or some of its bits flip. Every reader must refuse it,
+// and none may crash.
 TEST(RecordCodec, CutAndFlippedRecordsNeverCrash) {
-  Random Draw(7);
-  for (const Record &Body : oneOfEach()) {
+  Random Rng(7);
+  for (const Record &Body : recordsOfEachKind()) {
     const auto Whole = encodeRecord(Envelope{WriterId{3, 4}, Body});
     for (int Round = 0; Round < 200; ++Round) {
       std::vector<std::byte> Bytes = Whole;
       if (Round % 2 == 0)
-        Bytes.resize(Draw.below(Bytes.size()));
+        Bytes.resize(Rng.below(Bytes.size()));
       else
-        Bytes[Draw.below(Bytes.size())] ^= static_cast<std::byte>(Draw());
+        Bytes[Rng.below(Bytes.size())] ^= static_cast<std::byte>(Rng());
       try {
         static_cast<void>(decodeRecord(Bytes));
       } catch (const InputError &) {
@@ -95,9 +95,9 @@
   }
 }
 
-// Somebody appends a few hundred kilobytes of list openings. The CBOR library
-// would call itself once for each and end the process of every reader by a
-// stack overflow, again after each restart.
+// A record holds hundreds of kilobytes of nested list openings. The CBOR
+// library would recurse once for each of them and crash every reader by a stack
+// overflow, again after each restart.
 TEST(RecordCodec, DeepNestingIsRefusedBeforeTheStackEnds) {
   for (const unsigned Opening : {0x81U, 0x9FU, 0x7FU, 0x5FU, 0xBFU, 0xD8U}) {
     const std::vector<std::byte> Bytes(std::size_t{1} << 20U,
@@ -116,10 +116,10 @@
 }
 
 TEST(RecordCodec, TextThatIsNotUtf8IsRefused) {
-  const std::string Bad = "\x61\xC3\x28";
+  const std::string InvalidText = "\x61\xC3\x28";
   std::vector<std::byte> Bytes{std::byte{0x63}};
-  for (const char Letter : Bad)
-    Bytes.push_back(static_cast<std::byte>(Letter));
+  for (const char Character : InvalidText)
+    Bytes.push_back(static_cast<std::byte>(Character));
   EXPECT_THROW(static_cast<void>(parseCbor(Bytes, "test")), InputError);
 }
 
