--- a/packages/version/src/coltsfoottrail/checkpoint/parts.hpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/parts.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Checkpoints in parts: cutting, collecting, verifying.
+/// Splitting checkpoints into parts, and collecting and verifying them.
 #ifndef COLTSFOOTTRAIL_CHECKPOINT_PARTS_HPP
 #define COLTSFOOTTRAIL_CHECKPOINT_PARTS_HPP
 
@@ -13,48 +13,47 @@
 
 namespace coltsfoottrail {
 
-/// Bytes of state in one part.
+/// Maximum number of state bytes in one part.
 inline constexpr std::size_t CheckpointPartBytes = std::size_t{256} << 10U;
-/// Most parts of one checkpoint.
+/// Maximum number of parts of one checkpoint.
 inline constexpr std::uint32_t MaxCheckpointParts = 1024;
 
-/// @brief Cuts a checkpoint of a state into parts. Thread-safe.
-/// @param Of The state.
+/// @brief Encodes a checkpoint of a state in parts. Thread-safe.
+/// @param Source The state.
 /// @return The parts in order, at least one.
 /// @throws Error The state is too large for MaxCheckpointParts.
-[[nodiscard]] std::vector<CheckpointPart> splitCheckpoint(const State &Of);
+[[nodiscard]] std::vector<CheckpointPart> splitCheckpoint(const State &Source);
 
-/// @brief The record for the agreed stream that announces a checkpoint whose
-/// parts are all on the log. Thread-safe.
+/// @brief Creates the record that announces a checkpoint on the agreed stream,
+/// once all its parts are on the log. Thread-safe.
 /// @param Part Any of its parts.
 [[nodiscard]] CheckpointPart announcementOf(const CheckpointPart &Part);
 
-/// @brief Collects parts off the checkpoint stream and answers the newest whole
-/// and undamaged checkpoint. Pure. Not thread-safe.
+/// @brief Collects parts from the checkpoint stream and returns the newest
+/// complete, undamaged checkpoint. Pure. Not thread-safe.
 ///
-/// Two writers of one checkpoint do no harm: their parts are told apart by run,
-/// and either set will do.
+/// Two hosts may write the same checkpoint: their parts are distinguished by
+/// run, and either set is sufficient.
 class CheckpointAssembler {
 public:
-  /// @brief Takes a record of the checkpoint stream; anything may stand there.
-  /// @param Bytes The record.
+  /// @brief Adds a record of the checkpoint stream.
+  /// @param Bytes The record; may be arbitrary bytes.
   void add(ByteView Bytes);
 
-  /// @brief Answers the state of the newest whole checkpoint that decodes to
-  /// its digest. Damaged ones fall back to the one before and are dropped.
-  /// @param LowestNext Checkpoints of older states are of no use and passed
-  /// over.
-  /// @return The state, or nothing.
+  /// @brief Returns the state of the newest complete checkpoint that matches
+  /// its digest. Damaged checkpoints are dropped and the one before is tried.
+  /// @param LowestNext Checkpoints of older states are skipped.
+  /// @return The state; nothing if there is none.
   [[nodiscard]] std::optional<State> newest(Offset LowestNext = 0);
 
-  /// @brief Why checkpoints were dropped, for the operator's log.
+  /// @brief Reasons why checkpoints were dropped, for the operator's log.
   [[nodiscard]] const std::vector<std::string> &problems() const noexcept {
     return Problems;
   }
 
 private:
   struct Key {
-    Offset At = 0;
+    Offset StateNext = 0;
     Incarnation Run = 0;
     std::uint64_t Digest = 0;
     std::uint32_t Parts = 0;
@@ -63,11 +62,11 @@
   };
   using Collected = std::map<std::uint32_t, std::vector<std::uint8_t>>;
 
-  [[nodiscard]] std::optional<State> decode(const Key &Which,
+  [[nodiscard]] std::optional<State> decode(const Key &Id,
                                             const Collected &Parts);
-  void dropOld();
+  void dropExcessSets();
 
-  std::map<Key, Collected> Sets;
+  std::map<Key, Collected> PartSets;
   std::vector<std::string> Problems;
 };
 
--- a/packages/version/src/coltsfoottrail/checkpoint/schedule.cpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/schedule.cpp
@@ -8,71 +8,75 @@
 namespace coltsfoottrail {
 
 namespace {
-/// A checkpoint is due when a quarter of the retention has passed: three more
-/// may fail before the records that it stands for are trimmed.
-constexpr int ShareOfRetention = 4;
+/// A checkpoint is due when a quarter of the retention has passed: three
+/// further ones may fail before the records that it covers are trimmed.
+constexpr int RetentionDivisor = 4;
 } // namespace
 
-CheckpointSchedule::CheckpointSchedule(HostName Name, CheckpointPolicy Wanted)
-    : Self(std::move(Name)), Policy(Wanted) {}
+CheckpointSchedule::CheckpointSchedule(HostName Name,
+                                       CheckpointPolicy DuePolicy)
+    : Self(std::move(Name)), Policy(DuePolicy) {}
 
-bool CheckpointSchedule::shouldWrite(const State &Now, Offset Horizon,
-                                     TimePoint At) {
-  if (!NewestSince || !(Newest == Now.Checkpoint)) {
-    Newest = Now.Checkpoint;
-    NewestSince = At;
+bool CheckpointSchedule::shouldWrite(const State &Current, Offset Horizon,
+                                     TimePoint Now) {
+  if (!NewestSince || !(Newest == Current.Checkpoint)) {
+    Newest = Current.Checkpoint;
+    NewestSince = Now;
     DueSince.reset();
   }
-  if (!isDue(Now, Horizon, At))
+  if (!isDue(Current, Horizon, Now))
     return false;
   if (!DueSince)
-    DueSince = At;
-  if (At - *DueSince < Policy.Stagger * static_cast<int>(rank(Now)))
+    DueSince = Now;
+  if (Now - *DueSince < Policy.Stagger * static_cast<int>(rank(Current)))
     return false;
-  // Counted anew from here: when no announcement comes, as when this host
-  // cannot append, it tries again after all others have had their turn.
-  DueSince = At + Policy.Stagger * static_cast<int>(Now.EntryHosts.size() + 1) -
-             Policy.Stagger * static_cast<int>(rank(Now));
+  // Restarts the turn: if no announcement follows, for example because this
+  // host cannot append, it tries again after all other hosts have had their
+  // turn.
+  DueSince = Now +
+             Policy.Stagger * static_cast<int>(Current.EntryHosts.size() + 1) -
+             Policy.Stagger * static_cast<int>(rank(Current));
   return true;
 }
 
-bool CheckpointSchedule::isDue(const State &Now, Offset Horizon,
-                               TimePoint At) const {
-  if (Now.Next <= Newest.AnnouncedAt + 1) {
-    // Nothing but the announcement itself is new; but the parts grow old too.
+bool CheckpointSchedule::isDue(const State &Current, Offset Horizon,
+                               TimePoint Now) const {
+  if (Current.Next <= Newest.AnnouncedAt + 1) {
+    // Only the announcement itself is new. The checkpoint must still be renewed
+    // before the log trims its parts.
     return Newest.StateNext > 0 &&
-           At - *NewestSince >= Policy.Retention / ShareOfRetention;
+           Now - *NewestSince >= Policy.Retention / RetentionDivisor;
   }
-  if (Now.Next - Newest.StateNext >= Policy.EveryRecords)
+  if (Current.Next - Newest.StateNext >= Policy.EveryRecords)
     return true;
-  if (At - *NewestSince >= Policy.Retention / ShareOfRetention)
+  if (Now - *NewestSince >= Policy.Retention / RetentionDivisor)
     return true;
-  const Offset Kept = Now.Next - std::min(Horizon, Now.Next);
-  return Horizon > 0 && Now.Next - Newest.StateNext > Kept / 2;
+  const Offset KeptRecords = Current.Next - std::min(Horizon, Current.Next);
+  return Horizon > 0 && Current.Next - Newest.StateNext > KeptRecords / 2;
 }
 
-std::size_t CheckpointSchedule::rank(const State &Now) const {
+std::size_t CheckpointSchedule::rank(const State &Current) const {
   const std::string Key = "checkpoint/" + std::to_string(Newest.StateNext);
-  const std::uint64_t Own = rendezvousWeight(Key, Self.Text);
+  const std::uint64_t OwnWeight = rendezvousWeight(Key, Self.Text);
   return static_cast<std::size_t>(
-      std::ranges::count_if(Now.EntryHosts, [&](const auto &Entry) {
-        return rendezvousWeight(Key, Entry.first.Text) > Own;
+      std::ranges::count_if(Current.EntryHosts, [&](const auto &Entry) {
+        return rendezvousWeight(Key, Entry.first.Text) > OwnWeight;
       }));
 }
 
 void DigestHistory::note(Offset Next, std::uint64_t Digest) {
-  Kept.emplace_back(Next, Digest);
-  if (Kept.size() > MostKept)
-    Kept.pop_front();
+  Entries.emplace_back(Next, Digest);
+  if (Entries.size() > MaxEntries)
+    Entries.pop_front();
 }
 
 std::optional<bool>
 DigestHistory::matches(const AnnouncedCheckpoint &Announced) const {
-  const auto Found = std::ranges::find(
-      Kept, Announced.StateNext, &std::pair<Offset, std::uint64_t>::first);
-  if (Found == Kept.end())
+  const auto It = std::ranges::find(Entries, Announced.StateNext,
+                                    &std::pair<Offset, std::uint64_t>::first);
+  if (It == Entries.end())
     return std::nullopt;
-  return Found->second == Announced.Digest;
+  return It->second == Announced.Digest;
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/checkpoint/schedule.hpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/schedule.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// When which entry host writes a checkpoint.
+/// Decides when and by which entry host checkpoints are written.
 #ifndef COLTSFOOTTRAIL_CHECKPOINT_SCHEDULE_HPP
 #define COLTSFOOTTRAIL_CHECKPOINT_SCHEDULE_HPP
 
@@ -13,75 +13,78 @@
 
 namespace coltsfoottrail {
 
-/// @brief When a checkpoint is due.
+/// @brief Conditions under which a checkpoint is due.
 struct CheckpointPolicy {
-  /// How long the log keeps records. A checkpoint is due long before.
+  /// How long the log keeps records. A checkpoint is due after a quarter of it.
   Duration Retention = std::chrono::hours(24);
-  /// Records after which one is due, whatever the time.
+  /// Number of records after which one is due, regardless of time.
   Offset EveryRecords = 8192;
-  /// How long each host waits for those that come before it.
+  /// Time that a host waits for each host ranked before it.
   Duration Stagger = seconds(10);
 };
 
 /// @brief Decides when this host writes a checkpoint. Pure. Not thread-safe.
 ///
-/// No election: all hosts know from the agreed state which checkpoint is the
-/// newest, and order themselves by rendezvous hash over it. The first writes at
-/// once when one is due, the others each wait one Stagger longer and stand back
-/// when the announcement arrives. Two writers do no harm.
+/// Needs no election: all hosts know from the agreed state which checkpoint is
+/// the newest, and rank themselves by a rendezvous hash over it. The first host
+/// writes as soon as a checkpoint is due; each further one waits one Stagger
+/// longer and does not write if the announcement arrives meanwhile. Two hosts
+/// may write the same checkpoint.
 class CheckpointSchedule {
 public:
-  /// @brief Makes a schedule.
+  /// @brief Creates a schedule.
   /// @param Name This host.
-  /// @param Wanted When a checkpoint is due.
-  CheckpointSchedule(HostName Name, CheckpointPolicy Wanted);
+  /// @param DuePolicy Conditions under which a checkpoint is due.
+  CheckpointSchedule(HostName Name, CheckpointPolicy DuePolicy);
 
-  /// @brief Tells whether this host is to write one now.
-  /// @param Now The agreed state.
+  /// @brief Returns whether this host must write a checkpoint now.
+  /// @param Current The agreed state.
   /// @param Horizon Lowest offset that the agreed stream still holds.
-  /// @param At The time; must not go back.
-  /// @return True once for each checkpoint that is due; again after another
-  /// round of staggers when none is announced.
-  [[nodiscard]] bool shouldWrite(const State &Now, Offset Horizon,
-                                 TimePoint At);
+  /// @param Now The time; must be monotonic.
+  /// @return True once for each checkpoint that is due; again after all hosts
+  /// have had their turn if none was announced.
+  [[nodiscard]] bool shouldWrite(const State &Current, Offset Horizon,
+                                 TimePoint Now);
 
 private:
-  [[nodiscard]] bool isDue(const State &Now, Offset Horizon,
-                           TimePoint At) const;
-  [[nodiscard]] std::size_t rank(const State &Now) const;
+  [[nodiscard]] bool isDue(const State &Current, Offset Horizon,
+                           TimePoint Now) const;
+  [[nodiscard]] std::size_t rank(const State &Current) const;
 
   HostName Self;
   CheckpointPolicy Policy;
-  /// Newest announcement seen, and since when.
+  /// Newest announcement seen, and when it was first seen.
   AnnouncedCheckpoint Newest;
   std::optional<TimePoint> NewestSince;
-  /// When one became due, or this host last wrote one for nothing.
+  /// When the checkpoint became due; moved forward each time this host writes
+  /// one, so that it tries again if no announcement follows.
   std::optional<TimePoint> DueSince;
 };
 
-/// @brief Remembers digests of states that this host had, to compare them with
+/// @brief Keeps digests of earlier states of this host, to compare them with
 /// announced checkpoints. Pure. Not thread-safe.
 ///
 /// Failure guarded against: two hosts fold the same records into different
-/// states (a fault of memory, two builds that differ). It shows as an announced
-/// digest that is not that of the own state at the same offset; the host that
-/// differs can then be told apart and must not serve on what it believes.
+/// states, because of a memory fault or of builds that differ. The announced
+/// digest then differs from that of this host's state at the same offset; a
+/// host whose state differs is detected this way and must not serve on it.
 class DigestHistory {
 public:
-  /// @brief Notes the digest of the state at an offset. Call it whenever Next
-  /// reaches or passes a multiple of SweepInterval, and for own checkpoints.
+  /// @brief Adds the digest of the state at an offset. To be called whenever
+  /// Next reaches or passes a multiple of SweepInterval, and for each
+  /// checkpoint that this host writes.
   /// @param Next The state's Next.
   /// @param Digest Its digest.
   void note(Offset Next, std::uint64_t Digest);
 
-  /// @brief Compares an announcement.
-  /// @return Whether it matches; nothing when the offset is not known here.
+  /// @brief Compares an announcement with the digest kept for its offset.
+  /// @return Whether they match; nothing if no digest is kept for the offset.
   [[nodiscard]] std::optional<bool>
   matches(const AnnouncedCheckpoint &Announced) const;
 
 private:
-  static constexpr std::size_t MostKept = 64;
-  std::deque<std::pair<Offset, std::uint64_t>> Kept;
+  static constexpr std::size_t MaxEntries = 64;
+  std::deque<std::pair<Offset, std::uint64_t>> Entries;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/checkpoint/starter.cpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/starter.cpp
@@ -6,62 +6,62 @@
 namespace coltsfoottrail {
 
 namespace {
-/// Above every offset, so that the answer holds no records but says where the
-/// stream begins and ends.
+/// Above every offset, so that the response holds no records, only the start
+/// and the end of the stream.
 constexpr Offset BeyondEnd = std::numeric_limits<std::int64_t>::max();
-constexpr std::size_t PartsAtOnce = 8;
+constexpr std::size_t PartsPerRead = 8;
 } // namespace
 
 StartCommand CheckpointRecovery::start() {
-  Now = Phase::FindParts;
-  Parts = CheckpointAssembler();
+  CurrentPhase = Phase::FindParts;
+  Assembler = CheckpointAssembler();
   return StartRead{true, BeyondEnd, 1};
 }
 
 StartCommand CheckpointRecovery::onRead(const ReadResult &Result) {
   const auto *const Failure = std::get_if<LogFailure>(&Result);
   if (Failure != nullptr)
-    // A stream that was trimmed while it was read is read anew.
+    // Restarts if the stream was trimmed while it was read.
     return *Failure == LogFailure::Trimmed ? start()
                                            : StartCommand(StartRetry{});
   const auto &Batch = std::get<LogBatch>(Result);
-  switch (Now) {
+  switch (CurrentPhase) {
   case Phase::FindParts:
     PartsEnd = Batch.End;
     return readParts(Batch.Horizon);
   case Phase::ReadParts:
-    return takeParts(Batch);
+    return addParts(Batch);
   case Phase::FindTail:
-    return decide(Batch.Horizon);
+    return chooseState(Batch.Horizon);
   }
   return StartRetry{};
 }
 
 StartCommand CheckpointRecovery::readParts(Offset From) {
   if (From >= PartsEnd) {
-    Now = Phase::FindTail;
+    CurrentPhase = Phase::FindTail;
     return StartRead{false, BeyondEnd, 1};
   }
-  Now = Phase::ReadParts;
-  return StartRead{true, From, PartsAtOnce};
+  CurrentPhase = Phase::ReadParts;
+  return StartRead{true, From, PartsPerRead};
 }
 
-StartCommand CheckpointRecovery::takeParts(const LogBatch &Batch) {
-  for (const LogEntry &Each : Batch.Entries)
-    Parts.add(Each.Payload);
+StartCommand CheckpointRecovery::addParts(const LogBatch &Batch) {
+  for (const LogEntry &Entry : Batch.Entries)
+    Assembler.add(Entry.Payload);
   if (Batch.Entries.empty())
     return readParts(PartsEnd);
   return readParts(Batch.Entries.back().At + 1);
 }
 
-StartCommand CheckpointRecovery::decide(Offset Horizon) {
-  std::optional<State> Found = Parts.newest(LowestNext);
-  if (Found && Found->Next >= Horizon)
-    return StartFrom{*std::move(Found)};
+StartCommand CheckpointRecovery::chooseState(Offset Horizon) {
+  std::optional<State> Newest = Assembler.newest(LowestNext);
+  if (Newest && Newest->Next >= Horizon)
+    return StartFrom{*std::move(Newest)};
   if (Horizon == 0 && LowestNext == 0)
     return StartFrom{};
-  if (Found)
-    return HistoryLost{Horizon, Found->Next};
+  if (Newest)
+    return HistoryLost{Horizon, Newest->Next};
   return HistoryLost{Horizon, std::nullopt};
 }
 
--- a/packages/version/src/coltsfoottrail/checkpoint/statecodec.cpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/statecodec.cpp
@@ -20,27 +20,27 @@
 constexpr std::size_t EntriesPerItem = 256;
 constexpr std::uint64_t MaxCount = 0xFFFFFFFFU;
 
-constexpr std::array<std::string_view, 4> GroupWords{"forming", "serving",
-                                                     "stopping", "broken"};
-constexpr std::array<std::string_view, 4> PlanWords{"proposed", "running",
-                                                    "done", "abandoned"};
+constexpr std::array<std::string_view, 4> GroupPhaseNames{"forming", "serving",
+                                                          "stopping", "broken"};
+constexpr std::array<std::string_view, 4> PlanPhaseNames{"proposed", "running",
+                                                         "done", "abandoned"};
 
-/// Writes items one behind the other.
+/// Writes a sequence of CBOR items, each preceded by its length.
 class ItemWriter {
 public:
   void add(const Json &Item) {
     const std::vector<std::byte> Bytes = writeCbor(Item);
     for (std::size_t Index = 0; Index < LengthBytes; ++Index)
-      Out.push_back(static_cast<std::byte>(Bytes.size() >> (8 * Index)));
-    Out.insert(Out.end(), Bytes.begin(), Bytes.end());
+      Buffer.push_back(static_cast<std::byte>(Bytes.size() >> (8 * Index)));
+    Buffer.insert(Buffer.end(), Bytes.begin(), Bytes.end());
   }
 
-  /// Writes the entries of a range as lists of bounded length.
+  /// Writes the entries of a range as lists of at most EntriesPerItem entries.
   template <class Range, class Write>
-  void addEach(const char *Kind, const Range &Entries, const Write &WriteOne) {
+  void addList(const char *Kind, const Range &Entries, const Write &WriteOne) {
     Json List = Json::array();
-    for (const auto &Each : Entries) {
-      List.push_back(WriteOne(Each));
+    for (const auto &Entry : Entries) {
+      List.push_back(WriteOne(Entry));
       if (List.size() == EntriesPerItem)
         flush(Kind, List);
     }
@@ -48,18 +48,19 @@
       flush(Kind, List);
   }
 
-  [[nodiscard]] std::vector<std::byte> finish() { return std::move(Out); }
+  [[nodiscard]] std::vector<std::byte> finish() { return std::move(Buffer); }
 
 private:
   void flush(const char *Kind, Json &List) {
     add(Json{{Kind, std::exchange(List, Json::array())}});
   }
 
-  std::vector<std::byte> Out;
+  std::vector<std::byte> Buffer;
 };
 
-/// Calls a function with each item.
-void eachItem(ByteView Bytes, const std::function<void(const Json &)> &Visit) {
+/// Calls a function for each item.
+void forEachItem(ByteView Bytes,
+                 const std::function<void(const Json &)> &Handler) {
   while (!Bytes.empty()) {
     std::size_t Size = 0;
     if (Bytes.size() < LengthBytes)
@@ -69,207 +70,211 @@
     Bytes = Bytes.subspan(LengthBytes);
     if (Bytes.size() < Size)
       throw InputError(Source, "", "an item that is cut off", "a whole item");
-    Visit(parseCbor(Bytes.first(Size), Source));
+    Handler(parseCbor(Bytes.first(Size), Source));
     Bytes = Bytes.subspan(Size);
   }
 }
 
 template <class Key> Json writeChanges(const std::map<Key, Offset> &Changes) {
-  Json Out = Json::object();
+  Json Result = Json::object();
   for (const auto &[Name, At] : Changes)
-    Out[Name.Text] = At;
-  return Out;
+    Result[Name.Text] = At;
+  return Result;
 }
 
 template <class Key>
-std::map<Key, Offset> readChanges(ObjectReader &From, std::string_view Member) {
-  std::map<Key, Offset> Out;
-  ObjectReader Changes = From.object(Member);
-  for (const auto &Each : From.raw(Member).items())
-    Out[Key(Each.key())] = Changes.number(Each.key());
-  return Out;
+std::map<Key, Offset> readChanges(ObjectReader &Reader,
+                                  std::string_view Member) {
+  std::map<Key, Offset> Result;
+  ObjectReader Changes = Reader.object(Member);
+  for (const auto &Change : Reader.raw(Member).items())
+    Result[Key(Change.key())] = Changes.number(Change.key());
+  return Result;
 }
 
 template <class Names> Json writeNames(const Names &List) {
-  Json Out = Json::array();
-  for (const auto &Each : List)
-    Out.push_back(Each.Text);
-  return Out;
+  Json Result = Json::array();
+  for (const auto &Name : List)
+    Result.push_back(Name.Text);
+  return Result;
 }
 
 template <class NameType>
-std::set<NameType> readNames(ObjectReader &From, std::string_view Member) {
-  std::set<NameType> Out;
-  for (std::string &Text : From.texts(Member))
-    Out.emplace(std::move(Text));
-  return Out;
+std::set<NameType> readNames(ObjectReader &Reader, std::string_view Member) {
+  std::set<NameType> Result;
+  for (std::string &Text : Reader.texts(Member))
+    Result.emplace(std::move(Text));
+  return Result;
 }
 
-Json writeHead(const State &Of) {
+Json writeHeader(const State &Current) {
   return Json{{"form", StateFormatVersion},
-              {"next", Of.Next},
-              {"entry_hosts_change", Of.EntryHostsChange},
-              {"last_change", Of.LastChange},
-              {"declared_change", Of.DeclaredChange},
-              {"model_changes", writeChanges(Of.ModelChanges)},
-              {"data_centre_changes", writeChanges(Of.DataCentreChanges)},
-              {"host_changes", writeChanges(Of.HostChanges)},
-              {"drained_data_centres", writeNames(Of.DrainedDataCentres)},
-              {"drained_hosts", writeNames(Of.DrainedHosts)},
-              {"checkpoint_at", Of.Checkpoint.StateNext},
-              {"checkpoint_digest", Of.Checkpoint.Digest},
-              {"checkpoint_announced_at", Of.Checkpoint.AnnouncedAt}};
+              {"next", Current.Next},
+              {"entry_hosts_change", Current.EntryHostsChange},
+              {"last_change", Current.LastChange},
+              {"declared_change", Current.DeclaredChange},
+              {"model_changes", writeChanges(Current.ModelChanges)},
+              {"data_centre_changes", writeChanges(Current.DataCentreChanges)},
+              {"host_changes", writeChanges(Current.HostChanges)},
+              {"drained_data_centres", writeNames(Current.DrainedDataCentres)},
+              {"drained_hosts", writeNames(Current.DrainedHosts)},
+              {"checkpoint_at", Current.Checkpoint.StateNext},
+              {"checkpoint_digest", Current.Checkpoint.Digest},
+              {"checkpoint_announced_at", Current.Checkpoint.AnnouncedAt}};
 }
 
-void readHead(const Json &Item, State &Into) {
-  ObjectReader From(Item, Source);
+void readHeader(const Json &Item, State &Target) {
+  ObjectReader Reader(Item, Source);
   static_cast<void>(
-      From.number("form", StateFormatVersion, StateFormatVersion));
-  Into.Next = From.number("next");
-  Into.EntryHostsChange = From.number("entry_hosts_change");
-  Into.LastChange = From.number("last_change");
-  Into.DeclaredChange = From.number("declared_change");
-  Into.ModelChanges = readChanges<ModelName>(From, "model_changes");
-  Into.DataCentreChanges =
-      readChanges<DataCentreName>(From, "data_centre_changes");
-  Into.HostChanges = readChanges<HostName>(From, "host_changes");
-  Into.DrainedDataCentres =
-      readNames<DataCentreName>(From, "drained_data_centres");
-  Into.DrainedHosts = readNames<HostName>(From, "drained_hosts");
-  Into.Checkpoint.StateNext = From.number("checkpoint_at");
-  Into.Checkpoint.Digest = From.number("checkpoint_digest");
-  Into.Checkpoint.AnnouncedAt = From.number("checkpoint_announced_at");
-  From.finish();
+      Reader.number("form", StateFormatVersion, StateFormatVersion));
+  Target.Next = Reader.number("next");
+  Target.EntryHostsChange = Reader.number("entry_hosts_change");
+  Target.LastChange = Reader.number("last_change");
+  Target.DeclaredChange = Reader.number("declared_change");
+  Target.ModelChanges = readChanges<ModelName>(Reader, "model_changes");
+  Target.DataCentreChanges =
+      readChanges<DataCentreName>(Reader, "data_centre_changes");
+  Target.HostChanges = readChanges<HostName>(Reader, "host_changes");
+  Target.DrainedDataCentres =
+      readNames<DataCentreName>(Reader, "drained_data_centres");
+  Target.DrainedHosts = readNames<HostName>(Reader, "drained_hosts");
+  Target.Checkpoint.StateNext = Reader.number("checkpoint_at");
+  Target.Checkpoint.Digest = Reader.number("checkpoint_digest");
+  Target.Checkpoint.AnnouncedAt = Reader.number("checkpoint_announced_at");
+  Reader.finish();
 }
 
-/// Writes what is declared: first all but the hosts, then the hosts as
-/// declarations of nothing but hosts.
-void addDeclared(const Declaration &Declared, ItemWriter &Into) {
+/// Writes the declaration: first everything but the hosts, then the hosts in
+/// parts, each a declaration that holds only hosts and the data centres.
+void addDeclaration(const Declaration &Declared, ItemWriter &Writer) {
   Declaration Part = Declared;
   Part.Hosts.clear();
-  Into.add(Json{{"declared", writeDeclaration(Part)}});
+  Writer.add(Json{{"declared", writeDeclaration(Part)}});
   Part = Declaration{};
   Part.DataCentres = Declared.DataCentres;
   for (auto First = Declared.Hosts.begin(); First != Declared.Hosts.end();) {
     const auto Left = std::distance(First, Declared.Hosts.end());
     const auto Last = First + std::min<std::ptrdiff_t>(Left, EntriesPerItem);
     Part.Hosts.assign(First, Last);
-    Into.add(Json{{"hosts", writeDeclaration(Part)}});
+    Writer.add(Json{{"hosts", writeDeclaration(Part)}});
     First = Last;
   }
 }
 
-void readHosts(const Json &Item, State &Into) {
+void readHosts(const Json &Item, State &Target) {
   Declaration Part =
       readDeclaration(Item.at("hosts"), Source, UnknownKeys::Refuse);
-  std::ranges::move(Part.Hosts, std::back_inserter(Into.Declared.Hosts));
+  std::ranges::move(Part.Hosts, std::back_inserter(Target.Declared.Hosts));
 }
 
-Json writeEntryHost(const EntryHost &Each) {
-  return Json{{"joined", writeRecord(Each.Joined)}, {"since", Each.Since}};
+Json writeEntryHost(const EntryHost &Value) {
+  return Json{{"joined", writeRecord(Value.Joined)}, {"since", Value.Since}};
 }
 
-void readEntryHost(ObjectReader &From, State &Into) {
-  EntryHost Each;
-  Record Said = readRecord(From.raw("joined"), Source);
-  if (!std::holds_alternative<EntryHostJoined>(Said))
-    From.refuse("joined", "a record of an entry host that joined");
-  Each.Joined = std::get<EntryHostJoined>(std::move(Said));
-  Each.Since = From.number("since");
-  Into.EntryHosts[Each.Joined.Host] = std::move(Each);
+void readEntryHost(ObjectReader &Reader, State &Target) {
+  EntryHost Value;
+  Record Decoded = readRecord(Reader.raw("joined"), Source);
+  if (!std::holds_alternative<EntryHostJoined>(Decoded))
+    Reader.refuse("joined", "a record of an entry host that joined");
+  Value.Joined = std::get<EntryHostJoined>(std::move(Decoded));
+  Value.Since = Reader.number("since");
+  Target.EntryHosts[Value.Joined.Host] = std::move(Value);
 }
 
 Json writeGroup(const std::pair<const GroupId, Group> &Entry) {
-  const auto &[Which, Known] = Entry;
-  Json Out{{"plan", Which.Plan},
-           {"formed", writeStep(Known.Spec)},
-           {"phase", GroupWords.at(static_cast<std::size_t>(Known.Phase))},
-           {"generation", Known.Generation},
-           {"runs", Known.MemberRuns}};
-  if (Known.HeldHosts.size() != Known.Spec.Members.size())
-    Out["held"] = writeNames(Known.HeldHosts);
-  return Out;
+  const auto &[Id, Value] = Entry;
+  Json Result{
+      {"plan", Id.Plan},
+      {"formed", writeStep(Value.Spec)},
+      {"phase", GroupPhaseNames.at(static_cast<std::size_t>(Value.Phase))},
+      {"generation", Value.Generation},
+      {"runs", Value.MemberRuns}};
+  if (Value.HeldHosts.size() != Value.Spec.Members.size())
+    Result["held"] = writeNames(Value.HeldHosts);
+  return Result;
 }
 
-std::vector<Incarnation> readRuns(ObjectReader &From) {
-  std::vector<Incarnation> Out;
-  for (const Json &Each : From.raw("runs")) {
-    if (!Each.is_number_unsigned())
-      From.refuse("runs", "a list of whole numbers");
-    Out.push_back(Each.get<Incarnation>());
+std::vector<Incarnation> readRuns(ObjectReader &Reader) {
+  std::vector<Incarnation> Result;
+  for (const Json &Run : Reader.raw("runs")) {
+    if (!Run.is_number_unsigned())
+      Reader.refuse("runs", "a list of whole numbers");
+    Result.push_back(Run.get<Incarnation>());
   }
-  return Out;
+  return Result;
 }
 
-void readGroup(ObjectReader &From, State &Into) {
-  Group Known;
-  Step Formed = readStep(From.raw("formed"), Source, UnknownKeys::Refuse);
+void readGroup(ObjectReader &Reader, State &Target) {
+  Group Value;
+  Step Formed = readStep(Reader.raw("formed"), Source, UnknownKeys::Refuse);
   if (!std::holds_alternative<FormGroup>(Formed))
-    From.refuse("formed", "a step that forms a group");
-  Known.Spec = std::get<FormGroup>(std::move(Formed));
-  const GroupId Which{From.number("plan"), Known.Spec.Number};
-  Known.Phase = static_cast<GroupPhase>(From.word("phase", GroupWords));
-  Known.Generation = From.number("generation");
-  Known.MemberRuns = readRuns(From);
-  if (From.has("held"))
-    Known.HeldHosts = readNames<HostName>(From, "held");
+    Reader.refuse("formed", "a step that forms a group");
+  Value.Spec = std::get<FormGroup>(std::move(Formed));
+  const GroupId Id{Reader.number("plan"), Value.Spec.Number};
+  Value.Phase = static_cast<GroupPhase>(Reader.word("phase", GroupPhaseNames));
+  Value.Generation = Reader.number("generation");
+  Value.MemberRuns = readRuns(Reader);
+  if (Reader.has("held"))
+    Value.HeldHosts = readNames<HostName>(Reader, "held");
   else
-    Known.HeldHosts.insert(Known.Spec.Members.begin(),
-                           Known.Spec.Members.end());
-  for (const HostName &Host : Known.HeldHosts)
-    Into.OccupiedHosts[Host] = Which;
-  Into.Groups[Which] = std::move(Known);
+    Value.HeldHosts.insert(Value.Spec.Members.begin(),
+                           Value.Spec.Members.end());
+  for (const HostName &Host : Value.HeldHosts)
+    Target.OccupiedHosts[Host] = Id;
+  Target.Groups[Id] = std::move(Value);
 }
 
 Json writeProgress(const std::pair<const Offset, PlanProgress> &Entry) {
   const PlanProgress &Progress = Entry.second;
-  return Json{{"at", Entry.first},
-              {"proposed", writeRecord(Progress.Proposed)},
-              {"phase", PlanWords.at(static_cast<std::size_t>(Progress.Phase))},
-              {"lease", Progress.Lease},
-              {"executor", Json::array({Progress.Executor.Text})},
-              {"executor_run", Progress.ExecutorRun},
-              {"steps_done", Progress.StepsDone},
-              {"why", Json::array({Progress.Reason})},
-              {"confirmed_at", Progress.ConfirmedAt},
-              {"ended_at", Progress.EndedAt},
-              {"formed", Progress.Formed}};
+  return Json{
+      {"at", Entry.first},
+      {"proposed", writeRecord(Progress.Proposed)},
+      {"phase", PlanPhaseNames.at(static_cast<std::size_t>(Progress.Phase))},
+      {"lease", Progress.Lease},
+      {"executor", Json::array({Progress.Executor.Text})},
+      {"executor_run", Progress.ExecutorRun},
+      {"steps_done", Progress.StepsDone},
+      {"why", Json::array({Progress.Reason})},
+      {"confirmed_at", Progress.ConfirmedAt},
+      {"ended_at", Progress.EndedAt},
+      {"formed", Progress.Formed}};
 }
 
-/// Reads a text that may be empty; it stands in a list of one.
-std::string readMaybeEmpty(ObjectReader &From, std::string_view Member) {
-  const Json &List = From.raw(Member);
+/// Reads a text that may be empty; it is written as a list of one text, as the
+/// reader refuses empty texts.
+std::string readPossiblyEmpty(ObjectReader &Reader, std::string_view Member) {
+  const Json &List = Reader.raw(Member);
   if (!List.is_array() || List.size() != 1 || !List[0].is_string())
-    From.refuse(Member, "a list of one text");
+    Reader.refuse(Member, "a list of one text");
   return List[0].get<std::string>();
 }
 
-void readFormedNumbers(ObjectReader &From, PlanProgress &Into) {
-  for (const Json &Each : From.raw("formed")) {
-    if (!Each.is_number_unsigned() || Each.get<std::uint64_t>() > MaxCount)
-      From.refuse("formed", "a list of whole numbers");
-    Into.Formed.insert(Each.get<std::uint32_t>());
+void readFormedNumbers(ObjectReader &Reader, PlanProgress &Target) {
+  for (const Json &Number : Reader.raw("formed")) {
+    if (!Number.is_number_unsigned() || Number.get<std::uint64_t>() > MaxCount)
+      Reader.refuse("formed", "a list of whole numbers");
+    Target.Formed.insert(Number.get<std::uint32_t>());
   }
 }
 
-void readProgress(ObjectReader &From, State &Into) {
+void readProgress(ObjectReader &Reader, State &Target) {
   PlanProgress Progress;
-  const Offset At = From.number("at");
-  Record Said = readRecord(From.raw("proposed"), Source);
-  if (!std::holds_alternative<PlanProposed>(Said))
-    From.refuse("proposed", "a record of a plan that was proposed");
-  Progress.Proposed = std::get<PlanProposed>(std::move(Said));
-  Progress.Phase = static_cast<PlanPhase>(From.word("phase", PlanWords));
-  Progress.Lease = From.number("lease");
-  Progress.Executor = HostName(readMaybeEmpty(From, "executor"));
-  Progress.ExecutorRun = From.number("executor_run");
+  const Offset At = Reader.number("at");
+  Record Decoded = readRecord(Reader.raw("proposed"), Source);
+  if (!std::holds_alternative<PlanProposed>(Decoded))
+    Reader.refuse("proposed", "a record of a plan that was proposed");
+  Progress.Proposed = std::get<PlanProposed>(std::move(Decoded));
+  Progress.Phase = static_cast<PlanPhase>(Reader.word("phase", PlanPhaseNames));
+  Progress.Lease = Reader.number("lease");
+  Progress.Executor = HostName(readPossiblyEmpty(Reader, "executor"));
+  Progress.ExecutorRun = Reader.number("executor_run");
   Progress.StepsDone =
-      static_cast<std::uint32_t>(From.number("steps_done", 0, MaxCount));
-  Progress.Reason = readMaybeEmpty(From, "why");
-  Progress.ConfirmedAt = From.number("confirmed_at");
-  Progress.EndedAt = From.number("ended_at");
-  readFormedNumbers(From, Progress);
-  Into.Plans[At] = std::move(Progress);
+      static_cast<std::uint32_t>(Reader.number("steps_done", 0, MaxCount));
+  Progress.Reason = readPossiblyEmpty(Reader, "why");
+  Progress.ConfirmedAt = Reader.number("confirmed_at");
+  Progress.EndedAt = Reader.number("ended_at");
+  readFormedNumbers(Reader, Progress);
+  Target.Plans[At] = std::move(Progress);
 }
 
 Json writeWriter(const std::pair<const Incarnation, WriterMark> &Entry) {
@@ -278,81 +283,83 @@
               {"last_at", Entry.second.LastOffset}};
 }
 
-void readWriter(ObjectReader &From, State &Into) {
-  const Incarnation Run = From.number("run");
-  WriterMark &Mark = Into.Writers[Run];
-  Mark.Sequence = From.number("sequence");
-  Mark.LastOffset = From.number("last_at");
+void readWriter(ObjectReader &Reader, State &Target) {
+  const Incarnation Run = Reader.number("run");
+  WriterMark &Mark = Target.Writers[Run];
+  Mark.Sequence = Reader.number("sequence");
+  Mark.LastOffset = Reader.number("last_at");
 }
 
-void addDeparted(const State &Of, ItemWriter &Into) {
-  if (Of.DepartedHosts.empty())
+void addDeparted(const State &Current, ItemWriter &Writer) {
+  if (Current.DepartedHosts.empty())
     return;
   Declaration Part;
   std::set<DataCentreName> DataCentres;
-  for (const auto &[Name, Host] : Of.DepartedHosts) {
+  for (const auto &[Name, Host] : Current.DepartedHosts) {
     Part.Hosts.push_back(Host);
     DataCentres.insert(Host.DataCentre);
   }
   Part.DataCentres.assign(DataCentres.begin(), DataCentres.end());
-  Into.add(Json{{"departed", writeDeclaration(Part)}});
+  Writer.add(Json{{"departed", writeDeclaration(Part)}});
 }
 
-void readDeparted(const Json &Item, State &Into) {
+void readDeparted(const Json &Item, State &Target) {
   const Declaration Part =
       readDeclaration(Item.at("departed"), Source, UnknownKeys::Refuse);
   for (const HostSpec &Host : Part.Hosts)
-    Into.DepartedHosts.emplace(Host.Name, Host);
+    Target.DepartedHosts.emplace(Host.Name, Host);
 }
 
-using EntryReader = void (*)(ObjectReader &, State &);
+using EntryReadFunction = void (*)(ObjectReader &, State &);
 
 struct ListKind {
   const char *Key;
-  EntryReader Read;
+  EntryReadFunction Read;
 };
 constexpr std::array Lists{
     ListKind{"entry_hosts", readEntryHost}, ListKind{"groups", readGroup},
     ListKind{"plans", readProgress}, ListKind{"writers", readWriter}};
 
-void readItem(const Json &Item, State &Into) {
-  ObjectReader From(Item, Source);
-  if (From.has("form"))
-    return readHead(Item, Into);
-  if (From.has("declared")) {
-    Into.Declared =
+void readItem(const Json &Item, State &Target) {
+  ObjectReader Reader(Item, Source);
+  if (Reader.has("form"))
+    return readHeader(Item, Target);
+  if (Reader.has("declared")) {
+    Target.Declared =
         readDeclaration(Item.at("declared"), Source, UnknownKeys::Refuse);
     return;
   }
-  if (From.has("hosts"))
-    return readHosts(Item, Into);
-  if (From.has("departed"))
-    return readDeparted(Item, Into);
+  if (Reader.has("hosts"))
+    return readHosts(Item, Target);
+  if (Reader.has("departed"))
+    return readDeparted(Item, Target);
   for (const ListKind &Kind : Lists)
-    From.eachObject(Kind.Key,
-                    [&](ObjectReader &Each) { Kind.Read(Each, Into); });
-  From.finish();
+    Reader.eachObject(Kind.Key, [&](ObjectReader &ItemReader) {
+      Kind.Read(ItemReader, Target);
+    });
+  Reader.finish();
 }
 
 } // namespace
 
-std::vector<std::byte> encodeState(const State &Of) {
-  ItemWriter Into;
-  Into.add(writeHead(Of));
-  addDeclared(Of.Declared, Into);
-  Into.addEach("entry_hosts", Of.EntryHosts,
-               [](const auto &Entry) { return writeEntryHost(Entry.second); });
-  Into.addEach("groups", Of.Groups, writeGroup);
-  Into.addEach("plans", Of.Plans, writeProgress);
-  Into.addEach("writers", Of.Writers, writeWriter);
-  addDeparted(Of, Into);
-  return Into.finish();
+std::vector<std::byte> encodeState(const State &Current) {
+  ItemWriter Writer;
+  Writer.add(writeHeader(Current));
+  addDeclaration(Current.Declared, Writer);
+  Writer.addList("entry_hosts", Current.EntryHosts, [](const auto &Entry) {
+    return writeEntryHost(Entry.second);
+  });
+  Writer.addList("groups", Current.Groups, writeGroup);
+  Writer.addList("plans", Current.Plans, writeProgress);
+  Writer.addList("writers", Current.Writers, writeWriter);
+  addDeparted(Current, Writer);
+  return Writer.finish();
 }
 
 State decodeState(ByteView Bytes) {
-  State Out;
-  eachItem(Bytes, [&](const Json &Item) { readItem(Item, Out); });
-  return Out;
+  State Result;
+  forEachItem(Bytes, [&](const Json &Item) { readItem(Item, Result); });
+  return Result;
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/checkpoint/statecodec.hpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/statecodec.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The agreed state as bytes.
+/// Encoding of the agreed state as bytes.
 #ifndef COLTSFOOTTRAIL_CHECKPOINT_STATECODEC_HPP
 #define COLTSFOOTTRAIL_CHECKPOINT_STATECODEC_HPP
 
@@ -10,20 +10,21 @@
 
 namespace coltsfoottrail {
 
-/// Version of the form of encoded states that this build writes and reads.
+/// Version of the state format that this build writes and reads.
 inline constexpr std::uint64_t StateFormatVersion = 1;
 
-/// @brief Writes a state as a row of CBOR items, each with its length before
-/// it, so that neither side ever holds more than one small item as JSON.
+/// @brief Encodes a state as a sequence of CBOR items, each preceded by its
+/// length, so that neither side ever holds more than one small item as JSON.
 /// Thread-safe.
-/// @param Of The state.
+/// @param Current The state.
 /// @return The bytes; the same for equal states.
-[[nodiscard]] std::vector<std::byte> encodeState(const State &Of);
+[[nodiscard]] std::vector<std::byte> encodeState(const State &Current);
 
-/// @brief Reads a state. Thread-safe.
-/// @param Bytes Anything; damaged bytes are refused.
-/// @return The state; its digest is for the caller to compare.
-/// @throws InputError Damaged, cut off or of another form version.
+/// @brief Decodes a state. Thread-safe.
+/// @param Bytes Arbitrary bytes; damaged ones are refused.
+/// @return The state; the caller must compare its digest.
+/// @throws InputError The bytes are damaged, truncated or of another format
+/// version.
 [[nodiscard]] State decodeState(ByteView Bytes);
 
 } // namespace coltsfoottrail
--- a/packages/version/test/coltsfoottrail/checkpoint/parts.cpp
+++ b/packages/version/test/coltsfoottrail/checkpoint/parts.cpp
@@ -16,183 +16,184 @@
 const StreamName Checkpoints("checkpoints");
 
 /// A state whose checkpoint has several parts.
-Story largeStory() {
-  Story Told;
-  Told.join(HostName("entry-a"), 11);
-  Told.join(HostName("entry-b"), 12);
-  Told.join(HostName("entry-c"), 13);
-  Told.carry(ApplyDeclaration{test::makeDeclaration({3, 4, 400, 1, 2, 1})});
-  return Told;
+Story largeHistory() {
+  Story History;
+  History.join(HostName("entry-a"), 11);
+  History.join(HostName("entry-b"), 12);
+  History.join(HostName("entry-c"), 13);
+  History.carry(ApplyDeclaration{test::makeDeclaration({3, 4, 400, 1, 2, 1})});
+  return History;
 }
 
-std::vector<std::vector<std::byte>> partRecords(const State &Of,
+std::vector<std::vector<std::byte>> partRecords(const State &Current,
                                                 Incarnation Run) {
-  std::vector<std::vector<std::byte>> Out;
+  std::vector<std::vector<std::byte>> Result;
   std::uint64_t Sequence = 0;
-  for (CheckpointPart &Part : splitCheckpoint(Of))
-    Out.push_back(
+  for (CheckpointPart &Part : splitCheckpoint(Current))
+    Result.push_back(
         encodeRecord(Envelope{WriterId{Run, ++Sequence}, std::move(Part)}));
-  return Out;
+  return Result;
 }
 
-void write(FakeLog &To, const State &Of, Incarnation Run) {
-  for (auto &Bytes : partRecords(Of, Run))
-    To.push(Checkpoints, std::move(Bytes));
+void write(FakeLog &Log, const State &Current, Incarnation Run) {
+  for (auto &Bytes : partRecords(Current, Run))
+    Log.push(Checkpoints, std::move(Bytes));
 }
 
-/// Carries a start out to its end against a log.
-StartCommand start(FakeLog &From, CheckpointRecovery &Begun) {
-  StartCommand Next = Begun.start();
+/// Runs a recovery to its end against a log.
+StartCommand start(FakeLog &Log, CheckpointRecovery &Recovery) {
+  StartCommand Next = Recovery.start();
   while (const auto *const Read = std::get_if<StartRead>(&Next)) {
     std::optional<ReadResult> Result;
-    From.read(Read->Checkpoints ? Checkpoints : Agreed, Read->From,
-              Read->MaxEntries, milliseconds(0),
-              [&](ReadResult Got) { Result = std::move(Got); });
-    From.run();
-    Next = Begun.onRead(*Result);
+    Log.read(Read->Checkpoints ? Checkpoints : Agreed, Read->From,
+             Read->MaxEntries, milliseconds(0),
+             [&](ReadResult Response) { Result = std::move(Response); });
+    Log.run();
+    Next = Recovery.onRead(*Result);
   }
   return Next;
 }
 
-TEST(Checkpoint, StateComesBackWholeFromItsParts) {
-  const Story Told = largeStory();
-  CheckpointAssembler Parts;
-  const auto Records = partRecords(Told.Now, 7);
+TEST(Checkpoint, StateRoundTripsThroughItsParts) {
+  const Story History = largeHistory();
+  CheckpointAssembler Assembler;
+  const auto Records = partRecords(History.Now, 7);
   ASSERT_GT(Records.size(), 1U);
   for (const auto &Bytes : Records)
-    Parts.add(Bytes);
-  const std::optional<State> Found = Parts.newest();
-  ASSERT_TRUE(Found);
-  EXPECT_EQ(*Found, Told.Now);
+    Assembler.add(Bytes);
+  const std::optional<State> Decoded = Assembler.newest();
+  ASSERT_TRUE(Decoded);
+  EXPECT_EQ(*Decoded, History.Now);
 }
 
-// A writer dies between two parts, and bytes of another checkpoint rot. A host
-// that took either would serve a state that never was; it falls back to the
-// checkpoint before.
-TEST(Checkpoint, DamagedOrUnfinishedOnesFallBackToTheOneBefore) {
-  Story Told = largeStory();
-  const State First = Told.Now;
-  Told.carry(DrainDataCentre{test::dataCentre(0)});
-  const State Second = Told.Now;
-  Told.carry(DrainDataCentre{test::dataCentre(1)});
+// A writer fails between two parts, and another checkpoint is corrupted. A host
+// that used either would serve a state that never existed; it falls back to the
+// previous checkpoint.
+TEST(Checkpoint, DamagedOrIncompleteCheckpointFallsBackToThePreviousOne) {
+  Story History = largeHistory();
+  const State First = History.Now;
+  History.carry(DrainDataCentre{test::dataCentre(0)});
+  const State Second = History.Now;
+  History.carry(DrainDataCentre{test::dataCentre(1)});
   FakeLog Log;
   write(Log, First, 7);
-  auto Rotten = partRecords(Second, 8);
-  Rotten.front()[Rotten.front().size() / 2] ^= std::byte{1};
-  for (auto &Bytes : Rotten)
+  auto Damaged = partRecords(Second, 8);
+  Damaged.front()[Damaged.front().size() / 2] ^= std::byte{1};
+  for (auto &Bytes : Damaged)
     Log.push(Checkpoints, std::move(Bytes));
-  auto Unfinished = partRecords(Told.Now, 9);
+  auto Unfinished = partRecords(History.Now, 9);
   Unfinished.pop_back();
   for (auto &Bytes : Unfinished)
     Log.push(Checkpoints, std::move(Bytes));
-  CheckpointRecovery Begun;
-  const StartCommand End = start(Log, Begun);
-  ASSERT_TRUE(std::holds_alternative<StartFrom>(End));
-  EXPECT_EQ(std::get<StartFrom>(End).InitialState, First);
-  EXPECT_FALSE(Begun.problems().empty());
+  CheckpointRecovery Recovery;
+  const StartCommand Command = start(Log, Recovery);
+  ASSERT_TRUE(std::holds_alternative<StartFrom>(Command));
+  EXPECT_EQ(std::get<StartFrom>(Command).InitialState, First);
+  EXPECT_FALSE(Recovery.problems().empty());
 }
 
 // Two hosts write the same checkpoint at the same time, part by part.
-TEST(Checkpoint, TwoWritersDoNoHarm) {
-  const Story Told = largeStory();
-  const auto Left = partRecords(Told.Now, 7);
-  const auto Right = partRecords(Told.Now, 8);
-  CheckpointAssembler Parts;
+TEST(Checkpoint, TwoWritersDoNotConflict) {
+  const Story History = largeHistory();
+  const auto Left = partRecords(History.Now, 7);
+  const auto Right = partRecords(History.Now, 8);
+  CheckpointAssembler Assembler;
   for (std::size_t Index = 0; Index < Left.size(); ++Index) {
-    Parts.add(Left[Index]);
-    Parts.add(Right[Index]);
+    Assembler.add(Left[Index]);
+    Assembler.add(Right[Index]);
   }
-  EXPECT_EQ(Parts.newest(), Told.Now);
+  EXPECT_EQ(Assembler.newest(), History.Now);
 }
 
 TEST(Checkpoint, NewHostStartsFromCheckpointAndTail) {
-  Story Told = largeStory();
+  Story History = largeHistory();
   FakeLog Log;
-  write(Log, Told.Now, 7);
-  Told.carry(DrainDataCentre{test::dataCentre(2)});
-  for (const auto &Bytes : Told.Bytes)
+  write(Log, History.Now, 7);
+  History.carry(DrainDataCentre{test::dataCentre(2)});
+  for (const auto &Bytes : History.Bytes)
     Log.push(Agreed, Bytes);
   Log.trim(Agreed, 4);
-  CheckpointRecovery Begun;
-  StartCommand End = start(Log, Begun);
-  ASSERT_TRUE(std::holds_alternative<StartFrom>(End));
-  State Now = std::get<StartFrom>(std::move(End)).InitialState;
-  for (const LogEntry &Each : Log.entries(Agreed))
-    foldRecord(Now, Each.At, Each.Payload);
-  EXPECT_EQ(digestOf(Now), digestOf(Told.Now));
+  CheckpointRecovery Recovery;
+  StartCommand Command = start(Log, Recovery);
+  ASSERT_TRUE(std::holds_alternative<StartFrom>(Command));
+  State Now = std::get<StartFrom>(std::move(Command)).InitialState;
+  for (const LogEntry &Entry : Log.entries(Agreed))
+    foldRecord(Now, Entry.At, Entry.Payload);
+  EXPECT_EQ(digestOf(Now), digestOf(History.Now));
 }
 
-// An outage outlasts the retention: the records after the newest checkpoint are
-// trimmed. A host that went on at the horizon would miss them for good, so it
-// does not start until a host that still runs has written a new checkpoint.
-TEST(Checkpoint, OutageLongerThanRetentionIsToldAndOutlived) {
-  Story Told = largeStory();
+// An outage lasts longer than the retention, so the records after the newest
+// checkpoint are trimmed. A host that continued at the horizon would never see
+// them, so it does not start until a running host has written a new checkpoint.
+TEST(Checkpoint, OutageLongerThanRetentionIsDetectedAndRecovered) {
+  Story History = largeHistory();
   FakeLog Log;
-  write(Log, Told.Now, 7);
-  const Offset CheckpointAt = Told.Now.Next;
-  Told.carry(DrainDataCentre{test::dataCentre(2)});
-  for (const auto &Bytes : Told.Bytes)
+  write(Log, History.Now, 7);
+  const Offset CheckpointAt = History.Now.Next;
+  History.carry(DrainDataCentre{test::dataCentre(2)});
+  for (const auto &Bytes : History.Bytes)
     Log.push(Agreed, Bytes);
-  Log.trim(Agreed, Told.Now.Next);
-  CheckpointRecovery Begun;
-  const StartCommand Lost = start(Log, Begun);
-  ASSERT_TRUE(std::holds_alternative<HistoryLost>(Lost));
-  EXPECT_EQ(std::get<HistoryLost>(Lost).Horizon, Told.Now.Next);
-  EXPECT_EQ(std::get<HistoryLost>(Lost).NewestCheckpoint, CheckpointAt);
-
-  CheckpointSchedule Runs(HostName("entry-a"), CheckpointPolicy{});
+  Log.trim(Agreed, History.Now.Next);
+  CheckpointRecovery Recovery;
+  const StartCommand LostCommand = start(Log, Recovery);
+  ASSERT_TRUE(std::holds_alternative<HistoryLost>(LostCommand));
+  EXPECT_EQ(std::get<HistoryLost>(LostCommand).Horizon, History.Now.Next);
+  EXPECT_EQ(std::get<HistoryLost>(LostCommand).NewestCheckpoint, CheckpointAt);
+
+  CheckpointSchedule Schedule(HostName("entry-a"), CheckpointPolicy{});
   bool Written = false;
   for (int Second = 0; Second < 60 && !Written; ++Second)
-    Written = Runs.shouldWrite(Told.Now, Told.Now.Next,
-                               TimePoint(seconds(100 + Second)));
+    Written = Schedule.shouldWrite(History.Now, History.Now.Next,
+                                   TimePoint(seconds(100 + Second)));
   ASSERT_TRUE(Written);
-  write(Log, Told.Now, 11);
-  const StartCommand Found = start(Log, Begun);
-  ASSERT_TRUE(std::holds_alternative<StartFrom>(Found));
-  EXPECT_EQ(std::get<StartFrom>(Found).InitialState, Told.Now);
+  write(Log, History.Now, 11);
+  const StartCommand RecoveredCommand = start(Log, Recovery);
+  ASSERT_TRUE(std::holds_alternative<StartFrom>(RecoveredCommand));
+  EXPECT_EQ(std::get<StartFrom>(RecoveredCommand).InitialState, History.Now);
 }
 
-// Everything is gone: no host runs and both streams are trimmed. What groups
-// the engines still serve is not known, so beginning anew might put hosts into
-// two groups.
-TEST(Checkpoint, NothingLeftIsNotTakenForABeginning) {
-  Story Told = largeStory();
+// No host runs and both streams are trimmed. It is unknown which groups the
+// engines still serve, so starting from an empty state might put hosts into two
+// groups.
+TEST(Checkpoint, TrimmedStreamsAreNotTakenForANewDeployment) {
+  Story History = largeHistory();
   FakeLog Log;
-  for (const auto &Bytes : Told.Bytes)
+  for (const auto &Bytes : History.Bytes)
     Log.push(Agreed, Bytes);
-  Log.trim(Agreed, Told.Now.Next);
-  CheckpointRecovery Begun;
-  const StartCommand End = start(Log, Begun);
-  ASSERT_TRUE(std::holds_alternative<HistoryLost>(End));
-  EXPECT_FALSE(std::get<HistoryLost>(End).NewestCheckpoint);
-  FakeLog Empty;
-  CheckpointRecovery Anew;
-  EXPECT_TRUE(std::holds_alternative<StartFrom>(start(Empty, Anew)));
+  Log.trim(Agreed, History.Now.Next);
+  CheckpointRecovery Recovery;
+  const StartCommand Command = start(Log, Recovery);
+  ASSERT_TRUE(std::holds_alternative<HistoryLost>(Command));
+  EXPECT_FALSE(std::get<HistoryLost>(Command).NewestCheckpoint);
+  FakeLog EmptyLog;
+  CheckpointRecovery NewRecovery;
+  EXPECT_TRUE(std::holds_alternative<StartFrom>(start(EmptyLog, NewRecovery)));
 }
 
 TEST(Checkpoint, StartWaitsWhileTheLogIsDown) {
   FakeLog Log;
   Log.setDown(true);
-  CheckpointRecovery Begun;
-  EXPECT_TRUE(std::holds_alternative<StartRetry>(start(Log, Begun)));
+  CheckpointRecovery Recovery;
+  EXPECT_TRUE(std::holds_alternative<StartRetry>(start(Log, Recovery)));
 }
 
-// The host whose turn it is has died without anyone noticing. Were the others
-// to wait for it, the log's horizon would pass the last checkpoint.
+// The host whose turn it is has failed undetected. If the others waited for it,
+// the log's horizon would pass the last checkpoint.
 TEST(CheckpointSchedule, OthersTakeOverOneByOne) {
-  const Story Told = largeStory();
+  const Story History = largeHistory();
   const CheckpointPolicy Policy;
   std::vector<int> Turns;
   for (const char *const Name : {"entry-a", "entry-b", "entry-c"}) {
-    CheckpointSchedule Each{HostName(Name), Policy};
-    EXPECT_FALSE(Each.shouldWrite(Told.Now, 0, TimePoint(seconds(0))));
+    CheckpointSchedule Schedule{HostName(Name), Policy};
+    EXPECT_FALSE(Schedule.shouldWrite(History.Now, 0, TimePoint(seconds(0))));
     const TimePoint Due = TimePoint(Policy.Retention / 4);
     int Turn = 0;
-    while (!Each.shouldWrite(Told.Now, 0, Due + Turn * Policy.Stagger))
+    while (!Schedule.shouldWrite(History.Now, 0, Due + Turn * Policy.Stagger))
       ASSERT_LT(++Turn, 4);
-    EXPECT_FALSE(Each.shouldWrite(Told.Now, 0, Due + Turn * Policy.Stagger));
-    EXPECT_TRUE(
-        Each.shouldWrite(Told.Now, 0, Due + (Turn + 4) * Policy.Stagger));
+    EXPECT_FALSE(
+        Schedule.shouldWrite(History.Now, 0, Due + Turn * Policy.Stagger));
+    EXPECT_TRUE(Schedule.shouldWrite(History.Now, 0,
+                                     Due + (Turn + 4) * Policy.Stagger));
     Turns.push_back(Turn);
   }
   std::ranges::sort(Turns);
@@ -200,22 +201,25 @@
 }
 
 TEST(CheckpointSchedule, AnnouncementEndsTheTurnAndIsFolded) {
-  Story Told = largeStory();
-  CheckpointSchedule Each{HostName("entry-a"), CheckpointPolicy{}};
+  Story History = largeHistory();
+  CheckpointSchedule Schedule{HostName("entry-a"), CheckpointPolicy{}};
   const CheckpointPart Announced =
-      announcementOf(splitCheckpoint(Told.Now).front());
-  DigestHistory Known;
-  Known.note(Told.Now.Next, digestOf(Told.Now));
-  EXPECT_EQ(Told.say(Announced).Effect, FoldEffect::Applied);
-  EXPECT_EQ(Told.Now.Checkpoint.StateNext, Announced.StateNext);
-  EXPECT_EQ(Known.matches(Told.Now.Checkpoint), true);
-  AnnouncedCheckpoint Other = Told.Now.Checkpoint;
-  ++Other.Digest;
-  EXPECT_EQ(Known.matches(Other), false);
-  EXPECT_FALSE(Each.shouldWrite(Told.Now, 0, TimePoint(seconds(1))));
-  EXPECT_FALSE(Each.shouldWrite(Told.Now, 0, TimePoint(std::chrono::hours(5))));
-  // The parts themselves grow old, even if nothing changes.
-  EXPECT_TRUE(Each.shouldWrite(Told.Now, 0, TimePoint(std::chrono::hours(7))));
+      announcementOf(splitCheckpoint(History.Now).front());
+  DigestHistory Digests;
+  Digests.note(History.Now.Next, digestOf(History.Now));
+  EXPECT_EQ(History.say(Announced).Effect, FoldEffect::Applied);
+  EXPECT_EQ(History.Now.Checkpoint.StateNext, Announced.StateNext);
+  EXPECT_EQ(Digests.matches(History.Now.Checkpoint), true);
+  AnnouncedCheckpoint DifferentDigest = History.Now.Checkpoint;
+  ++DifferentDigest.Digest;
+  EXPECT_EQ(Digests.matches(DifferentDigest), false);
+  EXPECT_FALSE(Schedule.shouldWrite(History.Now, 0, TimePoint(seconds(1))));
+  EXPECT_FALSE(
+      Schedule.shouldWrite(History.Now, 0, TimePoint(std::chrono::hours(5))));
+  // The checkpoint is renewed before its parts are trimmed, even if nothing
+  // changes.
+  EXPECT_TRUE(
+      Schedule.shouldWrite(History.Now, 0, TimePoint(std::chrono::hours(7))));
 }
 
 } // namespace
