--- a/packages/version/src/coltsfoottrail/config/follower.cpp
+++ b/packages/version/src/coltsfoottrail/config/follower.cpp
@@ -7,26 +7,26 @@
 
 namespace {
 
-constexpr std::size_t EntriesAtOnce = 256;
-constexpr std::size_t MostStamps = 256;
-constexpr std::size_t MostOutstanding = 8;
-constexpr std::uint32_t MostDoublings = 16;
-/// Least time between two wakes: a limit that is met exactly is not exceeded
-/// yet.
+constexpr std::size_t EntriesPerRead = 256;
+constexpr std::size_t MaxSentQueries = 256;
+constexpr std::size_t MaxPendingReads = 8;
+constexpr std::uint32_t MaxDoublings = 16;
+/// Minimum time between two wakes. Added to deadlines, as an age equal to a
+/// limit does not exceed it yet.
 constexpr Duration ClockStep = milliseconds(1);
 
 std::vector<RecordPtr> shareEntries(const LogBatch &Batch) {
-  std::vector<RecordPtr> Out;
-  Out.reserve(Batch.Entries.size());
-  for (const LogEntry &Each : Batch.Entries)
-    Out.push_back(std::make_shared<const LogEntry>(Each));
-  return Out;
+  std::vector<RecordPtr> Result;
+  Result.reserve(Batch.Entries.size());
+  for (const LogEntry &Entry : Batch.Entries)
+    Result.push_back(std::make_shared<const LogEntry>(Entry));
+  return Result;
 }
 
 } // namespace
 
-const char *freshnessText(Freshness Which) noexcept {
-  switch (Which) {
+const char *freshnessText(Freshness Value) noexcept {
+  switch (Value) {
   case Freshness::Starting:
     return "starting";
   case Freshness::Fresh:
@@ -39,22 +39,22 @@
   return "";
 }
 
-Follower::Follower(FollowerOptions Wanted, Offset Next, TimePoint Now)
-    : Options(std::move(Wanted)), Draw(Options.Seed), Tail(Next), Began(Now),
-      NextRead(Now), NextQuery(Now) {
-  Proof.reach(Next);
-  FallbackDelay = drawFallback();
+Follower::Follower(FollowerOptions InitialOptions, Offset Next, TimePoint Now)
+    : Options(std::move(InitialOptions)), Rng(Options.Seed), Tail(Next),
+      StartTime(Now), NextRead(Now), NextQuery(Now) {
+  Proof.setOwnNext(Next);
+  FallbackDelay = randomFallbackDelay();
 }
 
 void Follower::setMembers(std::span<const Member> Members) {
   Tree = RelayTree(Members, Options.Self);
-  Others.clear();
-  for (const Member &Each : Members)
-    if (Each.Name != Options.Self.Name)
-      Others.push_back(Each.Name);
-  std::ranges::sort(Others);
-  std::erase_if(Seen, [&](const auto &Entry) {
-    return !std::ranges::binary_search(Others, Entry.first);
+  OtherMembers.clear();
+  for (const Member &Entry : Members)
+    if (Entry.Name != Options.Self.Name)
+      OtherMembers.push_back(Entry.Name);
+  std::ranges::sort(OtherMembers);
+  std::erase_if(Peers, [&](const auto &Entry) {
+    return !std::ranges::binary_search(OtherMembers, Entry.first);
   });
   Survey.clear();
 }
@@ -62,41 +62,42 @@
 void Follower::restart(Offset Next) {
   if (Next > Tail.next())
     Tail = RecordTail(Next);
-  Proof.reach(Tail.next());
+  Proof.setOwnNext(Tail.next());
   Halted = false;
 }
 
 void Follower::onRead(std::uint64_t Number, const ReadResult &Result,
-                      TimePoint Now, FollowCommands &Out) {
-  const auto Found = Outstanding.find(Number);
-  if (Found == Outstanding.end())
+                      TimePoint Now, FollowCommands &Commands) {
+  const auto It = PendingReads.find(Number);
+  if (It == PendingReads.end())
     return;
-  const Reading Sent = Found->second;
-  Outstanding.erase(Found);
-  if (const auto *const Why = std::get_if<LogFailure>(&Result))
-    takeFailure(*Why, Now, Out);
+  const PendingRead Request = It->second;
+  PendingReads.erase(It);
+  if (const auto *const Failure = std::get_if<LogFailure>(&Result))
+    processFailure(*Failure, Now, Commands);
   else
-    takeBatch(std::get<LogBatch>(Result), Sent, Now, Out);
-  advance(Now, Out);
+    processBatch(std::get<LogBatch>(Result), Request, Now, Commands);
+  advance(Now, Commands);
 }
 
-void Follower::takeBatch(const LogBatch &Batch, const Reading &Sent,
-                         TimePoint Now, FollowCommands &Out) {
+void Follower::processBatch(const LogBatch &Batch, const PendingRead &Request,
+                            TimePoint Now, FollowCommands &Commands) {
   Failures = 0;
-  FallbackDelay = drawFallback();
-  takeRecords(shareEntries(Batch), Now, Out);
+  FallbackDelay = randomFallbackDelay();
+  processRecords(shareEntries(Batch), Now, Commands);
   const bool More = Batch.End > Tail.next();
-  if (Outstanding.empty())
+  if (PendingReads.empty())
     NextRead =
-        Tree.isRelay() || More ? Now : Now + jittered(Options.QueryEvery);
-  if (Batch.End >= Sent.Known)
-    Proof.learn(Batch.End, Sent.Sent);
+        Tree.isRelay() || More ? Now : Now + jittered(Options.QueryInterval);
+  if (Batch.End >= Request.KnownEnd)
+    Proof.addProof(Batch.End, Request.SentAt);
 }
 
-void Follower::takeFailure(LogFailure Why, TimePoint Now, FollowCommands &Out) {
-  if (Why == LogFailure::Trimmed && !Halted) {
+void Follower::processFailure(LogFailure Failure, TimePoint Now,
+                              FollowCommands &Commands) {
+  if (Failure == LogFailure::Trimmed && !Halted) {
     Halted = true;
-    Out.emplace_back(RecoverState{Tail.next()});
+    Commands.emplace_back(RecoverState{Tail.next()});
   }
   ++Failures;
   delayNextRead(Now);
@@ -104,252 +105,261 @@
 
 void Follower::delayNextRead(TimePoint Now) {
   const Duration Longest =
-      Tree.isRelay() ? Options.RetryLongest : Options.FallbackRetryLongest;
-  const std::uint32_t Doublings = std::min(Failures, MostDoublings);
-  const Duration Wait = Options.RetryFirst * (std::int64_t{1} << Doublings);
+      Tree.isRelay() ? Options.MaxRetryDelay : Options.MaxFallbackRetryDelay;
+  const std::uint32_t Doublings = std::min(Failures, MaxDoublings);
+  const Duration Wait = Options.MinRetryDelay * (std::int64_t{1} << Doublings);
   NextRead = Now + jittered(std::min(Wait, Longest) / 2);
 }
 
 void Follower::onRecords(const HostName & /*From*/,
                          const std::vector<RecordPtr> &Records, TimePoint Now,
-                         FollowCommands &Out) {
+                         FollowCommands &Commands) {
   const Offset Before = Tail.next();
-  takeRecords(Records, Now, Out);
+  processRecords(Records, Now, Commands);
   if (Tail.next() > Before) {
-    Asked.reset();
-    Unable.clear();
+    ActiveRequest.reset();
+    ExcludedPeers.clear();
   }
-  advance(Now, Out);
+  advance(Now, Commands);
 }
 
-void Follower::takeRecords(const std::vector<RecordPtr> &Records, TimePoint Now,
-                           FollowCommands &Out) {
+void Follower::processRecords(const std::vector<RecordPtr> &Records,
+                              TimePoint Now, FollowCommands &Commands) {
   if (Halted || Records.empty())
     return;
-  std::vector<RecordPtr> Ready = Tail.take(Records);
-  Offset Highest = 0;
-  for (const RecordPtr &Each : Records)
-    Highest = std::max(Highest, Each->At + 1);
+  std::vector<RecordPtr> Ready = Tail.insert(Records);
+  Offset HighestNext = 0;
+  for (const RecordPtr &Record : Records)
+    HighestNext = std::max(HighestNext, Record->At + 1);
   if (!Ready.empty()) {
-    relay(Ready, Out);
-    Proof.reach(Tail.next());
-    Out.emplace_back(FoldRecords{std::move(Ready)});
+    relay(Ready, Commands);
+    Proof.setOwnNext(Tail.next());
+    Commands.emplace_back(FoldRecords{std::move(Ready)});
   }
-  Proof.hear(Highest, Now);
+  Proof.noteNext(HighestNext, Now);
 }
 
 void Follower::relay(const std::vector<RecordPtr> &Records,
-                     FollowCommands &Out) {
-  // A host that catches up would send its children what they have long had.
-  const bool AtFront =
-      Verdict == Freshness::Fresh || Verdict == Freshness::LogDownForAll;
-  if (AtFront && !Tree.children().empty())
-    Out.emplace_back(RelayRecords{Tree.children(), Records});
+                     FollowCommands &Commands) {
+  // A host that is catching up would send its children records that they
+  // already have.
+  const bool IsCaughtUp = LastFreshness == Freshness::Fresh ||
+                          LastFreshness == Freshness::LogDownForAll;
+  if (IsCaughtUp && !Tree.children().empty())
+    Commands.emplace_back(RelayRecords{Tree.children(), Records});
 }
 
 void Follower::onQuery(const HostName &From, const FollowQuery &Query,
-                       TimePoint Now, FollowCommands &Out) {
-  if (std::ranges::binary_search(Others, From)) {
-    PeerSeen &Peer = Seen[From];
+                       TimePoint Now, FollowCommands &Commands) {
+  if (std::ranges::binary_search(OtherMembers, From)) {
+    PeerStatus &Peer = Peers[From];
     Peer.Next = std::max(Peer.Next, Query.Next);
-    Proof.hear(Query.Next, Now);
+    Proof.noteNext(Query.Next, Now);
   }
   FollowAnswer Answer;
   Answer.Stamp = Query.Stamp;
   Answer.Next = Tail.next();
   Answer.ProofAge = proofAge(Now);
-  Out.emplace_back(SendAnswer{From, Answer});
+  Commands.emplace_back(SendAnswer{From, Answer});
 }
 
 void Follower::onAnswer(const HostName &From, const FollowAnswer &Answer,
-                        TimePoint Now, FollowCommands &Out) {
-  const auto Sent = Stamps.find(Answer.Stamp);
-  if (Sent == Stamps.end())
+                        TimePoint Now, FollowCommands &Commands) {
+  const auto It = SentQueries.find(Answer.Stamp);
+  if (It == SentQueries.end())
     return;
-  const TimePoint Left = Sent->second;
-  Stamps.erase(Sent);
-  Seen[From] = PeerSeen{Answer.Next, Now};
-  Introduced = true;
-  Proof.hear(Answer.Next, Now);
-  // The answer was given no earlier than the query left, so what it proves
-  // holds as of then at the least, however long it was on its way.
+  const TimePoint SentAt = It->second;
+  SentQueries.erase(It);
+  Peers[From] = PeerStatus{Answer.Next, Now};
+  ReceivedAnswer = true;
+  Proof.noteNext(Answer.Next, Now);
+  // The answer was created no earlier than the query was sent, so its proof
+  // holds at least as of then, regardless of the network delay.
   if (Answer.ProofAge)
-    Proof.learn(Answer.Next, Left - *Answer.ProofAge);
-  advance(Now, Out);
+    Proof.addProof(Answer.Next, SentAt - *Answer.ProofAge);
+  advance(Now, Commands);
 }
 
 void Follower::onRecordsRequested(const HostName &From, Offset First,
-                                  TimePoint /*Now*/, FollowCommands &Out) {
-  std::optional<std::vector<RecordPtr>> Found = Tail.read(First);
-  if (Found)
-    Out.emplace_back(RelayRecords{{From}, *std::move(Found)});
+                                  TimePoint /*Now*/, FollowCommands &Commands) {
+  std::optional<std::vector<RecordPtr>> Records = Tail.read(First);
+  if (Records)
+    Commands.emplace_back(RelayRecords{{From}, *std::move(Records)});
   else
-    Out.emplace_back(ReportRecordsGone{From, First});
+    Commands.emplace_back(ReportRecordsGone{From, First});
 }
 
 void Follower::onRecordsGone(const HostName &From, Offset First, TimePoint Now,
-                             FollowCommands &Out) {
-  if (!Asked || Asked->Peer != From || First != Tail.next())
+                             FollowCommands &Commands) {
+  if (!ActiveRequest || ActiveRequest->Peer != From || First != Tail.next())
     return;
-  Unable.insert(From);
-  Asked.reset();
-  advance(Now, Out);
+  ExcludedPeers.insert(From);
+  ActiveRequest.reset();
+  advance(Now, Commands);
 }
 
-void Follower::advance(TimePoint Now, FollowCommands &Out) {
+void Follower::advance(TimePoint Now, FollowCommands &Commands) {
   LastAdvance = Now;
   if (Halted)
-    return judge(Now, Out);
-  expireReading(Now);
-  if (wantsToRead(Now))
-    readLog(Now, Out);
-  closeGap(Now, Out);
-  query(Now, Out);
-  judge(Now, Out);
-}
-
-void Follower::expireReading(TimePoint Now) {
-  // A read without an answer counts as failed, but its answer is still taken
-  // when it comes: its proof counts from when it left.
-  if (!awaitsRead() || Now < Outstanding.rbegin()->second.Sent +
-                                 Options.ReadWait + Options.ReadTimeout)
+    return updateFreshness(Now, Commands);
+  expirePendingRead(Now);
+  if (shouldRead(Now))
+    readLog(Now, Commands);
+  requestMissingRecords(Now, Commands);
+  queryPeers(Now, Commands);
+  updateFreshness(Now, Commands);
+}
+
+void Follower::expirePendingRead(TimePoint Now) {
+  // A read without a response counts as failed, but a late response is still
+  // processed: its proof is dated from when the read was sent.
+  if (!hasPendingRead() || Now < PendingReads.rbegin()->second.SentAt +
+                                     Options.ReadWait + Options.ReadTimeout)
     return;
   ++Failures;
   delayNextRead(Now);
 }
 
-bool Follower::wantsToRead(TimePoint Now) const {
-  if (Now < NextRead || awaitsRead())
+bool Follower::shouldRead(TimePoint Now) const {
+  if (Now < NextRead || hasPendingRead())
     return false;
-  // Without peers there is nobody else to follow.
-  return Tree.isRelay() || Others.empty() || ageExceeds(FallbackDelay, Now);
+  // Without peers, the log is the only source.
+  return Tree.isRelay() || OtherMembers.empty() ||
+         ageExceeds(FallbackDelay, Now);
 }
 
-void Follower::readLog(TimePoint Now, FollowCommands &Out) {
-  ++LastRead;
-  Outstanding[LastRead] = Reading{Now, std::max(Proof.highest(), Tail.next())};
-  if (Outstanding.size() > MostOutstanding)
-    Outstanding.erase(Outstanding.begin());
+void Follower::readLog(TimePoint Now, FollowCommands &Commands) {
+  ++LastReadNumber;
+  PendingReads[LastReadNumber] =
+      PendingRead{Now, std::max(Proof.highestNext(), Tail.next())};
+  if (PendingReads.size() > MaxPendingReads)
+    PendingReads.erase(PendingReads.begin());
   NextRead = Now;
   const milliseconds Wait = Tree.isRelay() ? Options.ReadWait : milliseconds(0);
-  Out.emplace_back(ReadAgreed{LastRead, Tail.next(), EntriesAtOnce, Wait});
+  Commands.emplace_back(
+      ReadAgreed{LastReadNumber, Tail.next(), EntriesPerRead, Wait});
 }
 
-void Follower::closeGap(TimePoint Now, FollowCommands &Out) {
-  const std::optional<TimePoint> Since = Proof.behindSince();
-  if (!Since) {
-    Asked.reset();
-    Unable.clear();
+void Follower::requestMissingRecords(TimePoint Now, FollowCommands &Commands) {
+  const std::optional<TimePoint> BehindSince = Proof.behindSince();
+  if (!BehindSince) {
+    ActiveRequest.reset();
+    ExcludedPeers.clear();
     return;
   }
-  const Duration Patience = logFails() ? Duration{} : Options.GapDelay;
-  if (Now < std::max(*Since + Patience, NextGap) ||
-      (Asked && Now < Asked->Until))
+  const Duration Delay = isLogFailing() ? Duration{} : Options.GapDelay;
+  if (Now < std::max(*BehindSince + Delay, NextRecordRequest) ||
+      (ActiveRequest && Now < ActiveRequest->Deadline))
     return;
-  if (Asked)
-    Unable.insert(std::exchange(Asked, std::nullopt)->Peer);
-  const HostName *Best = nullptr;
-  std::optional<TimePoint> Latest;
-  for (const auto &[Name, Peer] : Seen)
-    if (Peer.Next > Tail.next() && !Unable.contains(Name) &&
-        (Best == nullptr || Peer.Answered > Latest)) {
-      Best = &Name;
-      Latest = Peer.Answered;
+  if (ActiveRequest)
+    ExcludedPeers.insert(std::exchange(ActiveRequest, std::nullopt)->Peer);
+  const HostName *BestPeer = nullptr;
+  std::optional<TimePoint> LatestAnswer;
+  for (const auto &[Name, Peer] : Peers)
+    if (Peer.Next > Tail.next() && !ExcludedPeers.contains(Name) &&
+        (BestPeer == nullptr || Peer.LastAnswer > LatestAnswer)) {
+      BestPeer = &Name;
+      LatestAnswer = Peer.LastAnswer;
     }
-  if (Best == nullptr) {
-    // Nobody who is heard keeps them: the log has them, or else it says that
-    // they are trimmed. All peers are asked again with the next round.
-    Unable.clear();
-    NextGap = Now + Options.AskTimeout;
+  if (BestPeer == nullptr) {
+    // No reachable peer keeps the records. The log either has them or responds
+    // that they are trimmed. All peers are candidates again in the next round.
+    ExcludedPeers.clear();
+    NextRecordRequest = Now + Options.RecordRequestTimeout;
     if (!Tree.isRelay())
       FallbackDelay = Duration{};
     return;
   }
-  Asked = Asking{*Best, Now + Options.AskTimeout};
-  Out.emplace_back(RequestRecords{*Best, Tail.next()});
+  ActiveRequest = RecordRequest{*BestPeer, Now + Options.RecordRequestTimeout};
+  Commands.emplace_back(RequestRecords{*BestPeer, Tail.next()});
 }
 
-void Follower::query(TimePoint Now, FollowCommands &Out) {
+void Follower::queryPeers(TimePoint Now, FollowCommands &Commands) {
   if (Now < NextQuery)
     return;
-  // A host that is cut off from the log but not from its peers gets all
-  // records through them, so it asks more often; not so when the log is down
-  // for all, which may last for hours.
-  const bool Cut = logFails() && !ageExceeds(Options.StaleAfter, Now);
-  Duration Every = Cut ? Options.QueryEveryWhenCut : Options.QueryEvery;
-  if (Verdict == Freshness::LogDownForAll)
-    Every = Options.QueryEveryWhenDown;
-  NextQuery = Now + jittered(Every * 2 / 3);
-  drawSurvey(Now);
+  // A host that cannot reach the log but can reach its peers gets all records
+  // through them, so it queries more often; but not while the log is down for
+  // all hosts, which may last for hours.
+  const bool WithoutLog =
+      isLogFailing() && !ageExceeds(Options.StaleAfter, Now);
+  Duration Interval =
+      WithoutLog ? Options.QueryIntervalWithoutLog : Options.QueryInterval;
+  if (LastFreshness == Freshness::LogDownForAll)
+    Interval = Options.QueryIntervalLogDown;
+  NextQuery = Now + jittered(Interval * 2 / 3);
+  updateSurvey(Now);
   for (const HostName &Peer : Tree.parents())
-    queryPeer(Peer, Now, Out);
+    queryPeer(Peer, Now, Commands);
   for (const HostName &Peer : Survey)
     if (std::ranges::find(Tree.parents(), Peer) == Tree.parents().end())
-      queryPeer(Peer, Now, Out);
+      queryPeer(Peer, Now, Commands);
 }
 
 void Follower::queryPeer(const HostName &Peer, TimePoint Now,
-                         FollowCommands &Out) {
+                         FollowCommands &Commands) {
   ++LastStamp;
-  Stamps[LastStamp] = Now;
-  if (Stamps.size() > MostStamps)
-    Stamps.erase(Stamps.begin());
-  Out.emplace_back(SendQuery{Peer, FollowQuery{LastStamp, Tail.next()}});
+  SentQueries[LastStamp] = Now;
+  if (SentQueries.size() > MaxSentQueries)
+    SentQueries.erase(SentQueries.begin());
+  Commands.emplace_back(SendQuery{Peer, FollowQuery{LastStamp, Tail.next()}});
 }
 
-void Follower::drawSurvey(TimePoint Now) {
+void Follower::updateSurvey(TimePoint Now) {
   if (!ageExceeds(Options.SurveyAfter, Now)) {
     Survey.clear();
     return;
   }
   if (!Survey.empty())
     return;
-  Survey = Others;
+  Survey = OtherMembers;
   const std::size_t Size = std::min(Survey.size(), Options.SurveySize);
   for (std::size_t Index = 0; Index < Size; ++Index)
-    std::swap(Survey[Index], Survey[Index + Draw.below(Survey.size() - Index)]);
+    std::swap(Survey[Index], Survey[Index + Rng.below(Survey.size() - Index)]);
   Survey.resize(Size);
 }
 
-bool Follower::hearsMajority(TimePoint Now) const {
-  const std::size_t Heard = static_cast<std::size_t>(
+bool Follower::reachesMajority(TimePoint Now) const {
+  const std::size_t Reached = static_cast<std::size_t>(
       std::ranges::count_if(Survey, [&](const HostName &Peer) {
-        const auto Found = Seen.find(Peer);
-        return Found != Seen.end() && Found->second.Answered &&
-               Now - *Found->second.Answered <= Options.StaleAfter / 2;
+        const auto It = Peers.find(Peer);
+        return It != Peers.end() && It->second.LastAnswer &&
+               Now - *It->second.LastAnswer <= Options.StaleAfter / 2;
       }));
-  // The only member is the majority, but not before it has once known the end.
-  if (Others.empty())
+  // A single member is the majority, but only after it has once proved its
+  // state.
+  if (OtherMembers.empty())
     return Proof.asOf().has_value();
   if (Survey.empty())
     return false;
-  // Half of a sample may be heard by chance where less than half of the members
-  // is; two thirds hardly ever are.
-  if (Survey.size() < Others.size())
-    return (Heard + 1) * 3 >= (Survey.size() + 1) * 2;
-  return (Heard + 1) * 2 > Survey.size() + 1;
+  // With less than half of the members reachable, half of a sample may be
+  // reached by chance, but two thirds hardly ever.
+  if (Survey.size() < OtherMembers.size())
+    return (Reached + 1) * 3 >= (Survey.size() + 1) * 2;
+  return (Reached + 1) * 2 > Survey.size() + 1;
 }
 
 Freshness Follower::freshness(TimePoint Now) const {
   const bool Behind = Proof.behindSince().has_value() || Halted;
-  if (Verdict == Freshness::Starting && (Behind || !isIntroduced(Now)))
+  if (LastFreshness == Freshness::Starting &&
+      (Behind || !isStartupWaitOver(Now)))
     return Freshness::Starting;
   if (!ageExceeds(Options.StaleAfter, Now))
     return Freshness::Fresh;
-  if (Tail.next() > 0 && !Behind && hearsMajority(Now))
+  if (Tail.next() > 0 && !Behind && reachesMajority(Now))
     return Freshness::LogDownForAll;
-  return Verdict == Freshness::Starting ? Freshness::Starting
-                                        : Freshness::LeftBehind;
+  return LastFreshness == Freshness::Starting ? Freshness::Starting
+                                              : Freshness::LeftBehind;
 }
 
-void Follower::judge(TimePoint Now, FollowCommands &Out) {
-  const Freshness Before = std::exchange(Verdict, freshness(Now));
-  if (Verdict != Before)
-    Out.emplace_back(FreshnessChanged{Verdict});
+void Follower::updateFreshness(TimePoint Now, FollowCommands &Commands) {
+  const Freshness Previous = std::exchange(LastFreshness, freshness(Now));
+  if (LastFreshness != Previous)
+    Commands.emplace_back(FreshnessChanged{LastFreshness});
 }
 
-bool Follower::isIntroduced(TimePoint Now) const {
-  return Introduced || Others.empty() || Now - Began >= Options.StaleAfter / 2;
+bool Follower::isStartupWaitOver(TimePoint Now) const {
+  return ReceivedAnswer || OtherMembers.empty() ||
+         Now - StartTime >= Options.StaleAfter / 2;
 }
 
 std::optional<Duration> Follower::proofAge(TimePoint Now) const {
@@ -366,40 +376,42 @@
 
 TimePoint Follower::nextWake() const {
   if (Halted)
-    return LastAdvance + Options.AskTimeout;
-  TimePoint Wake = std::min(NextQuery, readWake());
-  if (Asked)
-    Wake = std::min(Wake, Asked->Until);
+    return LastAdvance + Options.RecordRequestTimeout;
+  TimePoint Wake = std::min(NextQuery, nextReadWake());
+  if (ActiveRequest)
+    Wake = std::min(Wake, ActiveRequest->Deadline);
   else if (const auto Since = Proof.behindSince())
-    Wake = std::min(Wake, std::max(*Since + Options.GapDelay, NextGap));
+    Wake =
+        std::min(Wake, std::max(*Since + Options.GapDelay, NextRecordRequest));
   const auto AsOf = Proof.asOf();
-  if (AsOf && Verdict == Freshness::Fresh)
+  if (AsOf && LastFreshness == Freshness::Fresh)
     Wake = std::min(Wake, *AsOf + Options.StaleAfter + ClockStep);
   return std::max(Wake, LastAdvance + ClockStep);
 }
 
-TimePoint Follower::readWake() const {
-  if (awaitsRead())
-    return Outstanding.rbegin()->second.Sent + Options.ReadWait +
+TimePoint Follower::nextReadWake() const {
+  if (hasPendingRead())
+    return PendingReads.rbegin()->second.SentAt + Options.ReadWait +
            Options.ReadTimeout;
   const auto AsOf = Proof.asOf();
-  if (Tree.isRelay() || Others.empty() || !AsOf)
+  if (Tree.isRelay() || OtherMembers.empty() || !AsOf)
     return NextRead;
   return std::max(NextRead, *AsOf + FallbackDelay + ClockStep);
 }
 
-bool Follower::awaitsRead() const {
-  return !Outstanding.empty() && Outstanding.rbegin()->first == LastRead &&
-         NextRead <= Outstanding.rbegin()->second.Sent;
+bool Follower::hasPendingRead() const {
+  return !PendingReads.empty() &&
+         PendingReads.rbegin()->first == LastReadNumber &&
+         NextRead <= PendingReads.rbegin()->second.SentAt;
 }
 
-Duration Follower::drawFallback() {
+Duration Follower::randomFallbackDelay() {
   return Options.FallbackAfter + std::chrono::duration_cast<Duration>(
-                                     Options.FallbackSpread * Draw.fraction());
+                                     Options.FallbackSpread * Rng.fraction());
 }
 
 Duration Follower::jittered(Duration Base) {
-  return Base + std::chrono::duration_cast<Duration>(Base * Draw.fraction());
+  return Base + std::chrono::duration_cast<Duration>(Base * Rng.fraction());
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/config/follower.hpp
+++ b/packages/version/src/coltsfoottrail/config/follower.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// How one entry host follows the agreed stream and knows whether it is
-/// current.
+/// Follows the agreed stream on one entry host and determines whether its state
+/// is current.
 #ifndef COLTSFOOTTRAIL_CONFIG_FOLLOWER_HPP
 #define COLTSFOOTTRAIL_CONFIG_FOLLOWER_HPP
 
@@ -20,66 +20,67 @@
 
 namespace coltsfoottrail {
 
-/// Whether a host may start work on the state that it has.
+/// Whether a host may start work on its state.
 enum class Freshness : std::uint8_t {
-  /// It has not yet proved its state: it must not serve.
+  /// Its state has not been proved current yet: it must not serve.
   Starting,
-  /// Its state was the newest one a short while ago.
+  /// Its state was proved current within FollowerOptions::StaleAfter.
   Fresh,
-  /// Nobody out of a majority that it hears can prove a fresh state: the log is
-  /// down for all. It serves on with the last state.
+  /// It hears from a majority, and no member of it can prove a fresh state: the
+  /// log is down for all hosts. It continues to serve with the last state.
   LogDownForAll,
   /// It can prove its state neither from the log nor through a majority of its
   /// peers: others may have agreed on a drain. It starts no work.
   LeftBehind,
 };
 
-/// @brief Text for logs and metrics. Thread-safe.
-[[nodiscard]] const char *freshnessText(Freshness Which) noexcept;
+/// @brief Returns the text for logs and metrics. Thread-safe.
+[[nodiscard]] const char *freshnessText(Freshness Value) noexcept;
 
-/// Read the agreed stream; give the result to onRead() with the number.
+/// Read the agreed stream, and pass the result to onRead() with the number.
 struct ReadAgreed {
   std::uint64_t Number = 0;
   Offset From = 0;
   std::size_t MaxEntries = 0;
   milliseconds Wait{0};
 };
-/// Fold these records: they are the next ones, in order.
+/// Fold these records, which are the next ones in order.
 struct FoldRecords {
   std::vector<RecordPtr> Records;
 };
-/// Send records to peers, which take them by onRecords().
+/// Send records to peers, which pass them to onRecords().
 struct RelayRecords {
   std::vector<HostName> Receivers;
   std::vector<RecordPtr> Records;
 };
-/// Ask a peer for records, by its onRecordsRequested().
+/// Request records from a peer, which passes the request to
+/// onRecordsRequested().
 struct RequestRecords {
   HostName Peer;
   Offset From = 0;
 };
-/// Tell a peer that asked for records that they are not kept here, by its
-/// onRecordsGone().
+/// Tell a peer that the records it requested are no longer kept here; it passes
+/// this to onRecordsGone().
 struct ReportRecordsGone {
   HostName Peer;
   Offset From = 0;
 };
-/// Send a query to a peer, which takes it by onQuery().
+/// Send a query to a peer, which passes it to onQuery().
 struct SendQuery {
   HostName Peer;
   FollowQuery Query;
 };
-/// Send an answer to a peer, which takes it by onAnswer().
+/// Send an answer to a peer, which passes it to onAnswer().
 struct SendAnswer {
   HostName Peer;
   FollowAnswer Answer;
 };
-/// The verdict on the own state has changed.
+/// The freshness of this host's state has changed.
 struct FreshnessChanged {
   Freshness Now = Freshness::Starting;
 };
-/// The log was trimmed above the own Next: find a state through Starter with
-/// this floor, and then call restart().
+/// The log was trimmed above this host's Next: recover a state through
+/// CheckpointRecovery with this floor, and then call restart().
 struct RecoverState {
   Offset Floor = 0;
 };
@@ -87,175 +88,182 @@
 using FollowCommand = std::variant<ReadAgreed, FoldRecords, RelayRecords,
                                    RequestRecords, ReportRecordsGone, SendQuery,
                                    SendAnswer, FreshnessChanged, RecoverState>;
-/// Commands in the order in which they are to be carried out.
+/// Commands in the order in which they must be executed.
 using FollowCommands = std::vector<FollowCommand>;
 
-/// @brief Times and sizes of a follower.
+/// @brief Timing and sizes of a follower.
 struct FollowerOptions {
   Member Self;
-  /// Age of the last proof from which on the state is not fresh any more.
+  /// Age of the last proof above which the state is no longer fresh.
   Duration StaleAfter = seconds(4);
-  /// Age of the last proof from which on a host that is no relay reads the log
-  /// itself, plus up to FallbackSpread by chance. Above the age that a working
-  /// parent leaves: ReadWait twice, and four thirds of QueryEvery.
+  /// Age of the last proof above which a host that is not a relay reads the log
+  /// itself; a random part of FallbackSpread is added. Above the age reached
+  /// with a working parent: twice ReadWait plus four thirds of QueryInterval.
   Duration FallbackAfter = milliseconds(2100);
   Duration FallbackSpread = milliseconds(900);
-  /// Age of the last proof from which on peers beyond the parents are asked.
+  /// Age of the last proof above which peers other than the parents are
+  /// queried.
   Duration SurveyAfter = milliseconds(2200);
-  /// Between two queries to one peer, give or take a third.
-  Duration QueryEvery = milliseconds(700);
-  /// Between two queries while the own reads of the log fail.
-  Duration QueryEveryWhenCut = milliseconds(250);
-  /// How long a known gap may wait for the log or the parent to fill it.
+  /// Time between two queries to one peer, varied at random by a third.
+  Duration QueryInterval = milliseconds(700);
+  /// Time between two queries while this host's reads of the log fail.
+  Duration QueryIntervalWithoutLog = milliseconds(250);
+  /// Time that the log or the parent has to deliver missing records before they
+  /// are requested from a peer.
   Duration GapDelay = milliseconds(200);
-  /// How long a peer may take to send what it was asked for.
-  Duration AskTimeout = milliseconds(500);
-  /// How long the log may hold a read back.
+  /// Time that a peer may take to send requested records.
+  Duration RecordRequestTimeout = milliseconds(500);
+  /// Time for which the log may delay a read until there are records.
   milliseconds ReadWait = milliseconds(500);
-  /// How much longer than that a read may take.
+  /// Time beyond ReadWait after which a read counts as failed.
   Duration ReadTimeout = seconds(1);
-  /// First and longest wait before a failed read is repeated.
-  Duration RetryFirst = milliseconds(100);
-  Duration RetryLongest = seconds(1);
-  /// The same for a host that is no relay.
-  Duration FallbackRetryLongest = seconds(8);
-  /// Between two queries while the log is down for all, which may last.
-  Duration QueryEveryWhenDown = seconds(1);
-  /// Peers that a survey asks: all of them, or a sample drawn by chance.
+  /// Minimum and maximum delay before a failed read is repeated.
+  Duration MinRetryDelay = milliseconds(100);
+  Duration MaxRetryDelay = seconds(1);
+  /// Maximum delay on a host that is not a relay.
+  Duration MaxFallbackRetryDelay = seconds(8);
+  /// Time between two queries while the log is down for all hosts, which may
+  /// last for hours.
+  Duration QueryIntervalLogDown = seconds(1);
+  /// Maximum number of peers in a survey. With more members than this, a random
+  /// sample is queried.
   std::size_t SurveySize = 48;
   std::uint64_t Seed = 1;
 };
 
 /// @brief Decides how a host follows the agreed stream. Pure: takes events and
-/// times, answers commands. Not thread-safe.
+/// times, returns commands. Not thread-safe.
 ///
-/// The relays of each data centre tail the log; the others get its records from
-/// them and read the log only when nothing else proves their state fresh. The
-/// age of a proof is counted from when its request left, on the own clock.
+/// The relays of each data centre tail the log; the other hosts get its records
+/// from them and read the log only if nothing else proves their state fresh.
+/// The age of a proof is measured from when its request was sent, on this
+/// host's clock.
 class Follower {
 public:
-  /// @brief Makes a follower of a state.
-  /// @param Wanted Its options.
+  /// @brief Creates a follower that starts from a state.
+  /// @param InitialOptions Its options.
   /// @param Next The state's Next.
   /// @param Now The time.
-  Follower(FollowerOptions Wanted, Offset Next, TimePoint Now);
+  Follower(FollowerOptions InitialOptions, Offset Next, TimePoint Now);
 
-  /// @brief Takes over the agreed membership; call it when it changes.
+  /// @brief Sets the agreed membership. To be called whenever it changes.
   /// @param Members All entry hosts that have joined.
   void setMembers(std::span<const Member> Members);
 
-  /// @brief Goes on from another state, found after RecoverState.
-  /// @param Next Its Next; not below the floor that was named.
+  /// @brief Continues from another state, recovered after RecoverState.
+  /// @param Next Its Next; not below the floor of the command.
   void restart(Offset Next);
 
-  /// @brief Takes the result of a ReadAgreed, also a late one.
+  /// @brief Processes the result of a ReadAgreed, even a late one.
   void onRead(std::uint64_t Number, const ReadResult &Result, TimePoint Now,
-              FollowCommands &Out);
-  /// @brief Takes records from a peer.
+              FollowCommands &Commands);
+  /// @brief Processes records from a peer.
   void onRecords(const HostName &From, const std::vector<RecordPtr> &Records,
-                 TimePoint Now, FollowCommands &Out);
+                 TimePoint Now, FollowCommands &Commands);
   /// @brief Answers a peer's query.
   void onQuery(const HostName &From, const FollowQuery &Query, TimePoint Now,
-               FollowCommands &Out);
-  /// @brief Takes a peer's answer.
+               FollowCommands &Commands);
+  /// @brief Processes a peer's answer.
   void onAnswer(const HostName &From, const FollowAnswer &Answer, TimePoint Now,
-                FollowCommands &Out);
-  /// @brief Answers a peer that wants records.
+                FollowCommands &Commands);
+  /// @brief Answers a peer's request for records.
   void onRecordsRequested(const HostName &From, Offset First, TimePoint Now,
-                          FollowCommands &Out);
-  /// @brief Takes note that a peer no longer keeps records.
+                          FollowCommands &Commands);
+  /// @brief Processes the answer that a peer no longer keeps the records.
   void onRecordsGone(const HostName &From, Offset First, TimePoint Now,
-                     FollowCommands &Out);
-  /// @brief Does what time alone brings.
+                     FollowCommands &Commands);
+  /// @brief Performs the actions that are due at a time.
   /// @param Now The time.
-  /// @param Out Commands are added here.
-  void advance(TimePoint Now, FollowCommands &Out);
-  /// @brief When advance() should be called next.
+  /// @param Commands Commands are appended here.
+  void advance(TimePoint Now, FollowCommands &Commands);
+  /// @brief Returns when advance() must be called next.
   [[nodiscard]] TimePoint nextWake() const;
 
-  /// @brief The verdict at a time, for the act itself: work is started only on
-  /// what this says at that moment.
+  /// @brief Returns the freshness at a time. Must be checked with the present
+  /// time whenever work is started.
   ///
-  /// Failure guarded against: the process is paused and wakes; its last verdict
-  /// was Fresh, but that was minutes ago. Asked with the present time, the age
-  /// of the proof counts the pause.
+  /// Failure guarded against: the process is paused and resumes; the last
+  /// FreshnessChanged command said Fresh, but was minutes ago. With the present
+  /// time, the age of the proof includes the pause.
   [[nodiscard]] Freshness freshness(TimePoint Now) const;
 
-  /// @brief Age of the last proof; nothing when there is none.
+  /// @brief Returns the age of the last proof; nothing if there is none.
   [[nodiscard]] std::optional<Duration> proofAge(TimePoint Now) const;
   /// @brief Offset of the next record.
   [[nodiscard]] Offset next() const noexcept { return Tail.next(); }
-  /// @brief The place in the relay tree.
+  /// @brief This host's place in the relay tree.
   [[nodiscard]] const RelayTree &tree() const noexcept { return Tree; }
 
 private:
-  struct PeerSeen {
+  struct PeerStatus {
     Offset Next = 0;
-    /// When it last answered a query.
-    std::optional<TimePoint> Answered;
+    /// Time of its last answer to a query.
+    std::optional<TimePoint> LastAnswer;
   };
-  struct Reading {
-    TimePoint Sent;
-    /// What was known to exist when it left: an answer that knows less comes
-    /// from a copy that lags and proves nothing.
-    Offset Known = 0;
+  struct PendingRead {
+    TimePoint SentAt;
+    /// Highest known end of the stream when it was sent: a response with a
+    /// lower end comes from a lagging replica and proves nothing.
+    Offset KnownEnd = 0;
   };
-  struct Asking {
+  struct RecordRequest {
     HostName Peer;
-    TimePoint Until;
+    TimePoint Deadline;
   };
 
   [[nodiscard]] bool ageExceeds(Duration Limit, TimePoint Now) const;
-  [[nodiscard]] bool hearsMajority(TimePoint Now) const;
-  [[nodiscard]] bool isIntroduced(TimePoint Now) const;
-  [[nodiscard]] bool awaitsRead() const;
-  [[nodiscard]] TimePoint readWake() const;
-  [[nodiscard]] bool wantsToRead(TimePoint Now) const;
-  [[nodiscard]] bool logFails() const noexcept { return Failures > 0; }
+  [[nodiscard]] bool reachesMajority(TimePoint Now) const;
+  [[nodiscard]] bool isStartupWaitOver(TimePoint Now) const;
+  [[nodiscard]] bool hasPendingRead() const;
+  [[nodiscard]] TimePoint nextReadWake() const;
+  [[nodiscard]] bool shouldRead(TimePoint Now) const;
+  [[nodiscard]] bool isLogFailing() const noexcept { return Failures > 0; }
 
-  void takeBatch(const LogBatch &Batch, const Reading &Sent, TimePoint Now,
-                 FollowCommands &Out);
-  void takeFailure(LogFailure Why, TimePoint Now, FollowCommands &Out);
-  void takeRecords(const std::vector<RecordPtr> &Records, TimePoint Now,
-                   FollowCommands &Out);
-  void relay(const std::vector<RecordPtr> &Records, FollowCommands &Out);
-  void readLog(TimePoint Now, FollowCommands &Out);
-  void expireReading(TimePoint Now);
+  void processBatch(const LogBatch &Batch, const PendingRead &Request,
+                    TimePoint Now, FollowCommands &Commands);
+  void processFailure(LogFailure Failure, TimePoint Now,
+                      FollowCommands &Commands);
+  void processRecords(const std::vector<RecordPtr> &Records, TimePoint Now,
+                      FollowCommands &Commands);
+  void relay(const std::vector<RecordPtr> &Records, FollowCommands &Commands);
+  void readLog(TimePoint Now, FollowCommands &Commands);
+  void expirePendingRead(TimePoint Now);
   void delayNextRead(TimePoint Now);
-  void closeGap(TimePoint Now, FollowCommands &Out);
-  void query(TimePoint Now, FollowCommands &Out);
-  void queryPeer(const HostName &Peer, TimePoint Now, FollowCommands &Out);
-  void drawSurvey(TimePoint Now);
-  void judge(TimePoint Now, FollowCommands &Out);
-  [[nodiscard]] Duration drawFallback();
+  void requestMissingRecords(TimePoint Now, FollowCommands &Commands);
+  void queryPeers(TimePoint Now, FollowCommands &Commands);
+  void queryPeer(const HostName &Peer, TimePoint Now, FollowCommands &Commands);
+  void updateSurvey(TimePoint Now);
+  void updateFreshness(TimePoint Now, FollowCommands &Commands);
+  [[nodiscard]] Duration randomFallbackDelay();
   [[nodiscard]] Duration jittered(Duration Base);
 
   FollowerOptions Options;
-  Random Draw;
+  Random Rng;
   RecordTail Tail;
   FreshnessProof Proof;
   RelayTree Tree;
-  std::vector<HostName> Others;
-  TimePoint Began;
+  std::vector<HostName> OtherMembers;
+  TimePoint StartTime;
   TimePoint LastAdvance;
-  Freshness Verdict = Freshness::Starting;
+  Freshness LastFreshness = Freshness::Starting;
+  /// Whether the log was trimmed above Next: waits for restart().
   bool Halted = false;
-  bool Introduced = false;
+  bool ReceivedAnswer = false;
 
-  std::uint64_t LastRead = 0;
-  std::map<std::uint64_t, Reading> Outstanding;
+  std::uint64_t LastReadNumber = 0;
+  std::map<std::uint64_t, PendingRead> PendingReads;
   TimePoint NextRead;
   Duration FallbackDelay;
   std::uint32_t Failures = 0;
 
   std::uint64_t LastStamp = 0;
-  std::map<std::uint64_t, TimePoint> Stamps;
+  std::map<std::uint64_t, TimePoint> SentQueries;
   TimePoint NextQuery;
-  std::map<HostName, PeerSeen> Seen;
+  std::map<HostName, PeerStatus> Peers;
   std::vector<HostName> Survey;
-  std::optional<Asking> Asked;
-  std::set<HostName> Unable;
-  TimePoint NextGap;
+  std::optional<RecordRequest> ActiveRequest;
+  std::set<HostName> ExcludedPeers;
+  TimePoint NextRecordRequest;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/config/fwd.hpp
+++ b/packages/version/src/coltsfoottrail/config/fwd.hpp
@@ -10,8 +10,8 @@
 
 namespace coltsfoottrail {
 
-/// A record of the agreed stream, shared by the fold and by those that it is
-/// relayed to.
+/// A record of the agreed stream, shared by the fold and the messages that
+/// relay it.
 using RecordPtr = std::shared_ptr<const LogEntry>;
 
 enum class Freshness : std::uint8_t;
--- a/packages/version/src/coltsfoottrail/config/messages.hpp
+++ b/packages/version/src/coltsfoottrail/config/messages.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What entry hosts tell each other of the agreed stream.
+/// Messages between entry hosts about the agreed stream.
 #ifndef COLTSFOOTTRAIL_CONFIG_MESSAGES_HPP
 #define COLTSFOOTTRAIL_CONFIG_MESSAGES_HPP
 
@@ -19,22 +19,22 @@
                                        const Member &) = default;
 };
 
-/// @brief Asks a peer how far it is.
+/// @brief Asks a peer for its progress.
 struct FollowQuery {
-  /// Comes back in the answer.
+  /// Identifies the query; the answer carries the same value.
   std::uint64_t Stamp = 0;
-  /// The asker's Next.
+  /// Next of the sender.
   Offset Next = 0;
 };
 
-/// @brief Says how far a host is.
+/// @brief Reports a host's progress.
 struct FollowAnswer {
-  /// Of the query that it answers.
+  /// Stamp of the query that it answers.
   std::uint64_t Stamp = 0;
-  /// All records below are folded.
+  /// All records below it have been folded.
   Offset Next = 0;
-  /// How long ago Next was proved to be the log's end; nothing when never. A
-  /// span of time, as clocks of two hosts can't be compared.
+  /// Time since Next was proved to be the log's end; nothing if it never was. A
+  /// duration, as the clocks of two hosts cannot be compared.
   std::optional<Duration> ProofAge;
 };
 
--- a/packages/version/src/coltsfoottrail/config/proof.cpp
+++ b/packages/version/src/coltsfoottrail/config/proof.cpp
@@ -4,38 +4,39 @@
 
 namespace coltsfoottrail {
 
-void FreshnessProof::learn(Offset End, TimePoint AsOf) {
-  if (End <= Own) {
-    Proved = Proved ? std::max(*Proved, AsOf) : AsOf;
+void FreshnessProof::addProof(Offset End, TimePoint AsOf) {
+  if (End <= OwnNext) {
+    ProvedAsOf = ProvedAsOf ? std::max(*ProvedAsOf, AsOf) : AsOf;
     return;
   }
-  // The one that is kept needs the fewest records: with a newer one at each
-  // read of a busy log, none would ever be reached.
+  // Keeps the proof that needs the fewest records. If each read of a busy log
+  // replaced it with a newer one, none would ever become valid.
   if (!Pending || End <= Pending->End)
     Pending = Proof{End, AsOf};
-  hear(End, AsOf);
+  noteNext(End, AsOf);
 }
 
-void FreshnessProof::hear(Offset Next, TimePoint At) {
-  Highest = std::max(Highest, Next);
-  if (Highest > Own && !Behind)
-    Behind = At;
+void FreshnessProof::noteNext(Offset Next, TimePoint HeardAt) {
+  HighestNext = std::max(HighestNext, Next);
+  if (HighestNext > OwnNext && !BehindStart)
+    BehindStart = HeardAt;
 }
 
-void FreshnessProof::reach(Offset Next) {
-  Own = std::max(Own, Next);
-  if (Own >= Highest)
-    Behind.reset();
-  if (Pending && Pending->End <= Own) {
-    Proved = Proved ? std::max(*Proved, Pending->AsOf) : Pending->AsOf;
+void FreshnessProof::setOwnNext(Offset Next) {
+  OwnNext = std::max(OwnNext, Next);
+  if (OwnNext >= HighestNext)
+    BehindStart.reset();
+  if (Pending && Pending->End <= OwnNext) {
+    ProvedAsOf =
+        ProvedAsOf ? std::max(*ProvedAsOf, Pending->AsOf) : Pending->AsOf;
     Pending.reset();
   }
 }
 
 std::optional<TimePoint> FreshnessProof::asOf() const {
-  if (!Proved)
+  if (!ProvedAsOf)
     return std::nullopt;
-  return Behind ? std::min(*Proved, *Behind) : *Proved;
+  return BehindStart ? std::min(*ProvedAsOf, *BehindStart) : *ProvedAsOf;
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/config/proof.hpp
+++ b/packages/version/src/coltsfoottrail/config/proof.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How fresh a host can prove its state to be.
+/// Proof of how fresh a host's state is.
 #ifndef COLTSFOOTTRAIL_CONFIG_PROOF_HPP
 #define COLTSFOOTTRAIL_CONFIG_PROOF_HPP
 
@@ -11,39 +11,41 @@
 
 namespace coltsfoottrail {
 
-/// @brief Keeps the time as of which the own state is known to hold all
+/// @brief Keeps the time as of which this host's state is known to hold all
 /// records. Pure. Not thread-safe.
 class FreshnessProof {
 public:
-  /// @brief Takes what was learnt from the log or a peer.
-  /// @param End All records that the log held as of that time lie below.
-  /// @param AsOf A time that is no later than the moment it holds for: when the
-  /// request left, never when its answer came.
-  void learn(Offset End, TimePoint AsOf);
+  /// @brief Adds a proof from the log or a peer.
+  /// @param End Offset above all records that the log held at AsOf.
+  /// @param AsOf A time no later than the one for which End holds: derived from
+  /// when the request was sent, never from when its response arrived.
+  void addProof(Offset End, TimePoint AsOf);
 
-  /// @brief Takes note that a peer holds records up to an offset.
+  /// @brief Notes that a peer holds all records below an offset.
   /// @param Next The peer's Next.
-  /// @param At When that was heard.
-  void hear(Offset Next, TimePoint At);
+  /// @param HeardAt When this was received.
+  void noteNext(Offset Next, TimePoint HeardAt);
 
-  /// @brief Takes note of the own progress.
-  /// @param Next The own Next.
-  void reach(Offset Next);
+  /// @brief Notes this host's progress.
+  /// @param Next This host's Next.
+  void setOwnNext(Offset Next);
 
-  /// @brief The time as of which the own state is known to be whole.
+  /// @brief Returns the time as of which this host's state is known to hold all
+  /// records.
   ///
-  /// Failure guarded against: a host reads a copy of the log that lags, finds
-  /// nothing new there and believes itself fresh, while its peers have long
-  /// folded a drain. It shows as a peer's Next above the own one. From the time
-  /// when such a peer is heard, nothing but catching up proves anything.
-  /// @return Nothing when it was never proved.
+  /// Failure guarded against: a host reads a lagging replica of the log, finds
+  /// nothing new there and takes its state for fresh, although its peers have
+  /// already folded a drain. This is detected by a peer's Next above this
+  /// host's. From the time at which such a peer is heard, the result does not
+  /// advance until this host has caught up.
+  /// @return Nothing if the state was never proved.
   [[nodiscard]] std::optional<TimePoint> asOf() const;
 
-  /// @brief Highest Next heard of any peer or learnt of the log.
-  [[nodiscard]] Offset highest() const noexcept { return Highest; }
-  /// @brief Since when a higher Next than the own is known.
+  /// @brief Highest Next received from a peer or the log.
+  [[nodiscard]] Offset highestNext() const noexcept { return HighestNext; }
+  /// @brief Time since which a Next above this host's is known.
   [[nodiscard]] std::optional<TimePoint> behindSince() const noexcept {
-    return Behind;
+    return BehindStart;
   }
 
 private:
@@ -52,11 +54,11 @@
     TimePoint AsOf;
   };
 
-  Offset Own = 0;
-  Offset Highest = 0;
-  std::optional<TimePoint> Behind;
-  std::optional<TimePoint> Proved;
-  /// The newest proof that needs records not folded yet.
+  Offset OwnNext = 0;
+  Offset HighestNext = 0;
+  std::optional<TimePoint> BehindStart;
+  std::optional<TimePoint> ProvedAsOf;
+  /// Proof that becomes valid once records not folded yet have been folded.
   std::optional<Proof> Pending;
 };
 
--- a/packages/version/src/coltsfoottrail/config/tail.cpp
+++ b/packages/version/src/coltsfoottrail/config/tail.cpp
@@ -4,45 +4,47 @@
 
 namespace coltsfoottrail {
 
-std::vector<RecordPtr> RecordTail::take(const std::vector<RecordPtr> &Records) {
-  for (const RecordPtr &Each : Records)
-    if (Each->At >= Expected)
-      Early.emplace(Each->At, Each);
-  std::vector<RecordPtr> Out;
-  while (!Early.empty() && Early.begin()->first == Expected) {
-    Out.push_back(std::move(Early.begin()->second));
-    Early.erase(Early.begin());
-    keep(Out.back());
-    ++Expected;
+std::vector<RecordPtr>
+RecordTail::insert(const std::vector<RecordPtr> &Records) {
+  for (const RecordPtr &Record : Records)
+    if (Record->At >= NextOffset)
+      OutOfOrder.emplace(Record->At, Record);
+  std::vector<RecordPtr> Result;
+  while (!OutOfOrder.empty() && OutOfOrder.begin()->first == NextOffset) {
+    Result.push_back(std::move(OutOfOrder.begin()->second));
+    OutOfOrder.erase(OutOfOrder.begin());
+    store(Result.back());
+    ++NextOffset;
   }
-  while (Early.size() > MostEarly)
-    Early.erase(std::prev(Early.end()));
-  return Out;
+  while (OutOfOrder.size() > MaxOutOfOrder)
+    OutOfOrder.erase(std::prev(OutOfOrder.end()));
+  return Result;
 }
 
-void RecordTail::keep(const RecordPtr &Record) {
-  Kept.push_back(Record);
-  KeptBytes += Record->Payload.size();
-  while (Kept.size() > MostKept ||
-         (KeptBytes > MostKeptBytes && Kept.size() > 1)) {
-    KeptBytes -= Kept.front()->Payload.size();
-    Kept.pop_front();
+void RecordTail::store(const RecordPtr &Record) {
+  Recent.push_back(Record);
+  RecentBytes += Record->Payload.size();
+  while (Recent.size() > MaxRecentRecords ||
+         (RecentBytes > MaxRecentBytes && Recent.size() > 1)) {
+    RecentBytes -= Recent.front()->Payload.size();
+    Recent.pop_front();
   }
 }
 
 std::optional<std::vector<RecordPtr>> RecordTail::read(Offset From) const {
-  if (Kept.empty() || From < Kept.front()->At || From >= Expected)
+  if (Recent.empty() || From < Recent.front()->At || From >= NextOffset)
     return std::nullopt;
-  std::vector<RecordPtr> Out;
+  std::vector<RecordPtr> Result;
   std::size_t Bytes = 0;
-  for (std::size_t Index = From - Kept.front()->At; Index < Kept.size();
+  for (std::size_t Index = From - Recent.front()->At; Index < Recent.size();
        ++Index) {
-    Bytes += Kept[Index]->Payload.size();
-    if (!Out.empty() && (Bytes > MostReadBytes || Out.size() == MostRead))
+    Bytes += Recent[Index]->Payload.size();
+    if (!Result.empty() &&
+        (Bytes > MaxReadBytes || Result.size() == MaxReadRecords))
       break;
-    Out.push_back(Kept[Index]);
+    Result.push_back(Recent[Index]);
   }
-  return Out;
+  return Result;
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/config/tail.hpp
+++ b/packages/version/src/coltsfoottrail/config/tail.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Records of the agreed stream put in order, the latest of them kept for
+/// Orders the records of the agreed stream, and keeps the latest ones for
 /// peers.
 #ifndef COLTSFOOTTRAIL_CONFIG_TAIL_HPP
 #define COLTSFOOTTRAIL_CONFIG_TAIL_HPP
@@ -14,42 +14,44 @@
 
 namespace coltsfoottrail {
 
-/// @brief Lets records through in the order of their offsets, each once. Pure.
-/// Not thread-safe.
+/// @brief Passes records on in the order of their offsets, each once. Pure. Not
+/// thread-safe.
 class RecordTail {
 public:
-  /// @brief Starts at an offset.
-  /// @param Next Offset of the first record to let through.
-  explicit RecordTail(Offset Next) : Expected(Next) {}
+  /// @brief Creates a tail that starts at an offset.
+  /// @param Next Offset of the first record to pass on.
+  explicit RecordTail(Offset Next) : NextOffset(Next) {}
 
-  /// @brief Takes records from anywhere, in any order, any number of times.
+  /// @brief Inserts records from any source, in any order; duplicates are
+  /// allowed.
   /// @param Records The records.
-  /// @return Those that come next, in order; the others wait or are dropped.
+  /// @return The records that are next, in order; the others are buffered or
+  /// dropped.
   [[nodiscard]] std::vector<RecordPtr>
-  take(const std::vector<RecordPtr> &Records);
+  insert(const std::vector<RecordPtr> &Records);
 
-  /// @brief Offset of the next record to let through.
-  [[nodiscard]] Offset next() const noexcept { return Expected; }
+  /// @brief Offset of the next record to pass on.
+  [[nodiscard]] Offset next() const noexcept { return NextOffset; }
 
   /// @brief Reads kept records for a peer.
-  /// @param From First offset wanted.
-  /// @return Some records from there on, bounded in number and bytes; nothing
-  /// when the offset is no longer kept.
+  /// @param From First offset to read.
+  /// @return Records from that offset on, bounded in number and bytes; nothing
+  /// if the offset is not kept.
   [[nodiscard]] std::optional<std::vector<RecordPtr>> read(Offset From) const;
 
 private:
-  static constexpr std::size_t MostEarly = 256;
-  static constexpr std::size_t MostKept = 4096;
-  static constexpr std::size_t MostKeptBytes = std::size_t{4} << 20U;
-  static constexpr std::size_t MostRead = 256;
-  static constexpr std::size_t MostReadBytes = std::size_t{1} << 20U;
-
-  void keep(const RecordPtr &Record);
-
-  Offset Expected;
-  std::map<Offset, RecordPtr> Early;
-  std::deque<RecordPtr> Kept;
-  std::size_t KeptBytes = 0;
+  static constexpr std::size_t MaxOutOfOrder = 256;
+  static constexpr std::size_t MaxRecentRecords = 4096;
+  static constexpr std::size_t MaxRecentBytes = std::size_t{4} << 20U;
+  static constexpr std::size_t MaxReadRecords = 256;
+  static constexpr std::size_t MaxReadBytes = std::size_t{1} << 20U;
+
+  void store(const RecordPtr &Record);
+
+  Offset NextOffset;
+  std::map<Offset, RecordPtr> OutOfOrder;
+  std::deque<RecordPtr> Recent;
+  std::size_t RecentBytes = 0;
 };
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/config/tree.cpp
+++ b/packages/version/src/coltsfoottrail/config/tree.cpp
@@ -26,39 +26,40 @@
 } // namespace
 
 RelayTree::RelayTree(std::span<const Member> Members, const Member &Self) {
-  Ordered Hosts = order(Members, Self.DataCentre);
-  const auto Found = std::ranges::find(Hosts, Self.Name);
-  const auto Index = static_cast<std::size_t>(Found - Hosts.begin());
-  if (Found == Hosts.end())
+  HostOrder Hosts = orderedHosts(Members, Self.DataCentre);
+  const auto It = std::ranges::find(Hosts, Self.Name);
+  const auto Index = static_cast<std::size_t>(It - Hosts.begin());
+  if (It == Hosts.end())
     Hosts.push_back(Self.Name);
   Relay = Index < RelaysPerDataCentre;
-  for (std::size_t Other = RelaysPerDataCentre; Other < Hosts.size(); ++Other)
-    if (parentOf(Other) == Index)
-      Children.push_back(Hosts[Other]);
+  for (std::size_t OtherIndex = RelaysPerDataCentre; OtherIndex < Hosts.size();
+       ++OtherIndex)
+    if (parentOf(OtherIndex) == Index)
+      Children.push_back(Hosts[OtherIndex]);
   if (Relay)
-    placeUplinks(Members, Self);
+    assignUplinks(Members, Self);
   else
-    placeBelow(Hosts, Index);
+    assignParents(Hosts, Index);
 }
 
-RelayTree::Ordered RelayTree::order(std::span<const Member> Members,
-                                    const DataCentreName &In) {
-  Ordered Out;
-  for (const Member &Each : Members)
-    if (Each.DataCentre == In)
-      Out.push_back(Each.Name);
-  sortByWeight(Out, "relay/" + In.Text);
-  return Out;
+RelayTree::HostOrder RelayTree::orderedHosts(std::span<const Member> Members,
+                                             const DataCentreName &DataCentre) {
+  HostOrder Result;
+  for (const Member &Candidate : Members)
+    if (Candidate.DataCentre == DataCentre)
+      Result.push_back(Candidate.Name);
+  sortByWeight(Result, "relay/" + DataCentre.Text);
+  return Result;
 }
 
 std::size_t RelayTree::parentOf(std::size_t Index) {
-  const std::size_t Below = Index - RelaysPerDataCentre;
-  if (Below < RelaysPerDataCentre * FanOut)
-    return Below % RelaysPerDataCentre;
-  return Below / FanOut;
+  const std::size_t Position = Index - RelaysPerDataCentre;
+  if (Position < RelaysPerDataCentre * FanOut)
+    return Position % RelaysPerDataCentre;
+  return Position / FanOut;
 }
 
-void RelayTree::placeBelow(const Ordered &Hosts, std::size_t Index) {
+void RelayTree::assignParents(const HostOrder &Hosts, std::size_t Index) {
   const std::size_t First = parentOf(Index);
   Parents.push_back(Hosts[First]);
   const std::size_t Second = First < RelaysPerDataCentre
@@ -67,14 +68,14 @@
   Parents.push_back(Hosts[Second]);
 }
 
-void RelayTree::placeUplinks(std::span<const Member> Members,
-                             const Member &Self) {
+void RelayTree::assignUplinks(std::span<const Member> Members,
+                              const Member &Self) {
   std::set<DataCentreName> Others;
-  for (const Member &Each : Members)
-    if (Each.DataCentre != Self.DataCentre)
-      Others.insert(Each.DataCentre);
+  for (const Member &Candidate : Members)
+    if (Candidate.DataCentre != Self.DataCentre)
+      Others.insert(Candidate.DataCentre);
   for (const DataCentreName &Name : Others) {
-    Ordered Hosts = order(Members, Name);
+    HostOrder Hosts = orderedHosts(Members, Name);
     Hosts.resize(std::min(Hosts.size(), RelaysPerDataCentre));
     std::ranges::move(Hosts, std::back_inserter(Parents));
   }
--- a/packages/version/src/coltsfoottrail/config/tree.hpp
+++ b/packages/version/src/coltsfoottrail/config/tree.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Who reads the log and who relays its records to whom.
+/// Relay tree: which hosts read the log and to which hosts they relay its
+/// records.
 #ifndef COLTSFOOTTRAIL_CONFIG_TREE_HPP
 #define COLTSFOOTTRAIL_CONFIG_TREE_HPP
 
@@ -10,49 +11,50 @@
 
 namespace coltsfoottrail {
 
-/// @brief Place of one host in the relay tree. Pure: all hosts that know the
-/// same members work out the same tree. Thread-safe once made.
+/// @brief Place of one host in the relay tree. Pure: all hosts with the same
+/// membership compute the same tree. Thread-safe once constructed.
 ///
 /// Each data centre has its own tree. Its roots are the relays, which tail the
-/// log; rendezvous hashing picks them, so no host is set aside. A host gets
-/// records from one parent and watches a second one.
+/// log; they are selected by rendezvous hashing, so that no dedicated hosts are
+/// needed. A host gets records from one parent and queries a second one as
+/// well.
 class RelayTree {
 public:
-  /// Hosts of each data centre that tail the log.
+  /// Number of hosts of each data centre that tail the log.
   static constexpr std::size_t RelaysPerDataCentre = 2;
-  /// Most hosts that one host relays to.
+  /// Maximum number of hosts to which one host relays.
   static constexpr std::size_t FanOut = 32;
-  /// Relays of other data centres that a relay watches.
+  /// Number of relays of other data centres that a relay queries.
   static constexpr std::size_t Uplinks = 2;
 
-  /// @brief Makes an empty tree: nobody to follow, so the host reads the log
+  /// @brief Creates an empty tree: without parents, the host reads the log
   /// itself.
   RelayTree() = default;
-  /// @brief Works out a host's place.
+  /// @brief Computes a host's place.
   /// @param Members The agreed membership; the host itself may be missing.
   /// @param Self The host.
   RelayTree(std::span<const Member> Members, const Member &Self);
 
-  /// @brief Whether the host tails the log.
+  /// @brief Returns whether the host tails the log.
   [[nodiscard]] bool isRelay() const noexcept { return Relay; }
-  /// @brief Hosts that it watches; the first one relays to it, unless it is a
+  /// @brief Hosts that it queries; the first one relays to it, unless it is a
   /// relay itself.
   [[nodiscard]] const std::vector<HostName> &parents() const noexcept {
     return Parents;
   }
-  /// @brief Hosts that it relays to.
+  /// @brief Hosts to which it relays.
   [[nodiscard]] const std::vector<HostName> &children() const noexcept {
     return Children;
   }
 
 private:
-  using Ordered = std::vector<HostName>;
+  using HostOrder = std::vector<HostName>;
 
-  [[nodiscard]] static Ordered order(std::span<const Member> Members,
-                                     const DataCentreName &In);
+  [[nodiscard]] static HostOrder orderedHosts(std::span<const Member> Members,
+                                              const DataCentreName &DataCentre);
   [[nodiscard]] static std::size_t parentOf(std::size_t Index);
-  void placeBelow(const Ordered &Hosts, std::size_t Index);
-  void placeUplinks(std::span<const Member> Members, const Member &Self);
+  void assignParents(const HostOrder &Hosts, std::size_t Index);
+  void assignUplinks(std::span<const Member> Members, const Member &Self);
 
   bool Relay = true;
   std::vector<HostName> Parents;
--- a/packages/version/test/coltsfoottrail/config/safety.cpp
+++ b/packages/version/test/coltsfoottrail/config/safety.cpp
@@ -5,124 +5,128 @@
 namespace coltsfoottrail {
 namespace {
 
-using test::World;
+using test::SimulatedCluster;
 
 constexpr Duration StaleAfter = seconds(4);
 constexpr Duration Step = milliseconds(20);
 
-/// Draws faults of all kinds over time: one-way partitions, hosts without the
-/// log, an outage, lost messages, slow links, restarts and pauses.
-class FaultyWorld {
+/// Injects random faults over time: one-way partitions, hosts without the log,
+/// a log outage, lost messages, slow links and restarts.
+class FaultyCluster {
 public:
-  FaultyWorld(std::size_t Hosts, std::uint64_t Seed)
-      : All(Hosts, 3, Seed), Draw(Seed), Group(Hosts, 0) {
-    All.Linked = [this](std::size_t From, std::size_t To) {
-      return Group[From] == Group[To] || (OneWay && Group[From] < Group[To]);
+  FaultyCluster(std::size_t Hosts, std::uint64_t Seed)
+      : Cluster(Hosts, 3, Seed), Rng(Seed), PartitionOf(Hosts, 0) {
+    Cluster.Linked = [this](std::size_t Sender, std::size_t Receiver) {
+      return PartitionOf[Sender] == PartitionOf[Receiver] ||
+             (OneWay && PartitionOf[Sender] < PartitionOf[Receiver]);
     };
   }
 
   void step() {
-    if (Draw.below(40) == 0)
-      change();
-    if (Draw.below(20) == 0 && !All.LogDown && someReach()) {
-      All.append();
-      Appended.push_back(All.Now);
+    if (Rng.below(40) == 0)
+      injectFault();
+    if (Rng.below(20) == 0 && !Cluster.LogDown && someHostReachesLog()) {
+      Cluster.append();
+      AppendTimes.push_back(Cluster.Now);
     }
-    All.run(Step);
+    Cluster.run(Step);
   }
 
   void heal() {
-    std::ranges::fill(Group, 0);
-    for (World::Host &Each : All.All)
-      Each.CutFromLog = false;
-    All.LogDown = false;
-    All.Loss = 0;
-    All.LinkDelay = milliseconds(1);
+    std::ranges::fill(PartitionOf, 0);
+    for (SimulatedCluster::Host &Host : Cluster.Hosts)
+      Host.CutFromLog = false;
+    Cluster.LogDown = false;
+    Cluster.Loss = 0;
+    Cluster.LinkDelay = milliseconds(1);
   }
 
-  /// Offset that a host must have reached to be fresh: all records that were
-  /// appended longer ago than a state may be old.
-  [[nodiscard]] Offset oldest() const {
-    Offset Out = 0;
-    while (Out < Appended.size() && Appended[Out] < All.Now - StaleAfter)
-      ++Out;
-    return Out;
+  /// Returns the Next that a fresh host must have reached: above all records
+  /// that were appended more than StaleAfter ago.
+  [[nodiscard]] Offset requiredNext() const {
+    Offset Result = 0;
+    while (Result < AppendTimes.size() &&
+           AppendTimes[Result] < Cluster.Now - StaleAfter)
+      ++Result;
+    return Result;
   }
 
-  World All;
+  SimulatedCluster Cluster;
 
 private:
-  void change() {
-    switch (Draw.below(7)) {
+  void injectFault() {
+    switch (Rng.below(7)) {
     case 0:
-      for (int &Each : Group)
-        Each = static_cast<int>(Draw.below(2));
-      OneWay = Draw.below(2) == 0;
+      for (int &Partition : PartitionOf)
+        Partition = static_cast<int>(Rng.below(2));
+      OneWay = Rng.below(2) == 0;
       break;
     case 1:
-      for (World::Host &Each : All.All)
-        Each.CutFromLog = Draw.below(3) == 0;
+      for (SimulatedCluster::Host &Host : Cluster.Hosts)
+        Host.CutFromLog = Rng.below(3) == 0;
       break;
     case 2:
-      All.LogDown = !All.LogDown;
+      Cluster.LogDown = !Cluster.LogDown;
       break;
     case 3:
-      All.Loss = Draw.fraction() / 2;
+      Cluster.Loss = Rng.fraction() / 2;
       break;
     case 4:
-      All.LinkDelay = milliseconds(1 + Draw.below(1500));
+      Cluster.LinkDelay = milliseconds(1 + Rng.below(1500));
       break;
     case 5: {
-      const std::size_t Index = Draw.below(All.All.size());
-      All.begin(Index, Draw.below(All.All[Index].Folded + 1));
+      const std::size_t Index = Rng.below(Cluster.Hosts.size());
+      Cluster.startHost(Index, Rng.below(Cluster.Hosts[Index].NextToFold + 1));
       break;
     }
     default:
       heal();
     }
   }
-  [[nodiscard]] bool someReach() const {
+  [[nodiscard]] bool someHostReachesLog() const {
     return std::ranges::any_of(
-        All.All, [](const World::Host &Each) { return !Each.CutFromLog; });
+        Cluster.Hosts,
+        [](const SimulatedCluster::Host &Host) { return !Host.CutFromLog; });
   }
 
-  Random Draw;
-  std::vector<int> Group;
+  Random Rng;
+  std::vector<int> PartitionOf;
   bool OneWay = false;
-  std::vector<TimePoint> Appended;
+  std::vector<TimePoint> AppendTimes;
 };
 
-// Whatever fails, in whatever order, a host that calls its state fresh has all
-// records that are older than the stated bound: it starts no work under a
-// configuration that was replaced longer ago. And when all is well again, each
-// host comes to the whole stream and serves.
+// Under any sequence of faults, a host that reports its state as fresh has all
+// records older than StaleAfter: it starts no work under a configuration that
+// was replaced longer ago. After the faults have ended, every host reads the
+// whole stream and is fresh.
 TEST(FollowerSafety, FreshHostsHaveAllRecordsOlderThanTheBound) {
-  std::size_t Fresh = 0;
-  std::size_t NotFresh = 0;
+  std::size_t FreshCount = 0;
+  std::size_t NotFreshCount = 0;
   for (std::uint64_t Seed = 1; Seed <= 40; ++Seed) {
-    FaultyWorld Faulty(5 + Seed % 8, Seed);
+    FaultyCluster Simulation(5 + Seed % 8, Seed);
     for (int Round = 0; Round < 1500; ++Round) {
-      Faulty.step();
-      const Offset Oldest = Faulty.oldest();
-      for (const World::Host &Each : Faulty.All.All) {
-        const bool Claims =
-            Each.Follow->freshness(Faulty.All.Now) == Freshness::Fresh;
-        ++(Claims ? Fresh : NotFresh);
-        ASSERT_TRUE(!Claims || Each.Folded >= Oldest)
+      Simulation.step();
+      const Offset Required = Simulation.requiredNext();
+      for (const SimulatedCluster::Host &Host : Simulation.Cluster.Hosts) {
+        const bool IsFresh = Host.Instance->freshness(Simulation.Cluster.Now) ==
+                             Freshness::Fresh;
+        ++(IsFresh ? FreshCount : NotFreshCount);
+        ASSERT_TRUE(!IsFresh || Host.NextToFold >= Required)
             << "seed " << Seed << " round " << Round << " "
-            << Each.Who.Name.Text << " at " << Each.Folded << " below "
-            << Oldest;
+            << Host.Identity.Name.Text << " at " << Host.NextToFold << " below "
+            << Required;
       }
     }
-    Faulty.heal();
-    Faulty.All.run(seconds(20));
-    EXPECT_TRUE(Faulty.All.inForce()) << "seed " << Seed;
-    EXPECT_EQ(Faulty.All.count(Freshness::Fresh), Faulty.All.All.size())
+    Simulation.heal();
+    Simulation.Cluster.run(seconds(20));
+    EXPECT_TRUE(Simulation.Cluster.isInForceEverywhere()) << "seed " << Seed;
+    EXPECT_EQ(Simulation.Cluster.count(Freshness::Fresh),
+              Simulation.Cluster.Hosts.size())
         << "seed " << Seed;
-    EXPECT_TRUE(Faulty.All.allInOrder()) << "seed " << Seed;
+    EXPECT_TRUE(Simulation.Cluster.allInOrder()) << "seed " << Seed;
   }
-  EXPECT_GT(Fresh, 10'000U);
-  EXPECT_GT(NotFresh, 10'000U);
+  EXPECT_GT(FreshCount, 10'000U);
+  EXPECT_GT(NotFreshCount, 10'000U);
 }
 
 } // namespace
--- a/packages/version/test/coltsfoottrail/config/world.hpp
+++ b/packages/version/test/coltsfoottrail/config/world.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Many followers, a log and the links between them under a simulated time.
+/// Simulates many followers, a log and the links between them in simulated
+/// time.
 #ifndef COLTSFOOTTRAIL_TEST_CONFIG_WORLD_HPP
 #define COLTSFOOTTRAIL_TEST_CONFIG_WORLD_HPP
 
@@ -16,62 +17,64 @@
 
 namespace coltsfoottrail::test {
 
-/// What one host sent and took in.
+/// Traffic of one host.
 struct Traffic {
   std::size_t Reads = 0;
   std::size_t Messages = 0;
   std::size_t Bytes = 0;
 };
 
-/// A network of followers. Each step is drawn from the seed, so a run can be
-/// repeated.
-class World {
+/// A network of followers. All random choices derive from the seed, so that a
+/// run is reproducible.
+class SimulatedCluster {
 public:
   struct Host {
-    Member Who;
-    std::unique_ptr<Follower> Follow;
-    /// Offset of the next record that was to be folded; checked at each fold.
-    Offset Folded = 0;
-    bool InOrder = true;
+    Member Identity;
+    std::unique_ptr<Follower> Instance;
+    /// Offset of the next record to fold; checked at each fold.
+    Offset NextToFold = 0;
+    bool FoldedInOrder = true;
     bool Alive = true;
     bool CutFromLog = false;
-    Freshness Verdict = Freshness::Starting;
-    std::set<Freshness> Verdicts;
+    Freshness LastFreshness = Freshness::Starting;
+    std::set<Freshness> SeenFreshness;
     std::vector<Offset> Floors;
     Traffic Sent;
-    std::uint64_t Life = 0;
+    std::uint64_t Generation = 0;
     TimePoint Wake = TimePoint::max();
   };
 
-  World(std::size_t Hosts, std::size_t DataCentres, std::uint64_t Seed)
-      : Draw(Seed) {
-    for (std::size_t Index = 0; Index < Hosts; ++Index) {
-      Host Each;
-      Each.Who =
-          Member{HostName("entry-" + std::to_string(Index)),
-                 DataCentreName("dc" + std::to_string(Index % DataCentres))};
-      Members.push_back(Each.Who);
-      All.push_back(std::move(Each));
+  SimulatedCluster(std::size_t HostCount, std::size_t DataCentreCount,
+                   std::uint64_t Seed)
+      : Rng(Seed) {
+    for (std::size_t Index = 0; Index < HostCount; ++Index) {
+      Host NewHost;
+      NewHost.Identity = Member{
+          HostName("entry-" + std::to_string(Index)),
+          DataCentreName("dc" + std::to_string(Index % DataCentreCount))};
+      Members.push_back(NewHost.Identity);
+      Hosts.push_back(std::move(NewHost));
       IndexOf[Members.back().Name] = Index;
     }
-    for (std::size_t Index = 0; Index < Hosts; ++Index)
-      begin(Index, 0);
+    for (std::size_t Index = 0; Index < HostCount; ++Index)
+      startHost(Index, 0);
   }
 
-  /// Starts a host, or starts it anew, with a state of an offset.
-  void begin(std::size_t Index, Offset Next) {
-    Host &Each = All[Index];
+  /// Starts or restarts a host with a state.
+  /// @param Next The state's Next.
+  void startHost(std::size_t Index, Offset Next) {
+    Host &Entry = Hosts[Index];
     FollowerOptions Options;
-    Options.Self = Each.Who;
-    Options.Seed = Draw();
-    Each.Follow = std::make_unique<Follower>(Options, Next, Now);
-    Each.Follow->setMembers(Members);
-    Each.Folded = Next;
-    Each.Verdict = Freshness::Starting;
-    Each.Verdicts = {Freshness::Starting};
-    Each.Alive = true;
-    ++Each.Life;
-    wake(Index, Now + milliseconds(Draw.below(100)));
+    Options.Self = Entry.Identity;
+    Options.Seed = Rng();
+    Entry.Instance = std::make_unique<Follower>(Options, Next, Now);
+    Entry.Instance->setMembers(Members);
+    Entry.NextToFold = Next;
+    Entry.LastFreshness = Freshness::Starting;
+    Entry.SeenFreshness = {Freshness::Starting};
+    Entry.Alive = true;
+    ++Entry.Generation;
+    wake(Index, Now + milliseconds(Rng.below(100)));
   }
 
   void append(std::size_t Bytes = 200) {
@@ -84,241 +87,246 @@
     const TimePoint End = Now + Span;
     while (!Events.empty() && Events.begin()->first <= End) {
       Now = Events.begin()->first;
-      const std::function<void()> Act = std::move(Events.begin()->second);
+      const std::function<void()> Action = std::move(Events.begin()->second);
       Events.erase(Events.begin());
-      Act();
+      Action();
     }
     Now = End;
   }
 
-  /// Runs until all living hosts have folded the whole log.
-  /// @return How long that took, or the limit.
-  Duration runUntilInForce(Duration Limit) {
+  /// Runs until all hosts that are alive have folded the whole log.
+  /// @return The time it took, or at least the limit.
+  Duration runUntilInForceEverywhere(Duration Limit) {
     const TimePoint Start = Now;
-    while (Now - Start < Limit && !inForce())
+    while (Now - Start < Limit && !isInForceEverywhere())
       run(milliseconds(1));
     return Now - Start;
   }
 
-  [[nodiscard]] bool inForce() const {
-    return std::ranges::all_of(All, [&](const Host &Each) {
-      return !Each.Alive || Each.Folded == Log.size();
+  [[nodiscard]] bool isInForceEverywhere() const {
+    return std::ranges::all_of(Hosts, [&](const Host &Entry) {
+      return !Entry.Alive || Entry.NextToFold == Log.size();
     });
   }
 
-  [[nodiscard]] std::size_t count(Freshness Which) const {
+  [[nodiscard]] std::size_t count(Freshness Value) const {
     return static_cast<std::size_t>(
-        std::ranges::count_if(All, [&](const Host &Each) {
-          return Each.Alive && Each.Verdict == Which;
+        std::ranges::count_if(Hosts, [&](const Host &Entry) {
+          return Entry.Alive && Entry.LastFreshness == Value;
         }));
   }
   [[nodiscard]] bool allInOrder() const {
-    return std::ranges::all_of(All, &Host::InOrder);
+    return std::ranges::all_of(Hosts, &Host::FoldedInOrder);
   }
   void clearTraffic() {
-    for (Host &Each : All)
-      Each.Sent = Traffic{};
+    for (Host &Entry : Hosts)
+      Entry.Sent = Traffic{};
   }
-  void clearVerdicts() {
-    for (Host &Each : All)
-      Each.Verdicts = {Each.Verdict};
+  void clearSeenFreshness() {
+    for (Host &Entry : Hosts)
+      Entry.SeenFreshness = {Entry.LastFreshness};
   }
-  [[nodiscard]] Traffic total() const {
-    Traffic Out;
-    for (const Host &Each : All) {
-      Out.Reads += Each.Sent.Reads;
-      Out.Messages += Each.Sent.Messages;
-      Out.Bytes += Each.Sent.Bytes;
+  [[nodiscard]] Traffic totalTraffic() const {
+    Traffic Result;
+    for (const Host &Entry : Hosts) {
+      Result.Reads += Entry.Sent.Reads;
+      Result.Messages += Entry.Sent.Messages;
+      Result.Bytes += Entry.Sent.Bytes;
     }
-    return Out;
+    return Result;
   }
-  [[nodiscard]] Traffic most() const {
-    Traffic Out;
-    for (const Host &Each : All) {
-      Out.Reads = std::max(Out.Reads, Each.Sent.Reads);
-      Out.Messages = std::max(Out.Messages, Each.Sent.Messages);
-      Out.Bytes = std::max(Out.Bytes, Each.Sent.Bytes);
+  [[nodiscard]] Traffic maxTraffic() const {
+    Traffic Result;
+    for (const Host &Entry : Hosts) {
+      Result.Reads = std::max(Result.Reads, Entry.Sent.Reads);
+      Result.Messages = std::max(Result.Messages, Entry.Sent.Messages);
+      Result.Bytes = std::max(Result.Bytes, Entry.Sent.Bytes);
     }
-    return Out;
+    return Result;
   }
 
   TimePoint Now{seconds(1000)};
-  std::vector<Host> All;
+  std::vector<Host> Hosts;
   std::vector<Member> Members;
   std::vector<RecordPtr> Log;
   bool LogDown = false;
   Offset Horizon = 0;
-  /// Records that a reader of the log does not see yet, by host.
+  /// Number of latest records that a reader of the log does not see yet, by
+  /// host.
   std::map<std::size_t, std::size_t> Lag;
-  /// Share of the messages that are lost.
+  /// Fraction of messages that are lost.
   double Loss = 0;
   Duration LogDelay = milliseconds(3);
   Duration LinkDelay = milliseconds(1);
-  /// Whether a message passes; both directions are asked.
+  /// Whether a message from one host to another is delivered; called with the
+  /// indexes of the sender and the receiver.
   std::function<bool(std::size_t, std::size_t)> Linked =
       [](std::size_t, std::size_t) { return true; };
 
 private:
   struct Reader {
     std::size_t Index;
-    std::uint64_t Life;
+    std::uint64_t Generation;
     ReadAgreed Read;
-    TimePoint Until;
+    TimePoint Deadline;
   };
-  static constexpr std::size_t SmallMessage = 64;
+  static constexpr std::size_t MessageOverheadBytes = 64;
 
-  void at(TimePoint When, std::function<void()> Act) {
-    Events.emplace(When, std::move(Act));
+  void schedule(TimePoint Time, std::function<void()> Action) {
+    Events.emplace(Time, std::move(Action));
   }
 
-  void wake(std::size_t Index, TimePoint When) {
-    Host &Each = All[Index];
-    Each.Wake = When;
-    at(When, [this, Index, When, Life = Each.Life] {
-      Host &Woken = All[Index];
-      if (Woken.Life != Life || Woken.Wake != When || !Woken.Alive)
+  void wake(std::size_t Index, TimePoint Time) {
+    Host &Entry = Hosts[Index];
+    Entry.Wake = Time;
+    schedule(Time, [this, Index, Time, Generation = Entry.Generation] {
+      Host &Woken = Hosts[Index];
+      if (Woken.Generation != Generation || Woken.Wake != Time || !Woken.Alive)
         return;
-      FollowCommands Out;
-      Woken.Follow->advance(Now, Out);
-      carryOut(Index, Out);
+      FollowCommands Commands;
+      Woken.Instance->advance(Now, Commands);
+      executeAll(Index, Commands);
     });
   }
 
-  void carryOut(std::size_t Index, const FollowCommands &Out) {
-    for (const FollowCommand &Each : Out)
-      std::visit([&](const auto &Command) { carry(Index, Command); }, Each);
-    const TimePoint Next = All[Index].Follow->nextWake();
-    if (Next != All[Index].Wake || Next <= Now)
+  void executeAll(std::size_t Index, const FollowCommands &Commands) {
+    for (const FollowCommand &Command : Commands)
+      std::visit([&](const auto &Alternative) { execute(Index, Alternative); },
+                 Command);
+    const TimePoint Next = Hosts[Index].Instance->nextWake();
+    if (Next != Hosts[Index].Wake || Next <= Now)
       wake(Index, std::max(Next, Now + milliseconds(1)));
   }
 
-  void carry(std::size_t Index, const ReadAgreed &Read) {
-    Host &Each = All[Index];
-    ++Each.Sent.Reads;
-    at(Now + LogDelay, [this, Index, Read, Life = Each.Life] {
-      Readers.push_back(Reader{Index, Life, Read, Now + Read.Wait});
-      at(Now + Read.Wait, [this] { releaseReaders(); });
-      releaseReaders();
-    });
+  void execute(std::size_t Index, const ReadAgreed &Read) {
+    Host &Entry = Hosts[Index];
+    ++Entry.Sent.Reads;
+    schedule(
+        Now + LogDelay, [this, Index, Read, Generation = Entry.Generation] {
+          Readers.push_back(Reader{Index, Generation, Read, Now + Read.Wait});
+          schedule(Now + Read.Wait, [this] { releaseReaders(); });
+          releaseReaders();
+        });
   }
-  void carry(std::size_t Index, const FoldRecords &Fold) {
-    Host &Each = All[Index];
+  void execute(std::size_t Index, const FoldRecords &Fold) {
+    Host &Entry = Hosts[Index];
     for (const RecordPtr &Record : Fold.Records)
-      Each.InOrder = Each.InOrder && Record->At == Each.Folded++;
+      Entry.FoldedInOrder =
+          Entry.FoldedInOrder && Record->At == Entry.NextToFold++;
   }
-  void carry(std::size_t Index, const RelayRecords &Relay) {
-    std::size_t Bytes = SmallMessage;
+  void execute(std::size_t Index, const RelayRecords &Relay) {
+    std::size_t Bytes = MessageOverheadBytes;
     for (const RecordPtr &Record : Relay.Records)
       Bytes += Record->Payload.size() + 16;
     for (const HostName &To : Relay.Receivers)
       send(Index, To, Bytes,
            [Records = Relay.Records](Follower &Peer, const HostName &From,
-                                     TimePoint When, FollowCommands &Out) {
-             Peer.onRecords(From, Records, When, Out);
+                                     TimePoint Time, FollowCommands &Commands) {
+             Peer.onRecords(From, Records, Time, Commands);
            });
   }
-  void carry(std::size_t Index, const RequestRecords &Ask) {
-    send(Index, Ask.Peer, SmallMessage,
-         [Ask](Follower &Peer, const HostName &From, TimePoint When,
-               FollowCommands &Out) {
-           Peer.onRecordsRequested(From, Ask.From, When, Out);
+  void execute(std::size_t Index, const RequestRecords &Ask) {
+    send(Index, Ask.Peer, MessageOverheadBytes,
+         [Ask](Follower &Peer, const HostName &From, TimePoint Time,
+               FollowCommands &Commands) {
+           Peer.onRecordsRequested(From, Ask.From, Time, Commands);
          });
   }
-  void carry(std::size_t Index, const ReportRecordsGone &Gone) {
-    send(Index, Gone.Peer, SmallMessage,
-         [Gone](Follower &Peer, const HostName &From, TimePoint When,
-                FollowCommands &Out) {
-           Peer.onRecordsGone(From, Gone.From, When, Out);
+  void execute(std::size_t Index, const ReportRecordsGone &Gone) {
+    send(Index, Gone.Peer, MessageOverheadBytes,
+         [Gone](Follower &Peer, const HostName &From, TimePoint Time,
+                FollowCommands &Commands) {
+           Peer.onRecordsGone(From, Gone.From, Time, Commands);
          });
   }
-  void carry(std::size_t Index, const SendQuery &Query) {
-    send(Index, Query.Peer, SmallMessage,
-         [Query](Follower &Peer, const HostName &From, TimePoint When,
-                 FollowCommands &Out) {
-           Peer.onQuery(From, Query.Query, When, Out);
+  void execute(std::size_t Index, const SendQuery &Query) {
+    send(Index, Query.Peer, MessageOverheadBytes,
+         [Query](Follower &Peer, const HostName &From, TimePoint Time,
+                 FollowCommands &Commands) {
+           Peer.onQuery(From, Query.Query, Time, Commands);
          });
   }
-  void carry(std::size_t Index, const SendAnswer &Answer) {
-    send(Index, Answer.Peer, SmallMessage,
-         [Answer](Follower &Peer, const HostName &From, TimePoint When,
-                  FollowCommands &Out) {
-           Peer.onAnswer(From, Answer.Answer, When, Out);
+  void execute(std::size_t Index, const SendAnswer &Answer) {
+    send(Index, Answer.Peer, MessageOverheadBytes,
+         [Answer](Follower &Peer, const HostName &From, TimePoint Time,
+                  FollowCommands &Commands) {
+           Peer.onAnswer(From, Answer.Answer, Time, Commands);
          });
   }
-  void carry(std::size_t Index, const FreshnessChanged &Change) {
-    All[Index].Verdict = Change.Now;
-    All[Index].Verdicts.insert(Change.Now);
+  void execute(std::size_t Index, const FreshnessChanged &Change) {
+    Hosts[Index].LastFreshness = Change.Now;
+    Hosts[Index].SeenFreshness.insert(Change.Now);
   }
-  void carry(std::size_t Index, const RecoverState &Over) {
-    All[Index].Floors.push_back(Over.Floor);
+  void execute(std::size_t Index, const RecoverState &Over) {
+    Hosts[Index].Floors.push_back(Over.Floor);
   }
 
-  template <class Deliver>
+  template <class DeliverFunction>
   void send(std::size_t From, const HostName &To, std::size_t Bytes,
-            Deliver Act) {
+            DeliverFunction Handler) {
     const std::size_t Target = IndexOf.at(To);
-    All[From].Sent.Messages += 1;
-    All[From].Sent.Bytes += Bytes;
-    const bool Lost = Draw.fraction() < Loss;
+    Hosts[From].Sent.Messages += 1;
+    Hosts[From].Sent.Bytes += Bytes;
+    const bool Lost = Rng.fraction() < Loss;
     const Duration Delay =
         LinkDelay +
-        Duration(Draw.below(static_cast<std::uint64_t>(LinkDelay.count())));
-    at(Now + Delay, [this, From, Target, Lost, Act] {
-      Host &Peer = All[Target];
-      if (Lost || !Peer.Alive || !All[From].Alive || !Linked(From, Target))
+        Duration(Rng.below(static_cast<std::uint64_t>(LinkDelay.count())));
+    schedule(Now + Delay, [this, From, Target, Lost, Handler] {
+      Host &Peer = Hosts[Target];
+      if (Lost || !Peer.Alive || !Hosts[From].Alive || !Linked(From, Target))
         return;
-      FollowCommands Out;
-      Act(*Peer.Follow, All[From].Who.Name, Now, Out);
-      carryOut(Target, Out);
+      FollowCommands Commands;
+      Handler(*Peer.Instance, Hosts[From].Identity.Name, Now, Commands);
+      executeAll(Target, Commands);
     });
   }
 
   [[nodiscard]] Offset visibleEnd(std::size_t Index) const {
-    const auto Found = Lag.find(Index);
-    const std::size_t Behind = Found == Lag.end() ? 0 : Found->second;
+    const auto It = Lag.find(Index);
+    const std::size_t Behind = It == Lag.end() ? 0 : It->second;
     return Log.size() - std::min(Log.size(), Behind);
   }
 
-  [[nodiscard]] bool isDue(const Reader &Each) const {
-    return LogDown || All[Each.Index].CutFromLog ||
-           visibleEnd(Each.Index) > Each.Read.From ||
-           Horizon > Each.Read.From || Now >= Each.Until;
+  [[nodiscard]] bool isDue(const Reader &Waiting) const {
+    return LogDown || Hosts[Waiting.Index].CutFromLog ||
+           visibleEnd(Waiting.Index) > Waiting.Read.From ||
+           Horizon > Waiting.Read.From || Now >= Waiting.Deadline;
   }
 
-  [[nodiscard]] ReadResult resultOf(const Reader &Each) const {
-    if (LogDown || All[Each.Index].CutFromLog)
+  [[nodiscard]] ReadResult resultFor(const Reader &Waiting) const {
+    if (LogDown || Hosts[Waiting.Index].CutFromLog)
       return LogFailure::NotDone;
-    if (Each.Read.From < Horizon)
+    if (Waiting.Read.From < Horizon)
       return LogFailure::Trimmed;
     LogBatch Batch;
-    Batch.End = visibleEnd(Each.Index);
+    Batch.End = visibleEnd(Waiting.Index);
     Batch.Horizon = Horizon;
-    for (Offset At = Each.Read.From;
-         At < Batch.End && Batch.Entries.size() < Each.Read.MaxEntries; ++At)
+    for (Offset At = Waiting.Read.From;
+         At < Batch.End && Batch.Entries.size() < Waiting.Read.MaxEntries; ++At)
       Batch.Entries.push_back(*Log[At]);
     return Batch;
   }
 
   void releaseReaders() {
     std::vector<Reader> Due;
-    std::erase_if(Readers, [&](const Reader &Each) {
-      if (!isDue(Each))
+    std::erase_if(Readers, [&](const Reader &Waiting) {
+      if (!isDue(Waiting))
         return false;
-      Due.push_back(Each);
+      Due.push_back(Waiting);
       return true;
     });
-    for (const Reader &Each : Due)
-      at(Now + LogDelay, [this, Each, Result = resultOf(Each)] {
-        Host &To = All[Each.Index];
-        if (To.Life != Each.Life || !To.Alive)
+    for (const Reader &Waiting : Due)
+      schedule(Now + LogDelay, [this, Waiting, Result = resultFor(Waiting)] {
+        Host &Receiver = Hosts[Waiting.Index];
+        if (Receiver.Generation != Waiting.Generation || !Receiver.Alive)
           return;
-        FollowCommands Out;
-        To.Follow->onRead(Each.Read.Number, Result, Now, Out);
-        carryOut(Each.Index, Out);
+        FollowCommands Commands;
+        Receiver.Instance->onRead(Waiting.Read.Number, Result, Now, Commands);
+        executeAll(Waiting.Index, Commands);
       });
   }
 
-  Random Draw;
+  Random Rng;
   std::multimap<TimePoint, std::function<void()>> Events;
   std::vector<Reader> Readers;
   std::map<HostName, std::size_t> IndexOf;
