--- a/packages/process/src/coltsfoottrail/server/agreedstream.hpp
+++ b/packages/process/src/coltsfoottrail/server/agreedstream.hpp
@@ -3,8 +3,8 @@
 #ifndef COLTSFOOTTRAIL_SERVER_AGREEDSTREAM_HPP
 #define COLTSFOOTTRAIL_SERVER_AGREEDSTREAM_HPP
 
+#include "coltsfoottrail/checkpoint/recovery.hpp"
 #include "coltsfoottrail/checkpoint/schedule.hpp"
-#include "coltsfoottrail/checkpoint/starter.hpp"
 #include "coltsfoottrail/config/follower.hpp"
 #include "coltsfoottrail/fold/fold.hpp"
 #include "coltsfoottrail/json/fwd.hpp"
--- a/packages/version/src/coltsfoottrail/checkpoint/starter.cpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/recovery.cpp
@@ -1,4 +1,4 @@
-#include "coltsfoottrail/checkpoint/starter.hpp"
+#include "coltsfoottrail/checkpoint/recovery.hpp"
 
 #include <limits>
 #include <utility>
--- a/packages/version/src/coltsfoottrail/checkpoint/starter.hpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/recovery.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Recovery of the agreed state from the log by an entry host that starts.
-#ifndef COLTSFOOTTRAIL_CHECKPOINT_STARTER_HPP
-#define COLTSFOOTTRAIL_CHECKPOINT_STARTER_HPP
+#ifndef COLTSFOOTTRAIL_CHECKPOINT_RECOVERY_HPP
+#define COLTSFOOTTRAIL_CHECKPOINT_RECOVERY_HPP
 
 #include "coltsfoottrail/checkpoint/parts.hpp"
 #include "coltsfoottrail/core/time.hpp"
--- a/packages/version/test/coltsfoottrail/checkpoint/parts.cpp
+++ b/packages/version/test/coltsfoottrail/checkpoint/parts.cpp
@@ -1,7 +1,7 @@
 #include "coltsfoottrail/checkpoint/parts.hpp"
 
+#include "coltsfoottrail/checkpoint/recovery.hpp"
 #include "coltsfoottrail/checkpoint/schedule.hpp"
-#include "coltsfoottrail/checkpoint/starter.hpp"
 #include "coltsfoottrail/support.hpp"
 
 #include <gtest/gtest.h>
--- a/packages/version/test/coltsfoottrail/config/follower.cpp
+++ b/packages/version/test/coltsfoottrail/config/follower.cpp
@@ -1,6 +1,6 @@
 #include "coltsfoottrail/config/follower.hpp"
 
-#include "coltsfoottrail/config/world.hpp"
+#include "coltsfoottrail/config/simulatedcluster.hpp"
 
 #include <gtest/gtest.h>
 #include <iostream>
--- a/packages/version/test/coltsfoottrail/config/safety.cpp
+++ b/packages/version/test/coltsfoottrail/config/safety.cpp
@@ -1,4 +1,4 @@
-#include "coltsfoottrail/config/world.hpp"
+#include "coltsfoottrail/config/simulatedcluster.hpp"
 
 #include <gtest/gtest.h>
 
--- a/packages/version/test/coltsfoottrail/config/world.hpp
+++ b/packages/version/test/coltsfoottrail/config/simulatedcluster.hpp
@@ -1,8 +1,8 @@
 /// @file
 /// Simulates many followers, a log and the links between them in simulated
 /// time.
-#ifndef COLTSFOOTTRAIL_TEST_CONFIG_WORLD_HPP
-#define COLTSFOOTTRAIL_TEST_CONFIG_WORLD_HPP
+#ifndef COLTSFOOTTRAIL_TEST_CONFIG_SIMULATEDCLUSTER_HPP
+#define COLTSFOOTTRAIL_TEST_CONFIG_SIMULATEDCLUSTER_HPP
 
 #include "coltsfoottrail/config/follower.hpp"
 
