--- a/packages/version/src/coltsfoottrail/checkpoint/schedule.cpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/schedule.cpp
@@ -47,7 +47,7 @@
     return Newest.StateNext > 0 &&
            Now - *NewestSince >= Policy.Retention / RetentionDivisor;
   }
-  if (Current.Next - Newest.StateNext >= Policy.EveryRecords)
+  if (Current.Next - Newest.StateNext >= Policy.RecordInterval)
     return true;
   if (Now - *NewestSince >= Policy.Retention / RetentionDivisor)
     return true;
--- a/packages/version/src/coltsfoottrail/checkpoint/schedule.hpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/schedule.hpp
@@ -18,7 +18,7 @@
   /// How long the log keeps records. A checkpoint is due after a quarter of it.
   Duration Retention = std::chrono::hours(24);
   /// Number of records after which one is due, regardless of time.
-  Offset EveryRecords = 8192;
+  Offset RecordInterval = 8192;
   /// Time that a host waits for each host ranked before it.
   Duration Stagger = seconds(10);
 };
--- a/packages/version/src/coltsfoottrail/fold/apply.hpp
+++ b/packages/version/src/coltsfoottrail/fold/apply.hpp
@@ -44,8 +44,8 @@
 /// @brief Puts a plan's intent in force.
 /// @param Current The state.
 /// @param RecordOffset Offset of the confirmation.
-/// @param Requested The intent; its declaration is moved from.
-void applyIntent(State &Current, Offset RecordOffset, Intent &Requested);
+/// @param Request The intent; its declaration is moved from.
+void applyIntent(State &Current, Offset RecordOffset, Intent &Request);
 
 FoldResult applyRecord(State &Current, Offset RecordOffset,
                        const EntryHostJoined &Body);
--- a/packages/version/src/coltsfoottrail/fold/intents.cpp
+++ b/packages/version/src/coltsfoottrail/fold/intents.cpp
@@ -52,13 +52,13 @@
   State &Current;
   Offset RecordOffset;
 
-  void operator()(ApplyDeclaration &Requested) const {
-    if (Requested.Dropped)
-      Requested.Desired =
-          applyChange(Current.Declared, Requested.Desired, *Requested.Dropped);
-    Requested.Dropped.reset();
+  void operator()(ApplyDeclaration &Request) const {
+    if (Request.Dropped)
+      Request.Desired =
+          applyChange(Current.Declared, Request.Desired, *Request.Dropped);
+    Request.Dropped.reset();
     const Declaration Before =
-        std::exchange(Current.Declared, std::exchange(Requested.Desired, {}));
+        std::exchange(Current.Declared, std::exchange(Request.Desired, {}));
     Current.DeclaredChange = RecordOffset + 1;
     eraseUndeclared(Current);
     const DeclarationChange Change = diffDeclarations(Before, Current.Declared);
@@ -66,47 +66,46 @@
     for (const ModelSpec &Model : Change.Put.Models)
       markModelChanged(Current, RecordOffset, Model.Name);
   }
-  void operator()(const SetCapacity &Requested) const {
-    ModelSpec &Model = declaredModel(Current, Requested.Model);
-    setDeclared(Current, RecordOffset, Model.Groups[Requested.DataCentre],
-                Requested.Groups);
-    markModelChanged(Current, RecordOffset, Requested.Model);
+  void operator()(const SetCapacity &Request) const {
+    ModelSpec &Model = declaredModel(Current, Request.Model);
+    setDeclared(Current, RecordOffset, Model.Groups[Request.DataCentre],
+                Request.Groups);
+    markModelChanged(Current, RecordOffset, Request.Model);
   }
-  void operator()(const SetVersion &Requested) const {
+  void operator()(const SetVersion &Request) const {
     setDeclared(Current, RecordOffset,
-                declaredModel(Current, Requested.Model).Version,
-                Requested.Version);
-    markModelChanged(Current, RecordOffset, Requested.Model);
+                declaredModel(Current, Request.Model).Version, Request.Version);
+    markModelChanged(Current, RecordOffset, Request.Model);
   }
-  void operator()(const SetAdapters &Requested) const {
+  void operator()(const SetAdapters &Request) const {
     setDeclared(Current, RecordOffset,
-                declaredModel(Current, Requested.Model).Adapters,
-                Requested.Adapters);
-    markModelChanged(Current, RecordOffset, Requested.Model);
+                declaredModel(Current, Request.Model).Adapters,
+                Request.Adapters);
+    markModelChanged(Current, RecordOffset, Request.Model);
   }
-  void operator()(const DrainDataCentre &Requested) const {
-    Current.DrainedDataCentres.insert(Requested.DataCentre);
-    Current.DataCentreChanges[Requested.DataCentre] = RecordOffset + 1;
+  void operator()(const DrainDataCentre &Request) const {
+    Current.DrainedDataCentres.insert(Request.DataCentre);
+    Current.DataCentreChanges[Request.DataCentre] = RecordOffset + 1;
   }
-  void operator()(const ReturnDataCentre &Requested) const {
-    Current.DrainedDataCentres.erase(Requested.DataCentre);
-    Current.DataCentreChanges[Requested.DataCentre] = RecordOffset + 1;
+  void operator()(const ReturnDataCentre &Request) const {
+    Current.DrainedDataCentres.erase(Request.DataCentre);
+    Current.DataCentreChanges[Request.DataCentre] = RecordOffset + 1;
   }
-  void operator()(const DrainHost &Requested) const {
-    Current.DrainedHosts.insert(Requested.Host);
-    Current.HostChanges[Requested.Host] = RecordOffset + 1;
+  void operator()(const DrainHost &Request) const {
+    Current.DrainedHosts.insert(Request.Host);
+    Current.HostChanges[Request.Host] = RecordOffset + 1;
   }
-  void operator()(const ReturnHost &Requested) const {
-    Current.DrainedHosts.erase(Requested.Host);
-    Current.HostChanges[Requested.Host] = RecordOffset + 1;
+  void operator()(const ReturnHost &Request) const {
+    Current.DrainedHosts.erase(Request.Host);
+    Current.HostChanges[Request.Host] = RecordOffset + 1;
   }
 };
 
 } // namespace
 
-void applyIntent(State &Current, Offset RecordOffset, Intent &Requested) {
+void applyIntent(State &Current, Offset RecordOffset, Intent &Request) {
   Current.LastChange = RecordOffset;
-  std::visit(IntentApplier{Current, RecordOffset}, Requested);
+  std::visit(IntentApplier{Current, RecordOffset}, Request);
 }
 
 } // namespace coltsfoottrail::internal
--- a/packages/version/src/coltsfoottrail/fold/plans.cpp
+++ b/packages/version/src/coltsfoottrail/fold/plans.cpp
@@ -36,8 +36,8 @@
 /// Drops the declaration that a plan carries: once in force it is part of the
 /// state, and an ended plan no longer needs it.
 void dropDeclaration(PlanProgress &Progress) {
-  Intent &Requested = Progress.Proposed.Proposal.RequestedIntent;
-  if (auto *const Apply = std::get_if<ApplyDeclaration>(&Requested))
+  Intent &Request = Progress.Proposed.Proposal.RequestedIntent;
+  if (auto *const Apply = std::get_if<ApplyDeclaration>(&Request))
     *Apply = ApplyDeclaration{};
 }
 
--- a/packages/version/src/coltsfoottrail/fold/validation.cpp
+++ b/packages/version/src/coltsfoottrail/fold/validation.cpp
@@ -35,7 +35,7 @@
     if (Candidate.PlannedAt > Current.Next)
       return voided("planned on a state that is yet to come");
     if (Rejection Failure = std::visit(
-            [&](const auto &Requested) { return checkIntent(Requested); },
+            [&](const auto &Request) { return checkIntent(Request); },
             Candidate.RequestedIntent))
       return Failure;
     collectReservedHosts();
@@ -95,42 +95,42 @@
     return rejectIfEntryChanged(Current.HostChanges, Name, "host ");
   }
 
-  [[nodiscard]] Rejection checkIntent(const ApplyDeclaration &Requested) const {
+  [[nodiscard]] Rejection checkIntent(const ApplyDeclaration &Request) const {
     if (Rejection Failure =
             rejectIfChanged(Current.DeclaredChange, "what is declared"))
       return Failure;
     for (const auto &[Model, Change] : Current.ModelChanges)
       if (Rejection Failure = rejectIfChanged(Change, "model " + Model.Text))
         return Failure;
-    if (Requested.Dropped)
+    if (Request.Dropped)
       if (const auto Problem = declarationProblem(*NewDeclaration))
         return voided("with the change, " + *Problem);
     return checkOccupied();
   }
 
-  [[nodiscard]] Rejection checkIntent(const SetCapacity &Requested) const {
+  [[nodiscard]] Rejection checkIntent(const SetCapacity &Request) const {
     if (!std::ranges::binary_search(Current.Declared.DataCentres,
-                                    Requested.DataCentre))
-      return rejectUndeclared("data centre " + Requested.DataCentre.Text);
-    return checkModel(Requested.Model);
+                                    Request.DataCentre))
+      return rejectUndeclared("data centre " + Request.DataCentre.Text);
+    return checkModel(Request.Model);
   }
-  [[nodiscard]] Rejection checkIntent(const SetVersion &Requested) const {
-    return checkModel(Requested.Model);
+  [[nodiscard]] Rejection checkIntent(const SetVersion &Request) const {
+    return checkModel(Request.Model);
   }
-  [[nodiscard]] Rejection checkIntent(const SetAdapters &Requested) const {
-    return checkModel(Requested.Model);
+  [[nodiscard]] Rejection checkIntent(const SetAdapters &Request) const {
+    return checkModel(Request.Model);
   }
-  [[nodiscard]] Rejection checkIntent(const DrainDataCentre &Requested) const {
-    return checkDataCentre(Requested.DataCentre);
+  [[nodiscard]] Rejection checkIntent(const DrainDataCentre &Request) const {
+    return checkDataCentre(Request.DataCentre);
   }
-  [[nodiscard]] Rejection checkIntent(const ReturnDataCentre &Requested) const {
-    return checkDataCentre(Requested.DataCentre);
+  [[nodiscard]] Rejection checkIntent(const ReturnDataCentre &Request) const {
+    return checkDataCentre(Request.DataCentre);
   }
-  [[nodiscard]] Rejection checkIntent(const DrainHost &Requested) const {
-    return checkHost(Requested.Host);
+  [[nodiscard]] Rejection checkIntent(const DrainHost &Request) const {
+    return checkHost(Request.Host);
   }
-  [[nodiscard]] Rejection checkIntent(const ReturnHost &Requested) const {
-    return checkHost(Requested.Host);
+  [[nodiscard]] Rejection checkIntent(const ReturnHost &Request) const {
+    return checkHost(Request.Host);
   }
 
   /// Failure guarded against: a declaration drops or moves a host whose engine
@@ -224,40 +224,40 @@
     if (Declared == nullptr)
       return std::nullopt;
     ModelSpec Result = *Declared;
-    if (const auto *const Requested =
+    if (const auto *const Request =
             std::get_if<SetVersion>(&Candidate.RequestedIntent))
-      if (Requested->Model == Model)
-        Result.Version = Requested->Version;
-    if (const auto *const Requested =
+      if (Request->Model == Model)
+        Result.Version = Request->Version;
+    if (const auto *const Request =
             std::get_if<SetAdapters>(&Candidate.RequestedIntent))
-      if (Requested->Model == Model)
-        Result.Adapters = Requested->Adapters;
+      if (Request->Model == Model)
+        Result.Adapters = Request->Adapters;
     return Result;
   }
 
   [[nodiscard]] bool isDrainedByPlan(const HostSpec &Host) const {
-    if (const auto *const Requested =
+    if (const auto *const Request =
             std::get_if<DrainDataCentre>(&Candidate.RequestedIntent))
-      if (Requested->DataCentre == Host.DataCentre)
+      if (Request->DataCentre == Host.DataCentre)
         return true;
-    if (const auto *const Requested =
+    if (const auto *const Request =
             std::get_if<DrainHost>(&Candidate.RequestedIntent))
-      if (Requested->Host == Host.Name)
+      if (Request->Host == Host.Name)
         return true;
     return isDataCentreDrained(Host.DataCentre) || isHostDrained(Host.Name);
   }
 
   [[nodiscard]] bool isDataCentreDrained(const DataCentreName &Name) const {
-    const auto *const Requested =
+    const auto *const Request =
         std::get_if<ReturnDataCentre>(&Candidate.RequestedIntent);
-    const bool Returns = Requested != nullptr && Requested->DataCentre == Name;
+    const bool Returns = Request != nullptr && Request->DataCentre == Name;
     return !Returns && Current.DrainedDataCentres.contains(Name);
   }
 
   [[nodiscard]] bool isHostDrained(const HostName &Name) const {
-    const auto *const Requested =
+    const auto *const Request =
         std::get_if<ReturnHost>(&Candidate.RequestedIntent);
-    const bool Returns = Requested != nullptr && Requested->Host == Name;
+    const bool Returns = Request != nullptr && Request->Host == Name;
     return !Returns && Current.DrainedHosts.contains(Name);
   }
 
--- a/packages/version/src/coltsfoottrail/record/codec.cpp
+++ b/packages/version/src/coltsfoottrail/record/codec.cpp
@@ -131,7 +131,7 @@
   return Result;
 }
 
-Json writeIntentBody(const Intent &Requested) {
+Json writeIntentBody(const Intent &Request) {
   return std::visit(
       Overloaded{
           [](const ApplyDeclaration &Value) { return writeApply(Value); },
@@ -153,7 +153,7 @@
           [](const DrainHost &Value) { return writeHostName(Value); },
           [](const ReturnHost &Value) { return writeHostName(Value); },
       },
-      Requested);
+      Request);
 }
 
 SetCapacity readSetCapacity(ObjectReader &Reader) {
@@ -452,12 +452,12 @@
 
 } // namespace
 
-Json writeIntent(const Intent &Requested) {
-  Json Result = writeIntentBody(Requested);
-  const auto *const Apply = std::get_if<ApplyDeclaration>(&Requested);
+Json writeIntent(const Intent &Request) {
+  Json Result = writeIntentBody(Request);
+  const auto *const Apply = std::get_if<ApplyDeclaration>(&Request);
   const bool IsChange = Apply != nullptr && Apply->Dropped;
   Result["kind"] =
-      IntentKinds.at(IsChange ? ChangeIntentKind : Requested.index());
+      IntentKinds.at(IsChange ? ChangeIntentKind : Request.index());
   return Result;
 }
 
--- a/packages/version/src/coltsfoottrail/record/codec.hpp
+++ b/packages/version/src/coltsfoottrail/record/codec.hpp
@@ -32,7 +32,7 @@
 
 /// @brief Writes an intent as JSON, in the format of the operator API.
 /// Thread-safe.
-[[nodiscard]] Json writeIntent(const Intent &Requested);
+[[nodiscard]] Json writeIntent(const Intent &Request);
 /// @brief Reads an intent.
 /// @param Value An object with the member "kind".
 /// @param Source Name of the input in errors.
--- a/packages/version/test/coltsfoottrail/config/simulatedcluster.hpp
+++ b/packages/version/test/coltsfoottrail/config/simulatedcluster.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// Simulates many followers, a log and the links between them in simulated
-/// time.
+/// Many followers, a log and the links between them, run in simulated time.
 #ifndef COLTSFOOTTRAIL_TEST_CONFIG_SIMULATEDCLUSTER_HPP
 #define COLTSFOOTTRAIL_TEST_CONFIG_SIMULATEDCLUSTER_HPP
 
--- a/packages/version/test/coltsfoottrail/fold/planned.cpp
+++ b/packages/version/test/coltsfoottrail/fold/planned.cpp
@@ -22,10 +22,10 @@
   }
 
   /// Plans an intent and runs the plan to its end.
-  void request(const Intent &Requested) {
+  void request(const Intent &Request) {
     Plan NewPlan;
     try {
-      NewPlan = planIntent(History.Now, Requested);
+      NewPlan = planIntent(History.Now, Request);
     } catch (const PlanError &) {
       ++RefusedIntents;
       return;
@@ -132,19 +132,19 @@
     return SetAdapters{Model,
                        {AdapterName("a" + std::to_string(Rng.below(2)))}};
   case 6: {
-    Declaration Wanted = Now.Declared;
-    Wanted.Models.front().Groups[DataCentre] =
+    Declaration Changed = Now.Declared;
+    Changed.Models.front().Groups[DataCentre] =
         static_cast<std::uint32_t>(Rng.below(3));
-    Wanted.Hosts.erase(
-        Wanted.Hosts.begin() +
-        static_cast<std::ptrdiff_t>(Rng.below(Wanted.Hosts.size())));
+    Changed.Hosts.erase(
+        Changed.Hosts.begin() +
+        static_cast<std::ptrdiff_t>(Rng.below(Changed.Hosts.size())));
     HostSpec Added = Now.Declared.Hosts.front();
     Added.Name = HostName("added-" + std::to_string(Now.Next));
     Added.Address = "10.9.9.9";
     Added.Port = static_cast<std::uint16_t>(1 + Now.Next);
-    Wanted.Hosts.push_back(std::move(Added));
-    std::ranges::sort(Wanted.Hosts, {}, &HostSpec::Name);
-    return ApplyDeclaration{std::move(Wanted)};
+    Changed.Hosts.push_back(std::move(Added));
+    std::ranges::sort(Changed.Hosts, {}, &HostSpec::Name);
+    return ApplyDeclaration{std::move(Changed)};
   }
   default:
     return SetCapacity{Model, DataCentre,
--- a/packages/version/test/coltsfoottrail/fold/stream.cpp
+++ b/packages/version/test/coltsfoottrail/fold/stream.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using test::expectProperty;
-using test::StreamMaker;
+using test::StreamGenerator;
 
 using Numbers = std::vector<std::uint32_t>;
 using Stream = std::vector<std::vector<std::byte>>;
@@ -66,14 +66,14 @@
   std::size_t Serving = 0;
   expectProperty(
       [&] {
-        StreamMaker Maker;
+        StreamGenerator Generator;
         for (const std::uint32_t Seed : drawSeeds()) {
-          Maker.appendRecord(Seed);
-          checkOccupiedHosts(Maker.now());
-          checkMachines(Maker.now());
-          checkRoutes(Maker.now());
-          Formed += Maker.now().Groups.empty() ? 0 : 1;
-          for (const auto &[Id, Existing] : Maker.now().Groups)
+          Generator.appendRecord(Seed);
+          checkOccupiedHosts(Generator.now());
+          checkMachines(Generator.now());
+          checkRoutes(Generator.now());
+          Formed += Generator.now().Groups.empty() ? 0 : 1;
+          for (const auto &[Id, Existing] : Generator.now().Groups)
             Serving += Existing.Phase == GroupPhase::Serving ? 1 : 0;
         }
       },
@@ -89,11 +89,11 @@
   std::map<FoldEffect, std::size_t> Seen;
   expectProperty(
       [&] {
-        StreamMaker Maker;
+        StreamGenerator Generator;
         for (const std::uint32_t Seed : drawSeeds())
-          Maker.appendRecord(Seed);
+          Generator.appendRecord(Seed);
         State Current;
-        for (const auto &Bytes : Maker.bytes()) {
+        for (const auto &Bytes : Generator.bytes()) {
           State Before = Current;
           const FoldResult Result = foldRecord(Current, Current.Next, Bytes);
           ++Seen[Result.Effect];
@@ -133,12 +133,12 @@
 TEST(FoldProperty, AllReadersComeToTheSameState) {
   expectProperty(
       [] {
-        StreamMaker Maker;
+        StreamGenerator Generator;
         for (const std::uint32_t Seed : drawSeeds())
-          Maker.appendRecord(Seed);
-        const std::uint64_t Digest = digestOf(Maker.now());
+          Generator.appendRecord(Seed);
+        const std::uint64_t Digest = digestOf(Generator.now());
         const auto ReaderSeed = *rc::gen::arbitrary<std::uint64_t>();
-        RC_ASSERT(digestOfInterruptedReader(Maker.bytes(), ReaderSeed) ==
+        RC_ASSERT(digestOfInterruptedReader(Generator.bytes(), ReaderSeed) ==
                   Digest);
       },
       Cases, LongestStream / 4);
--- a/packages/version/test/coltsfoottrail/fold/stream.hpp
+++ b/packages/version/test/coltsfoottrail/fold/stream.hpp
@@ -15,9 +15,9 @@
 /// Generates the next record of a stream from a seed: the same seeds give the
 /// same stream. Most records fit the state; others refer to removed entries,
 /// repeat an append, or are damaged.
-class StreamMaker {
+class StreamGenerator {
 public:
-  StreamMaker() : Declared(makeDeclaration({2, 1, 4, 1, 2, 1, true})) {
+  StreamGenerator() : Declared(makeDeclaration({2, 1, 4, 1, 2, 1, true})) {
     History.join(HostName("entry-0"), 1);
     History.carry(ApplyDeclaration{Declared});
   }
@@ -163,15 +163,15 @@
   }
 
   [[nodiscard]] ApplyDeclaration nextDeclaration() {
-    Declaration Wanted = Declared;
+    Declaration Changed = Declared;
     if (Rng.below(2) == 0)
-      Wanted.Hosts.erase(
-          Wanted.Hosts.begin() +
-          static_cast<std::ptrdiff_t>(Rng.below(Wanted.Hosts.size())));
+      Changed.Hosts.erase(
+          Changed.Hosts.begin() +
+          static_cast<std::ptrdiff_t>(Rng.below(Changed.Hosts.size())));
     if (Rng.below(3) == 0)
-      Wanted.Hosts.front().Name = HostName("another");
-    std::ranges::sort(Wanted.Hosts, {}, &HostSpec::Name);
-    return ApplyDeclaration{std::move(Wanted)};
+      Changed.Hosts.front().Name = HostName("another");
+    std::ranges::sort(Changed.Hosts, {}, &HostSpec::Name);
+    return ApplyDeclaration{std::move(Changed)};
   }
 
   [[nodiscard]] Step nextStep(std::uint32_t Number) {
--- a/packages/version/test/coltsfoottrail/record/codec.cpp
+++ b/packages/version/test/coltsfoottrail/record/codec.cpp
@@ -48,8 +48,8 @@
       ReturnHost{host(0, 0, 0)},
       ApplyDeclaration{Declared,
                        DroppedNames{{TeamName("t")}, {host(9, 9, 9)}, {}, {}}}};
-  for (const Intent &Requested : Intents)
-    Result.emplace_back(PlanProposed{Plan{Requested, 0, {}, {}, {}}, "o"});
+  for (const Intent &Request : Intents)
+    Result.emplace_back(PlanProposed{Plan{Request, 0, {}, {}, {}}, "o"});
   return Result;
 }
 
