--- a/bench/fold.cpp
+++ b/bench/fold.cpp
@@ -128,7 +128,7 @@
   std::uint64_t Sequence = 1000;
   for (const auto &[Name, Host] : Now.EntryHosts)
     Records.push_back(encodeRecord(
-        Envelope{WriterId{Host.Joined.Run, ++Sequence}, Host.Joined}));
+        Envelope{WriterId{Host.JoinRecord.Run, ++Sequence}, Host.JoinRecord}));
   for (auto _ : Run) {
     foldRecord(Now, Now.Next, Records[Now.Next % Records.size()]);
     if (Now.Next % Records.size() == 0)
@@ -150,7 +150,7 @@
   Proposal.Steps.emplace_back(Formed);
   Out.emplace_back(PlanProposed{std::move(Proposal), "repair"});
   Out.emplace_back(PlanConfirmed{PlanAt, "repair"});
-  const EntryHostJoined &Executor = Now.EntryHosts.begin()->second.Joined;
+  const EntryHostJoined &Executor = Now.EntryHosts.begin()->second.JoinRecord;
   Out.emplace_back(ExecutorTaken{PlanAt, Executor.Host, Executor.Run, 0});
   const Offset Lease = PlanAt + 2;
   Out.emplace_back(
--- a/bench/groups.cpp
+++ b/bench/groups.cpp
@@ -163,7 +163,7 @@
   for (int Number = 0; Number < Count; ++Number) {
     const HostName Name("entry-" + std::to_string(Number));
     const DataCentreName Where = centreOf(Number % Centres);
-    Hosts[Name].Joined = EntryHostJoined{Name, 1, Where, "127.0.0.1", 1, 2};
+    Hosts[Name].JoinRecord = EntryHostJoined{Name, 1, Where, "127.0.0.1", 1, 2};
   }
   return Hosts;
 }
--- a/packages/process/src/coltsfoottrail/server/agreedstream.cpp
+++ b/packages/process/src/coltsfoottrail/server/agreedstream.cpp
@@ -298,7 +298,7 @@
   auto Copy = std::make_shared<const State>(Folded);
   std::vector<Member> Members;
   for (const auto &[Name, Host] : Folded.EntryHosts)
-    Members.push_back({Name, Host.Joined.DataCentre});
+    Members.push_back({Name, Host.JoinRecord.DataCentre});
   {
     const std::lock_guard Hold(Lock);
     if (Started && Published->Next >= Copy->Next)
--- a/packages/process/src/coltsfoottrail/server/memberdesk.cpp
+++ b/packages/process/src/coltsfoottrail/server/memberdesk.cpp
@@ -126,7 +126,7 @@
   std::vector<ShareMember> Joined;
   std::vector<HostName> Others;
   for (const auto &[Name, Host] : Now.EntryHosts) {
-    Joined.push_back({Name, Host.Joined.Run});
+    Joined.push_back({Name, Host.JoinRecord.Run});
     if (Name != Own->Self.Host)
       Others.push_back(Name);
   }
--- a/packages/process/src/coltsfoottrail/server/meshpeers.cpp
+++ b/packages/process/src/coltsfoottrail/server/meshpeers.cpp
@@ -9,13 +9,13 @@
 std::vector<MeshPeer> meshPeers(const HostName &Self, const State &Now) {
   std::vector<MeshMember> All;
   for (const auto &[Name, Host] : Now.EntryHosts)
-    All.push_back({Name, Host.Joined.DataCentre});
+    All.push_back({Name, Host.JoinRecord.DataCentre});
   const std::vector<HostName> Neighbours = chooseNeighbours(Self, All);
   std::vector<MeshPeer> Peers;
   for (const auto &[Name, Host] : Now.EntryHosts) {
     if (Name == Self)
       continue;
-    const EntryHostJoined &Joined = Host.Joined;
+    const EntryHostJoined &Joined = Host.JoinRecord;
     const bool IsNear =
         std::binary_search(Neighbours.begin(), Neighbours.end(), Name);
     Peers.push_back(
--- a/packages/process/src/coltsfoottrail/server/operators.cpp
+++ b/packages/process/src/coltsfoottrail/server/operators.cpp
@@ -126,15 +126,15 @@
 
 Json describeProgress(Offset Id, const PlanProgress &Shown) {
   Json Lines = Json::array();
-  for (std::string &Line : describePlan(Shown.Proposed.Proposal))
+  for (std::string &Line : describePlan(Shown.ProposalRecord.Proposal))
     Lines.push_back(std::move(Line));
   Json Out{{"id", Id},
            {"phase", PlanWords.at(static_cast<std::size_t>(Shown.Phase))},
-           {"operator", Shown.Proposed.Operator},
-           {"steps", Shown.Proposed.Proposal.Steps.size()},
+           {"operator", Shown.ProposalRecord.Operator},
+           {"steps", Shown.ProposalRecord.Proposal.Steps.size()},
            {"steps_done", Shown.StepsDone},
            {"text", std::move(Lines)},
-           {"plan", writePlan(Shown.Proposed.Proposal)}};
+           {"plan", writePlan(Shown.ProposalRecord.Proposal)}};
   if (!Shown.Executor.empty())
     Out["executor"] = Shown.Executor.Text;
   if (!Shown.Reason.empty())
@@ -152,10 +152,11 @@
            {"services", Json::array()},
            {"plans", Json::array()}};
   for (const auto &[Name, Host] : Shown.EntryHosts)
-    Out["entry_hosts"].push_back({{"name", Name.Text},
-                                  {"data_centre", Host.Joined.DataCentre.Text},
-                                  {"address", Host.Joined.Address},
-                                  {"port", Host.Joined.CallerPort}});
+    Out["entry_hosts"].push_back(
+        {{"name", Name.Text},
+         {"data_centre", Host.JoinRecord.DataCentre.Text},
+         {"address", Host.JoinRecord.Address},
+         {"port", Host.JoinRecord.CallerPort}});
   for (const DataCentreName &Place : Shown.DrainedDataCentres)
     Out["drained_data_centres"].push_back(Place.Text);
   for (const HostName &Host : Shown.DrainedHosts)
@@ -171,10 +172,10 @@
     Out["plans"].push_back(
         {{"id", Id},
          {"phase", PlanWords.at(static_cast<std::size_t>(Progress.Phase))},
-         {"steps", Progress.Proposed.Proposal.Steps.size()},
+         {"steps", Progress.ProposalRecord.Proposal.Steps.size()},
          {"steps_done", Progress.StepsDone},
          {"asked",
-          describeIntent(Progress.Proposed.Proposal.RequestedIntent)}});
+          describeIntent(Progress.ProposalRecord.Proposal.RequestedIntent)}});
   return Out;
 }
 
--- a/packages/process/src/coltsfoottrail/server/process.cpp
+++ b/packages/process/src/coltsfoottrail/server/process.cpp
@@ -371,7 +371,7 @@
   const auto Built = std::make_shared<const RouteTable>(buildRoutes(*Now));
   std::vector<ClaimMember> Claimants;
   for (const auto &[Name, Host] : Now->EntryHosts)
-    Claimants.push_back({Name, Host.Joined.Run});
+    Claimants.push_back({Name, Host.JoinRecord.Run});
   logChanges(*Now);
   Routes = Built;
   Members->onState(*Now, *Built);
@@ -594,7 +594,8 @@
   const auto IsMember = [this] {
     const StatePtr Now = Agreed.state();
     const auto Found = Now->EntryHosts.find(Options.Host);
-    return Found != Now->EntryHosts.end() && Found->second.Joined.Run == Run;
+    return Found != Now->EntryHosts.end() &&
+           Found->second.JoinRecord.Run == Run;
   };
   while (IsMember() && BootClock::now() < GiveUp)
     std::this_thread::sleep_for(PollWhileStopping);
--- a/packages/process/test/coltsfoottrail/server/sparsemesh.hpp
+++ b/packages/process/test/coltsfoottrail/server/sparsemesh.hpp
@@ -166,7 +166,7 @@
       const auto &Gone = std::get<EntryHostLeft>(What);
       const auto Found = Agreed.EntryHosts.find(Gone.Host);
       if (Found == Agreed.EntryHosts.end() ||
-          Found->second.Joined.Run != Gone.Run)
+          Found->second.JoinRecord.Run != Gone.Run)
         return;
       Agreed.EntryHosts.erase(Found);
     }
--- a/packages/version/src/coltsfoottrail/checkpoint/statecodec.cpp
+++ b/packages/version/src/coltsfoottrail/checkpoint/statecodec.cpp
@@ -168,7 +168,8 @@
 }
 
 Json writeEntryHost(const EntryHost &Value) {
-  return Json{{"joined", writeRecord(Value.Joined)}, {"since", Value.Since}};
+  return Json{{"joined", writeRecord(Value.JoinRecord)},
+              {"since", Value.JoinOffset}};
 }
 
 void readEntryHost(ObjectReader &Reader, State &Target) {
@@ -176,9 +177,9 @@
   Record Decoded = readRecord(Reader.raw("joined"), Source);
   if (!std::holds_alternative<EntryHostJoined>(Decoded))
     Reader.refuse("joined", "a record of an entry host that joined");
-  Value.Joined = std::get<EntryHostJoined>(std::move(Decoded));
-  Value.Since = Reader.number("since");
-  Target.EntryHosts[Value.Joined.Host] = std::move(Value);
+  Value.JoinRecord = std::get<EntryHostJoined>(std::move(Decoded));
+  Value.JoinOffset = Reader.number("since");
+  Target.EntryHosts[Value.JoinRecord.Host] = std::move(Value);
 }
 
 Json writeGroup(const std::pair<const GroupId, Group> &Entry) {
@@ -228,7 +229,7 @@
   const PlanProgress &Progress = Entry.second;
   return Json{
       {"at", Entry.first},
-      {"proposed", writeRecord(Progress.Proposed)},
+      {"proposed", writeRecord(Progress.ProposalRecord)},
       {"phase", PlanPhaseNames.at(static_cast<std::size_t>(Progress.Phase))},
       {"lease", Progress.Lease},
       {"executor", Json::array({Progress.Executor.Text})},
@@ -237,7 +238,7 @@
       {"why", Json::array({Progress.Reason})},
       {"confirmed_at", Progress.ConfirmedAt},
       {"ended_at", Progress.EndedAt},
-      {"formed", Progress.Formed}};
+      {"formed", Progress.FormedGroups}};
 }
 
 /// Reads a text that may be empty; it is written as a list of one text, as the
@@ -253,7 +254,7 @@
   for (const Json &Number : Reader.raw("formed")) {
     if (!Number.is_number_unsigned() || Number.get<std::uint64_t>() > MaxCount)
       Reader.refuse("formed", "a list of whole numbers");
-    Target.Formed.insert(Number.get<std::uint32_t>());
+    Target.FormedGroups.insert(Number.get<std::uint32_t>());
   }
 }
 
@@ -263,7 +264,7 @@
   Record Decoded = readRecord(Reader.raw("proposed"), Source);
   if (!std::holds_alternative<PlanProposed>(Decoded))
     Reader.refuse("proposed", "a record of a plan that was proposed");
-  Progress.Proposed = std::get<PlanProposed>(std::move(Decoded));
+  Progress.ProposalRecord = std::get<PlanProposed>(std::move(Decoded));
   Progress.Phase = static_cast<PlanPhase>(Reader.word("phase", PlanPhaseNames));
   Progress.Lease = Reader.number("lease");
   Progress.Executor = HostName(readPossiblyEmpty(Reader, "executor"));
--- a/packages/version/src/coltsfoottrail/fold/digest.cpp
+++ b/packages/version/src/coltsfoottrail/fold/digest.cpp
@@ -130,13 +130,13 @@
 }
 
 void hash(StateHasher &Hasher, const EntryHost &Value) {
-  hash(Hasher, Value.Joined.Host);
-  hash(Hasher, Value.Joined.Run);
-  hash(Hasher, Value.Joined.DataCentre);
-  hash(Hasher, Value.Joined.Address);
-  hash(Hasher, Value.Joined.MeshPort);
-  hash(Hasher, Value.Joined.CallerPort);
-  hash(Hasher, Value.Since);
+  hash(Hasher, Value.JoinRecord.Host);
+  hash(Hasher, Value.JoinRecord.Run);
+  hash(Hasher, Value.JoinRecord.DataCentre);
+  hash(Hasher, Value.JoinRecord.Address);
+  hash(Hasher, Value.JoinRecord.MeshPort);
+  hash(Hasher, Value.JoinRecord.CallerPort);
+  hash(Hasher, Value.JoinOffset);
 }
 
 void hash(StateHasher &Hasher, const FormGroup &Value) {
@@ -223,8 +223,8 @@
 }
 
 void hash(StateHasher &Hasher, const PlanProgress &Value) {
-  hash(Hasher, Value.Proposed.Proposal);
-  hash(Hasher, Value.Proposed.Operator);
+  hash(Hasher, Value.ProposalRecord.Proposal);
+  hash(Hasher, Value.ProposalRecord.Operator);
   hash(Hasher, Value.Phase);
   hash(Hasher, Value.Lease);
   hash(Hasher, Value.Executor);
@@ -233,7 +233,7 @@
   hash(Hasher, Value.Reason);
   hash(Hasher, Value.ConfirmedAt);
   hash(Hasher, Value.EndedAt);
-  hashList(Hasher, Value.Formed);
+  hashList(Hasher, Value.FormedGroups);
 }
 
 void hash(StateHasher &Hasher, const WriterMark &Value) {
--- a/packages/version/src/coltsfoottrail/fold/fold.cpp
+++ b/packages/version/src/coltsfoottrail/fold/fold.cpp
@@ -35,10 +35,10 @@
   const auto It = Current.EntryHosts.find(Body.Host);
   if (It == Current.EntryHosts.end())
     return voided("entry host " + Body.Host.Text + " has not joined");
-  if (It->second.Joined.Run != Body.Run)
+  if (It->second.JoinRecord.Run != Body.Run)
     return voided("another run of entry host " + Body.Host.Text +
                       " has joined since",
-                  It->second.Since);
+                  It->second.JoinOffset);
   Current.EntryHosts.erase(It);
   Current.EntryHostsChange = RecordOffset + 1;
   return applied();
@@ -85,7 +85,7 @@
 void eraseExpiredWriters(State &Current) {
   std::set<Incarnation> Joined;
   for (const auto &[Name, Host] : Current.EntryHosts)
-    Joined.insert(Host.Joined.Run);
+    Joined.insert(Host.JoinRecord.Run);
   std::erase_if(Current.Writers, [&](const auto &Entry) {
     return !Joined.contains(Entry.first) &&
            isExpired(Entry.second.LastOffset, WriterRetention, Current.Next);
--- a/packages/version/src/coltsfoottrail/fold/groups.cpp
+++ b/packages/version/src/coltsfoottrail/fold/groups.cpp
@@ -37,7 +37,7 @@
   NewGroup.HeldHosts.insert(Spec.Members.begin(), Spec.Members.end());
   for (const HostName &Host : Spec.Members)
     Current.OccupiedHosts[Host] = Id;
-  Current.Plans.at(Plan).Formed.insert(Spec.Number);
+  Current.Plans.at(Plan).FormedGroups.insert(Spec.Number);
 }
 
 FoldResult applyRecord(State &Current, Offset RecordOffset,
--- a/packages/version/src/coltsfoottrail/fold/plans.cpp
+++ b/packages/version/src/coltsfoottrail/fold/plans.cpp
@@ -36,7 +36,7 @@
 /// Drops the declaration that a plan carries: once in force it is part of the
 /// state, and an ended plan no longer needs it.
 void dropDeclaration(PlanProgress &Progress) {
-  Intent &Request = Progress.Proposed.Proposal.RequestedIntent;
+  Intent &Request = Progress.ProposalRecord.Proposal.RequestedIntent;
   if (auto *const Apply = std::get_if<ApplyDeclaration>(&Request))
     *Apply = ApplyDeclaration{};
 }
@@ -46,7 +46,7 @@
   Progress.Phase = Phase;
   Progress.EndedAt = RecordOffset;
   Progress.Reason = std::move(Reason);
-  Progress.Formed.clear();
+  Progress.FormedGroups.clear();
   dropDeclaration(Progress);
 }
 
@@ -70,7 +70,7 @@
 /// directly follow it.
 void beginSteps(State &Current, Offset RecordOffset, Plans::iterator It) {
   PlanProgress &Progress = It->second;
-  const std::vector<Step> &Steps = Progress.Proposed.Proposal.Steps;
+  const std::vector<Step> &Steps = Progress.ProposalRecord.Proposal.Steps;
   for (std::size_t Index = Progress.StepsDone; Index < Steps.size(); ++Index) {
     const auto *const Stop = std::get_if<StopGroup>(&Steps[Index]);
     if (Stop == nullptr)
@@ -78,7 +78,7 @@
     stopGroup(Current, RecordOffset, Stop->Group);
   }
   const auto *const Form = std::get_if<FormGroup>(&Steps[Progress.StepsDone]);
-  if (Form == nullptr || Progress.Formed.contains(Form->Number))
+  if (Form == nullptr || Progress.FormedGroups.contains(Form->Number))
     return;
   if (canForm(Current, *Form))
     formGroup(Current, RecordOffset, It->first, *Form);
@@ -91,7 +91,7 @@
 /// Forms all groups of a plan whose hosts are already free.
 void formFreeGroups(State &Current, Offset RecordOffset, Offset Plan) {
   const PlanProgress &Progress = Current.Plans.at(Plan);
-  for (const Step &PlanStep : Progress.Proposed.Proposal.Steps) {
+  for (const Step &PlanStep : Progress.ProposalRecord.Proposal.Steps) {
     const auto *const Form = std::get_if<FormGroup>(&PlanStep);
     if (Form != nullptr && hostsAreFree(Current, *Form))
       formGroup(Current, RecordOffset, Plan, *Form);
@@ -120,7 +120,7 @@
   for (auto It = Current.Plans.begin(); It != Current.Plans.end(); ++It)
     if (It->second.Phase == PlanPhase::Proposed &&
         std::holds_alternative<ApplyDeclaration>(
-            It->second.Proposed.Proposal.RequestedIntent))
+            It->second.ProposalRecord.Proposal.RequestedIntent))
       Waiting.push_back(It);
   if (Waiting.size() > MaxDeclarationProposals)
     abandonPlan(Current, RecordOffset, Waiting.front(),
@@ -156,7 +156,7 @@
 
 void finishStep(State &Current, Offset RecordOffset, Plans::iterator It) {
   PlanProgress &Progress = It->second;
-  const std::vector<Step> &Steps = Progress.Proposed.Proposal.Steps;
+  const std::vector<Step> &Steps = Progress.ProposalRecord.Proposal.Steps;
   const Step &Finished = Steps[Progress.StepsDone];
   if (const auto *const Swap = std::get_if<SwapAdapters>(&Finished))
     Current.Groups.at(Swap->Group).Spec.Adapters = Swap->Adapters;
@@ -174,7 +174,7 @@
                        PlanProposed &Body) {
   if (std::optional<FoldResult> Failure = validatePlan(Current, Body.Proposal))
     return *std::move(Failure);
-  Current.Plans[RecordOffset].Proposed = std::move(Body);
+  Current.Plans[RecordOffset].ProposalRecord = std::move(Body);
   limitProposedDeclarations(Current, RecordOffset);
   return applied();
 }
@@ -189,7 +189,7 @@
     return voided(describe(Body.Plan) + " does not wait for confirmation",
                   Progress.EndedAt > 0 ? Progress.EndedAt
                                        : Progress.ConfirmedAt);
-  Plan &Proposal = Progress.Proposed.Proposal;
+  Plan &Proposal = Progress.ProposalRecord.Proposal;
   if (std::optional<FoldResult> Failure = validatePlan(Current, Proposal))
     return *std::move(Failure);
   Progress.Phase = PlanPhase::Running;
@@ -229,7 +229,8 @@
                       " was taken by entry host " + Progress.Executor.Text,
                   Progress.Lease);
   const auto Host = Current.EntryHosts.find(Body.Host);
-  if (Host == Current.EntryHosts.end() || Host->second.Joined.Run != Body.Run)
+  if (Host == Current.EntryHosts.end() ||
+      Host->second.JoinRecord.Run != Body.Run)
     return voided("this run of entry host " + Body.Host.Text +
                   " has not joined");
   Progress.Lease = RecordOffset;
@@ -249,7 +250,7 @@
   if (Body.StepIndex != Progress.StepsDone)
     return voided("the step that is next is " +
                   std::to_string(Progress.StepsDone));
-  const Step &Finished = Progress.Proposed.Proposal.Steps[Body.StepIndex];
+  const Step &Finished = Progress.ProposalRecord.Proposal.Steps[Body.StepIndex];
   std::string Problem = unfinishedReason(Current, Body.Plan, Finished);
   if (!Problem.empty())
     return voided(std::move(Problem));
--- a/packages/version/src/coltsfoottrail/fold/state.hpp
+++ b/packages/version/src/coltsfoottrail/fold/state.hpp
@@ -14,8 +14,8 @@
 
 /// @brief An entry host that has joined.
 struct EntryHost {
-  EntryHostJoined Joined;
-  Offset Since = 0;
+  EntryHostJoined JoinRecord;
+  Offset JoinOffset = 0;
   [[nodiscard]] friend bool operator==(const EntryHost &,
                                        const EntryHost &) = default;
 };
@@ -41,7 +41,7 @@
 
 /// @brief A plan and its progress.
 struct PlanProgress {
-  PlanProposed Proposed;
+  PlanProposed ProposalRecord;
   PlanPhase Phase = PlanPhase::Proposed;
   /// Fencing token of its executor's orders; zero before the first lease.
   Offset Lease = 0;
@@ -55,7 +55,7 @@
   Offset EndedAt = 0;
   /// Numbers of the groups that its steps have formed so far. A number is never
   /// formed twice, so that a late record for a removed group has no effect.
-  std::set<std::uint32_t> Formed;
+  std::set<std::uint32_t> FormedGroups;
   [[nodiscard]] friend bool operator==(const PlanProgress &,
                                        const PlanProgress &) = default;
 };
--- a/packages/version/src/coltsfoottrail/fold/validation.cpp
+++ b/packages/version/src/coltsfoottrail/fold/validation.cpp
@@ -208,9 +208,9 @@
     for (const auto &[Id, Progress] : Current.Plans) {
       if (Progress.Phase != PlanPhase::Running)
         continue;
-      for (const Step &PlanStep : Progress.Proposed.Proposal.Steps) {
+      for (const Step &PlanStep : Progress.ProposalRecord.Proposal.Steps) {
         const auto *const Form = std::get_if<FormGroup>(&PlanStep);
-        if (Form == nullptr || Progress.Formed.contains(Form->Number))
+        if (Form == nullptr || Progress.FormedGroups.contains(Form->Number))
           continue;
         for (const HostName &Host : Form->Members)
           ReservedHosts.emplace(Host, Progress.ConfirmedAt);
--- a/packages/version/src/coltsfoottrail/groups/lease.cpp
+++ b/packages/version/src/coltsfoottrail/groups/lease.cpp
@@ -12,7 +12,7 @@
            Found->second.Phase != PlanPhase::Running;
   });
   const auto Joined = Now.EntryHosts.find(Self);
-  if (Joined == Now.EntryHosts.end() || Joined->second.Joined.Run != Run)
+  if (Joined == Now.EntryHosts.end() || Joined->second.JoinRecord.Run != Run)
     return;
   for (const auto &[Plan, Progress] : Now.Plans) {
     if (Progress.Phase != PlanPhase::Running)
--- a/packages/version/src/coltsfoottrail/groups/repairer.cpp
+++ b/packages/version/src/coltsfoottrail/groups/repairer.cpp
@@ -112,11 +112,11 @@
 std::optional<Offset> Repairer::findProposed(const Pass &In,
                                              const MissingGroups &Where) const {
   for (const auto &[Id, Progress] : In.Now.Plans) {
-    const auto *Asked =
-        std::get_if<SetCapacity>(&Progress.Proposed.Proposal.RequestedIntent);
+    const auto *Asked = std::get_if<SetCapacity>(
+        &Progress.ProposalRecord.Proposal.RequestedIntent);
     const bool Fits =
         Progress.Phase == PlanPhase::Proposed && Asked != nullptr &&
-        Progress.Proposed.Operator == RepairOperator &&
+        Progress.ProposalRecord.Operator == RepairOperator &&
         Asked->Model == Where.Model && Asked->DataCentre == Where.DataCentre;
     const auto Tried = ConfirmedAt.find(Id);
     const bool Beaten = Tried != ConfirmedAt.end() &&
--- a/packages/version/src/coltsfoottrail/groups/steps.cpp
+++ b/packages/version/src/coltsfoottrail/groups/steps.cpp
@@ -55,7 +55,8 @@
 
 void StepRunner::runPlan(const Pass &In, Offset Plan,
                          const PlanProgress &Progress, const PlanLease &Lease) {
-  const Step &What = Progress.Proposed.Proposal.Steps.at(Progress.StepsDone);
+  const Step &What =
+      Progress.ProposalRecord.Proposal.Steps.at(Progress.StepsDone);
   Outcome Found;
   if (const auto *Form = std::get_if<FormGroup>(&What))
     Found = formOutcome(In, Plan, Progress, *Form);
@@ -85,7 +86,7 @@
   const auto Found = In.Now.Groups.find(Id);
   const std::string Lost = "group " + textOf(Id) + " broke";
   if (Found == In.Now.Groups.end()) {
-    const bool Gone = Progress.Formed.contains(Form.Number);
+    const bool Gone = Progress.FormedGroups.contains(Form.Number);
     return Gone ? Outcome{Standing::Impossible, Lost} : Outcome{};
   }
   switch (Found->second.Phase) {
--- a/packages/version/src/coltsfoottrail/groups/watchplan.cpp
+++ b/packages/version/src/coltsfoottrail/groups/watchplan.cpp
@@ -11,14 +11,14 @@
 WatchPlan::WatchPlan(const std::map<HostName, EntryHost> &Joined)
     : Digest(digestOf(Joined)) {
   for (const auto &[Name, Host] : Joined)
-    Centres[Host.Joined.DataCentre].push_back(Name);
+    Centres[Host.JoinRecord.DataCentre].push_back(Name);
 }
 
 std::uint64_t WatchPlan::digestOf(const std::map<HostName, EntryHost> &Joined) {
   std::uint64_t Digest = Joined.size();
   for (const auto &[Name, Host] : Joined) {
     Digest = hashText(Name.Text, Digest);
-    Digest = hashText(Host.Joined.DataCentre.Text, Digest);
+    Digest = hashText(Host.JoinRecord.DataCentre.Text, Digest);
   }
   return Digest;
 }
--- a/packages/version/src/coltsfoottrail/intents/convergence.cpp
+++ b/packages/version/src/coltsfoottrail/intents/convergence.cpp
@@ -70,7 +70,7 @@
   }
 
   void readRunningPlan(Offset At, const PlanProgress &Progress) {
-    const std::vector<Step> &Steps = Progress.Proposed.Proposal.Steps;
+    const std::vector<Step> &Steps = Progress.ProposalRecord.Proposal.Steps;
     for (std::size_t Index = Progress.StepsDone; Index < Steps.size();
          ++Index) {
       const Step &What = Steps[Index];
@@ -87,7 +87,8 @@
                        const FormGroup &Form) {
     // A group that was formed and is there no more broke; it is missing.
     const GroupId Id{At, Form.Number};
-    if (Progress.Formed.contains(Form.Number) || To.Now->Groups.contains(Id))
+    if (Progress.FormedGroups.contains(Form.Number) ||
+        To.Now->Groups.contains(Id))
       return;
     Reserved.insert(Form.Members.begin(), Form.Members.end());
     Pending.push_back(Known{Id, &Form, Form.Adapters});
--- a/packages/version/src/coltsfoottrail/membership/membership.cpp
+++ b/packages/version/src/coltsfoottrail/membership/membership.cpp
@@ -24,7 +24,7 @@
                        MembershipCommands &Out) {
   const auto Own = Agreed.EntryHosts.find(Options.Self.Host);
   const bool There = Own != Agreed.EntryHosts.end() &&
-                     Own->second.Joined.Run == Options.Self.Run;
+                     Own->second.JoinRecord.Run == Options.Self.Run;
   // Failure guarded against: this run slept, its peers found it gone and have
   // taken over what it held. It must not go on under its old run, nor append
   // the old join again: what was granted to that run is void for all.
@@ -36,7 +36,7 @@
   Joined = There;
   std::map<HostName, Incarnation> Next;
   for (const auto &[Name, Known] : Agreed.EntryHosts)
-    Next.emplace(Name, Known.Joined.Run);
+    Next.emplace(Name, Known.JoinRecord.Run);
   if (Next == Members)
     return;
   Members = std::move(Next);
--- a/packages/version/test/coltsfoottrail/fold/fold.cpp
+++ b/packages/version/test/coltsfoottrail/fold/fold.cpp
@@ -234,7 +234,7 @@
 TEST_F(Fold, LateLeaveOfAnEarlierRunIsVoid) {
   History.join(EntryA, 21);
   EXPECT_EQ(History.say(EntryHostLeft{EntryA, 11}).Effect, FoldEffect::Void);
-  EXPECT_EQ(History.Now.EntryHosts.at(EntryA).Joined.Run, 21U);
+  EXPECT_EQ(History.Now.EntryHosts.at(EntryA).JoinRecord.Run, 21U);
   EXPECT_EQ(History.say(EntryHostLeft{EntryA, 21}).Effect, FoldEffect::Applied);
 }
 
--- a/packages/version/test/coltsfoottrail/fold/stream.hpp
+++ b/packages/version/test/coltsfoottrail/fold/stream.hpp
@@ -109,7 +109,7 @@
     if (History.Now.Plans.contains(Plan) && Rng.below(4) > 0)
       Body.ReplacedLease = History.Now.Plans.at(Plan).Lease;
     if (History.Now.EntryHosts.contains(Host))
-      Body.Run = History.Now.EntryHosts.at(Host).Joined.Run;
+      Body.Run = History.Now.EntryHosts.at(Host).JoinRecord.Run;
     return Body;
   }
 
--- a/packages/version/test/coltsfoottrail/groups/lease.cpp
+++ b/packages/version/test/coltsfoottrail/groups/lease.cpp
@@ -15,7 +15,7 @@
 public:
   TwoKeepers() {
     for (const char *Name : {"a", "b"})
-      Agreed.EntryHosts[HostName(Name)].Joined =
+      Agreed.EntryHosts[HostName(Name)].JoinRecord =
           EntryHostJoined{HostName(Name), 1, East, "127.0.0.1", 1, 2};
     Agreed.Plans[Plan].Phase = PlanPhase::Running;
     Agreed.Next = Plan + 2;
--- a/packages/version/test/coltsfoottrail/groups/liveness.cpp
+++ b/packages/version/test/coltsfoottrail/groups/liveness.cpp
@@ -21,7 +21,7 @@
   for (const DataCentreName &Where : {East, West, North})
     for (const char *Number : {"1", "2", "3"}) {
       const HostName Name(Where.Text + "-entry-" + Number);
-      Now.EntryHosts[Name].Joined =
+      Now.EntryHosts[Name].JoinRecord =
           EntryHostJoined{Name, 7, Where, "127.0.0.1", 1, 2};
     }
   addGroup(Now, 10, 0, East, hostsOf(East, 0, 0, 3));
--- a/packages/version/test/coltsfoottrail/groups/watchers.hpp
+++ b/packages/version/test/coltsfoottrail/groups/watchers.hpp
@@ -36,7 +36,7 @@
     for (const auto &[Name, Host] : Agreed.EntryHosts)
       Nodes.push_back(std::make_unique<Node>(
           Node{Name, GroupWatch(Times, GroupTimes(), Name),
-               GroupLiveness(Times, Name, Host.Joined.Run),
+               GroupLiveness(Times, Name, Host.JoinRecord.Run),
                seconds(Draw.below(1000)), TimePoint(), true, nullptr}));
     for (const auto &[Id, Known] : Agreed.Groups)
       for (std::size_t Rank = 0; Rank < Known.Spec.Members.size(); ++Rank) {
--- a/packages/version/test/coltsfoottrail/intents/planner.cpp
+++ b/packages/version/test/coltsfoottrail/intents/planner.cpp
@@ -190,9 +190,10 @@
   State Now = stateWith(1, 4, signageModel(2, 2));
   PlanProgress Running;
   Running.Phase = PlanPhase::Running;
-  Running.Proposed.Proposal = planIntent(Now, SetCapacity{Signage, East, 1});
+  Running.ProposalRecord.Proposal =
+      planIntent(Now, SetCapacity{Signage, East, 1});
   const std::vector<HostName> Taken =
-      membersOf(Running.Proposed.Proposal.Steps.at(0));
+      membersOf(Running.ProposalRecord.Proposal.Steps.at(0));
   Now.Plans[49] = Running;
   const Plan Made = planIntent(Now, SetCapacity{Signage, East, 2});
   ASSERT_EQ(Made.Steps.size(), 1U);
@@ -252,7 +253,8 @@
   State Now = stateWith(1, 4, signageModel(2, 1));
   PlanProgress Running;
   Running.Phase = PlanPhase::Running;
-  Running.Proposed.Proposal = planIntent(Now, SetCapacity{Signage, East, 1});
+  Running.ProposalRecord.Proposal =
+      planIntent(Now, SetCapacity{Signage, East, 1});
   Now.Plans[49] = Running;
   EXPECT_FALSE(planRepair(Now));
 }
--- a/packages/version/test/coltsfoottrail/membership/membership.cpp
+++ b/packages/version/test/coltsfoottrail/membership/membership.cpp
@@ -81,7 +81,7 @@
   [[nodiscard]] bool isMember(std::size_t Index) const {
     const auto Found = Agreed.EntryHosts.find(All[Index].Name);
     return Found != Agreed.EntryHosts.end() &&
-           Found->second.Joined.Run == All[Index].Run;
+           Found->second.JoinRecord.Run == All[Index].Run;
   }
 
   /// Whether a message from one to the other gets through.
@@ -118,7 +118,7 @@
     const auto &Gone = std::get<EntryHostLeft>(What);
     const auto Found = Agreed.EntryHosts.find(Gone.Host);
     if (Found != Agreed.EntryHosts.end() &&
-        Found->second.Joined.Run == Gone.Run)
+        Found->second.JoinRecord.Run == Gone.Run)
       Agreed.EntryHosts.erase(Found);
   }
 
--- a/packages/version/test/coltsfoottrail/support.hpp
+++ b/packages/version/test/coltsfoottrail/support.hpp
@@ -163,7 +163,7 @@
   /// @return The lease.
   Offset lead(Offset Plan, const HostName &Name) {
     const Offset Lease = Now.Next;
-    say(ExecutorTaken{Plan, Name, Now.EntryHosts.at(Name).Joined.Run,
+    say(ExecutorTaken{Plan, Name, Now.EntryHosts.at(Name).JoinRecord.Run,
                       Now.Plans.at(Plan).Lease});
     return Lease;
   }
