--- a/bench/relay.cpp
+++ b/bench/relay.cpp
@@ -163,7 +163,7 @@
   IoPool Pool(4);
   LogStandin LogService(Pool, std::string(Loopback), 0);
   EngineTraits Traits;
-  Traits.Bears = 4096;
+  Traits.MaxConcurrentRequests = 4096;
   Traits.LoadTime = milliseconds(1);
   Traits.TimePerToken = milliseconds(0);
   EngineStandin Engine(Pool, std::string(Loopback), 0, Traits);
--- a/packages/core/src/coltsfoottrail/verdict/verdict.cpp
+++ b/packages/core/src/coltsfoottrail/verdict/verdict.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-RunState laterOf(RunState Left, RunState Right) noexcept {
+RunState laterRunState(RunState Left, RunState Right) noexcept {
   return std::max(Left, Right);
 }
 
--- a/packages/core/src/coltsfoottrail/verdict/verdict.hpp
+++ b/packages/core/src/coltsfoottrail/verdict/verdict.hpp
@@ -60,7 +60,7 @@
 /// @param Left One state.
 /// @param Right Another state.
 /// @return MayHaveRun for {NotRun, MayHaveRun}, and so on. Thread-safe.
-[[nodiscard]] RunState laterOf(RunState Left, RunState Right) noexcept;
+[[nodiscard]] RunState laterRunState(RunState Left, RunState Right) noexcept;
 
 /// @brief Stable text of a run state, as callers see it. Thread-safe.
 /// @param State A run state.
--- a/packages/core/test/coltsfoottrail/verdict/verdict.cpp
+++ b/packages/core/test/coltsfoottrail/verdict/verdict.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 TEST(Verdict, RunStateOnlyGrows) {
-  EXPECT_EQ(laterOf(RunState::MayHaveRun, RunState::NotRun),
+  EXPECT_EQ(laterRunState(RunState::MayHaveRun, RunState::NotRun),
             RunState::MayHaveRun);
-  EXPECT_EQ(laterOf(RunState::MayHaveRun, RunState::Ran), RunState::Ran);
+  EXPECT_EQ(laterRunState(RunState::MayHaveRun, RunState::Ran), RunState::Ran);
 }
 
 TEST(Verdict, EachReasonHasItsOwnCode) {
--- a/packages/process/src/coltsfoottrail/cli/command.cpp
+++ b/packages/process/src/coltsfoottrail/cli/command.cpp
@@ -408,7 +408,7 @@
   if (Bracketed)
     Address = Address.substr(1, Address.size() - 2);
   const bool IsV6 = Address.find(':') != std::string::npos;
-  if (Colon == std::string::npos || !isIpNumber(Address) || IsV6 != Bracketed)
+  if (Colon == std::string::npos || !isIpAddress(Address) || IsV6 != Bracketed)
     refuse("--host: found \"" + printable(Text) +
            "\"; allowed: ADDRESS:PORT with an IP number, [ADDRESS]:PORT for "
            "version 6");
--- a/packages/process/test/coltsfoottrail/faults/matrix.cpp
+++ b/packages/process/test/coltsfoottrail/faults/matrix.cpp
@@ -207,7 +207,7 @@
     CallEnded Call;
     Call.Kind = CallKind::Draft;
     Call.Body = Prompt;
-    Call.Expected = draftedText(Prompt, DraftTokens);
+    Call.Expected = completionText(Prompt, DraftTokens);
     const Heard Got = Stream ? askStream(Host, std::move(Asked))
                              : ask(Host, std::move(Asked));
     Call.Got = Stream ? textOfStream(Got.Body) : textOfWhole(Got.Body);
@@ -401,10 +401,10 @@
 
   void recordCounts() {
     for (const std::string &Body : Bodies)
-      Past.record(OrderRuns{Body, Orders.runsOf(Body)});
+      Past.record(OrderRuns{Body, Orders.executionsOf(Body)});
     for (std::size_t Index = 0; Index < Engines.size(); ++Index)
       Past.record(EnginePeak{"engine-" + std::to_string(Index),
-                             Engines[Index]->mostAtOnce(), WarmBound});
+                             Engines[Index]->peakConcurrency(), WarmBound});
     if (during() == Step::Drain)
       for (const std::size_t West : {1, 3})
         Past.record(DrainObserved{"engine-" + std::to_string(West),
--- a/packages/process/test/coltsfoottrail/server/drafts.cpp
+++ b/packages/process/test/coltsfoottrail/server/drafts.cpp
@@ -187,7 +187,7 @@
     Caller.join();
   EXPECT_EQ(Bad, 0U);
   for (const auto &Engine : Engines)
-    EXPECT_LE(Engine->mostAtOnce(), 32U);
+    EXPECT_LE(Engine->peakConcurrency(), 32U);
 }
 
 // One request crashes every engine that runs it, and its caller sends it again,
--- a/packages/process/test/coltsfoottrail/server/orders.cpp
+++ b/packages/process/test/coltsfoottrail/server/orders.cpp
@@ -26,7 +26,7 @@
   EXPECT_EQ(Second.Status, 200U) << Second.Body;
   EXPECT_EQ(Second.Body, First.Body);
   EXPECT_EQ(fieldOf(Second.Fields, "Coltsfoottrail-Replayed"), "true");
-  EXPECT_EQ(Orders.runsOf("close lane 2"), 1U);
+  EXPECT_EQ(Orders.executionsOf("close lane 2"), 1U);
 }
 
 // The same key comes with another order: running it would hide a mistake, and
@@ -36,7 +36,7 @@
   const HttpResponse Other = call(Hosts[2]->callerPort(), order("k", "two"));
   EXPECT_EQ(Other.Status, 422U);
   EXPECT_EQ(Json::parse(Other.Body).at("reason"), "key-reused");
-  EXPECT_EQ(Orders.runsOf("two"), 0U);
+  EXPECT_EQ(Orders.executionsOf("two"), 0U);
 }
 
 // The service runs an order and its answer is lost. The caller must hear "may
@@ -50,7 +50,7 @@
   Orders.setLoseAnswers(false);
   const HttpResponse Again = call(Hosts[1]->callerPort(), order("k", "sign"));
   EXPECT_EQ(Json::parse(Again.Body).at("verdict"), "may-have-run");
-  EXPECT_EQ(Orders.runsOf("sign"), 1U);
+  EXPECT_EQ(Orders.executionsOf("sign"), 1U);
 }
 
 // The log is down: no claim can be proved. The order must not be sent, and the
@@ -72,7 +72,7 @@
   Orders.setLoseAnswers(true);
   const HttpResponse Got = call(Hosts[0]->callerPort(), order("", "sign"));
   EXPECT_EQ(Json::parse(Got.Body).at("verdict"), "may-have-run");
-  EXPECT_EQ(Orders.runsOf("sign"), 1U);
+  EXPECT_EQ(Orders.executionsOf("sign"), 1U);
 }
 
 // The settlement follows the answer by one append, so the outcome may be "in
@@ -110,7 +110,7 @@
       call(Hosts[1]->callerPort(), order("stop-1", "sign"));
   EXPECT_EQ(Again.Status, 200U) << Again.Body;
   EXPECT_EQ(Again.Body, First.Body);
-  EXPECT_EQ(Orders.runsOf("sign"), 1U);
+  EXPECT_EQ(Orders.executionsOf("sign"), 1U);
 }
 
 TEST_F(Orders3, WrongInputIsRefusedAsNotRun) {
--- a/packages/request/src/coltsfoottrail/dispatch/dispatcher.cpp
+++ b/packages/request/src/coltsfoottrail/dispatch/dispatcher.cpp
@@ -348,7 +348,7 @@
 void Dispatcher::failed(Ticket Which, const AttemptResult &Result,
                         TimePoint Now, Commands &Out) {
   Request &Asked = *Requests.find(Which);
-  Asked.State = laterOf(Asked.State, Result.State);
+  Asked.State = laterRunState(Asked.State, Result.State);
   Asked.LastWhy = Result.Why;
   Asked.FailedWhen = Now;
   Asked.Resumable = Asked.Resumable || Result.Resumable;
@@ -655,7 +655,7 @@
 void Dispatcher::refuse(Ticket Which, Verdict Final, RetryStop Stop,
                         Commands &Out) {
   const Request &Asked = *Requests.find(Which);
-  Final.State = laterOf(Final.State, Asked.State);
+  Final.State = laterRunState(Final.State, Asked.State);
   const RefusalBasis Basis{Stop, Asked.Attempts, Asked.BudgetWaits,
                            Choice.size(), Asked.FailedWhen};
   ++Counts.Refused;
--- a/packages/standin/app/main.cpp
+++ b/packages/standin/app/main.cpp
@@ -33,7 +33,7 @@
 EngineTraits traitsOf(ObjectReader &Reader) {
   EngineTraits Traits;
   Traits.RefusesOldFences = Reader.flagOr("refuses_old_fences", true);
-  Traits.Bears =
+  Traits.MaxConcurrentRequests =
       static_cast<std::uint32_t>(Reader.numberOr("bears", 64, 1, 1U << 20U));
   Traits.LoadTime = milliseconds(Reader.numberOr("load_ms", 50, 0, 600'000));
   Traits.TimePerToken = milliseconds(Reader.numberOr("token_ms", 2, 0, 10'000));
--- a/packages/standin/src/coltsfoottrail/standin/engine.cpp
+++ b/packages/standin/src/coltsfoottrail/standin/engine.cpp
@@ -86,7 +86,7 @@
 
 } // namespace
 
-std::string draftedText(std::string_view Prompt, std::uint64_t Tokens) {
+std::string completionText(std::string_view Prompt, std::uint64_t Tokens) {
   return draftFor(hashText(Prompt), Tokens);
 }
 
@@ -151,7 +151,7 @@
   return Now;
 }
 
-std::uint32_t EngineStandin::mostAtOnce() const {
+std::uint32_t EngineStandin::peakConcurrency() const {
   const std::lock_guard Hold(Lock);
   return Most;
 }
@@ -255,7 +255,7 @@
   const std::string_view Wanted = fieldOf(Asked.Fields, "Coltsfoottrail-Group");
   if (!Wanted.empty() && Wanted != groupKey(*Now.Group))
     return notRun(409, "serves another group");
-  if (Now.Running >= Can.Bears)
+  if (Now.Running >= Can.MaxConcurrentRequests)
     return notRun(503, "more than it bears");
   return std::nullopt;
 }
--- a/packages/standin/src/coltsfoottrail/standin/engine.hpp
+++ b/packages/standin/src/coltsfoottrail/standin/engine.hpp
@@ -20,7 +20,7 @@
 struct EngineTraits {
   bool RefusesOldFences = true;
   /// Requests at once that it bears when warm; more make it fall over.
-  std::uint32_t Bears = 64;
+  std::uint32_t MaxConcurrentRequests = 64;
   milliseconds LoadTime{50};
   milliseconds TimePerToken{2};
 };
@@ -38,8 +38,8 @@
 /// @brief The text that every engine drafts for a prompt. Thread-safe.
 /// @param Prompt Text of a completion's prompt.
 /// @param Tokens Its max_tokens.
-[[nodiscard]] std::string draftedText(std::string_view Prompt,
-                                      std::uint64_t Tokens);
+[[nodiscard]] std::string completionText(std::string_view Prompt,
+                                         std::uint64_t Tokens);
 
 /// @brief A model engine: takes orders, drafts deterministic text, counts.
 class EngineStandin {
@@ -62,7 +62,7 @@
   /// @brief What it says of itself. Thread-safe.
   [[nodiscard]] EngineReport report() const;
   /// @brief Most requests that it had at once. Thread-safe.
-  [[nodiscard]] std::uint32_t mostAtOnce() const;
+  [[nodiscard]] std::uint32_t peakConcurrency() const;
   /// @brief Requests that it began to work on. Thread-safe.
   [[nodiscard]] std::uint64_t started() const;
   /// @brief Requests whose caller went away before the end. Thread-safe.
--- a/packages/standin/src/coltsfoottrail/standin/log.cpp
+++ b/packages/standin/src/coltsfoottrail/standin/log.cpp
@@ -148,9 +148,11 @@
 Awaitable<void> LogStandin::handleRead(Exchange &Call,
                                        const std::string &Name) {
   const std::string &Target = Call.request().Target;
-  const Offset From = numberOf(Target, "from", 0);
-  const auto Max = static_cast<std::size_t>(numberOf(Target, "max", 1024));
-  const milliseconds Wait(std::min(numberOf(Target, "wait_ms", 0), MaxWaitMs));
+  const Offset From = numericQueryParameter(Target, "from", 0);
+  const auto Max =
+      static_cast<std::size_t>(numericQueryParameter(Target, "max", 1024));
+  const milliseconds Wait(
+      std::min(numericQueryParameter(Target, "wait_ms", 0), MaxWaitMs));
   const TimePoint Until = BootClock::now() + Wait;
   while (true) {
     const bool Last = BootClock::now() >= Until;
--- a/packages/standin/src/coltsfoottrail/standin/query.cpp
+++ b/packages/standin/src/coltsfoottrail/standin/query.cpp
@@ -8,8 +8,8 @@
   return Target.substr(0, Target.find('?'));
 }
 
-std::string_view parameterOf(std::string_view Target,
-                             std::string_view Name) noexcept {
+std::string_view queryParameter(std::string_view Target,
+                                std::string_view Name) noexcept {
   const std::size_t Mark = Target.find('?');
   if (Mark == std::string_view::npos)
     return {};
@@ -27,7 +27,7 @@
 
 std::uint64_t numberOf(std::string_view Target, std::string_view Name,
                        std::uint64_t Default) noexcept {
-  const std::string_view Text = parameterOf(Target, Name);
+  const std::string_view Text = queryParameter(Target, Name);
   std::uint64_t Number = 0;
   const auto Parsed =
       std::from_chars(Text.data(), Text.data() + Text.size(), Number);
--- a/packages/standin/src/coltsfoottrail/standin/query.hpp
+++ b/packages/standin/src/coltsfoottrail/standin/query.hpp
@@ -14,14 +14,14 @@
 
 /// @brief A parameter of a target's query, as it stands. Thread-safe.
 /// @return Its text, or an empty view.
-[[nodiscard]] std::string_view parameterOf(std::string_view Target,
-                                           std::string_view Name) noexcept;
+[[nodiscard]] std::string_view queryParameter(std::string_view Target,
+                                              std::string_view Name) noexcept;
 
 /// @brief A whole number among a target's parameters. Thread-safe.
 /// @return The number, or the default where there is none.
-[[nodiscard]] std::uint64_t numberOf(std::string_view Target,
-                                     std::string_view Name,
-                                     std::uint64_t Default) noexcept;
+[[nodiscard]] std::uint64_t
+numericQueryParameter(std::string_view Target, std::string_view Name,
+                      std::uint64_t Default) noexcept;
 
 } // namespace coltsfoottrail
 
--- a/packages/standin/src/coltsfoottrail/standin/service.cpp
+++ b/packages/standin/src/coltsfoottrail/standin/service.cpp
@@ -58,7 +58,7 @@
 
 std::uint16_t ServiceStandin::port() const noexcept { return Server.port(); }
 
-std::uint64_t ServiceStandin::runsOf(const std::string &Body) const {
+std::uint64_t ServiceStandin::executionsOf(const std::string &Body) const {
   const std::lock_guard Hold(Lock);
   const auto Found = Runs.find(Body);
   return Found == Runs.end() ? 0 : Found->second;
--- a/packages/standin/src/coltsfoottrail/standin/service.hpp
+++ b/packages/standin/src/coltsfoottrail/standin/service.hpp
@@ -28,7 +28,7 @@
   /// @brief The port served on. Thread-safe.
   [[nodiscard]] std::uint16_t port() const noexcept;
   /// @brief How often a body was run. Thread-safe.
-  [[nodiscard]] std::uint64_t runsOf(const std::string &Body) const;
+  [[nodiscard]] std::uint64_t executionsOf(const std::string &Body) const;
   /// @brief All runs. Thread-safe.
   [[nodiscard]] std::uint64_t runs() const;
   /// @brief Sets the time that a call takes. Thread-safe.
--- a/packages/version/src/coltsfoottrail/declaration/change.cpp
+++ b/packages/version/src/coltsfoottrail/declaration/change.cpp
@@ -13,14 +13,14 @@
 /// Walks two lists in the order of names.
 template <class Spec, class NameType>
 void diffLists(const std::vector<Spec> &Before, const std::vector<Spec> &After,
-               std::vector<Spec> &Put, std::vector<NameType> &Dropped) {
+               std::vector<Spec> &Upserted, std::vector<NameType> &Dropped) {
   auto Old = Before.begin();
   for (const Spec &New : After) {
     for (; Old != Before.end() && New.Name > Old->Name; ++Old)
       Dropped.push_back(Old->Name);
     const bool Known = Old != Before.end() && Old->Name == New.Name;
     if (!Known || !(*Old == New))
-      Put.push_back(New);
+      Upserted.push_back(New);
     if (Known)
       ++Old;
   }
@@ -30,21 +30,21 @@
 
 template <class Spec, class NameType>
 std::vector<Spec> changeList(const std::vector<Spec> &Before,
-                             const std::vector<Spec> &Put,
+                             const std::vector<Spec> &Upserted,
                              const std::vector<NameType> &Dropped) {
   const std::set<NameType> Gone(Dropped.begin(), Dropped.end());
   std::vector<Spec> Out;
-  Out.reserve(Before.size() + Put.size());
-  auto Next = Put.begin();
+  Out.reserve(Before.size() + Upserted.size());
+  auto Next = Upserted.begin();
   for (const Spec &Each : Before) {
-    for (; Next != Put.end() && Each.Name > Next->Name; ++Next)
+    for (; Next != Upserted.end() && Each.Name > Next->Name; ++Next)
       Out.push_back(*Next);
-    if (Next != Put.end() && Next->Name == Each.Name)
+    if (Next != Upserted.end() && Next->Name == Each.Name)
       Out.push_back(*Next++);
     else if (!Gone.contains(Each.Name))
       Out.push_back(Each);
   }
-  Out.insert(Out.end(), Next, Put.end());
+  Out.insert(Out.end(), Next, Upserted.end());
   return Out;
 }
 
@@ -105,25 +105,27 @@
 DeclarationChange diffDeclarations(const Declaration &Before,
                                    const Declaration &After) {
   DeclarationChange Out;
-  Out.Put.DataCentres = After.DataCentres;
-  Out.Put.WeightLoadsAtOnce = After.WeightLoadsAtOnce;
-  diffLists(Before.Teams, After.Teams, Out.Put.Teams, Out.Dropped.Teams);
-  diffLists(Before.Hosts, After.Hosts, Out.Put.Hosts, Out.Dropped.Hosts);
-  diffLists(Before.Models, After.Models, Out.Put.Models, Out.Dropped.Models);
-  diffLists(Before.Services, After.Services, Out.Put.Services,
+  Out.Upserted.DataCentres = After.DataCentres;
+  Out.Upserted.WeightLoadsAtOnce = After.WeightLoadsAtOnce;
+  diffLists(Before.Teams, After.Teams, Out.Upserted.Teams, Out.Dropped.Teams);
+  diffLists(Before.Hosts, After.Hosts, Out.Upserted.Hosts, Out.Dropped.Hosts);
+  diffLists(Before.Models, After.Models, Out.Upserted.Models,
+            Out.Dropped.Models);
+  diffLists(Before.Services, After.Services, Out.Upserted.Services,
             Out.Dropped.Services);
   return Out;
 }
 
-Declaration applyChange(const Declaration &Before, const Declaration &Put,
+Declaration applyChange(const Declaration &Before, const Declaration &Upserted,
                         const DroppedNames &Dropped) {
   Declaration Out;
-  Out.DataCentres = Put.DataCentres;
-  Out.WeightLoadsAtOnce = Put.WeightLoadsAtOnce;
-  Out.Teams = changeList(Before.Teams, Put.Teams, Dropped.Teams);
-  Out.Hosts = changeList(Before.Hosts, Put.Hosts, Dropped.Hosts);
-  Out.Models = changeList(Before.Models, Put.Models, Dropped.Models);
-  Out.Services = changeList(Before.Services, Put.Services, Dropped.Services);
+  Out.DataCentres = Upserted.DataCentres;
+  Out.WeightLoadsAtOnce = Upserted.WeightLoadsAtOnce;
+  Out.Teams = changeList(Before.Teams, Upserted.Teams, Dropped.Teams);
+  Out.Hosts = changeList(Before.Hosts, Upserted.Hosts, Dropped.Hosts);
+  Out.Models = changeList(Before.Models, Upserted.Models, Dropped.Models);
+  Out.Services =
+      changeList(Before.Services, Upserted.Services, Dropped.Services);
   return Out;
 }
 
--- a/packages/version/src/coltsfoottrail/declaration/change.hpp
+++ b/packages/version/src/coltsfoottrail/declaration/change.hpp
@@ -26,7 +26,7 @@
 struct DeclarationChange {
   /// All data centres, the entries that are new or differ, and the single
   /// values.
-  Declaration Put;
+  Declaration Upserted;
   DroppedNames Dropped;
   [[nodiscard]] friend bool operator==(const DeclarationChange &,
                                        const DeclarationChange &) = default;
@@ -45,7 +45,7 @@
 /// @param Dropped Names to take out.
 /// @return The declaration, its lists in the order of names; not checked.
 [[nodiscard]] Declaration applyChange(const Declaration &Before,
-                                      const Declaration &Put,
+                                      const Declaration &Upserted,
                                       const DroppedNames &Dropped);
 
 /// @brief Checks what the entries of a declaration have to do with each other,
--- a/packages/version/src/coltsfoottrail/declaration/declaration.cpp
+++ b/packages/version/src/coltsfoottrail/declaration/declaration.cpp
@@ -76,7 +76,7 @@
 
 std::string readAddress(ObjectReader &From) {
   std::string Text = From.text("address", MaxNameBytes);
-  if (!isIpNumber(Text))
+  if (!isIpAddress(Text))
     From.refuse("address", AddressRule);
   return Text;
 }
@@ -337,7 +337,7 @@
 
 } // namespace
 
-bool isIpNumber(const std::string &Text) {
+bool isIpAddress(const std::string &Text) {
   std::array<unsigned char, sizeof(in6_addr)> Raw{};
   return ::inet_pton(AF_INET, Text.c_str(), Raw.data()) == 1 ||
          ::inet_pton(AF_INET6, Text.c_str(), Raw.data()) == 1;
--- a/packages/version/src/coltsfoottrail/declaration/declaration.hpp
+++ b/packages/version/src/coltsfoottrail/declaration/declaration.hpp
@@ -142,7 +142,7 @@
                                          const ModelName &Name);
 
 /// @brief Tells whether a text is an IP number of version 4 or 6. Thread-safe.
-[[nodiscard]] bool isIpNumber(const std::string &Text);
+[[nodiscard]] bool isIpAddress(const std::string &Text);
 
 } // namespace coltsfoottrail
 
--- a/packages/version/src/coltsfoottrail/fold/enforce.cpp
+++ b/packages/version/src/coltsfoottrail/fold/enforce.cpp
@@ -58,7 +58,7 @@
     forgetUndeclared(Into);
     const DeclarationChange Change = diffDeclarations(Before, Into.Declared);
     keepDeparted(Into, Before, Change.Dropped.Hosts);
-    for (const ModelSpec &Model : Change.Put.Models)
+    for (const ModelSpec &Model : Change.Upserted.Models)
       touchModel(Into, At, Model.Name);
   }
   void operator()(const SetCapacity &Asked) const {
@@ -109,10 +109,10 @@
     return;
   DeclarationChange Change = diffDeclarations(Now.Declared, Apply->Wanted);
   // Where nearly all hosts change, the names of those dropped come on top.
-  if (Change.Put.Hosts.size() + Change.Dropped.Hosts.size() >
+  if (Change.Upserted.Hosts.size() + Change.Dropped.Hosts.size() >
       Apply->Wanted.Hosts.size())
     return;
-  Apply->Wanted = std::move(Change.Put);
+  Apply->Wanted = std::move(Change.Upserted);
   Apply->Dropped = std::move(Change.Dropped);
 }
 
--- a/packages/version/src/coltsfoottrail/fold/objection.cpp
+++ b/packages/version/src/coltsfoottrail/fold/objection.cpp
@@ -131,7 +131,7 @@
   /// under Departed until it is released.
   [[nodiscard]] Objection checkOccupied() const {
     const DeclarationChange Change = diffDeclarations(In.Declared, *After);
-    for (const HostSpec &Then : Change.Put.Hosts) {
+    for (const HostSpec &Then : Change.Upserted.Hosts) {
       const HostSpec *const Now = findHost(In.Declared, Then.Name);
       const auto Holder = In.Occupied.find(Then.Name);
       if (Now != nullptr && Holder != In.Occupied.end() &&
--- a/packages/version/src/coltsfoottrail/record/codec.cpp
+++ b/packages/version/src/coltsfoottrail/record/codec.cpp
@@ -355,7 +355,7 @@
   Out.Run = From.number("run", 1);
   Out.DataCentre = readName<DataCentreName>(From, "data_centre");
   Out.Address = From.text("address", MaxNameBytes);
-  if (!isIpNumber(Out.Address))
+  if (!isIpAddress(Out.Address))
     From.refuse("address", "an IP number");
   Out.MeshPort =
       static_cast<std::uint16_t>(From.number("mesh_port", 0, MaxPort));
--- a/packages/version/test/coltsfoottrail/checkpoint/parts.cpp
+++ b/packages/version/test/coltsfoottrail/checkpoint/parts.cpp
@@ -10,18 +10,19 @@
 namespace {
 
 using test::FakeLog;
-using test::Story;
+using test::FoldedLog;
 
 const StreamName Agreed("agreed");
 const StreamName Checkpoints("checkpoints");
 
 /// A state whose checkpoint has several parts.
-Story largeStory() {
-  Story Told;
+FoldedLog largeStory() {
+  FoldedLog Told;
   Told.join(HostName("entry-a"), 11);
   Told.join(HostName("entry-b"), 12);
   Told.join(HostName("entry-c"), 13);
-  Told.carry(ApplyDeclaration{test::makeDeclaration({3, 4, 400, 1, 2, 1})});
+  Told.proposeAndConfirm(
+      ApplyDeclaration{test::makeDeclaration({3, 4, 400, 1, 2, 1})});
   return Told;
 }
 
@@ -55,7 +56,7 @@
 }
 
 TEST(Checkpoint, StateComesBackWholeFromItsParts) {
-  const Story Told = largeStory();
+  const FoldedLog Told = largeStory();
   CheckpointAssembler Parts;
   const auto Records = partRecords(Told.Now, 7);
   ASSERT_GT(Records.size(), 1U);
@@ -70,11 +71,11 @@
 // that took either would serve a state that never was; it falls back to the
 // checkpoint before.
 TEST(Checkpoint, DamagedOrUnfinishedOnesFallBackToTheOneBefore) {
-  Story Told = largeStory();
+  FoldedLog Told = largeStory();
   const State First = Told.Now;
-  Told.carry(DrainDataCentre{test::dataCentre(0)});
+  Told.proposeAndConfirm(DrainDataCentre{test::dataCentre(0)});
   const State Second = Told.Now;
-  Told.carry(DrainDataCentre{test::dataCentre(1)});
+  Told.proposeAndConfirm(DrainDataCentre{test::dataCentre(1)});
   FakeLog Log;
   write(Log, First, 7);
   auto Rotten = partRecords(Second, 8);
@@ -94,7 +95,7 @@
 
 // Two hosts write the same checkpoint at the same time, part by part.
 TEST(Checkpoint, TwoWritersDoNoHarm) {
-  const Story Told = largeStory();
+  const FoldedLog Told = largeStory();
   const auto Left = partRecords(Told.Now, 7);
   const auto Right = partRecords(Told.Now, 8);
   CheckpointAssembler Parts;
@@ -106,10 +107,10 @@
 }
 
 TEST(Checkpoint, NewHostStartsFromCheckpointAndTail) {
-  Story Told = largeStory();
+  FoldedLog Told = largeStory();
   FakeLog Log;
   write(Log, Told.Now, 7);
-  Told.carry(DrainDataCentre{test::dataCentre(2)});
+  Told.proposeAndConfirm(DrainDataCentre{test::dataCentre(2)});
   for (const auto &Bytes : Told.Bytes)
     Log.push(Agreed, Bytes);
   Log.trim(Agreed, 4);
@@ -126,11 +127,11 @@
 // trimmed. A host that went on at the horizon would miss them for good, so it
 // does not start until a host that still runs has written a new checkpoint.
 TEST(Checkpoint, OutageLongerThanRetentionIsToldAndOutlived) {
-  Story Told = largeStory();
+  FoldedLog Told = largeStory();
   FakeLog Log;
   write(Log, Told.Now, 7);
   const Offset CheckpointAt = Told.Now.Next;
-  Told.carry(DrainDataCentre{test::dataCentre(2)});
+  Told.proposeAndConfirm(DrainDataCentre{test::dataCentre(2)});
   for (const auto &Bytes : Told.Bytes)
     Log.push(Agreed, Bytes);
   Log.trim(Agreed, Told.Now.Next);
@@ -156,7 +157,7 @@
 // the engines still serve is not known, so beginning anew might put hosts into
 // two groups.
 TEST(Checkpoint, NothingLeftIsNotTakenForABeginning) {
-  Story Told = largeStory();
+  FoldedLog Told = largeStory();
   FakeLog Log;
   for (const auto &Bytes : Told.Bytes)
     Log.push(Agreed, Bytes);
@@ -180,7 +181,7 @@
 // The host whose turn it is has died without anyone noticing. Were the others
 // to wait for it, the log's horizon would pass the last checkpoint.
 TEST(CheckpointSchedule, OthersTakeOverOneByOne) {
-  const Story Told = largeStory();
+  const FoldedLog Told = largeStory();
   const CheckpointPolicy Policy;
   std::vector<int> Turns;
   for (const char *const Name : {"entry-a", "entry-b", "entry-c"}) {
@@ -200,13 +201,13 @@
 }
 
 TEST(CheckpointSchedule, AnnouncementEndsTheTurnAndIsFolded) {
-  Story Told = largeStory();
+  FoldedLog Told = largeStory();
   CheckpointSchedule Each{HostName("entry-a"), CheckpointPolicy{}};
   const CheckpointPart Announced =
       announcementOf(cutCheckpoint(Told.Now).front());
   DigestHistory Known;
   Known.note(Told.Now.Next, digestOf(Told.Now));
-  EXPECT_EQ(Told.say(Announced).Effect, FoldEffect::Applied);
+  EXPECT_EQ(Told.append(Announced).Effect, FoldEffect::Applied);
   EXPECT_EQ(Told.Now.Checkpoint.At, Announced.At);
   EXPECT_EQ(Known.matches(Told.Now.Checkpoint), true);
   AnnouncedCheckpoint Other = Told.Now.Checkpoint;
--- a/packages/version/test/coltsfoottrail/declaration/declaration.cpp
+++ b/packages/version/test/coltsfoottrail/declaration/declaration.cpp
@@ -43,7 +43,7 @@
     if (!After.Hosts.empty())
       After.Hosts[Draw.below(After.Hosts.size())].Accelerators = 4;
     const DeclarationChange Change = diffDeclarations(Before, After);
-    ASSERT_EQ(applyChange(Before, Change.Put, Change.Dropped), After);
+    ASSERT_EQ(applyChange(Before, Change.Upserted, Change.Dropped), After);
     EXPECT_EQ(declarationProblem(After), std::nullopt);
   }
 }
--- a/packages/version/test/coltsfoottrail/fold/fold.cpp
+++ b/packages/version/test/coltsfoottrail/fold/fold.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 using test::dataCentre;
+using test::FoldedLog;
 using test::formStep;
 using test::host;
 using test::model;
-using test::Story;
 
 const HostName EntryA("entry-a");
 const HostName EntryB("entry-b");
@@ -22,26 +22,26 @@
   void SetUp() override {
     Told.join(EntryA, 11);
     Told.join(EntryB, 12);
-    Told.carry(ApplyDeclaration{Declared});
+    Told.proposeAndConfirm(ApplyDeclaration{Declared});
   }
 
   /// Forms a group on two hosts of a fabric domain and lets it serve.
   GroupId serve(std::uint32_t DataCentre, std::uint32_t First = 0) {
     const Offset Plan =
-        Told.carry(SetCapacity{model(0), dataCentre(DataCentre), 1},
-                   {formStep(Declared, 0, model(0),
-                             {host(DataCentre, 0, First),
-                              host(DataCentre, 0, First + 1)})});
-    const Offset Lease = Told.lead(Plan, EntryA);
+        Told.proposeAndConfirm(SetCapacity{model(0), dataCentre(DataCentre), 1},
+                               {formStep(Declared, 0, model(0),
+                                         {host(DataCentre, 0, First),
+                                          host(DataCentre, 0, First + 1)})});
+    const Offset Lease = Told.takeLease(Plan, EntryA);
     EXPECT_EQ(Told.confirmGroup(GroupId{Plan, 0}, Lease).Effect,
               FoldEffect::Applied);
-    EXPECT_EQ(Told.say(StepFinished{Plan, Lease, 0}).Effect,
+    EXPECT_EQ(Told.append(StepFinished{Plan, Lease, 0}).Effect,
               FoldEffect::Applied);
     return GroupId{Plan, 0};
   }
 
   Declaration Declared = test::makeDeclaration();
-  Story Told;
+  FoldedLog Told;
 };
 
 TEST_F(Fold, ServingGroupIsRoutedToUntilItsDataCentreIsDrained) {
@@ -56,7 +56,7 @@
   EXPECT_EQ(Endpoint.MemberRuns, (std::vector<Incarnation>{100, 101}));
   EXPECT_EQ(Before.Pools.at("service/permits").Endpoints.size(), 3U);
 
-  Told.carry(DrainDataCentre{dataCentre(0)});
+  Told.proposeAndConfirm(DrainDataCentre{dataCentre(0)});
   const RouteTable After = buildRoutes(Told.Now);
   EXPECT_TRUE(After.Pools.at("model/model0").Endpoints.empty());
   EXPECT_EQ(After.Pools.at("service/permits").Endpoints.size(), 2U);
@@ -74,8 +74,8 @@
       Told.propose(SetCapacity{model(0), dataCentre(0), 1}, {First});
   const Offset PlanB = Told.propose(DrainDataCentre{dataCentre(2)}, {Second});
   const Offset Winner = Told.Now.Next;
-  EXPECT_EQ(Told.say(PlanConfirmed{PlanA, "a"}).Effect, FoldEffect::Applied);
-  const FoldResult Lost = Told.say(PlanConfirmed{PlanB, "b"});
+  EXPECT_EQ(Told.append(PlanConfirmed{PlanA, "a"}).Effect, FoldEffect::Applied);
+  const FoldResult Lost = Told.append(PlanConfirmed{PlanB, "b"});
   EXPECT_EQ(Lost.Effect, FoldEffect::Void);
   EXPECT_EQ(Lost.BeatenBy, Winner);
   EXPECT_EQ(Told.Now.Occupied.at(host(0, 0, 1)), (GroupId{PlanA, 0}));
@@ -91,10 +91,10 @@
   Proposal.Asked = DrainDataCentre{dataCentre(1)};
   Proposal.PlannedAt = Told.Now.Next;
   const WriterId Retried{77, 5};
-  EXPECT_EQ(Told.sayAs(Retried, PlanProposed{Proposal, "a"}).Effect,
+  EXPECT_EQ(Told.appendAs(Retried, PlanProposed{Proposal, "a"}).Effect,
             FoldEffect::Applied);
   const std::size_t Plans = Told.Now.Plans.size();
-  EXPECT_EQ(Told.sayAs(Retried, PlanProposed{Proposal, "a"}).Effect,
+  EXPECT_EQ(Told.appendAs(Retried, PlanProposed{Proposal, "a"}).Effect,
             FoldEffect::Twin);
   EXPECT_EQ(Told.Now.Plans.size(), Plans);
 }
@@ -103,16 +103,16 @@
 // carried the plan on; the first wakes and reports its step as if nothing had
 // happened.
 TEST_F(Fold, PausedExecutorHasLostItsLease) {
-  const Offset Plan = Told.carry(
+  const Offset Plan = Told.proposeAndConfirm(
       SetCapacity{model(0), dataCentre(0), 1},
       {formStep(Declared, 0, model(0), {host(0, 0, 0), host(0, 0, 1)})});
-  const Offset Old = Told.lead(Plan, EntryA);
-  const Offset New = Told.lead(Plan, EntryB);
+  const Offset Old = Told.takeLease(Plan, EntryA);
+  const Offset New = Told.takeLease(Plan, EntryB);
   EXPECT_GT(New, Old);
   const FoldResult Late = Told.confirmGroup(GroupId{Plan, 0}, Old);
   EXPECT_EQ(Late.Effect, FoldEffect::Void);
   EXPECT_EQ(Late.BeatenBy, New);
-  const FoldResult Again = Told.say(ExecutorTaken{Plan, EntryA, 11, Old});
+  const FoldResult Again = Told.append(ExecutorTaken{Plan, EntryA, 11, Old});
   EXPECT_EQ(Again.Effect, FoldEffect::Void);
   EXPECT_EQ(Told.Now.Plans.at(Plan).Lease, New);
   EXPECT_EQ(Told.confirmGroup(GroupId{Plan, 0}, New).Effect,
@@ -124,14 +124,14 @@
 // only one by one, as each proves its stop.
 TEST_F(Fold, HostsOfABrokenGroupAreFreeOneByOne) {
   const GroupId Group = serve(0);
-  Told.say(GroupBroken{Group, host(0, 0, 1), "no heartbeat"});
+  Told.append(GroupBroken{Group, host(0, 0, 1), "no heartbeat"});
   EXPECT_TRUE(buildRoutes(Told.Now).Pools.at("model/model0").Endpoints.empty());
-  Told.say(HostReleased{host(0, 0, 0), Group});
+  Told.append(HostReleased{host(0, 0, 0), Group});
   EXPECT_FALSE(Told.Now.Occupied.contains(host(0, 0, 0)));
   EXPECT_TRUE(Told.Now.Occupied.contains(host(0, 0, 1)));
-  Told.say(HostReleased{host(0, 0, 1), Group});
+  Told.append(HostReleased{host(0, 0, 1), Group});
   EXPECT_TRUE(Told.Now.Groups.empty());
-  EXPECT_EQ(Told.say(HostReleased{host(0, 0, 1), Group}).Effect,
+  EXPECT_EQ(Told.append(HostReleased{host(0, 0, 1), Group}).Effect,
             FoldEffect::Void);
 }
 
@@ -143,20 +143,21 @@
   FormGroup Form =
       formStep(Declared, 0, model(0), {host(0, 0, 0), host(0, 0, 1)});
   Form.Version = VersionName("v2");
-  const Offset Plan = Told.carry(SetVersion{model(0), VersionName("v2")},
-                                 {StopGroup{Old}, Form});
+  const Offset Plan = Told.proposeAndConfirm(
+      SetVersion{model(0), VersionName("v2")}, {StopGroup{Old}, Form});
   EXPECT_EQ(Told.Now.Groups.at(Old).Phase, GroupPhase::Stopping);
   EXPECT_FALSE(Told.Now.Groups.contains(GroupId{Plan, 0}));
-  const Offset Lease = Told.lead(Plan, EntryA);
-  Told.say(HostReleased{host(0, 0, 0), Old});
-  EXPECT_EQ(Told.say(StepFinished{Plan, Lease, 0}).Effect, FoldEffect::Void);
+  const Offset Lease = Told.takeLease(Plan, EntryA);
+  Told.append(HostReleased{host(0, 0, 0), Old});
+  EXPECT_EQ(Told.append(StepFinished{Plan, Lease, 0}).Effect, FoldEffect::Void);
   // A second plan sees a free host, but it is meant for the first one.
   FormGroup Other = Form;
   Other.Members = {host(0, 0, 0), host(0, 0, 2)};
   const Offset Rival = Told.propose(DrainDataCentre{dataCentre(2)}, {Other});
-  EXPECT_EQ(Told.say(PlanConfirmed{Rival, "b"}).Effect, FoldEffect::Void);
-  Told.say(HostReleased{host(0, 0, 1), Old});
-  EXPECT_EQ(Told.say(StepFinished{Plan, Lease, 0}).Effect, FoldEffect::Applied);
+  EXPECT_EQ(Told.append(PlanConfirmed{Rival, "b"}).Effect, FoldEffect::Void);
+  Told.append(HostReleased{host(0, 0, 1), Old});
+  EXPECT_EQ(Told.append(StepFinished{Plan, Lease, 0}).Effect,
+            FoldEffect::Applied);
   EXPECT_EQ(Told.Now.Groups.at(GroupId{Plan, 0}).Formed.Version.Text, "v2");
 }
 
@@ -178,7 +179,7 @@
 // gets it. Only what changes is written, and it must come to the same.
 TEST_F(Fold, DeclarationIsWrittenAsItsDifference) {
   Declaration Larger = test::makeDeclaration({3, 2, 200, 1, 2, 1});
-  Told.carry(ApplyDeclaration{Larger});
+  Told.proposeAndConfirm(ApplyDeclaration{Larger});
   Larger.Hosts.front().Accelerators = 4;
   Larger.Hosts.erase(Larger.Hosts.begin() + 7);
   Plan Proposal;
@@ -186,9 +187,9 @@
   Proposal.PlannedAt = Told.Now.Next;
   shortenPlan(Proposal, Told.Now);
   const Offset At = Told.Now.Next;
-  Told.say(PlanProposed{Proposal, "operator"});
+  Told.append(PlanProposed{Proposal, "operator"});
   EXPECT_LT(Told.Bytes.back().size(), 2000U);
-  Told.say(PlanConfirmed{At, "operator"});
+  Told.append(PlanConfirmed{At, "operator"});
   EXPECT_EQ(Told.Now.Declared, Larger);
 }
 
@@ -200,23 +201,23 @@
   Proposal.Asked = ApplyDeclaration{Wrong};
   Proposal.PlannedAt = Told.Now.Next;
   shortenPlan(Proposal, Told.Now);
-  EXPECT_EQ(Told.say(PlanProposed{Proposal, "operator"}).Effect,
+  EXPECT_EQ(Told.append(PlanProposed{Proposal, "operator"}).Effect,
             FoldEffect::Void);
 }
 
 // A broken group's plan is abandoned while another of its groups is still
 // loading. Its hosts must come free again and it must never serve.
 TEST_F(Fold, AbandonedPlanStopsWhatIsForming) {
-  const Offset Plan = Told.carry(
+  const Offset Plan = Told.proposeAndConfirm(
       SetCapacity{model(0), dataCentre(0), 1},
       {formStep(Declared, 0, model(0), {host(0, 0, 0), host(0, 0, 1)})});
-  const Offset Lease = Told.lead(Plan, EntryA);
-  Told.say(PlanAbandoned{Plan, "given up"});
+  const Offset Lease = Told.takeLease(Plan, EntryA);
+  Told.append(PlanAbandoned{Plan, "given up"});
   EXPECT_EQ(Told.Now.Groups.at(GroupId{Plan, 0}).Phase, GroupPhase::Stopping);
   EXPECT_EQ(Told.confirmGroup(GroupId{Plan, 0}, Lease).Effect,
             FoldEffect::Void);
-  Told.say(HostReleased{host(0, 0, 0), GroupId{Plan, 0}});
-  Told.say(HostReleased{host(0, 0, 1), GroupId{Plan, 0}});
+  Told.append(HostReleased{host(0, 0, 0), GroupId{Plan, 0}});
+  Told.append(HostReleased{host(0, 0, 1), GroupId{Plan, 0}});
   EXPECT_TRUE(Told.Now.Occupied.empty());
 }
 
@@ -224,14 +225,14 @@
 // must not remove the second from the membership.
 TEST_F(Fold, LateFarewellOfAnEarlierRunIsVoid) {
   Told.join(EntryA, 21);
-  EXPECT_EQ(Told.say(EntryHostLeft{EntryA, 11}).Effect, FoldEffect::Void);
+  EXPECT_EQ(Told.append(EntryHostLeft{EntryA, 11}).Effect, FoldEffect::Void);
   EXPECT_EQ(Told.Now.EntryHosts.at(EntryA).Joined.Run, 21U);
-  EXPECT_EQ(Told.say(EntryHostLeft{EntryA, 21}).Effect, FoldEffect::Applied);
+  EXPECT_EQ(Told.append(EntryHostLeft{EntryA, 21}).Effect, FoldEffect::Applied);
 }
 
 TEST_F(Fold, EndedPlansAndGoneWritersAreForgottenByOffset) {
-  const Offset Plan = Told.carry(DrainDataCentre{dataCentre(1)});
-  Told.sayAs(WriterId{500, 1}, EntryHostLeft{EntryB, 99});
+  const Offset Plan = Told.proposeAndConfirm(DrainDataCentre{dataCentre(1)});
+  Told.appendAs(WriterId{500, 1}, EntryHostLeft{EntryB, 99});
   const Offset Writer = Told.Now.Next;
   const auto Skip = [&](Offset To) { foldRecord(Told.Now, To, {}); };
   Skip(Plan + PlanMemory - SweepInterval);
--- a/packages/version/test/coltsfoottrail/fold/planned.cpp
+++ b/packages/version/test/coltsfoottrail/fold/planned.cpp
@@ -9,16 +9,17 @@
 namespace {
 
 using test::dataCentre;
+using test::FoldedLog;
 using test::host;
 using test::model;
-using test::Story;
 
 /// Operators, an executor and engines that do as they are told.
 class Operation {
 public:
   Operation() {
     Told.join(Executor, 11);
-    Told.carry(ApplyDeclaration{test::makeDeclaration({3, 2, 4, 2, 2, 0})});
+    Told.proposeAndConfirm(
+        ApplyDeclaration{test::makeDeclaration({3, 2, 4, 2, 2, 0})});
   }
 
   /// Plans an intent and carries it out; groups may break on the way.
@@ -46,11 +47,12 @@
     std::advance(Which,
                  static_cast<std::ptrdiff_t>(Number % Told.Now.Groups.size()));
     const GroupId Group = Which->first;
-    Told.say(GroupBroken{Group, Which->second.Formed.Members.front(), "lost"});
+    Told.append(
+        GroupBroken{Group, Which->second.Formed.Members.front(), "lost"});
     release(Group);
   }
 
-  Story Told;
+  FoldedLog Told;
   std::size_t Done = 0;
   std::size_t Refused = 0;
 
@@ -59,9 +61,9 @@
     const Offset Id = Told.Now.Next;
     Plan Written = Made;
     shortenPlan(Written, Told.Now);
-    const FoldResult Proposed = Told.say(PlanProposed{Written, "operator"});
+    const FoldResult Proposed = Told.append(PlanProposed{Written, "operator"});
     ASSERT_EQ(Proposed.Effect, FoldEffect::Applied) << Proposed.Why;
-    const FoldResult Confirmed = Told.say(PlanConfirmed{Id, "operator"});
+    const FoldResult Confirmed = Told.append(PlanConfirmed{Id, "operator"});
     ASSERT_EQ(Confirmed.Effect, FoldEffect::Applied) << Confirmed.Why;
     checkCapacity(Made);
     const auto *const Apply = std::get_if<ApplyDeclaration>(&Made.Asked);
@@ -74,14 +76,14 @@
   }
 
   void execute(Offset Id, const Plan &Made) {
-    const Offset Lease = Told.lead(Id, Executor);
+    const Offset Lease = Told.takeLease(Id, Executor);
     for (std::uint32_t Index = 0; Index < Made.Steps.size(); ++Index) {
       const Step &Each = Made.Steps[Index];
       if (const auto *const Form = std::get_if<FormGroup>(&Each))
         Told.confirmGroup(GroupId{Id, Form->Number}, Lease);
       if (const auto *const Stop = std::get_if<StopGroup>(&Each))
         release(Stop->Group);
-      const FoldResult Finished = Told.say(StepFinished{Id, Lease, Index});
+      const FoldResult Finished = Told.append(StepFinished{Id, Lease, Index});
       ASSERT_EQ(Finished.Effect, FoldEffect::Applied) << Finished.Why;
       checkCapacity(Made);
     }
@@ -93,7 +95,7 @@
       return;
     const std::set<HostName> Held = Found->second.Held;
     for (const HostName &Host : Held)
-      Told.say(HostReleased{Host, Which});
+      Told.append(HostReleased{Host, Which});
   }
 
   /// Capacity is never below what the plan told the operator.
--- a/packages/version/test/coltsfoottrail/fold/stream.hpp
+++ b/packages/version/test/coltsfoottrail/fold/stream.hpp
@@ -19,7 +19,7 @@
 public:
   StreamMaker() : Declared(makeDeclaration({2, 1, 4, 1, 2, 1, true})) {
     Told.join(HostName("entry-0"), 1);
-    Told.carry(ApplyDeclaration{Declared});
+    Told.proposeAndConfirm(ApplyDeclaration{Declared});
   }
 
   /// Appends one record, or a few that belong together, and folds them.
@@ -31,7 +31,7 @@
     if (Draw.below(Damage) == 0)
       return repeat();
     Told.Writer = WriterId{1 + Draw.below(3), Sequence++};
-    Told.say(nextRecord());
+    Told.append(nextRecord());
   }
 
   [[nodiscard]] const State &now() const { return Told.Now; }
@@ -181,7 +181,7 @@
   }
 
   Declaration Declared;
-  Story Told;
+  FoldedLog Told;
   Random Draw{0};
   std::uint64_t Sequence = 1000;
 };
--- a/packages/version/test/coltsfoottrail/support.hpp
+++ b/packages/version/test/coltsfoottrail/support.hpp
@@ -121,25 +121,25 @@
 }
 
 /// Appends records to a state and keeps their bytes: a log of one reader.
-struct Story {
+struct FoldedLog {
   State Now;
   std::vector<std::vector<std::byte>> Bytes;
   WriterId Writer{1, 0};
 
   /// Folds a record at the next offset as a new append of Writer.
-  FoldResult say(Record Body) {
+  FoldResult append(Record Body) {
     ++Writer.Sequence;
-    return sayAs(Writer, std::move(Body));
+    return appendAs(Writer, std::move(Body));
   }
   /// Folds a record at the next offset as an append with this identifier.
-  FoldResult sayAs(WriterId By, Record Body) {
+  FoldResult appendAs(WriterId By, Record Body) {
     Bytes.push_back(encodeRecord(Envelope{By, std::move(Body)}));
     return foldRecord(Now, Now.Next, Bytes.back());
   }
   /// Lets an entry host join.
   FoldResult join(const HostName &Name, Incarnation Run,
                   const DataCentreName &Where = dataCentre(0)) {
-    return say(EntryHostJoined{Name, Run, Where, "127.0.0.1", 7001, 7002});
+    return append(EntryHostJoined{Name, Run, Where, "127.0.0.1", 7001, 7002});
   }
   /// Proposes a plan against the present state.
   /// @return The plan's offset.
@@ -149,22 +149,22 @@
     Proposal.PlannedAt = Now.Next;
     Proposal.Steps = std::move(Steps);
     const Offset At = Now.Next;
-    say(PlanProposed{std::move(Proposal), "operator"});
+    append(PlanProposed{std::move(Proposal), "operator"});
     return At;
   }
   /// Proposes and confirms a plan.
   /// @return The plan's offset.
-  Offset carry(Intent Asked, std::vector<Step> Steps = {}) {
+  Offset proposeAndConfirm(Intent Asked, std::vector<Step> Steps = {}) {
     const Offset Plan = propose(std::move(Asked), std::move(Steps));
-    say(PlanConfirmed{Plan, "operator"});
+    append(PlanConfirmed{Plan, "operator"});
     return Plan;
   }
   /// Takes the lease of a plan for an entry host that has joined.
   /// @return The lease.
-  Offset lead(Offset Plan, const HostName &Name) {
+  Offset takeLease(Offset Plan, const HostName &Name) {
     const Offset Lease = Now.Next;
-    say(ExecutorTaken{Plan, Name, Now.EntryHosts.at(Name).Joined.Run,
-                      Now.Plans.at(Plan).Lease});
+    append(ExecutorTaken{Plan, Name, Now.EntryHosts.at(Name).Joined.Run,
+                         Now.Plans.at(Plan).Lease});
     return Lease;
   }
   /// Confirms a group with the run 100 + rank of each member.
@@ -173,7 +173,7 @@
     const std::size_t Members = Now.Groups.at(Which).Formed.Members.size();
     for (std::size_t Rank = 0; Rank < Members; ++Rank)
       Said.MemberRuns.push_back(100 + Rank);
-    return say(std::move(Said));
+    return append(std::move(Said));
   }
 };
 
