--- a/packages/version/src/coltsfoottrail/intents/convergence.cpp
+++ b/packages/version/src/coltsfoottrail/intents/convergence.cpp
@@ -10,485 +10,525 @@
 
 namespace {
 
-/// A group that is there, or that a running plan is still to form.
-struct Known {
+/// A group that exists, or that a running plan has yet to form.
+struct ExpectedGroup {
   GroupId Id;
   const FormGroup *Formed = nullptr;
   std::vector<AdapterName> Adapters;
+  /// False while a plan is still forming it.
   bool Serving = false;
+  /// Whether requests may be sent to it once the plan is confirmed.
   bool Routed = false;
 };
 
 /// The groups of one model in one data centre.
-struct Site {
+struct SiteState {
   ModelName Model;
-  DataCentreName Where;
-  /// Null when the model is declared no more.
+  DataCentreName DataCentre;
+  /// Null when the model is no longer declared.
   const ModelSpec *Spec = nullptr;
+  /// Number of groups declared.
   std::uint32_t Wanted = 0;
-  std::vector<Known> Good;
-  std::vector<Known> Old;
-  /// Groups in routes at the present step.
-  std::size_t Routed = 0;
-  /// Groups that this plan forms.
-  std::size_t Made = 0;
-  /// Broken groups, whose free survivors are used again.
-  std::vector<const FormGroup *> Broken;
-  bool ToldStopFirst = false;
+  /// Groups that match Spec and use no drained host.
+  std::vector<ExpectedGroup> UpToDate;
+  /// All other groups; to be replaced or stopped.
+  std::vector<ExpectedGroup> Outdated;
+  /// Groups that get requests after the steps planned so far.
+  std::size_t RoutedCount = 0;
+  /// Groups formed by the steps planned so far.
+  std::size_t FormedCount = 0;
+  /// Broken groups; their free hosts are preferred for replacements.
+  std::vector<const FormGroup *> BrokenGroups;
+  /// Whether WillNotDo already says that groups are stopped before their
+  /// replacements are formed.
+  bool StopFirstReported = false;
 };
 
+/// Computes the steps, the forecast and the missing groups of one plan.
 class Convergence {
 public:
-  explicit Convergence(const Aim &Towards) : To(Towards) {}
+  explicit Convergence(const ConvergenceInput &Request) : Input(Request) {}
 
-  Course run() {
+  ConvergenceResult run() {
     readRunningPlans();
     openSites();
-    sortGroups();
+    classifyGroups();
     findMissing();
-    if (To.May != Extent::ForecastOnly)
+    if (Input.Allowed != AllowedSteps::ForecastOnly)
       planSteps();
     forecast();
-    return std::move(Out);
+    return std::move(Result);
   }
 
 private:
   [[nodiscard]] bool inScope(const SiteKey &Key) const {
-    if (To.OnlyModel && *To.OnlyModel != Key.first)
+    if (Input.OnlyModel && *Input.OnlyModel != Key.first)
       return false;
-    return !To.OnlyDataCentre || *To.OnlyDataCentre == Key.second;
+    return !Input.OnlyDataCentre || *Input.OnlyDataCentre == Key.second;
   }
 
-  [[nodiscard]] bool isDrained(const DataCentreName &Where) const {
-    return To.DrainedDataCentres.contains(Where);
+  [[nodiscard]] bool isDrained(const DataCentreName &DataCentre) const {
+    return Input.DrainedDataCentres.contains(DataCentre);
   }
 
   void readRunningPlans() {
-    for (const auto &[At, Progress] : To.Now->Plans)
+    for (const auto &[PlanOffset, Progress] : Input.Now->Plans)
       if (Progress.Phase == PlanPhase::Running)
-        readRunningPlan(At, Progress);
+        readRunningPlan(PlanOffset, Progress);
   }
 
-  void readRunningPlan(Offset At, const PlanProgress &Progress) {
+  void readRunningPlan(Offset PlanOffset, const PlanProgress &Progress) {
     const std::vector<Step> &Steps = Progress.Proposed.Proposal.Steps;
     for (std::size_t Index = Progress.StepsDone; Index < Steps.size();
          ++Index) {
-      const Step &What = Steps[Index];
-      if (const auto *Form = std::get_if<FormGroup>(&What))
-        readPendingForm(At, Progress, *Form);
-      else if (const auto *Stop = std::get_if<StopGroup>(&What))
-        AboutToStop.insert(Stop->Group);
-      else if (const auto *Swap = std::get_if<SwapAdapters>(&What))
-        AboutToSwap[Swap->Group] = Swap->Adapters;
+      const Step &PlanStep = Steps[Index];
+      if (const auto *Form = std::get_if<FormGroup>(&PlanStep))
+        readPendingForm(PlanOffset, Progress, *Form);
+      else if (const auto *Stop = std::get_if<StopGroup>(&PlanStep))
+        GroupsToStop.insert(Stop->Group);
+      else if (const auto *Swap = std::get_if<SwapAdapters>(&PlanStep))
+        AdapterSwaps[Swap->Group] = Swap->Adapters;
     }
   }
 
-  void readPendingForm(Offset At, const PlanProgress &Progress,
+  void readPendingForm(Offset PlanOffset, const PlanProgress &Progress,
                        const FormGroup &Form) {
-    // A group that was formed and is there no more broke; it is missing.
-    const GroupId Id{At, Form.Number};
-    if (Progress.Formed.contains(Form.Number) || To.Now->Groups.contains(Id))
+    // A group that was formed and no longer exists was lost; it counts as
+    // missing, not as pending.
+    const GroupId Id{PlanOffset, Form.Number};
+    if (Progress.Formed.contains(Form.Number) || Input.Now->Groups.contains(Id))
       return;
-    Reserved.insert(Form.Members.begin(), Form.Members.end());
-    Pending.push_back(Known{Id, &Form, Form.Adapters});
+    ReservedHosts.insert(Form.Members.begin(), Form.Members.end());
+    PendingGroups.push_back(ExpectedGroup{Id, &Form, Form.Adapters});
   }
 
   void openSites() {
-    for (const ModelSpec &Model : To.Declared->Models)
-      for (const auto &[Where, Wanted] : Model.Groups)
-        openSite({Model.Name, Where}).Wanted = Wanted;
-  }
-
-  Site &openSite(const SiteKey &Key) {
-    const auto [Found, Fresh] = Sites.try_emplace(Key);
-    Site &Opened = Found->second;
-    if (!Fresh)
-      return Opened;
-    Opened.Model = Key.first;
-    Opened.Where = Key.second;
-    Opened.Spec = findModel(*To.Declared, Key.first);
-    return Opened;
-  }
-
-  void sortGroups() {
-    for (const auto &[Id, Found] : To.Now->Groups)
-      sortGroup(Id, Found);
-    for (const Known &Planned : Pending)
-      if (!AboutToStop.contains(Planned.Id))
-        place(Planned);
-  }
-
-  void sortGroup(const GroupId &Id, const Group &Found) {
-    const FormGroup &Formed = Found.Formed;
-    if (Found.Phase == GroupPhase::Broken) {
-      openSite({Formed.Model, Formed.DataCentre}).Broken.push_back(&Formed);
+    for (const ModelSpec &Model : Input.Declared->Models)
+      for (const auto &[DataCentre, Wanted] : Model.Groups)
+        openSite({Model.Name, DataCentre}).Wanted = Wanted;
+  }
+
+  SiteState &openSite(const SiteKey &Key) {
+    const auto [Iterator, Inserted] = Sites.try_emplace(Key);
+    SiteState &Site = Iterator->second;
+    if (!Inserted)
+      return Site;
+    Site.Model = Key.first;
+    Site.DataCentre = Key.second;
+    Site.Spec = findModel(*Input.Declared, Key.first);
+    return Site;
+  }
+
+  void classifyGroups() {
+    for (const auto &[Id, Existing] : Input.Now->Groups)
+      classifyGroup(Id, Existing);
+    for (const ExpectedGroup &Planned : PendingGroups)
+      if (!GroupsToStop.contains(Planned.Id))
+        addToSite(Planned);
+  }
+
+  void classifyGroup(const GroupId &Id, const Group &Existing) {
+    const FormGroup &Formed = Existing.Formed;
+    if (Existing.Phase == GroupPhase::Broken) {
+      openSite({Formed.Model, Formed.DataCentre})
+          .BrokenGroups.push_back(&Formed);
       return;
     }
-    if (Found.Phase == GroupPhase::Stopping || AboutToStop.contains(Id))
+    if (Existing.Phase == GroupPhase::Stopping || GroupsToStop.contains(Id))
       return;
-    Known There{Id, &Formed, Formed.Adapters};
-    There.Serving = Found.Phase == GroupPhase::Serving;
-    There.Routed = isInRoutes(Found, To.DrainedDataCentres, To.DrainedHosts);
-    if (const auto Swap = AboutToSwap.find(Id); Swap != AboutToSwap.end())
-      There.Adapters = Swap->second;
-    place(There);
-  }
-
-  void place(const Known &There) {
-    const SiteKey Key{There.Formed->Model, There.Formed->DataCentre};
-    Site &At = openSite(Key);
-    At.Routed += There.Routed ? 1 : 0;
-    (fits(At, *There.Formed) ? At.Good : At.Old).push_back(There);
-  }
-
-  [[nodiscard]] bool fits(const Site &At, const FormGroup &Formed) const {
-    if (At.Spec == nullptr || Formed.Version != At.Spec->Version ||
-        Formed.Role != At.Spec->Role ||
-        Formed.Members.size() != At.Spec->MembersPerGroup)
+    ExpectedGroup Entry{Id, &Formed, Formed.Adapters};
+    Entry.Serving = Existing.Phase == GroupPhase::Serving;
+    Entry.Routed =
+        isInRoutes(Existing, Input.DrainedDataCentres, Input.DrainedHosts);
+    if (const auto Swap = AdapterSwaps.find(Id); Swap != AdapterSwaps.end())
+      Entry.Adapters = Swap->second;
+    addToSite(Entry);
+  }
+
+  void addToSite(const ExpectedGroup &Entry) {
+    const SiteKey Key{Entry.Formed->Model, Entry.Formed->DataCentre};
+    SiteState &Site = openSite(Key);
+    Site.RoutedCount += Entry.Routed ? 1 : 0;
+    (matchesSpec(Site, *Entry.Formed) ? Site.UpToDate : Site.Outdated)
+        .push_back(Entry);
+  }
+
+  [[nodiscard]] bool matchesSpec(const SiteState &Site,
+                                 const FormGroup &Formed) const {
+    if (Site.Spec == nullptr || Formed.Version != Site.Spec->Version ||
+        Formed.Role != Site.Spec->Role ||
+        Formed.Members.size() != Site.Spec->MembersPerGroup)
       return false;
     return std::none_of(Formed.Members.begin(), Formed.Members.end(),
                         [this](const HostName &Member) {
-                          return To.DrainedHosts.contains(Member);
+                          return Input.DrainedHosts.contains(Member);
                         });
   }
 
   void findMissing() {
-    for (const auto &[Key, At] : Sites)
-      if (!isDrained(At.Where) && At.Good.size() + At.Old.size() < At.Wanted)
-        Out.Missing.push_back(Key);
+    for (const auto &[Key, Site] : Sites)
+      if (!isDrained(Site.DataCentre) &&
+          Site.UpToDate.size() + Site.Outdated.size() < Site.Wanted)
+        Result.Missing.push_back(Key);
   }
 
   void planSteps() {
-    collectFree();
-    std::vector<Site *> Chosen;
-    for (auto &[Key, At] : Sites)
-      if (inScope(Key) && !leaveDrained(At))
-        Chosen.push_back(&At);
-    if (To.May == Extent::Whole) {
-      for (Site *At : Chosen)
-        stopSurplus(*At);
-      for (Site *At : Chosen)
-        swapAdapters(*At);
+    collectAvailableHosts();
+    std::vector<SiteState *> Chosen;
+    for (auto &[Key, Site] : Sites)
+      if (inScope(Key) && !skipIfDrained(Site))
+        Chosen.push_back(&Site);
+    if (Input.Allowed == AllowedSteps::All) {
+      for (SiteState *Site : Chosen)
+        stopSurplus(*Site);
+      for (SiteState *Site : Chosen)
+        swapAdapters(*Site);
     }
-    for (Site *At : Chosen)
-      formMissing(*At);
+    for (SiteState *Site : Chosen)
+      formMissing(*Site);
   }
 
-  void collectFree() {
-    for (const HostSpec &Host : To.Declared->Hosts)
-      if (mayBeUsed(Host) && !To.Now->Occupied.contains(Host.Name))
-        Free.add(Host);
+  void collectAvailableHosts() {
+    for (const HostSpec &Host : Input.Declared->Hosts)
+      if (isUsable(Host) && !Input.Now->Occupied.contains(Host.Name))
+        AvailableHosts.add(Host);
   }
 
-  [[nodiscard]] bool mayBeUsed(const HostSpec &Host) const {
-    if (To.OnlyDataCentre && *To.OnlyDataCentre != Host.DataCentre)
+  [[nodiscard]] bool isUsable(const HostSpec &Host) const {
+    if (Input.OnlyDataCentre && *Input.OnlyDataCentre != Host.DataCentre)
       return false;
-    return !Reserved.contains(Host.Name) && !To.Avoided.contains(Host.Name) &&
-           !To.DrainedHosts.contains(Host.Name);
+    return !ReservedHosts.contains(Host.Name) &&
+           !Input.ExcludedHosts.contains(Host.Name) &&
+           !Input.DrainedHosts.contains(Host.Name);
   }
 
-  bool leaveDrained(const Site &At) {
-    if (!isDrained(At.Where))
+  bool skipIfDrained(const SiteState &Site) {
+    if (!isDrained(Site.DataCentre))
       return false;
-    const bool Differs =
-        !At.Old.empty() || At.Good.size() != At.Wanted || swapNeeded(At);
-    if (Differs && To.May == Extent::Whole)
-      refuse("change the groups of " + At.Model.Text + " in " + At.Where.Text +
+    const bool Differs = !Site.Outdated.empty() ||
+                         Site.UpToDate.size() != Site.Wanted ||
+                         needsAdapterSwap(Site);
+    if (Differs && Input.Allowed == AllowedSteps::All)
+      refuse("change the groups of " + Site.Model.Text + " in " +
+             Site.DataCentre.Text +
              ": the data centre is drained; they are brought up to what is "
              "declared when it returns");
     return true;
   }
 
-  [[nodiscard]] static bool swapNeeded(const Site &At) {
-    return std::any_of(At.Good.begin(), At.Good.end(),
-                       [&At](const Known &There) {
-                         return There.Adapters != At.Spec->Adapters;
+  [[nodiscard]] static bool needsAdapterSwap(const SiteState &Site) {
+    return std::any_of(Site.UpToDate.begin(), Site.UpToDate.end(),
+                       [&Site](const ExpectedGroup &Entry) {
+                         return Entry.Adapters != Site.Spec->Adapters;
                        });
   }
 
-  void stopSurplus(Site &At) {
-    if (At.Spec == nullptr || At.Wanted == 0)
-      stopAllOld(At);
-    stopReplaced(At);
-    // Those in the emptiest domains go first, so that whole domains get free.
-    std::stable_sort(At.Good.begin(), At.Good.end(),
-                     [this](const Known &Left, const Known &Right) {
-                       return freeBeside(Left) < freeBeside(Right);
-                     });
-    for (std::size_t Index = At.Good.size();
-         Index-- > 0 && At.Good.size() > At.Wanted;)
-      if (stop(At, At.Good[Index]))
-        At.Good.erase(At.Good.begin() + static_cast<std::ptrdiff_t>(Index));
-  }
-
-  [[nodiscard]] std::size_t freeBeside(const Known &There) const {
+  void stopSurplus(SiteState &Site) {
+    if (Site.Spec == nullptr || Site.Wanted == 0)
+      stopAllOutdated(Site);
+    stopReplaced(Site);
+    // Groups in the domains with the most free hosts are stopped first, so that
+    // whole domains become free.
+    std::stable_sort(
+        Site.UpToDate.begin(), Site.UpToDate.end(),
+        [this](const ExpectedGroup &Left, const ExpectedGroup &Right) {
+          return freeHostsInSameDomain(Left) < freeHostsInSameDomain(Right);
+        });
+    for (std::size_t Index = Site.UpToDate.size();
+         Index-- > 0 && Site.UpToDate.size() > Site.Wanted;)
+      if (stop(Site, Site.UpToDate[Index]))
+        Site.UpToDate.erase(Site.UpToDate.begin() +
+                            static_cast<std::ptrdiff_t>(Index));
+  }
+
+  [[nodiscard]] std::size_t
+  freeHostsInSameDomain(const ExpectedGroup &Entry) const {
     const HostSpec *First =
-        findHost(*To.Declared, There.Formed->Members.front());
-    return First == nullptr
-               ? 0
-               : Free.inDomain(First->DataCentre, First->FabricDomain);
+        findHost(*Input.Declared, Entry.Formed->Members.front());
+    return First == nullptr ? 0
+                            : AvailableHosts.countInDomain(First->DataCentre,
+                                                           First->FabricDomain);
   }
 
-  void stopAllOld(Site &At) {
-    std::erase_if(At.Old, [&](const Known &There) { return stop(At, There); });
+  void stopAllOutdated(SiteState &Site) {
+    std::erase_if(Site.Outdated, [&](const ExpectedGroup &Entry) {
+      return stop(Site, Entry);
+    });
   }
 
-  /// @return Whether it is stopped; a group that another plan is still forming
-  /// is not.
-  bool stop(Site &At, const Known &There) {
-    if (!There.Serving) {
-      refuse("stop group " + textOf(There.Id) + " of " + At.Model.Text +
-             ": plan " + std::to_string(There.Id.Plan) +
+  /// @return Whether a stop was planned; it is refused for a group that another
+  /// plan is still forming.
+  bool stop(SiteState &Site, const ExpectedGroup &Entry) {
+    if (!Entry.Serving) {
+      refuse("stop group " + textOf(Entry.Id) + " of " + Site.Model.Text +
+             ": plan " + std::to_string(Entry.Id.Plan) +
              " is still forming it; ask again when that plan is done");
       return false;
     }
-    Out.Steps.emplace_back(StopGroup{There.Id});
-    At.Routed -= There.Routed ? 1 : 0;
-    for (const HostName &Member : There.Formed->Members) {
-      const HostSpec *Host = findHost(*To.Declared, Member);
-      if (Host != nullptr && mayBeUsed(*Host))
-        Free.add(*Host);
+    Result.Steps.emplace_back(StopGroup{Entry.Id});
+    Site.RoutedCount -= Entry.Routed ? 1 : 0;
+    for (const HostName &Member : Entry.Formed->Members) {
+      const HostSpec *Host = findHost(*Input.Declared, Member);
+      if (Host != nullptr && isUsable(*Host))
+        AvailableHosts.add(*Host);
     }
     return true;
   }
 
-  void swapAdapters(Site &At) {
-    if (At.Spec == nullptr)
+  void swapAdapters(SiteState &Site) {
+    if (Site.Spec == nullptr)
       return;
-    for (const Known &There : At.Good) {
-      if (There.Adapters == At.Spec->Adapters)
+    for (const ExpectedGroup &Entry : Site.UpToDate) {
+      if (Entry.Adapters == Site.Spec->Adapters)
         continue;
-      if (There.Serving)
-        Out.Steps.emplace_back(SwapAdapters{There.Id, At.Spec->Adapters});
+      if (Entry.Serving)
+        Result.Steps.emplace_back(SwapAdapters{Entry.Id, Site.Spec->Adapters});
       else
-        refuse("change the adapters of group " + textOf(There.Id) + ": plan " +
-               std::to_string(There.Id.Plan) +
+        refuse("change the adapters of group " + textOf(Entry.Id) + ": plan " +
+               std::to_string(Entry.Id.Plan) +
                " is still forming it; ask again when that plan is done");
     }
   }
 
-  void formMissing(Site &At) {
-    if (At.Spec == nullptr)
+  void formMissing(SiteState &Site) {
+    if (Site.Spec == nullptr)
       return;
-    const std::size_t There =
-        At.Good.size() + (To.May == Extent::Whole ? 0 : At.Old.size());
-    std::size_t Need = At.Wanted > There ? At.Wanted - There : 0;
-    Need -= formUpTo(At, Need);
-    if (Need > 0)
-      tellShortage(At, Need);
-    if (To.May == Extent::Whole)
-      stopRest(At, Need);
-  }
-
-  /// Forms as many groups as the weight store loads at once, then stops those
-  /// that they replace, and so on.
-  /// @return How many it forms.
-  std::size_t formUpTo(Site &At, std::size_t Need) {
+    const std::size_t Present =
+        Site.UpToDate.size() +
+        (Input.Allowed == AllowedSteps::All ? 0 : Site.Outdated.size());
+    std::size_t Unmet = Site.Wanted > Present ? Site.Wanted - Present : 0;
+    Unmet -= formInBatches(Site, Unmet);
+    if (Unmet > 0)
+      reportShortage(Site, Unmet);
+    if (Input.Allowed == AllowedSteps::All)
+      stopRemaining(Site, Unmet);
+  }
+
+  /// Forms groups in batches of WeightLoadsAtOnce and stops the outdated groups
+  /// that each batch replaces.
+  /// @return Number of groups formed.
+  std::size_t formInBatches(SiteState &Site, std::size_t Count) {
     const std::size_t Batch =
-        std::max<std::size_t>(1, To.Declared->WeightLoadsAtOnce);
+        std::max<std::size_t>(1, Input.Declared->WeightLoadsAtOnce);
     std::size_t Formed = 0;
-    while (Formed < Need && formOne(At)) {
+    while (Formed < Count && formOne(Site)) {
       ++Formed;
       if (Formed % Batch == 0)
-        stopReplaced(At);
+        stopReplaced(Site);
     }
-    stopReplaced(At);
+    stopReplaced(Site);
     return Formed;
   }
 
-  bool formOne(Site &At) {
-    std::optional<std::vector<HostName>> Members = takeBesideSurvivors(At);
+  bool formOne(SiteState &Site) {
+    std::optional<std::vector<HostName>> Members = takeHostsOfBrokenGroup(Site);
     if (!Members)
-      Members = Free.take(At.Where, At.Spec->MembersPerGroup);
-    if (!Members && stopReplaced(At))
-      Members = Free.take(At.Where, At.Spec->MembersPerGroup);
-    if (!Members && To.May == Extent::Whole)
-      Members = takeByStopping(At);
+      Members =
+          AvailableHosts.take(Site.DataCentre, Site.Spec->MembersPerGroup);
+    if (!Members && stopReplaced(Site))
+      Members =
+          AvailableHosts.take(Site.DataCentre, Site.Spec->MembersPerGroup);
+    if (!Members && Input.Allowed == AllowedSteps::All)
+      Members = takeHostsByStopping(Site);
     if (!Members)
       return false;
     FormGroup Form;
     Form.Number = NextNumber++;
-    Form.Model = At.Model;
-    Form.Version = At.Spec->Version;
-    Form.Adapters = At.Spec->Adapters;
-    Form.Role = At.Spec->Role;
-    Form.DataCentre = At.Where;
+    Form.Model = Site.Model;
+    Form.Version = Site.Spec->Version;
+    Form.Adapters = Site.Spec->Adapters;
+    Form.Role = Site.Spec->Role;
+    Form.DataCentre = Site.DataCentre;
     Form.Members = std::move(*Members);
-    Out.Steps.emplace_back(std::move(Form));
-    ++At.Routed;
-    ++At.Made;
+    Result.Steps.emplace_back(std::move(Form));
+    ++Site.RoutedCount;
+    ++Site.FormedCount;
     return true;
   }
 
-  std::optional<std::vector<HostName>> takeBesideSurvivors(Site &At) {
-    while (!At.Broken.empty()) {
-      const FormGroup &Lost = *At.Broken.back();
-      At.Broken.pop_back();
-      const HostSpec *First = findHost(*To.Declared, Lost.Members.front());
+  std::optional<std::vector<HostName>> takeHostsOfBrokenGroup(SiteState &Site) {
+    while (!Site.BrokenGroups.empty()) {
+      const FormGroup &Lost = *Site.BrokenGroups.back();
+      Site.BrokenGroups.pop_back();
+      const HostSpec *First = findHost(*Input.Declared, Lost.Members.front());
       if (First == nullptr)
         continue;
-      auto Members = Free.takeFrom(At.Where, First->FabricDomain,
-                                   At.Spec->MembersPerGroup, Lost.Members);
+      auto Members =
+          AvailableHosts.takeFrom(Site.DataCentre, First->FabricDomain,
+                                  Site.Spec->MembersPerGroup, Lost.Members);
       if (Members)
         return Members;
     }
     return std::nullopt;
   }
 
-  /// No domain has enough free hosts: one old group makes room for its own
-  /// replacement.
-  std::optional<std::vector<HostName>> takeByStopping(Site &At) {
-    for (auto There = At.Old.begin(); There != At.Old.end(); ++There) {
+  /// Called when no domain has enough free hosts: stops one outdated group, so
+  /// that its replacement can be formed in its domain.
+  std::optional<std::vector<HostName>> takeHostsByStopping(SiteState &Site) {
+    for (auto Entry = Site.Outdated.begin(); Entry != Site.Outdated.end();
+         ++Entry) {
       const HostSpec *First =
-          findHost(*To.Declared, There->Formed->Members.front());
-      if (First == nullptr || !There->Serving ||
-          usableAfterStop(*There, *First) < At.Spec->MembersPerGroup)
+          findHost(*Input.Declared, Entry->Formed->Members.front());
+      if (First == nullptr || !Entry->Serving ||
+          usableHostsAfterStop(*Entry, *First) < Site.Spec->MembersPerGroup)
         continue;
-      const Known Stopped = *There;
-      At.Old.erase(There);
-      stop(At, Stopped);
-      if (!At.ToldStopFirst)
-        refuse("form before stopping for every group of " + At.Model.Text +
-               " in " + At.Where.Text + ": no fabric domain has " +
-               std::to_string(At.Spec->MembersPerGroup) +
+      const ExpectedGroup Stopped = *Entry;
+      Site.Outdated.erase(Entry);
+      stop(Site, Stopped);
+      if (!Site.StopFirstReported)
+        refuse("form before stopping for every group of " + Site.Model.Text +
+               " in " + Site.DataCentre.Text + ": no fabric domain has " +
+               std::to_string(Site.Spec->MembersPerGroup) +
                " free hosts, so one group at a time is stopped first");
-      At.ToldStopFirst = true;
-      return Free.takeFrom(At.Where, First->FabricDomain,
-                           At.Spec->MembersPerGroup, Stopped.Formed->Members);
+      Site.StopFirstReported = true;
+      return AvailableHosts.takeFrom(Site.DataCentre, First->FabricDomain,
+                                     Site.Spec->MembersPerGroup,
+                                     Stopped.Formed->Members);
     }
     return std::nullopt;
   }
 
-  [[nodiscard]] std::size_t usableAfterStop(const Known &There,
-                                            const HostSpec &First) const {
-    std::size_t Usable = Free.inDomain(First.DataCentre, First.FabricDomain);
-    for (const HostName &Member : There.Formed->Members) {
-      const HostSpec *Host = findHost(*To.Declared, Member);
-      if (Host != nullptr && mayBeUsed(*Host))
+  [[nodiscard]] std::size_t usableHostsAfterStop(const ExpectedGroup &Entry,
+                                                 const HostSpec &First) const {
+    std::size_t Usable =
+        AvailableHosts.countInDomain(First.DataCentre, First.FabricDomain);
+    for (const HostName &Member : Entry.Formed->Members) {
+      const HostSpec *Host = findHost(*Input.Declared, Member);
+      if (Host != nullptr && isUsable(*Host))
         ++Usable;
     }
     return Usable;
   }
 
-  /// Stops old groups that are not needed any more.
-  /// @return Whether there were any.
-  bool stopReplaced(Site &At) {
-    if (To.May != Extent::Whole)
+  /// Stops outdated groups beyond the declared number, as long as that many
+  /// groups stay routed.
+  /// @return Whether any stop was planned.
+  bool stopReplaced(SiteState &Site) {
+    if (Input.Allowed != AllowedSteps::All)
       return false;
-    const std::size_t Before = Out.Steps.size();
-    for (auto There = At.Old.begin(); There != At.Old.end();) {
-      const std::size_t Left = At.Routed - (There->Routed ? 1 : 0);
-      const bool Affordable = !There->Routed || Left >= At.Wanted;
-      const bool Surplus = At.Good.size() + At.Made + At.Old.size() > At.Wanted;
-      if (Surplus && Affordable && stop(At, *There))
-        There = At.Old.erase(There);
+    const std::size_t Before = Result.Steps.size();
+    for (auto Entry = Site.Outdated.begin(); Entry != Site.Outdated.end();) {
+      const std::size_t Left = Site.RoutedCount - (Entry->Routed ? 1 : 0);
+      const bool Affordable = !Entry->Routed || Left >= Site.Wanted;
+      const bool Surplus =
+          Site.UpToDate.size() + Site.FormedCount + Site.Outdated.size() >
+          Site.Wanted;
+      if (Surplus && Affordable && stop(Site, *Entry))
+        Entry = Site.Outdated.erase(Entry);
       else
-        ++There;
+        ++Entry;
     }
-    return Out.Steps.size() > Before;
+    return Result.Steps.size() > Before;
   }
 
-  /// Old groups stay where nothing replaces them; but one with a drained host
-  /// goes, as the operator wants that host.
-  void stopRest(Site &At, std::size_t Unmet) {
+  /// Stops the remaining outdated groups, but keeps one in service for each
+  /// group that could not be formed. Groups with a drained host are
+  /// stopped, as the operator needs that host.
+  void stopRemaining(SiteState &Site, std::size_t Unmet) {
     std::size_t Keep = Unmet;
-    std::erase_if(At.Old, [&](const Known &There) {
-      const bool Useful = There.Serving && There.Routed;
+    std::erase_if(Site.Outdated, [&](const ExpectedGroup &Entry) {
+      const bool Useful = Entry.Serving && Entry.Routed;
       if (Useful && Keep > 0) {
         --Keep;
-        refuse("stop group " + textOf(There.Id) + " of " + At.Model.Text + " " +
-               There.Formed->Version.Text +
+        refuse("stop group " + textOf(Entry.Id) + " of " + Site.Model.Text +
+               " " + Entry.Formed->Version.Text +
                ": nothing can be formed in its place");
         return false;
       }
-      return stop(At, There);
+      return stop(Site, Entry);
     });
   }
 
-  void tellShortage(const Site &At, std::size_t Unmet) {
+  void reportShortage(const SiteState &Site, std::size_t Unmet) {
     refuse("form " + std::to_string(Unmet) + " of " +
-           std::to_string(At.Wanted) + " groups of " + At.Model.Text + " in " +
-           At.Where.Text + ": each needs " +
-           std::to_string(At.Spec->MembersPerGroup) +
+           std::to_string(Site.Wanted) + " groups of " + Site.Model.Text +
+           " in " + Site.DataCentre.Text + ": each needs " +
+           std::to_string(Site.Spec->MembersPerGroup) +
            " free hosts in one fabric domain, and the domain with most has " +
-           std::to_string(Free.largest(At.Where)));
+           std::to_string(AvailableHosts.largestDomain(Site.DataCentre)));
   }
 
   void refuse(std::string Reason) {
-    Out.WillNotDo.push_back(std::move(Reason));
+    Result.WillNotDo.push_back(std::move(Reason));
   }
 
   void forecast() {
-    std::map<ModelName, CapacityForecast> Models;
-    for (const auto &[Key, At] : Sites)
-      if (To.May == Extent::ForecastOnly || inScope(Key))
-        Models[Key.first].Model = Key.first;
-    std::map<ModelName, std::uint32_t> StillToCome;
-    for (auto &[Id, Found] : To.Now->Groups) {
-      const auto Of = Models.find(Found.Formed.Model);
-      if (Of == Models.end())
+    std::map<ModelName, CapacityForecast> Forecasts;
+    for (const auto &[Key, Site] : Sites)
+      if (Input.Allowed == AllowedSteps::ForecastOnly || inScope(Key))
+        Forecasts[Key.first].Model = Key.first;
+    std::map<ModelName, std::uint32_t> PendingCounts;
+    for (auto &[Id, Existing] : Input.Now->Groups) {
+      const auto Forecast = Forecasts.find(Existing.Formed.Model);
+      if (Forecast == Forecasts.end())
         continue;
-      if (isInRoutes(Found, To.Now->DrainedDataCentres, To.Now->DrainedHosts))
-        ++Of->second.GroupsNow;
-      if (isInRoutes(Found, To.DrainedDataCentres, To.DrainedHosts))
-        ++Of->second.GroupsAfter;
-      if (Found.Phase == GroupPhase::Forming &&
-          !isDrained(Found.Formed.DataCentre))
-        ++StillToCome[Found.Formed.Model];
+      if (isInRoutes(Existing, Input.Now->DrainedDataCentres,
+                     Input.Now->DrainedHosts))
+        ++Forecast->second.GroupsNow;
+      if (isInRoutes(Existing, Input.DrainedDataCentres, Input.DrainedHosts))
+        ++Forecast->second.GroupsAfter;
+      if (Existing.Phase == GroupPhase::Forming &&
+          !isDrained(Existing.Formed.DataCentre))
+        ++PendingCounts[Existing.Formed.Model];
     }
-    for (const Known &Planned : Pending)
+    for (const ExpectedGroup &Planned : PendingGroups)
       if (!isDrained(Planned.Formed->DataCentre))
-        ++StillToCome[Planned.Formed->Model];
-    for (const GroupId &Id : AboutToStop)
-      dropFrom(Models, Id);
-    for (auto &[Model, Of] : Models)
-      Of.GroupsAtWorst = Of.GroupsAfter;
-    for (const Step &What : Out.Steps)
-      forecastStep(Models, What);
-    for (auto &[Model, Of] : Models) {
-      Of.GroupsAfter += StillToCome[Model];
-      if (const ModelSpec *Spec = findModel(*To.Declared, Model))
-        for (const auto &[Where, Wanted] : Spec->Groups)
-          Of.GroupsWanted += Wanted;
-      Out.Forecast.push_back(Of);
+        ++PendingCounts[Planned.Formed->Model];
+    for (const GroupId &Id : GroupsToStop)
+      subtractGroup(Forecasts, Id);
+    for (auto &[Model, Forecast] : Forecasts)
+      Forecast.GroupsAtWorst = Forecast.GroupsAfter;
+    for (const Step &PlanStep : Result.Steps)
+      forecastStep(Forecasts, PlanStep);
+    for (auto &[Model, Forecast] : Forecasts) {
+      Forecast.GroupsAfter += PendingCounts[Model];
+      if (const ModelSpec *Spec = findModel(*Input.Declared, Model))
+        for (const auto &[DataCentre, Wanted] : Spec->Groups)
+          Forecast.GroupsWanted += Wanted;
+      Result.Forecast.push_back(Forecast);
     }
   }
 
-  void forecastStep(std::map<ModelName, CapacityForecast> &Models,
-                    const Step &What) const {
-    if (const auto *Form = std::get_if<FormGroup>(&What))
-      ++Models[Form->Model].GroupsAfter;
-    if (const auto *Stop = std::get_if<StopGroup>(&What))
-      dropFrom(Models, Stop->Group);
+  void forecastStep(std::map<ModelName, CapacityForecast> &Forecasts,
+                    const Step &PlanStep) const {
+    if (const auto *Form = std::get_if<FormGroup>(&PlanStep))
+      ++Forecasts[Form->Model].GroupsAfter;
+    if (const auto *Stop = std::get_if<StopGroup>(&PlanStep))
+      subtractGroup(Forecasts, Stop->Group);
   }
 
-  void dropFrom(std::map<ModelName, CapacityForecast> &Models,
-                const GroupId &Id) const {
-    const auto Found = To.Now->Groups.find(Id);
-    if (Found == To.Now->Groups.end() ||
-        !isInRoutes(Found->second, To.DrainedDataCentres, To.DrainedHosts))
+  /// Takes a routed group out of its model's forecast.
+  void subtractGroup(std::map<ModelName, CapacityForecast> &Forecasts,
+                     const GroupId &Id) const {
+    const auto Entry = Input.Now->Groups.find(Id);
+    if (Entry == Input.Now->Groups.end() ||
+        !isInRoutes(Entry->second, Input.DrainedDataCentres,
+                    Input.DrainedHosts))
       return;
-    const auto Of = Models.find(Found->second.Formed.Model);
-    if (Of == Models.end())
+    const auto Forecast = Forecasts.find(Entry->second.Formed.Model);
+    if (Forecast == Forecasts.end())
       return;
-    --Of->second.GroupsAfter;
-    Of->second.GroupsAtWorst =
-        std::min(Of->second.GroupsAtWorst, Of->second.GroupsAfter);
-  }
-
-  const Aim &To;
-  Course Out;
-  std::set<GroupId> AboutToStop;
-  std::map<GroupId, std::vector<AdapterName>> AboutToSwap;
-  std::vector<Known> Pending;
-  std::set<HostName> Reserved;
-  std::map<SiteKey, Site> Sites;
-  FreeHosts Free;
+    --Forecast->second.GroupsAfter;
+    Forecast->second.GroupsAtWorst =
+        std::min(Forecast->second.GroupsAtWorst, Forecast->second.GroupsAfter);
+  }
+
+  const ConvergenceInput &Input;
+  ConvergenceResult Result;
+  /// Effects of the steps that running plans have yet to carry out.
+  std::set<GroupId> GroupsToStop;
+  std::map<GroupId, std::vector<AdapterName>> AdapterSwaps;
+  std::vector<ExpectedGroup> PendingGroups;
+  std::set<HostName> ReservedHosts;
+  std::map<SiteKey, SiteState> Sites;
+  FreeHosts AvailableHosts;
   std::uint32_t NextNumber = 0;
 };
 
 } // namespace
 
-Course converge(const Aim &Towards) { return Convergence(Towards).run(); }
+ConvergenceResult converge(const ConvergenceInput &Input) {
+  return Convergence(Input).run();
+}
 
 } // namespace coltsfoottrail::internal
--- a/packages/version/src/coltsfoottrail/intents/describe.cpp
+++ b/packages/version/src/coltsfoottrail/intents/describe.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-template <class Names> std::string joined(const Names &Listed) {
+template <class NameList> std::string joined(const NameList &Names) {
   std::string Text;
-  for (const auto &Entry : Listed) {
+  for (const auto &Entry : Names) {
     if (!Text.empty())
       Text += ", ";
     Text += Entry.Text;
@@ -23,15 +23,17 @@
                           : "adapters " + joined(Adapters);
 }
 
-std::string describeForecast(const CapacityForecast &Of) {
-  std::string Text = "capacity of " + Of.Model.Text + ": " +
-                     std::to_string(Of.GroupsNow) + " groups now, " +
-                     std::to_string(Of.GroupsAtWorst) + " at the worst step, " +
-                     std::to_string(Of.GroupsAfter) + " after, " +
-                     std::to_string(Of.GroupsWanted) + " wanted";
-  if (Of.GroupsAtWorst < std::min(Of.GroupsNow, Of.GroupsWanted))
+std::string describeForecast(const CapacityForecast &Forecast) {
+  std::string Text = "capacity of " + Forecast.Model.Text + ": " +
+                     std::to_string(Forecast.GroupsNow) + " groups now, " +
+                     std::to_string(Forecast.GroupsAtWorst) +
+                     " at the worst step, " +
+                     std::to_string(Forecast.GroupsAfter) + " after, " +
+                     std::to_string(Forecast.GroupsWanted) + " wanted";
+  if (Forecast.GroupsAtWorst <
+      std::min(Forecast.GroupsNow, Forecast.GroupsWanted))
     Text += "; FALLS BELOW WHAT IS WANTED while the steps run";
-  if (Of.GroupsAfter < Of.GroupsWanted)
+  if (Forecast.GroupsAfter < Forecast.GroupsWanted)
     Text += "; STAYS BELOW WHAT IS WANTED";
   return Text;
 }
@@ -42,11 +44,12 @@
   return std::to_string(Group.Plan) + "/" + std::to_string(Group.Number);
 }
 
-std::string describeIntent(const Intent &Asked) {
+std::string describeIntent(const Intent &Request) {
   return std::visit(
       Overloaded{
           [](const ApplyDeclaration &Apply) {
-            // A plan that has ended no longer keeps its declaration.
+            // Once its plan has ended, the intent no longer holds a
+            // declaration.
             if (Apply.Wanted == Declaration{} && !Apply.Dropped)
               return std::string("apply a declaration");
             return std::string(Apply.Dropped ? "change the declaration of "
@@ -82,10 +85,10 @@
             return "return host " + Return.Host.Text;
           },
       },
-      Asked);
+      Request);
 }
 
-std::string describeStep(const Step &What) {
+std::string describeStep(const Step &PlanStep) {
   return std::visit(
       Overloaded{
           [](const FormGroup &Form) {
@@ -103,7 +106,7 @@
                    adapterList(Swap.Adapters);
           },
       },
-      What);
+      PlanStep);
 }
 
 std::vector<std::string> describePlan(const Plan &Proposal) {
@@ -113,11 +116,11 @@
   if (Proposal.Steps.empty())
     Lines.emplace_back("no steps: in force everywhere once it is confirmed");
   std::size_t Number = 0;
-  for (const Step &What : Proposal.Steps)
+  for (const Step &PlanStep : Proposal.Steps)
     Lines.push_back("step " + std::to_string(++Number) + ": " +
-                    describeStep(What));
-  for (const CapacityForecast &Of : Proposal.Forecast)
-    Lines.push_back(describeForecast(Of));
+                    describeStep(PlanStep));
+  for (const CapacityForecast &Forecast : Proposal.Forecast)
+    Lines.push_back(describeForecast(Forecast));
   for (const std::string &Reason : Proposal.WillNotDo)
     Lines.push_back("will not: " + Reason);
   return Lines;
--- a/packages/version/src/coltsfoottrail/intents/describe.hpp
+++ b/packages/version/src/coltsfoottrail/intents/describe.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Plans as text for people.
+/// Describes plans in text for operators.
 #ifndef COLTSFOOTTRAIL_INTENTS_DESCRIBE_HPP
 #define COLTSFOOTTRAIL_INTENTS_DESCRIBE_HPP
 
@@ -10,18 +10,19 @@
 
 namespace coltsfoottrail {
 
-/// @brief Text of a group's name, "PLAN/NUMBER". Thread-safe.
+/// @brief Formats a group identifier as "PLAN/NUMBER". Thread-safe.
 [[nodiscard]] std::string textOf(const GroupId &Group);
 
-/// @brief One line that says what an intent asks for. Thread-safe.
-[[nodiscard]] std::string describeIntent(const Intent &Asked);
+/// @brief Describes an intent in one line. Thread-safe.
+[[nodiscard]] std::string describeIntent(const Intent &Request);
 
-/// @brief One line that says what a step does. Thread-safe.
-[[nodiscard]] std::string describeStep(const Step &What);
+/// @brief Describes a step in one line. Thread-safe.
+[[nodiscard]] std::string describeStep(const Step &PlanStep);
 
-/// @brief Lines for the operator who has to confirm a plan: what changes, in
-/// which steps, the capacity at the worst step, what it will not do.
-/// Thread-safe.
+/// @brief Describes a plan to the operator who has to confirm it: the intent,
+/// the steps, the capacity now, at the worst step and after, and what the plan
+/// will not do. Thread-safe.
+/// @return One line each.
 [[nodiscard]] std::vector<std::string> describePlan(const Plan &Proposal);
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/intents/planner.cpp
+++ b/packages/version/src/coltsfoottrail/intents/planner.cpp
@@ -10,32 +10,32 @@
 
 namespace {
 
-using internal::Aim;
-using internal::Course;
-using internal::Extent;
+using internal::AllowedSteps;
+using internal::ConvergenceInput;
+using internal::ConvergenceResult;
 
-constexpr std::size_t MostNamesTold = 10;
+constexpr std::size_t MaxListedNames = 10;
 
-template <class Listed, class NameOf>
-std::string firstNames(const Listed &All, NameOf Name) {
+template <class List, class NameGetter>
+std::string firstNames(const List &Entries, NameGetter Name) {
   std::string Text;
-  std::size_t Told = 0;
-  for (const auto &Entry : All) {
-    if (Told == MostNamesTold)
+  std::size_t Count = 0;
+  for (const auto &Entry : Entries) {
+    if (Count == MaxListedNames)
       return Text + ", ...";
-    Text += (Told++ == 0 ? "" : ", ") + Name(Entry).Text;
+    Text += (Count++ == 0 ? "" : ", ") + Name(Entry).Text;
   }
   return Text.empty() ? std::string("none") : Text;
 }
 
-constexpr auto NameItself = [](const auto &Entry) -> const auto & {
+constexpr auto NameOfName = [](const auto &Entry) -> const auto & {
   return Entry;
 };
 constexpr auto NameOfSpec = [](const auto &Entry) -> const auto & {
   return Entry.Name;
 };
 
-ModelSpec &modelIn(Declaration &Declared, const ModelName &Name) {
+ModelSpec &requireModel(Declaration &Declared, const ModelName &Name) {
   for (ModelSpec &Model : Declared.Models)
     if (Model.Name == Name)
       return Model;
@@ -45,10 +45,11 @@
 
 void requireDataCentre(const Declaration &Declared,
                        const DataCentreName &Name) {
-  const auto &Known = Declared.DataCentres;
-  if (std::find(Known.begin(), Known.end(), Name) == Known.end())
+  const auto &DataCentres = Declared.DataCentres;
+  if (std::find(DataCentres.begin(), DataCentres.end(), Name) ==
+      DataCentres.end())
     throw PlanError("unknown data centre \"" + Name.Text +
-                    "\"; declared are: " + firstNames(Known, NameItself));
+                    "\"; declared are: " + firstNames(DataCentres, NameOfName));
 }
 
 void requireHost(const Declaration &Declared, const HostName &Name) {
@@ -58,51 +59,52 @@
                     "service's instance");
 }
 
-bool samePlace(const HostSpec &Left, const HostSpec &Right) {
+bool sameLocation(const HostSpec &Left, const HostSpec &Right) {
   return Left.DataCentre == Right.DataCentre &&
          Left.FabricDomain == Right.FabricDomain &&
          Left.Address == Right.Address && Left.Port == Right.Port;
 }
 
-Plan planFor(const Aim &To, Intent Asked) {
-  Course Found = internal::converge(To);
-  Plan Made;
-  Made.Asked = std::move(Asked);
-  Made.PlannedAt = To.Now->Next;
-  Made.Steps = std::move(Found.Steps);
-  Made.Forecast = std::move(Found.Forecast);
-  Made.WillNotDo = std::move(Found.WillNotDo);
-  return Made;
+Plan planFor(const ConvergenceInput &Input, Intent Request) {
+  ConvergenceResult Converged = internal::converge(Input);
+  Plan Planned;
+  Planned.Asked = std::move(Request);
+  Planned.PlannedAt = Input.Now->Next;
+  Planned.Steps = std::move(Converged.Steps);
+  Planned.Forecast = std::move(Converged.Forecast);
+  Planned.WillNotDo = std::move(Converged.WillNotDo);
+  return Planned;
 }
 
-Aim aimAtDeclared(const State &Now) {
-  Aim To;
-  To.Now = &Now;
-  To.Declared = &Now.Declared;
-  To.DrainedDataCentres = Now.DrainedDataCentres;
-  To.DrainedHosts = Now.DrainedHosts;
-  return To;
+ConvergenceInput inputForDeclared(const State &Now) {
+  ConvergenceInput Input;
+  Input.Now = &Now;
+  Input.Declared = &Now.Declared;
+  Input.DrainedDataCentres = Now.DrainedDataCentres;
+  Input.DrainedHosts = Now.DrainedHosts;
+  return Input;
 }
 
-/// The intent of a repair: what is declared stays as it is.
+/// The intent that a repair is planned under: the declared capacity, unchanged.
 SetCapacity keepCapacity(const State &Now, const ModelName &Model,
-                         const DataCentreName &Where) {
-  return SetCapacity{Model, Where,
-                     findModel(Now.Declared, Model)->Groups.at(Where)};
+                         const DataCentreName &DataCentre) {
+  return SetCapacity{Model, DataCentre,
+                     findModel(Now.Declared, Model)->Groups.at(DataCentre)};
 }
 
-/// What one intent changes, and where steps may be planned for it.
-class IntentAim {
+/// Applies an intent to a copy of the declaration and of the drained sets, and
+/// restricts the steps to what the intent concerns.
+class IntentTarget {
 public:
-  explicit IntentAim(const State &Current)
+  explicit IntentTarget(const State &Current)
       : Now(Current), Declared(Current.Declared) {
-    To.Now = &Now;
-    To.Declared = &Declared;
-    To.DrainedDataCentres = Now.DrainedDataCentres;
-    To.DrainedHosts = Now.DrainedHosts;
+    Input.Now = &Now;
+    Input.Declared = &Declared;
+    Input.DrainedDataCentres = Now.DrainedDataCentres;
+    Input.DrainedHosts = Now.DrainedHosts;
   }
-  IntentAim(const IntentAim &) = delete;
-  IntentAim &operator=(const IntentAim &) = delete;
+  IntentTarget(const IntentTarget &) = delete;
+  IntentTarget &operator=(const IntentTarget &) = delete;
 
   void operator()(const ApplyDeclaration &Apply) {
     for (const auto &[Name, Group] : Now.Occupied)
@@ -113,86 +115,86 @@
 
   void operator()(const SetCapacity &Set) {
     requireDataCentre(Declared, Set.DataCentre);
-    modelIn(Declared, Set.Model).Groups[Set.DataCentre] = Set.Groups;
-    To.OnlyModel = Set.Model;
-    To.OnlyDataCentre = Set.DataCentre;
+    requireModel(Declared, Set.Model).Groups[Set.DataCentre] = Set.Groups;
+    Input.OnlyModel = Set.Model;
+    Input.OnlyDataCentre = Set.DataCentre;
   }
 
   void operator()(const SetVersion &Set) {
     if (Set.Version.empty())
       throw PlanError("the version of model \"" + Set.Model.Text +
                       "\" must not be empty");
-    modelIn(Declared, Set.Model).Version = Set.Version;
-    To.OnlyModel = Set.Model;
+    requireModel(Declared, Set.Model).Version = Set.Version;
+    Input.OnlyModel = Set.Model;
   }
 
   void operator()(const SetAdapters &Set) {
-    modelIn(Declared, Set.Model).Adapters = Set.Adapters;
-    To.OnlyModel = Set.Model;
+    requireModel(Declared, Set.Model).Adapters = Set.Adapters;
+    Input.OnlyModel = Set.Model;
   }
 
   void operator()(const DrainDataCentre &Drain) {
     requireDataCentre(Declared, Drain.DataCentre);
-    if (!To.DrainedDataCentres.insert(Drain.DataCentre).second)
+    if (!Input.DrainedDataCentres.insert(Drain.DataCentre).second)
       refuse("drain " + Drain.DataCentre.Text + " again: it is drained");
     refuse("stop the groups in " + Drain.DataCentre.Text +
            ": they finish their requests, get no new ones and stay loaded for "
            "its return");
-    To.May = Extent::ForecastOnly;
+    Input.Allowed = AllowedSteps::ForecastOnly;
   }
 
   void operator()(const ReturnDataCentre &Return) {
     requireDataCentre(Declared, Return.DataCentre);
-    if (To.DrainedDataCentres.erase(Return.DataCentre) == 0)
+    if (Input.DrainedDataCentres.erase(Return.DataCentre) == 0)
       refuse("return " + Return.DataCentre.Text + ": it is not drained");
-    To.OnlyDataCentre = Return.DataCentre;
+    Input.OnlyDataCentre = Return.DataCentre;
   }
 
   void operator()(const DrainHost &Drain) {
     requireHost(Declared, Drain.Host);
-    if (!To.DrainedHosts.insert(Drain.Host).second)
+    if (!Input.DrainedHosts.insert(Drain.Host).second)
       refuse("drain " + Drain.Host.Text + " again: it is drained");
-    const auto Holder = Now.Occupied.find(Drain.Host);
-    if (Holder == Now.Occupied.end()) {
-      To.May = Extent::ForecastOnly;
+    const auto Occupancy = Now.Occupied.find(Drain.Host);
+    if (Occupancy == Now.Occupied.end()) {
+      Input.Allowed = AllowedSteps::ForecastOnly;
       return;
     }
-    const auto Found = Now.Groups.find(Holder->second);
-    if (Found == Now.Groups.end())
+    const auto Occupant = Now.Groups.find(Occupancy->second);
+    if (Occupant == Now.Groups.end())
       return;
-    To.OnlyModel = Found->second.Formed.Model;
-    To.OnlyDataCentre = Found->second.Formed.DataCentre;
+    Input.OnlyModel = Occupant->second.Formed.Model;
+    Input.OnlyDataCentre = Occupant->second.Formed.DataCentre;
   }
 
   void operator()(const ReturnHost &Return) {
     requireHost(Declared, Return.Host);
-    if (To.DrainedHosts.erase(Return.Host) == 0)
+    if (Input.DrainedHosts.erase(Return.Host) == 0)
       refuse("return " + Return.Host.Text + ": it is not drained");
-    To.May = Extent::ForecastOnly;
+    Input.Allowed = AllowedSteps::ForecastOnly;
   }
 
-  Plan plan(const Intent &Asked, const std::set<HostName> &Avoided) {
-    To.Avoided = Avoided;
-    Plan Made = planFor(To, Asked);
-    Made.WillNotDo.insert(Made.WillNotDo.begin(), WillNotDo.begin(),
-                          WillNotDo.end());
-    return Made;
+  Plan plan(const Intent &Request, const std::set<HostName> &ExcludedHosts) {
+    Input.ExcludedHosts = ExcludedHosts;
+    Plan Result = planFor(Input, Request);
+    Result.WillNotDo.insert(Result.WillNotDo.begin(), WillNotDo.begin(),
+                            WillNotDo.end());
+    return Result;
   }
 
 private:
   void refuse(std::string Reason) { WillNotDo.push_back(std::move(Reason)); }
 
-  /// Failure guarded against: a declaration without a host whose engine still
-  /// serves takes away the address that the order to stop must go to. The host
-  /// of a broken group may be dropped: that is how an operator says that it is
-  /// lost for good.
+  /// Rejects a declaration that drops or moves a host whose engine still
+  /// serves: the address to which the stop order must be sent would be lost.
+  /// The host of a broken group may be dropped: in this way an operator
+  /// declares it lost for good.
   void requireUnchanged(const HostName &Name, const GroupId &Group,
                         const Declaration &Wanted) const {
     const HostSpec *Before = findHost(Now.Declared, Name);
     const HostSpec *After = findHost(Wanted, Name);
-    const auto Holder = Now.Groups.find(Group);
-    const bool Broken = Holder != Now.Groups.end() &&
-                        Holder->second.Phase == GroupPhase::Broken;
+    const auto Occupant = Now.Groups.find(Group);
+    const bool Broken = Occupant != Now.Groups.end() &&
+                        Occupant->second.Phase == GroupPhase::Broken;
     if (Before == nullptr || (After == nullptr && Broken))
       return;
     if (After == nullptr)
@@ -200,15 +202,15 @@
                       "\" is not in the declaration, but serves group " +
                       textOf(Group) +
                       "; drain it first and apply the declaration then");
-    if (!samePlace(*Before, *After))
+    if (!sameLocation(*Before, *After))
       throw PlanError("host \"" + Name.Text +
                       "\" changes its place or address while it is in group " +
                       textOf(Group) +
                       "; drain it first and apply the declaration then");
   }
 
-  /// Failure guarded against: a machine that an engine of a broken group may
-  /// still run on is declared again and gets a second group.
+  /// Rejects a declaration that adds a dropped host again while an engine of a
+  /// broken group may still run on it: the host could get a second group.
   void requireReleased(const Declaration &Wanted) const {
     for (const auto &[Name, Before] : Now.Departed)
       if (findHost(Wanted, Name) != nullptr)
@@ -220,59 +222,60 @@
 
   const State &Now;
   Declaration Declared;
-  Aim To;
+  ConvergenceInput Input;
   std::vector<std::string> WillNotDo;
 };
 
 } // namespace
 
-Plan planIntent(const State &Now, const Intent &Asked,
-                const std::set<HostName> &Avoided) {
-  IntentAim Target(Now);
-  std::visit(Target, Asked);
-  return Target.plan(Asked, Avoided);
+Plan planIntent(const State &Now, const Intent &Request,
+                const std::set<HostName> &ExcludedHosts) {
+  IntentTarget Target(Now);
+  std::visit(Target, Request);
+  return Target.plan(Request, ExcludedHosts);
 }
 
 std::vector<MissingGroups> findMissing(const State &Now) {
-  Aim To = aimAtDeclared(Now);
-  To.May = Extent::ForecastOnly;
+  ConvergenceInput Input = inputForDeclared(Now);
+  Input.Allowed = AllowedSteps::ForecastOnly;
   std::vector<MissingGroups> Missing;
-  for (const auto &[Model, Where] : internal::converge(To).Missing)
-    Missing.push_back({Model, Where});
+  for (const auto &[Model, DataCentre] : internal::converge(Input).Missing)
+    Missing.push_back({Model, DataCentre});
   return Missing;
 }
 
-Plan planRepairOf(const State &Now, const MissingGroups &Where,
-                  const std::set<HostName> &Avoided) {
-  Aim To = aimAtDeclared(Now);
-  To.Avoided = Avoided;
-  To.May = Extent::MissingOnly;
-  To.OnlyModel = Where.Model;
-  To.OnlyDataCentre = Where.DataCentre;
-  return planFor(To, keepCapacity(Now, Where.Model, Where.DataCentre));
+Plan planRepairOf(const State &Now, const MissingGroups &Missing,
+                  const std::set<HostName> &ExcludedHosts) {
+  ConvergenceInput Input = inputForDeclared(Now);
+  Input.ExcludedHosts = ExcludedHosts;
+  Input.Allowed = AllowedSteps::FormMissingOnly;
+  Input.OnlyModel = Missing.Model;
+  Input.OnlyDataCentre = Missing.DataCentre;
+  return planFor(Input, keepCapacity(Now, Missing.Model, Missing.DataCentre));
 }
 
 std::optional<Plan> planRepair(const State &Now,
-                               const std::set<HostName> &Avoided) {
-  std::optional<Plan> Made;
-  for (const MissingGroups &Where : findMissing(Now)) {
-    Plan Candidate = planRepairOf(Now, Where, Avoided);
+                               const std::set<HostName> &ExcludedHosts) {
+  std::optional<Plan> Result;
+  for (const MissingGroups &Missing : findMissing(Now)) {
+    Plan Candidate = planRepairOf(Now, Missing, ExcludedHosts);
     const bool Helps = !Candidate.Steps.empty();
-    if (Helps || !Made)
-      Made = std::move(Candidate);
+    if (Helps || !Result)
+      Result = std::move(Candidate);
     if (Helps)
       break;
   }
-  return Made;
+  return Result;
 }
 
-bool isInRoutes(const Group &Asked,
+bool isInRoutes(const Group &Candidate,
                 const std::set<DataCentreName> &DrainedDataCentres,
                 const std::set<HostName> &DrainedHosts) {
-  if (Asked.Phase != GroupPhase::Serving ||
-      DrainedDataCentres.contains(Asked.Formed.DataCentre))
+  if (Candidate.Phase != GroupPhase::Serving ||
+      DrainedDataCentres.contains(Candidate.Formed.DataCentre))
     return false;
-  return std::none_of(Asked.Formed.Members.begin(), Asked.Formed.Members.end(),
+  return std::none_of(Candidate.Formed.Members.begin(),
+                      Candidate.Formed.Members.end(),
                       [&DrainedHosts](const HostName &Member) {
                         return DrainedHosts.contains(Member);
                       });
--- a/packages/version/test/coltsfoottrail/intents/placement.cpp
+++ b/packages/version/test/coltsfoottrail/intents/placement.cpp
@@ -7,10 +7,10 @@
 namespace coltsfoottrail {
 namespace {
 
-// A large model finds no room though many hosts are free: small groups had each
-// taken a few hosts out of another domain. The fullest domain that fits goes
-// first, so the wide one stays whole.
-TEST(Placement, SmallGroupsLeaveTheWideDomainWhole) {
+// Guards against fragmentation: if small groups take hosts from several
+// domains, a large group fits nowhere though many hosts are free. Groups must
+// go to the domain with the fewest free hosts that suffices.
+TEST(Placement, SmallGroupsDoNotFragmentTheLargestDomain) {
   Declaration Declared = declareHosts(2, 8);
   FreeHosts Free;
   for (const HostSpec &Host : Declared.Hosts)
@@ -24,7 +24,7 @@
   }
   EXPECT_TRUE(Free.take(East, 8));
   EXPECT_FALSE(Free.take(East, 2));
-  EXPECT_EQ(Free.largest(East), 1U);
+  EXPECT_EQ(Free.largestDomain(East), 1U);
 }
 
 TEST(Placement, PreferredHostsAreTakenFirst) {
--- a/packages/version/test/coltsfoottrail/intents/states.hpp
+++ b/packages/version/test/coltsfoottrail/intents/states.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Hand-built agreed states for the tests of plans and groups.
+/// Builds agreed states for the tests of plans and groups.
 #ifndef COLTSFOOTTRAIL_TEST_INTENTS_STATES_HPP
 #define COLTSFOOTTRAIL_TEST_INTENTS_STATES_HPP
 
@@ -14,31 +14,37 @@
 inline const DataCentreName West("west");
 
 /// @brief A fabric domain of a data centre.
-inline FabricDomainName domainIn(const DataCentreName &Where, int Domain) {
-  return FabricDomainName(Where.Text + "-" + std::to_string(Domain));
+inline FabricDomainName domainIn(const DataCentreName &DataCentre, int Domain) {
+  return FabricDomainName(DataCentre.Text + "-" + std::to_string(Domain));
 }
 
-/// @brief One host of a fabric domain, "DC-DOMAIN-NUMBER" with two digits.
-inline HostName hostIn(const DataCentreName &Where, int Domain, int Number) {
+/// @brief A host of a fabric domain, named "DC-DOMAIN-NUMBER" with a two-digit
+/// number.
+inline HostName hostIn(const DataCentreName &DataCentre, int Domain,
+                       int Number) {
   const std::string Digits = (Number < 10 ? "0" : "") + std::to_string(Number);
-  return HostName(Where.Text + "-" + std::to_string(Domain) + "-" + Digits);
+  return HostName(DataCentre.Text + "-" + std::to_string(Domain) + "-" +
+                  Digits);
 }
 
-/// @brief Declares data centres with domains of equally many hosts.
+/// @brief Declares the data centres East and West, each with the same number of
+/// domains and of hosts in a domain.
 inline Declaration declareHosts(int Domains, int HostsEach) {
   Declaration Declared;
   std::uint16_t Port = 1;
-  for (const DataCentreName &Where : {East, West}) {
-    Declared.DataCentres.push_back(Where);
+  for (const DataCentreName &DataCentre : {East, West}) {
+    Declared.DataCentres.push_back(DataCentre);
     for (int Domain = 0; Domain < Domains; ++Domain)
       for (int Number = 0; Number < HostsEach; ++Number)
-        Declared.Hosts.push_back(HostSpec{hostIn(Where, Domain, Number), Where,
-                                          domainIn(Where, Domain), "127.0.0.1",
-                                          Port++, 8, true});
+        Declared.Hosts.push_back(HostSpec{
+            hostIn(DataCentre, Domain, Number), DataCentre,
+            domainIn(DataCentre, Domain), "127.0.0.1", Port++, 8, true});
   }
   return Declared;
 }
 
+/// @brief Declares the signage model with its groups in East and West.
+/// @param Members Hosts in each group.
 inline ModelSpec signageModel(std::uint32_t Members, std::uint32_t InEast,
                               std::uint32_t InWest = 0) {
   ModelSpec Model;
@@ -51,9 +57,10 @@
   return Model;
 }
 
-/// @brief Adds a group of the signage model as the fold would.
-inline GroupId addGroup(State &To, Offset Plan, std::uint32_t Number,
-                        const DataCentreName &Where,
+/// @brief Adds a group of the signage model to a state, as folding the records
+/// of a plan does.
+inline GroupId addGroup(State &Current, Offset Plan, std::uint32_t Number,
+                        const DataCentreName &DataCentre,
                         std::vector<HostName> Members,
                         GroupPhase Phase = GroupPhase::Serving) {
   const GroupId Id{Plan, Number};
@@ -61,25 +68,26 @@
   Added.Formed.Number = Number;
   Added.Formed.Model = Signage;
   Added.Formed.Version = VersionName("v1");
-  Added.Formed.DataCentre = Where;
+  Added.Formed.DataCentre = DataCentre;
   Added.Formed.Members = std::move(Members);
   Added.Phase = Phase;
   Added.Generation = Plan;
   for (const HostName &Member : Added.Formed.Members) {
     Added.Held.insert(Member);
     Added.MemberRuns.push_back(1);
-    To.Occupied[Member] = Id;
+    Current.Occupied[Member] = Id;
   }
-  To.Groups[Id] = std::move(Added);
+  Current.Groups[Id] = std::move(Added);
   return Id;
 }
 
-/// @brief Hosts From to To - 1 of a domain.
-inline std::vector<HostName> hostsOf(const DataCentreName &Where, int Domain,
-                                     int From, int To) {
+/// @brief The hosts of a domain numbered from First up to, but not including,
+/// End.
+inline std::vector<HostName> hostsOf(const DataCentreName &DataCentre,
+                                     int Domain, int First, int End) {
   std::vector<HostName> Hosts;
-  for (int Number = From; Number < To; ++Number)
-    Hosts.push_back(hostIn(Where, Domain, Number));
+  for (int Number = First; Number < End; ++Number)
+    Hosts.push_back(hostIn(DataCentre, Domain, Number));
   return Hosts;
 }
 
