--- a/packages/version/src/coltsfoottrail/declaration/change.cpp
+++ b/packages/version/src/coltsfoottrail/declaration/change.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Walks two lists in the order of names.
+/// Compares two lists that are ordered by name.
 template <class Spec, class NameType>
 void diffLists(const std::vector<Spec> &Before, const std::vector<Spec> &After,
                std::vector<Spec> &Upserted, std::vector<NameType> &Dropped) {
@@ -18,10 +18,10 @@
   for (const Spec &New : After) {
     for (; Old != Before.end() && New.Name > Old->Name; ++Old)
       Dropped.push_back(Old->Name);
-    const bool Known = Old != Before.end() && Old->Name == New.Name;
-    if (!Known || !(*Old == New))
+    const bool Exists = Old != Before.end() && Old->Name == New.Name;
+    if (!Exists || !(*Old == New))
       Upserted.push_back(New);
-    if (Known)
+    if (Exists)
       ++Old;
   }
   for (; Old != Before.end(); ++Old)
@@ -32,67 +32,70 @@
 std::vector<Spec> changeList(const std::vector<Spec> &Before,
                              const std::vector<Spec> &Upserted,
                              const std::vector<NameType> &Dropped) {
-  const std::set<NameType> Gone(Dropped.begin(), Dropped.end());
-  std::vector<Spec> Out;
-  Out.reserve(Before.size() + Upserted.size());
+  const std::set<NameType> DroppedSet(Dropped.begin(), Dropped.end());
+  std::vector<Spec> Result;
+  Result.reserve(Before.size() + Upserted.size());
   auto Next = Upserted.begin();
-  for (const Spec &Each : Before) {
-    for (; Next != Upserted.end() && Each.Name > Next->Name; ++Next)
-      Out.push_back(*Next);
-    if (Next != Upserted.end() && Next->Name == Each.Name)
-      Out.push_back(*Next++);
-    else if (!Gone.contains(Each.Name))
-      Out.push_back(Each);
+  for (const Spec &Entry : Before) {
+    for (; Next != Upserted.end() && Entry.Name > Next->Name; ++Next)
+      Result.push_back(*Next);
+    if (Next != Upserted.end() && Next->Name == Entry.Name)
+      Result.push_back(*Next++);
+    else if (!DroppedSet.contains(Entry.Name))
+      Result.push_back(Entry);
   }
-  Out.insert(Out.end(), Next, Upserted.end());
-  return Out;
+  Result.insert(Result.end(), Next, Upserted.end());
+  return Result;
 }
 
-/// Finds what stands twice or is not known.
-class Checker {
+/// Finds duplicates and references to undeclared data centres.
+class DeclarationChecker {
 public:
-  explicit Checker(const Declaration &Declared) : Checked(Declared) {}
+  explicit DeclarationChecker(const Declaration &Declared)
+      : Checked(Declared) {}
 
   std::optional<std::string> run() {
     for (const TeamSpec &Team : Checked.Teams)
       if (!Credentials.insert(Team.CredentialSha256).second)
         return "team " + Team.Name.Text + " has another team's credential";
     for (const HostSpec &Host : Checked.Hosts)
-      if (auto Found = checkPlace("host ", Host.Name.Text, Host))
-        return Found;
+      if (auto Problem = checkLocation("host ", Host.Name.Text, Host))
+        return Problem;
     for (const ModelSpec &Model : Checked.Models)
       for (const auto &[DataCentre, Count] : Model.Groups)
-        if (!isKnown(DataCentre))
+        if (!isKnownDataCentre(DataCentre))
           return "model " + Model.Name.Text +
                  " wants groups in unknown data centre " + DataCentre.Text;
     for (const ServiceSpec &Service : Checked.Services)
-      for (const ServiceInstance &Each : Service.Instances)
-        if (auto Found = checkPlace("service ", Service.Name.Text, Each))
-          return Found;
+      for (const ServiceInstance &Entry : Service.Instances)
+        if (auto Problem = checkLocation("service ", Service.Name.Text, Entry))
+          return Problem;
     return checkAddresses();
   }
 
 private:
-  [[nodiscard]] bool isKnown(const DataCentreName &Name) const {
+  [[nodiscard]] bool isKnownDataCentre(const DataCentreName &Name) const {
     return std::ranges::binary_search(Checked.DataCentres, Name);
   }
 
-  template <class Place>
-  std::optional<std::string>
-  checkPlace(const char *Kind, const std::string &Name, const Place &Each) {
-    if (!isKnown(Each.DataCentre))
-      return Kind + Name + " is in unknown data centre " + Each.DataCentre.Text;
-    Addresses.emplace_back(Each.Address, Each.Port);
+  template <class Location>
+  std::optional<std::string> checkLocation(const char *Kind,
+                                           const std::string &Name,
+                                           const Location &Entry) {
+    if (!isKnownDataCentre(Entry.DataCentre))
+      return Kind + Name + " is in unknown data centre " +
+             Entry.DataCentre.Text;
+    Addresses.emplace_back(Entry.Address, Entry.Port);
     return std::nullopt;
   }
 
   std::optional<std::string> checkAddresses() {
     std::ranges::sort(Addresses);
-    const auto Twice = std::ranges::adjacent_find(Addresses);
-    if (Twice == Addresses.end())
+    const auto Duplicate = std::ranges::adjacent_find(Addresses);
+    if (Duplicate == Addresses.end())
       return std::nullopt;
-    return "address " + std::string(Twice->first) + " and port " +
-           std::to_string(Twice->second) + " are declared twice";
+    return "address " + std::string(Duplicate->first) + " and port " +
+           std::to_string(Duplicate->second) + " are declared twice";
   }
 
   const Declaration &Checked;
@@ -104,33 +107,35 @@
 
 DeclarationChange diffDeclarations(const Declaration &Before,
                                    const Declaration &After) {
-  DeclarationChange Out;
-  Out.Upserted.DataCentres = After.DataCentres;
-  Out.Upserted.WeightLoadsAtOnce = After.WeightLoadsAtOnce;
-  diffLists(Before.Teams, After.Teams, Out.Upserted.Teams, Out.Dropped.Teams);
-  diffLists(Before.Hosts, After.Hosts, Out.Upserted.Hosts, Out.Dropped.Hosts);
-  diffLists(Before.Models, After.Models, Out.Upserted.Models,
-            Out.Dropped.Models);
-  diffLists(Before.Services, After.Services, Out.Upserted.Services,
-            Out.Dropped.Services);
-  return Out;
+  DeclarationChange Result;
+  Result.Upserted.DataCentres = After.DataCentres;
+  Result.Upserted.WeightLoadsAtOnce = After.WeightLoadsAtOnce;
+  diffLists(Before.Teams, After.Teams, Result.Upserted.Teams,
+            Result.Dropped.Teams);
+  diffLists(Before.Hosts, After.Hosts, Result.Upserted.Hosts,
+            Result.Dropped.Hosts);
+  diffLists(Before.Models, After.Models, Result.Upserted.Models,
+            Result.Dropped.Models);
+  diffLists(Before.Services, After.Services, Result.Upserted.Services,
+            Result.Dropped.Services);
+  return Result;
 }
 
 Declaration applyChange(const Declaration &Before, const Declaration &Upserted,
                         const DroppedNames &Dropped) {
-  Declaration Out;
-  Out.DataCentres = Upserted.DataCentres;
-  Out.WeightLoadsAtOnce = Upserted.WeightLoadsAtOnce;
-  Out.Teams = changeList(Before.Teams, Upserted.Teams, Dropped.Teams);
-  Out.Hosts = changeList(Before.Hosts, Upserted.Hosts, Dropped.Hosts);
-  Out.Models = changeList(Before.Models, Upserted.Models, Dropped.Models);
-  Out.Services =
+  Declaration Result;
+  Result.DataCentres = Upserted.DataCentres;
+  Result.WeightLoadsAtOnce = Upserted.WeightLoadsAtOnce;
+  Result.Teams = changeList(Before.Teams, Upserted.Teams, Dropped.Teams);
+  Result.Hosts = changeList(Before.Hosts, Upserted.Hosts, Dropped.Hosts);
+  Result.Models = changeList(Before.Models, Upserted.Models, Dropped.Models);
+  Result.Services =
       changeList(Before.Services, Upserted.Services, Dropped.Services);
-  return Out;
+  return Result;
 }
 
 std::optional<std::string> declarationProblem(const Declaration &Checked) {
-  return Checker(Checked).run();
+  return DeclarationChecker(Checked).run();
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/declaration/change.hpp
+++ b/packages/version/src/coltsfoottrail/declaration/change.hpp
@@ -11,7 +11,7 @@
 
 namespace coltsfoottrail {
 
-/// @brief Names of what a change takes out of a declaration.
+/// @brief Names of the entries that a change removes from a declaration.
 struct DroppedNames {
   std::vector<TeamName> Teams;
   std::vector<HostName> Hosts;
@@ -21,11 +21,11 @@
                                        const DroppedNames &) = default;
 };
 
-/// @brief What turns one declaration into another. Small where they differ
-/// little, however large they are.
+/// @brief The difference between two declarations. Its size depends on how much
+/// they differ, not on how large they are.
 struct DeclarationChange {
-  /// All data centres, the entries that are new or differ, and the single
-  /// values.
+  /// All data centres, the entries that are new or differ, and the values that
+  /// are not lists.
   Declaration Upserted;
   DroppedNames Dropped;
   [[nodiscard]] friend bool operator==(const DeclarationChange &,
@@ -33,25 +33,26 @@
 };
 
 /// @brief Compares two declarations. Thread-safe.
-/// @param Before Its lists must be in the order of names.
-/// @param After Its lists must be in the order of names.
-/// @return The change; applyChange() of it to Before gives After.
+/// @param Before The old declaration; its lists must be ordered by name.
+/// @param After The new declaration; its lists must be ordered by name.
+/// @return The change; applying it to Before with applyChange() gives After.
 [[nodiscard]] DeclarationChange diffDeclarations(const Declaration &Before,
                                                  const Declaration &After);
 
 /// @brief Applies a change. Thread-safe.
-/// @param Before The declaration that it was made for.
-/// @param Put Data centres, entries and single values to put.
-/// @param Dropped Names to take out.
-/// @return The declaration, its lists in the order of names; not checked.
+/// @param Before The declaration that the change was computed for.
+/// @param Upserted Data centres, values that are not lists, and entries to
+/// insert or replace.
+/// @param Dropped Names of entries to remove.
+/// @return The declaration with its lists ordered by name; it is not checked.
 [[nodiscard]] Declaration applyChange(const Declaration &Before,
                                       const Declaration &Upserted,
                                       const DroppedNames &Dropped);
 
-/// @brief Checks what the entries of a declaration have to do with each other,
-/// as readDeclaration() does. Thread-safe.
-/// @param Checked Entries that are right by themselves.
-/// @return What is wrong, or nothing.
+/// @brief Checks the references and uniqueness constraints across the entries
+/// of a declaration, as readDeclaration() does. Thread-safe.
+/// @param Checked A declaration whose entries are valid individually.
+/// @return A description of the first problem, or nothing.
 [[nodiscard]] std::optional<std::string>
 declarationProblem(const Declaration &Checked);
 
--- a/packages/version/src/coltsfoottrail/declaration/declaration.cpp
+++ b/packages/version/src/coltsfoottrail/declaration/declaration.cpp
@@ -34,116 +34,122 @@
     "SHA-256 of the credential as 64 lower-case hexadecimal digits";
 constexpr std::string_view AddressRule = "an IP number";
 
-constexpr std::array<std::string_view, 3> RoleWords{"mixed", "prefill",
+constexpr std::array<std::string_view, 3> RoleNames{"mixed", "prefill",
                                                     "decode"};
 
-bool isPlain(char Letter) {
-  return (Letter >= 'a' && Letter <= 'z') || (Letter >= 'A' && Letter <= 'Z') ||
-         (Letter >= '0' && Letter <= '9') ||
-         std::string_view("._-:@").find(Letter) != std::string_view::npos;
+bool isNameCharacter(char Character) {
+  return (Character >= 'a' && Character <= 'z') ||
+         (Character >= 'A' && Character <= 'Z') ||
+         (Character >= '0' && Character <= '9') ||
+         std::string_view("._-:@").find(Character) != std::string_view::npos;
 }
 
 bool isName(std::string_view Text, bool WithSlash) {
   return !Text.empty() && Text.size() <= MaxNameBytes &&
-         std::ranges::all_of(Text, [&](char Letter) {
-           return isPlain(Letter) || (WithSlash && Letter == '/');
+         std::ranges::all_of(Text, [&](char Character) {
+           return isNameCharacter(Character) || (WithSlash && Character == '/');
          });
 }
 
 bool isDigest(std::string_view Text) {
   return Text.size() == DigestDigits &&
-         std::ranges::all_of(Text, [](char Letter) {
-           return (Letter >= '0' && Letter <= '9') ||
-                  (Letter >= 'a' && Letter <= 'f');
+         std::ranges::all_of(Text, [](char Character) {
+           return (Character >= '0' && Character <= '9') ||
+                  (Character >= 'a' && Character <= 'f');
          });
 }
 
 template <class NameType>
-NameType readName(ObjectReader &From, std::string_view Key) {
-  std::string Text = From.text(Key, MaxNameBytes);
+NameType readName(ObjectReader &Reader, std::string_view Key) {
+  std::string Text = Reader.text(Key, MaxNameBytes);
   if (!isName(Text, false))
-    From.refuse(Key, NameRule);
+    Reader.refuse(Key, NameRule);
   return NameType(std::move(Text));
 }
 
 template <class NameType>
-NameType readPathName(ObjectReader &From, std::string_view Key) {
-  std::string Text = From.text(Key, MaxNameBytes);
+NameType readPathName(ObjectReader &Reader, std::string_view Key) {
+  std::string Text = Reader.text(Key, MaxNameBytes);
   if (!isName(Text, true))
-    From.refuse(Key, PathNameRule);
+    Reader.refuse(Key, PathNameRule);
   return NameType(std::move(Text));
 }
 
-std::string readAddress(ObjectReader &From) {
-  std::string Text = From.text("address", MaxNameBytes);
+std::string readAddress(ObjectReader &Reader) {
+  std::string Text = Reader.text("address", MaxNameBytes);
   if (!isIpAddress(Text))
-    From.refuse("address", AddressRule);
+    Reader.refuse("address", AddressRule);
   return Text;
 }
 
-std::uint16_t readPort(ObjectReader &From) {
-  return static_cast<std::uint16_t>(From.number("port", 1, MaxPort));
+std::uint16_t readPort(ObjectReader &Reader) {
+  return static_cast<std::uint16_t>(Reader.number("port", 1, MaxPort));
 }
 
-std::uint32_t readCount(ObjectReader &From, std::string_view Key,
+std::uint32_t readCount(ObjectReader &Reader, std::string_view Key,
                         std::uint64_t Default, std::uint64_t Min,
                         std::uint64_t Max) {
-  return static_cast<std::uint32_t>(From.numberOr(Key, Default, Min, Max));
+  return static_cast<std::uint32_t>(Reader.numberOr(Key, Default, Min, Max));
 }
 
-/// Reads the warm and the cold bound of a model or a service.
-template <class Spec> void readBounds(ObjectReader &From, Spec &Into) {
-  Into.WarmBound = readCount(From, "warm_bound", Into.WarmBound, 1, MaxBound);
-  const std::uint32_t Default = std::min(Into.ColdBound, Into.WarmBound);
-  Into.ColdBound = readCount(From, "cold_bound", Default, 1, MaxBound);
-  if (Into.ColdBound > Into.WarmBound)
-    From.refuse("cold_bound", "a whole number from 1 to the warm_bound, " +
-                                  std::to_string(Into.WarmBound));
+/// Reads the warm and the cold concurrency bound of a model or a service.
+template <class Spec> void readBounds(ObjectReader &Reader, Spec &Target) {
+  Target.WarmBound =
+      readCount(Reader, "warm_bound", Target.WarmBound, 1, MaxBound);
+  const std::uint32_t Default = std::min(Target.ColdBound, Target.WarmBound);
+  Target.ColdBound = readCount(Reader, "cold_bound", Default, 1, MaxBound);
+  if (Target.ColdBound > Target.WarmBound)
+    Reader.refuse("cold_bound", "a whole number from 1 to the warm_bound, " +
+                                    std::to_string(Target.WarmBound));
 }
 
-/// Refuses the second of two things of one name.
-class UniqueNames {
+/// Refuses a text that was added before.
+class UniqueTexts {
 public:
-  void add(ObjectReader &From, std::string_view Key, const std::string &Text) {
-    if (!Seen.insert(Text).second)
-      From.refuse(Key, "a name that stands in the list once");
+  void add(ObjectReader &Reader, std::string_view Key,
+           const std::string &Text) {
+    if (!Names.insert(Text).second)
+      Reader.refuse(Key, "a name that stands in the list once");
   }
 
 private:
-  std::set<std::string, std::less<>> Seen;
+  std::set<std::string, std::less<>> Names;
 };
 
 template <class Spec> void sortByName(std::vector<Spec> &List) {
   std::ranges::sort(List, {}, &Spec::Name);
 }
 
-class Reader {
+class DeclarationReader {
 public:
-  Reader(const Json &Value, std::string_view From, UnknownKeys Policy)
-      : Source(From), Root(Value, From, {}, Policy) {}
+  DeclarationReader(const Json &Value, std::string_view SourceName,
+                    UnknownKeys Policy)
+      : Source(SourceName), Root(Value, SourceName, {}, Policy) {}
 
   Declaration read() {
     readDataCentres();
-    Root.eachObject("teams", [&](ObjectReader &From) { readTeam(From); });
-    Root.eachObject("hosts", [&](ObjectReader &From) { readHost(From); });
-    Root.eachObject("models", [&](ObjectReader &From) { readModel(From); });
-    Root.eachObject("services", [&](ObjectReader &From) { readService(From); });
-    Out.WeightLoadsAtOnce = readCount(Root, "weight_loads_at_once",
-                                      Out.WeightLoadsAtOnce, 1, MaxLoadsAtOnce);
+    Root.eachObject("teams", [&](ObjectReader &Reader) { readTeam(Reader); });
+    Root.eachObject("hosts", [&](ObjectReader &Reader) { readHost(Reader); });
+    Root.eachObject("models", [&](ObjectReader &Reader) { readModel(Reader); });
+    Root.eachObject("services",
+                    [&](ObjectReader &Reader) { readService(Reader); });
+    Result.WeightLoadsAtOnce =
+        readCount(Root, "weight_loads_at_once", Result.WeightLoadsAtOnce, 1,
+                  MaxLoadsAtOnce);
     Root.finish();
-    sortByName(Out.Teams);
-    sortByName(Out.Hosts);
-    sortByName(Out.Models);
-    sortByName(Out.Services);
-    return std::move(Out);
+    sortByName(Result.Teams);
+    sortByName(Result.Hosts);
+    sortByName(Result.Models);
+    sortByName(Result.Services);
+    return std::move(Result);
   }
 
 private:
   [[noreturn]] void refuseEntry(std::string_view Key, std::size_t Index,
-                                std::string_view Found,
+                                std::string_view Value,
                                 std::string_view Allowed) const {
     throw InputError(Source, Root.pointerTo(Key) + "/" + std::to_string(Index),
-                     "\"" + std::string(Found) + "\"", Allowed);
+                     "\"" + std::string(Value) + "\"", Allowed);
   }
 
   void readDataCentres() {
@@ -156,126 +162,127 @@
         refuseEntry("data_centres", Index, Texts[Index],
                     "a name that stands in the list once");
     }
-    Out.DataCentres.assign(KnownDataCentres.begin(), KnownDataCentres.end());
+    Result.DataCentres.assign(KnownDataCentres.begin(), KnownDataCentres.end());
   }
 
-  DataCentreName readDataCentre(ObjectReader &From) const {
-    auto Name = readName<DataCentreName>(From, "data_centre");
+  DataCentreName readDataCentre(ObjectReader &Reader) const {
+    auto Name = readName<DataCentreName>(Reader, "data_centre");
     if (!KnownDataCentres.contains(Name))
-      From.refuse("data_centre", "one of the data_centres");
+      Reader.refuse("data_centre", "one of the data_centres");
     return Name;
   }
 
-  void readTeam(ObjectReader &From) {
+  void readTeam(ObjectReader &Reader) {
     TeamSpec Team;
-    Team.Name = readName<TeamName>(From, "name");
-    TeamNames.add(From, "name", Team.Name.Text);
-    Team.CredentialSha256 = From.text("credential_sha256", MaxNameBytes);
+    Team.Name = readName<TeamName>(Reader, "name");
+    TeamNames.add(Reader, "name", Team.Name.Text);
+    Team.CredentialSha256 = Reader.text("credential_sha256", MaxNameBytes);
     if (!isDigest(Team.CredentialSha256))
-      From.refuse("credential_sha256", DigestRule);
-    Credentials.add(From, "credential_sha256", Team.CredentialSha256);
-    Team.Weight = From.realOr("weight", Team.Weight, MinWeight, MaxWeight);
+      Reader.refuse("credential_sha256", DigestRule);
+    Credentials.add(Reader, "credential_sha256", Team.CredentialSha256);
+    Team.Weight = Reader.realOr("weight", Team.Weight, MinWeight, MaxWeight);
     Team.MaxInFlight =
-        readCount(From, "max_in_flight", Team.MaxInFlight, 1, MaxBound);
-    Out.Teams.push_back(std::move(Team));
+        readCount(Reader, "max_in_flight", Team.MaxInFlight, 1, MaxBound);
+    Result.Teams.push_back(std::move(Team));
   }
 
-  void takeAddress(ObjectReader &From, const std::string &Address,
-                   std::uint16_t Port) {
+  void addAddress(ObjectReader &Reader, const std::string &Address,
+                  std::uint16_t Port) {
     if (!Addresses.emplace(Address, Port).second)
-      From.refuse("port", "an address and port that nothing else listens on");
+      Reader.refuse("port", "an address and port that nothing else listens on");
   }
 
-  void readHost(ObjectReader &From) {
+  void readHost(ObjectReader &Reader) {
     HostSpec Host;
-    Host.Name = readName<HostName>(From, "name");
-    HostNames.add(From, "name", Host.Name.Text);
-    Host.DataCentre = readDataCentre(From);
-    Host.FabricDomain = readName<FabricDomainName>(From, "fabric_domain");
-    Host.Address = readAddress(From);
-    Host.Port = readPort(From);
-    takeAddress(From, Host.Address, Host.Port);
-    Host.Accelerators =
-        readCount(From, "accelerators", Host.Accelerators, 1, MaxAccelerators);
+    Host.Name = readName<HostName>(Reader, "name");
+    HostNames.add(Reader, "name", Host.Name.Text);
+    Host.DataCentre = readDataCentre(Reader);
+    Host.FabricDomain = readName<FabricDomainName>(Reader, "fabric_domain");
+    Host.Address = readAddress(Reader);
+    Host.Port = readPort(Reader);
+    addAddress(Reader, Host.Address, Host.Port);
+    Host.Accelerators = readCount(Reader, "accelerators", Host.Accelerators, 1,
+                                  MaxAccelerators);
     Host.RefusesOldFences =
-        From.flagOr("refuses_old_fences", Host.RefusesOldFences);
-    Out.Hosts.push_back(std::move(Host));
+        Reader.flagOr("refuses_old_fences", Host.RefusesOldFences);
+    Result.Hosts.push_back(std::move(Host));
   }
 
-  std::vector<AdapterName> readAdapters(ObjectReader &From) const {
-    std::set<AdapterName> Seen;
-    for (std::string &Text : From.texts("adapters", MaxNameBytes))
-      if (!isName(Text, true) || !Seen.emplace(std::move(Text)).second)
-        From.refuse("adapters", "a list of names, each of them once");
-    return {Seen.begin(), Seen.end()};
+  std::vector<AdapterName> readAdapters(ObjectReader &Reader) const {
+    std::set<AdapterName> Names;
+    for (std::string &Text : Reader.texts("adapters", MaxNameBytes))
+      if (!isName(Text, true) || !Names.emplace(std::move(Text)).second)
+        Reader.refuse("adapters", "a list of names, each of them once");
+    return {Names.begin(), Names.end()};
   }
 
-  void readGroups(ObjectReader &From, ModelSpec &Into) const {
-    if (!From.has("groups"))
+  void readGroups(ObjectReader &Reader, ModelSpec &Model) const {
+    if (!Reader.has("groups"))
       return;
-    ObjectReader Groups = From.object("groups");
-    for (const auto &Member : From.raw("groups").items()) {
+    ObjectReader Groups = Reader.object("groups");
+    for (const auto &Member : Reader.raw("groups").items()) {
       DataCentreName Name(Member.key());
       if (!KnownDataCentres.contains(Name))
         Groups.refuse(Member.key(), "data centres out of data_centres as keys");
-      Into.Groups[std::move(Name)] =
+      Model.Groups[std::move(Name)] =
           static_cast<std::uint32_t>(Groups.number(Member.key(), 0, MaxGroups));
     }
   }
 
-  void readModel(ObjectReader &From) {
+  void readModel(ObjectReader &Reader) {
     ModelSpec Model;
-    Model.Name = readPathName<ModelName>(From, "name");
-    ModelNames.add(From, "name", Model.Name.Text);
-    Model.Version = readPathName<VersionName>(From, "version");
-    Model.Adapters = readAdapters(From);
-    Model.Role = static_cast<EngineRole>(From.wordOr("role", RoleWords, 0));
+    Model.Name = readPathName<ModelName>(Reader, "name");
+    ModelNames.add(Reader, "name", Model.Name.Text);
+    Model.Version = readPathName<VersionName>(Reader, "version");
+    Model.Adapters = readAdapters(Reader);
+    Model.Role = static_cast<EngineRole>(Reader.wordOr("role", RoleNames, 0));
     Model.MembersPerGroup =
-        readCount(From, "members_per_group", Model.MembersPerGroup, 1,
+        readCount(Reader, "members_per_group", Model.MembersPerGroup, 1,
                   MaxMembersPerGroup);
-    readGroups(From, Model);
-    readBounds(From, Model);
-    Out.Models.push_back(std::move(Model));
+    readGroups(Reader, Model);
+    readBounds(Reader, Model);
+    Result.Models.push_back(std::move(Model));
   }
 
-  void readService(ObjectReader &From) {
+  void readService(ObjectReader &Reader) {
     ServiceSpec Service;
-    Service.Name = readName<ServiceName>(From, "name");
-    ServiceNames.add(From, "name", Service.Name.Text);
-    Service.RepeatablePaths = From.texts("repeatable_paths", MaxPathBytes);
+    Service.Name = readName<ServiceName>(Reader, "name");
+    ServiceNames.add(Reader, "name", Service.Name.Text);
+    Service.RepeatablePaths = Reader.texts("repeatable_paths", MaxPathBytes);
     for (const std::string &Path : Service.RepeatablePaths)
       if (Path.front() != '/')
-        From.refuse("repeatable_paths", "paths that begin with /");
-    readBounds(From, Service);
-    From.eachObject("instances", [&](ObjectReader &Each) {
-      Service.Instances.push_back(readInstance(Each));
+        Reader.refuse("repeatable_paths", "paths that begin with /");
+    readBounds(Reader, Service);
+    Reader.eachObject("instances", [&](ObjectReader &InstanceReader) {
+      Service.Instances.push_back(readInstance(InstanceReader));
     });
-    std::ranges::sort(Service.Instances, {}, [](const ServiceInstance &Each) {
-      return std::tie(Each.Host, Each.Address, Each.Port);
-    });
-    Out.Services.push_back(std::move(Service));
+    std::ranges::sort(
+        Service.Instances, {}, [](const ServiceInstance &Instance) {
+          return std::tie(Instance.Host, Instance.Address, Instance.Port);
+        });
+    Result.Services.push_back(std::move(Service));
   }
 
-  ServiceInstance readInstance(ObjectReader &From) {
+  ServiceInstance readInstance(ObjectReader &Reader) {
     ServiceInstance Instance;
-    Instance.Host = readName<HostName>(From, "host");
-    Instance.DataCentre = readDataCentre(From);
-    Instance.Address = readAddress(From);
-    Instance.Port = readPort(From);
-    takeAddress(From, Instance.Address, Instance.Port);
+    Instance.Host = readName<HostName>(Reader, "host");
+    Instance.DataCentre = readDataCentre(Reader);
+    Instance.Address = readAddress(Reader);
+    Instance.Port = readPort(Reader);
+    addAddress(Reader, Instance.Address, Instance.Port);
     return Instance;
   }
 
   std::string_view Source;
   ObjectReader Root;
-  Declaration Out;
+  Declaration Result;
   std::set<DataCentreName> KnownDataCentres;
   std::set<std::pair<std::string, std::uint16_t>> Addresses;
-  UniqueNames TeamNames;
-  UniqueNames Credentials;
-  UniqueNames HostNames;
-  UniqueNames ModelNames;
-  UniqueNames ServiceNames;
+  UniqueTexts TeamNames;
+  UniqueTexts Credentials;
+  UniqueTexts HostNames;
+  UniqueTexts ModelNames;
+  UniqueTexts ServiceNames;
 };
 
 Json writeTeam(const TeamSpec &Team) {
@@ -305,7 +312,7 @@
   return Json{{"name", Model.Name.Text},
               {"version", Model.Version.Text},
               {"adapters", std::move(Adapters)},
-              {"role", RoleWords.at(static_cast<std::size_t>(Model.Role))},
+              {"role", RoleNames.at(static_cast<std::size_t>(Model.Role))},
               {"members_per_group", Model.MembersPerGroup},
               {"groups", std::move(Groups)},
               {"warm_bound", Model.WarmBound},
@@ -321,10 +328,10 @@
 
 template <class Spec, class Writer>
 Json writeList(const std::vector<Spec> &List, const Writer &Write) {
-  Json Out = Json::array();
-  for (const Spec &Each : List)
-    Out.push_back(Write(Each));
-  return Out;
+  Json Result = Json::array();
+  for (const Spec &Entry : List)
+    Result.push_back(Write(Entry));
+  return Result;
 }
 
 Json writeService(const ServiceSpec &Service) {
@@ -345,7 +352,7 @@
 
 Declaration readDeclaration(const Json &Value, std::string_view Source,
                             UnknownKeys Policy) {
-  return Reader(Value, Source, Policy).read();
+  return DeclarationReader(Value, Source, Policy).read();
 }
 
 Json writeDeclaration(const Declaration &Declared) {
@@ -360,26 +367,30 @@
               {"weight_loads_at_once", Declared.WeightLoadsAtOnce}};
 }
 
-const HostSpec *findHost(const Declaration &In, const HostName &Name) {
-  const auto Found =
-      std::ranges::lower_bound(In.Hosts, Name, {}, &HostSpec::Name);
-  return Found != In.Hosts.end() && Found->Name == Name ? &*Found : nullptr;
+const HostSpec *findHost(const Declaration &Declared, const HostName &Name) {
+  const auto Entry =
+      std::ranges::lower_bound(Declared.Hosts, Name, {}, &HostSpec::Name);
+  return Entry != Declared.Hosts.end() && Entry->Name == Name ? &*Entry
+                                                              : nullptr;
 }
 
-bool isKnownHost(const Declaration &In, const HostName &Name) {
-  if (findHost(In, Name) != nullptr)
+bool isKnownHost(const Declaration &Declared, const HostName &Name) {
+  if (findHost(Declared, Name) != nullptr)
     return true;
-  return std::ranges::any_of(In.Services, [&](const ServiceSpec &Service) {
-    return std::ranges::any_of(
-        Service.Instances,
-        [&](const ServiceInstance &Each) { return Each.Host == Name; });
-  });
+  return std::ranges::any_of(
+      Declared.Services, [&](const ServiceSpec &Service) {
+        return std::ranges::any_of(Service.Instances,
+                                   [&](const ServiceInstance &Instance) {
+                                     return Instance.Host == Name;
+                                   });
+      });
 }
 
-const ModelSpec *findModel(const Declaration &In, const ModelName &Name) {
-  const auto Found =
-      std::ranges::lower_bound(In.Models, Name, {}, &ModelSpec::Name);
-  return Found != In.Models.end() && Found->Name == Name ? &*Found : nullptr;
+const ModelSpec *findModel(const Declaration &Declared, const ModelName &Name) {
+  const auto Entry =
+      std::ranges::lower_bound(Declared.Models, Name, {}, &ModelSpec::Name);
+  return Entry != Declared.Models.end() && Entry->Name == Name ? &*Entry
+                                                               : nullptr;
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/declaration/declaration.hpp
+++ b/packages/version/src/coltsfoottrail/declaration/declaration.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What operators declare in files under version control: teams, hosts, models
-/// and plain services.
+/// The configuration that operators declare: teams, hosts, models and plain
+/// services. It is kept in files under version control.
 #ifndef COLTSFOOTTRAIL_DECLARATION_DECLARATION_HPP
 #define COLTSFOOTTRAIL_DECLARATION_DECLARATION_HPP
 
@@ -16,7 +16,7 @@
 
 namespace coltsfoottrail {
 
-/// What the engines of a group do for a request.
+/// Which phases of a request the engines of a group run.
 enum class EngineRole : std::uint8_t { Mixed, Prefill, Decode };
 
 /// @brief A customer: its callers share a credential, a weight and a limit.
@@ -25,9 +25,9 @@
   /// SHA-256 of the credential in hexadecimal digits; the credential itself is
   /// never declared.
   std::string CredentialSha256;
-  /// Share of a contended pool, relative to the other teams.
+  /// Share of a contended pool relative to other teams.
   double Weight = 1.0;
-  /// Most requests of the team in progress at one entry host.
+  /// Maximum number of the team's requests in progress at one entry host.
   std::uint32_t MaxInFlight = 1024;
 
   [[nodiscard]] friend bool operator==(const TeamSpec &,
@@ -39,43 +39,43 @@
   HostName Name;
   DataCentreName DataCentre;
   /// Fabric domain within the data centre; the same name in another data centre
-  /// is another domain.
+  /// is a different domain.
   FabricDomainName FabricDomain;
-  /// IP number of the engine.
+  /// IP address of the engine.
   std::string Address;
   std::uint16_t Port = 0;
   std::uint32_t Accelerators = 8;
-  /// Whether the engine refuses an order with an old fencing number.
+  /// Whether the engine rejects orders with an outdated fencing number.
   bool RefusesOldFences = true;
 
   [[nodiscard]] friend bool operator==(const HostSpec &,
                                        const HostSpec &) = default;
 };
 
-/// @brief A model and the serving groups that are wanted for it.
+/// @brief A model and the serving groups declared for it.
 struct ModelSpec {
   ModelName Name;
   VersionName Version;
   std::vector<AdapterName> Adapters;
   EngineRole Role = EngineRole::Mixed;
-  /// Hosts of one group; all in one fabric domain.
+  /// Number of hosts in a group; all are in one fabric domain.
   std::uint32_t MembersPerGroup = 1;
-  /// Groups wanted in each data centre.
+  /// Declared number of groups in each data centre.
   std::map<DataCentreName, std::uint32_t> Groups;
-  /// Requests that a warm group bears at once.
+  /// Maximum number of concurrent requests of a warm group.
   std::uint32_t WarmBound = 32;
-  /// Requests that a group bears at once just after its start.
+  /// Maximum number of concurrent requests of a group that has just started.
   std::uint32_t ColdBound = 2;
 
   [[nodiscard]] friend bool operator==(const ModelSpec &,
                                        const ModelSpec &) = default;
 };
 
-/// @brief One process of a plain service.
+/// @brief An instance (process) of a plain service.
 struct ServiceInstance {
   HostName Host;
   DataCentreName DataCentre;
-  /// IP number.
+  /// IP address.
   std::string Address;
   std::uint16_t Port = 0;
 
@@ -83,12 +83,14 @@
                                        const ServiceInstance &) = default;
 };
 
-/// @brief A plain service beside the model engines.
+/// @brief A service that is not a model engine.
 struct ServiceSpec {
   ServiceName Name;
-  /// Paths under the service whose calls are idempotent whatever their method;
-  /// GET and HEAD always are.
+  /// Paths under the service whose calls are idempotent with any method; GET
+  /// and HEAD calls are always taken to be.
   std::vector<std::string> RepeatablePaths;
+  /// Maximum number of concurrent requests of a warm and of a just started
+  /// instance.
   std::uint32_t WarmBound = 32;
   std::uint32_t ColdBound = 4;
   std::vector<ServiceInstance> Instances;
@@ -97,51 +99,52 @@
                                        const ServiceSpec &) = default;
 };
 
-/// @brief All that operators declare. Lists are ordered by name.
+/// @brief The complete declared configuration. Lists are ordered by name.
 struct Declaration {
   std::vector<DataCentreName> DataCentres;
   std::vector<TeamSpec> Teams;
   std::vector<HostSpec> Hosts;
   std::vector<ModelSpec> Models;
   std::vector<ServiceSpec> Services;
-  /// Weight loads that the weight store bears at once.
+  /// Maximum number of concurrent model loads from the weight store.
   std::uint32_t WeightLoadsAtOnce = 4;
 
   [[nodiscard]] friend bool operator==(const Declaration &,
                                        const Declaration &) = default;
 };
 
-/// @brief Reads a declaration and checks it whole: names are unique and known,
-/// addresses are IP numbers, bounds fit.
-/// @param Value What the file holds.
-/// @param Source Named in errors.
+/// @brief Reads and validates a declaration: names are unique and references
+/// resolve, addresses are IP addresses, bounds are in range. Thread-safe.
+/// @param Value The parsed file or record.
+/// @param Source Name of the file or record for errors.
 /// @param Policy Refuse unknown keys in files; ignore them in records.
-/// @return The declaration, its lists in the order of names.
-/// @throws InputError The first thing that is wrong. Thread-safe.
+/// @return The declaration with its lists ordered by name.
+/// @throws InputError Describes the first invalid value.
 [[nodiscard]] Declaration
 readDeclaration(const Json &Value, std::string_view Source, UnknownKeys Policy);
 
-/// @brief Writes a declaration in the form that readDeclaration() takes.
+/// @brief Writes a declaration in the form that readDeclaration() reads.
 /// Thread-safe.
 /// @param Declared The declaration.
-/// @return An object.
+/// @return A JSON object.
 [[nodiscard]] Json writeDeclaration(const Declaration &Declared);
 
 /// @brief Finds a host by name in logarithmic time. Thread-safe.
-/// @param In A declaration whose hosts are in the order of names.
-/// @param Name The host.
-/// @return The host, or null; valid as long as the declaration is unchanged.
-[[nodiscard]] const HostSpec *findHost(const Declaration &In,
+/// @param Declared A declaration whose lists are ordered by name.
+/// @param Name The name to look for.
+/// @return The entry, or null; valid as long as the declaration is unchanged.
+[[nodiscard]] const HostSpec *findHost(const Declaration &Declared,
                                        const HostName &Name);
-/// @brief Tells whether a name is that of a host or of a service instance's
-/// host. Thread-safe.
-[[nodiscard]] bool isKnownHost(const Declaration &In, const HostName &Name);
+/// @brief Tells whether a name is declared as an engine host or as the host of
+/// a service instance. Takes linear time. Thread-safe.
+[[nodiscard]] bool isKnownHost(const Declaration &Declared,
+                               const HostName &Name);
 /// @brief Finds a model by name in logarithmic time. Thread-safe.
 /// @copydetails findHost
-[[nodiscard]] const ModelSpec *findModel(const Declaration &In,
+[[nodiscard]] const ModelSpec *findModel(const Declaration &Declared,
                                          const ModelName &Name);
 
-/// @brief Tells whether a text is an IP number of version 4 or 6. Thread-safe.
+/// @brief Tells whether a text is an IPv4 or IPv6 address. Thread-safe.
 [[nodiscard]] bool isIpAddress(const std::string &Text);
 
 } // namespace coltsfoottrail
