--- a/packages/version/src/coltsfoottrail/platform/engine.cpp
+++ b/packages/version/src/coltsfoottrail/platform/engine.cpp
@@ -3,10 +3,10 @@
 namespace coltsfoottrail {
 
 std::string textOf(const EngineAddress &Address) {
-  const bool IsV6 = Address.Address.find(':') != std::string::npos;
-  const std::string Shown =
-      IsV6 ? "[" + Address.Address + "]" : Address.Address;
-  return Shown + ":" + std::to_string(Address.Port);
+  const bool IsIpv6 = Address.Address.find(':') != std::string::npos;
+  const std::string Host =
+      IsIpv6 ? "[" + Address.Address + "]" : Address.Address;
+  return Host + ":" + std::to_string(Address.Port);
 }
 
 } // namespace coltsfoottrail
--- a/packages/version/src/coltsfoottrail/platform/engine.hpp
+++ b/packages/version/src/coltsfoottrail/platform/engine.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Orders to model engines and what engines report, as the project sees them.
+/// Interfaces to the platform's model engines and host list.
 #ifndef COLTSFOOTTRAIL_PLATFORM_ENGINE_HPP
 #define COLTSFOOTTRAIL_PLATFORM_ENGINE_HPP
 
@@ -15,7 +15,7 @@
 
 /// @brief Where an engine or a plain service listens.
 struct EngineAddress {
-  /// IP number.
+  /// IP address.
   std::string Address;
   std::uint16_t Port = 0;
   // The linter reports on the body that the compiler makes.
@@ -28,65 +28,70 @@
 /// @brief Formats an address and port; IPv6 addresses in brackets. Thread-safe.
 [[nodiscard]] std::string textOf(const EngineAddress &Address);
 
-/// Load the weights and serve as a member of a group.
+/// Orders an engine to load the weights and serve as a member of a group.
 struct JoinGroup {
   GroupId Group;
   ModelName Model;
   VersionName Version;
   std::vector<AdapterName> Adapters;
   EngineRole Role = EngineRole::Mixed;
-  /// Place in the group; zero is the leader.
+  /// Index of the engine in Members; zero is the leader.
   std::uint32_t Rank = 0;
   std::vector<EngineAddress> Members;
 };
-/// Finish the work in progress, take no more and leave the group.
+/// Orders an engine to accept no new requests, finish those in progress and
+/// leave the group.
 struct LeaveGroup {
   GroupId Group;
 };
-/// Serve another list of adapters.
+/// Orders an engine to serve another list of adapters.
 struct LoadAdapters {
   GroupId Group;
   std::vector<AdapterName> Adapters;
 };
 
-/// @brief An order with the fencing number of the lease that it is given under.
-/// Idempotent.
+/// @brief An order to an engine. Idempotent.
 struct EngineOrder {
+  /// Fencing number of the lease under which the order is issued.
   Offset Fence = 0;
   std::variant<JoinGroup, LeaveGroup, LoadAdapters> What;
 };
 
-/// Where an engine stands.
+/// Lifecycle state of an engine.
 enum class EnginePhase : std::uint8_t { Idle, Loading, Ready, Leaving };
 
-/// @brief What an engine says of itself.
+/// @brief The status that an engine reports.
 struct EngineReport {
-  /// Another number after each restart.
+  /// Identifies the engine's process; changes with each restart.
   Incarnation Run = 0;
-  /// Highest fencing number that it has obeyed.
+  /// Highest fencing number of the orders that it has accepted.
   Offset Fence = 0;
   EnginePhase Phase = EnginePhase::Idle;
   std::optional<GroupId> Group;
   VersionName Version;
   std::vector<AdapterName> Adapters;
-  /// Requests in progress and queued inside the engine; lags.
+  /// Number of requests in progress and queued in the engine; may be outdated.
   std::uint32_t Running = 0;
   std::uint32_t Queued = 0;
 };
 
-/// What became of an order.
+/// Outcome of an order.
 enum class OrderResult : std::uint8_t {
   Accepted,
+  /// The engine has accepted an order with a higher fencing number.
   RefusedOldFence,
+  /// Refused for another reason.
   RefusedOther,
+  /// The order had no effect: it did not reach the engine.
   NotDone,
+  /// No usable response arrived: the order may have taken effect.
   Unknown
 };
 
 using OrderHandler = std::function<void(OrderResult)>;
 using ReportHandler = std::function<void(std::optional<EngineReport>)>;
 
-/// @brief Client of the engines' orders. One adapter for each platform.
+/// @brief Client of the model engines; implemented once for each platform.
 class Engines {
 public:
   Engines() = default;
@@ -94,37 +99,38 @@
   Engines &operator=(const Engines &) = delete;
   virtual ~Engines() = default;
 
-  /// @brief Gives an order. Thread-safe.
-  /// @param To The engine.
-  /// @param Order What it shall do; may be sent again, also by another host,
-  /// with the same effect.
-  /// @param Timeout After this the handler gets Unknown, or NotDone when no
-  /// byte had left.
+  /// @brief Sends an order to an engine. Thread-safe.
+  /// @param Address The engine.
+  /// @param Order The order; sending it again, also from another host, has the
+  /// same effect.
+  /// @param Timeout After this time the handler gets Unknown, or NotDone if no
+  /// byte was sent.
   /// @param Done Called exactly once, on any thread, never from within this
   /// call.
-  virtual void order(const EngineAddress &To, const EngineOrder &Order,
+  virtual void order(const EngineAddress &Address, const EngineOrder &Order,
                      milliseconds Timeout, OrderHandler Done) = 0;
 
-  /// @brief Asks an engine how it stands. Thread-safe.
-  /// @param Whom The engine.
-  /// @param Timeout After this the handler gets nothing.
+  /// @brief Requests the status of an engine. Thread-safe.
+  /// @param Address The engine.
+  /// @param Timeout After this time the handler gets nothing.
   /// @param Done Called exactly once, on any thread, never from within this
   /// call.
-  virtual void ask(const EngineAddress &Whom, milliseconds Timeout,
+  virtual void ask(const EngineAddress &Address, milliseconds Timeout,
                    ReportHandler Done) = 0;
 };
 
-/// @brief A host on the platform's lagging list.
+/// @brief A host on the platform's host list.
 struct ListedHost {
   HostName Name;
+  /// Whether the platform lists it as leaving.
   bool Leaving = false;
 };
 
 using HostListHandler =
     std::function<void(std::optional<std::vector<ListedHost>>)>;
 
-/// @brief Client of the platform's list of live and leaving hosts, which lags:
-/// a hint, never a proof.
+/// @brief Client of the platform's list of live and leaving hosts. The list may
+/// be outdated: it is a hint and proves nothing about a host.
 class HostList {
 public:
   HostList() = default;
@@ -133,7 +139,7 @@
   virtual ~HostList() = default;
 
   /// @brief Reads the list. Thread-safe.
-  /// @param Timeout After this the handler gets nothing.
+  /// @param Timeout After this time the handler gets nothing.
   /// @param Done Called exactly once, on any thread, never from within this
   /// call.
   virtual void list(milliseconds Timeout, HostListHandler Done) = 0;
--- a/packages/version/src/coltsfoottrail/platform/log.hpp
+++ b/packages/version/src/coltsfoottrail/platform/log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The platform's append-only log, as the project sees it.
+/// Interface to the platform's append-only log.
 #ifndef COLTSFOOTTRAIL_PLATFORM_LOG_HPP
 #define COLTSFOOTTRAIL_PLATFORM_LOG_HPP
 
@@ -13,28 +13,30 @@
 
 namespace coltsfoottrail {
 
-/// Why the log did not answer as asked.
+/// Why a call to the log failed.
 enum class LogFailure : std::uint8_t {
-  /// Nothing was done: the log was not reached, or refused before acting.
+  /// The call had no effect: the log was not reached or refused the call.
   NotDone,
-  /// An append may have taken effect: the answer was lost. Retry with the same
-  /// writer id.
+  /// The response was lost; an append may have taken effect. Retry with the
+  /// same
+  /// writer identifier.
   Unknown,
-  /// The offset asked for is below the horizon.
+  /// The requested offset is below the horizon.
   Trimmed,
 };
 
-/// @brief A record on the log.
+/// @brief A record of the log.
 struct LogEntry {
+  /// The record's offset.
   Offset At = 0;
   std::vector<std::byte> Payload;
 };
 
-/// @brief What a read found.
+/// @brief Result of a read.
 struct LogBatch {
-  /// Records in the order of offsets, which follow each other without gaps.
+  /// Records with consecutive offsets, in ascending order.
   std::vector<LogEntry> Entries;
-  /// Offset that the next append gets: what the log held when it answered.
+  /// Offset of the next append at the time of the response.
   Offset End = 0;
   /// Lowest offset that can still be read.
   Offset Horizon = 0;
@@ -45,7 +47,7 @@
 using AppendHandler = std::function<void(AppendResult)>;
 using ReadHandler = std::function<void(ReadResult)>;
 
-/// @brief Client of the platform's log. One adapter for each platform.
+/// @brief Client of the platform's log; implemented once for each platform.
 class Log {
 public:
   Log() = default;
@@ -54,20 +56,20 @@
   virtual ~Log() = default;
 
   /// @brief Appends one record. Thread-safe.
-  /// @param Stream Where to.
+  /// @param Stream The stream to append to.
   /// @param Payload The record's bytes.
-  /// @param Timeout After this the handler gets LogFailure::Unknown, or NotDone
-  /// when no byte had left.
+  /// @param Timeout After this time the handler gets LogFailure::Unknown, or
+  /// NotDone if no byte was sent.
   /// @param Done Called exactly once, on any thread, never from within this
   /// call.
   virtual void append(const StreamName &Stream, std::vector<std::byte> Payload,
                       milliseconds Timeout, AppendHandler Done) = 0;
 
   /// @brief Reads records. Thread-safe.
-  /// @param Stream Where from.
-  /// @param From Offset of the first record wanted.
-  /// @param MaxEntries Most records wanted.
-  /// @param Wait How long the log may hold the answer back while there is no
+  /// @param Stream The stream to read from.
+  /// @param From Offset of the first record to read.
+  /// @param MaxEntries Maximum number of records.
+  /// @param Wait How long the log may delay its response while there is no
   /// record at From.
   /// @param Done Called exactly once, on any thread, never from within this
   /// call.
