--- a/packages/version/test/coltsfoottrail/support.hpp
+++ b/packages/version/test/coltsfoottrail/support.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Help for tests: small declarations, records by the line, and a log in memory
-/// with the faults of a real one.
+/// Helpers for tests: small declarations, folded sequences of records, and a
+/// log in memory with fault injection.
 #ifndef COLTSFOOTTRAIL_TEST_SUPPORT_HPP
 #define COLTSFOOTTRAIL_TEST_SUPPORT_HPP
 
@@ -20,7 +20,7 @@
 
 namespace coltsfoottrail::test {
 
-/// Shape of a declaration that makeDeclaration() builds.
+/// Size of a declaration built by makeDeclaration().
 struct Shape {
   std::uint32_t DataCentres = 3;
   std::uint32_t DomainsPerDataCentre = 2;
@@ -51,10 +51,11 @@
   std::ranges::sort(List, {}, &Spec::Name);
 }
 
-inline void addHosts(const Shape &Wanted, std::uint32_t DataCentre,
-                     Declaration &Into) {
-  for (std::uint32_t Domain = 0; Domain < Wanted.DomainsPerDataCentre; ++Domain)
-    for (std::uint32_t Index = 0; Index < Wanted.HostsPerDomain; ++Index) {
+inline void addHosts(const Shape &Requested, std::uint32_t DataCentre,
+                     Declaration &Declared) {
+  for (std::uint32_t Domain = 0; Domain < Requested.DomainsPerDataCentre;
+       ++Domain)
+    for (std::uint32_t Index = 0; Index < Requested.HostsPerDomain; ++Index) {
       HostSpec Host;
       Host.Name = host(DataCentre, Domain, Index);
       Host.DataCentre = dataCentre(DataCentre);
@@ -64,48 +65,48 @@
                      std::to_string(Domain) + "." +
                      std::to_string(Index % 250 + 1);
       Host.Port = static_cast<std::uint16_t>(7000 + Index / 250);
-      Host.RefusesOldFences = Wanted.RefusesOldFences;
-      Into.Hosts.push_back(std::move(Host));
+      Host.RefusesOldFences = Requested.RefusesOldFences;
+      Declared.Hosts.push_back(std::move(Host));
     }
 }
 } // namespace internal
 
-/// A declaration with models and hosts, one plain service "permits" with an
-/// instance in each data centre, and one team "team0" whose credential is
-/// "secret0".
-[[nodiscard]] inline Declaration makeDeclaration(const Shape &Wanted = {}) {
-  Declaration Out;
+/// Builds a declaration with hosts and models of the requested size, one plain
+/// service "permits" with an instance in each data centre, and one team "team0"
+/// with the credential "secret0".
+[[nodiscard]] inline Declaration makeDeclaration(const Shape &Requested = {}) {
+  Declaration Result;
   ServiceSpec Service;
   Service.Name = ServiceName("permits");
   Service.RepeatablePaths = {"/lookup"};
-  for (std::uint32_t Index = 0; Index < Wanted.DataCentres; ++Index) {
-    Out.DataCentres.push_back(dataCentre(Index));
-    internal::addHosts(Wanted, Index, Out);
+  for (std::uint32_t Index = 0; Index < Requested.DataCentres; ++Index) {
+    Result.DataCentres.push_back(dataCentre(Index));
+    internal::addHosts(Requested, Index, Result);
     Service.Instances.push_back(ServiceInstance{
         HostName("permits-" + std::to_string(Index)), dataCentre(Index),
         "10." + std::to_string(Index) + ".255.1", 8000});
   }
-  for (std::uint32_t Index = 0; Index < Wanted.Models; ++Index) {
+  for (std::uint32_t Index = 0; Index < Requested.Models; ++Index) {
     ModelSpec Model;
     Model.Name = model(Index);
     Model.Version = VersionName("v1");
-    Model.MembersPerGroup = Wanted.MembersPerGroup;
-    for (const DataCentreName &Name : Out.DataCentres)
-      Model.Groups[Name] = Wanted.GroupsPerDataCentre;
-    Out.Models.push_back(std::move(Model));
+    Model.MembersPerGroup = Requested.MembersPerGroup;
+    for (const DataCentreName &Name : Result.DataCentres)
+      Model.Groups[Name] = Requested.GroupsPerDataCentre;
+    Result.Models.push_back(std::move(Model));
   }
-  Out.Services.push_back(std::move(Service));
+  Result.Services.push_back(std::move(Service));
   TeamSpec Team;
   Team.Name = TeamName("team0");
   Team.CredentialSha256 = sha256Hex("secret0");
-  Out.Teams.push_back(std::move(Team));
-  std::ranges::sort(Out.DataCentres);
-  internal::sortByName(Out.Hosts);
-  internal::sortByName(Out.Models);
-  return Out;
+  Result.Teams.push_back(std::move(Team));
+  std::ranges::sort(Result.DataCentres);
+  internal::sortByName(Result.Hosts);
+  internal::sortByName(Result.Models);
+  return Result;
 }
 
-/// A step that forms a group as its model is declared.
+/// Builds a step that forms a group as its model is declared.
 [[nodiscard]] inline FormGroup formStep(const Declaration &Declared,
                                         std::uint32_t Number,
                                         const ModelName &Name,
@@ -120,46 +121,48 @@
                    std::move(Members)};
 }
 
-/// Appends records to a state and keeps their bytes: a log of one reader.
+/// A state and the encoded records that were folded into it.
 struct FoldedLog {
   State Now;
   std::vector<std::vector<std::byte>> Bytes;
   WriterId Writer{1, 0};
 
-  /// Folds a record at the next offset as a new append of Writer.
+  /// Folds a record at the next offset, with the next sequence number of
+  /// Writer.
   FoldResult append(Record Body) {
     ++Writer.Sequence;
     return appendAs(Writer, std::move(Body));
   }
-  /// Folds a record at the next offset as an append with this identifier.
-  FoldResult appendAs(WriterId By, Record Body) {
-    Bytes.push_back(encodeRecord(Envelope{By, std::move(Body)}));
+  /// Folds a record at the next offset with a given writer identifier.
+  FoldResult appendAs(WriterId Identifier, Record Body) {
+    Bytes.push_back(encodeRecord(Envelope{Identifier, std::move(Body)}));
     return foldRecord(Now, Now.Next, Bytes.back());
   }
-  /// Lets an entry host join.
+  /// Folds the record of an entry host that joins.
   FoldResult join(const HostName &Name, Incarnation Run,
-                  const DataCentreName &Where = dataCentre(0)) {
-    return append(EntryHostJoined{Name, Run, Where, "127.0.0.1", 7001, 7002});
+                  const DataCentreName &DataCentre = dataCentre(0)) {
+    return append(
+        EntryHostJoined{Name, Run, DataCentre, "127.0.0.1", 7001, 7002});
   }
-  /// Proposes a plan against the present state.
+  /// Proposes a plan based on the current state.
   /// @return The plan's offset.
-  Offset propose(Intent Asked, std::vector<Step> Steps = {}) {
+  Offset propose(Intent Request, std::vector<Step> Steps = {}) {
     Plan Proposal;
-    Proposal.Asked = std::move(Asked);
+    Proposal.Asked = std::move(Request);
     Proposal.PlannedAt = Now.Next;
     Proposal.Steps = std::move(Steps);
-    const Offset At = Now.Next;
+    const Offset Position = Now.Next;
     append(PlanProposed{std::move(Proposal), "operator"});
-    return At;
+    return Position;
   }
   /// Proposes and confirms a plan.
   /// @return The plan's offset.
-  Offset proposeAndConfirm(Intent Asked, std::vector<Step> Steps = {}) {
-    const Offset Plan = propose(std::move(Asked), std::move(Steps));
+  Offset proposeAndConfirm(Intent Request, std::vector<Step> Steps = {}) {
+    const Offset Plan = propose(std::move(Request), std::move(Steps));
     append(PlanConfirmed{Plan, "operator"});
     return Plan;
   }
-  /// Takes the lease of a plan for an entry host that has joined.
+  /// Takes the lease on a plan's execution for an entry host that has joined.
   /// @return The lease.
   Offset takeLease(Offset Plan, const HostName &Name) {
     const Offset Lease = Now.Next;
@@ -167,18 +170,18 @@
                          Now.Plans.at(Plan).Lease});
     return Lease;
   }
-  /// Confirms a group with the run 100 + rank of each member.
-  FoldResult confirmGroup(const GroupId &Which, Offset Lease) {
-    GroupConfirmed Said{Which, Lease, {}};
-    const std::size_t Members = Now.Groups.at(Which).Formed.Members.size();
+  /// Confirms a group; the engine run of each member is 100 + its rank.
+  FoldResult confirmGroup(const GroupId &Group, Offset Lease) {
+    GroupConfirmed Confirmation{Group, Lease, {}};
+    const std::size_t Members = Now.Groups.at(Group).Formed.Members.size();
     for (std::size_t Rank = 0; Rank < Members; ++Rank)
-      Said.MemberRuns.push_back(100 + Rank);
-    return append(std::move(Said));
+      Confirmation.MemberRuns.push_back(100 + Rank);
+    return append(std::move(Confirmation));
   }
 };
 
-/// Log in memory. Answers come only from run(), never from within a call. All
-/// calls are thread-safe; handlers run on the thread that calls run().
+/// Log in memory. Handlers are called only by run(), on the thread that calls
+/// it. All functions are thread-safe.
 class FakeLog final : public Log {
 public:
   void append(const StreamName &Stream, std::vector<std::byte> Payload,
@@ -186,69 +189,71 @@
     const std::scoped_lock Guard(Lock);
     ++AppendCount;
     if (Down) {
-      answer([Done] { Done(LogFailure::NotDone); }, Delay);
+      respondAfter([Done] { Done(LogFailure::NotDone); }, Delay);
       return;
     }
-    const Offset At = put(Stream, std::move(Payload));
-    if (LostAnswers > 0) {
-      --LostAnswers;
-      answer([Done] { Done(LogFailure::Unknown); }, Timeout);
+    const Offset Position = put(Stream, std::move(Payload));
+    if (ResponsesToLose > 0) {
+      --ResponsesToLose;
+      respondAfter([Done] { Done(LogFailure::Unknown); }, Timeout);
       return;
     }
     if (Delay > Timeout) {
-      answer([Done] { Done(LogFailure::Unknown); }, Timeout);
+      respondAfter([Done] { Done(LogFailure::Unknown); }, Timeout);
       return;
     }
-    answer([Done, At] { Done(At); }, Delay);
+    respondAfter([Done, Position] { Done(Position); }, Delay);
   }
 
   void read(const StreamName &Stream, Offset From, std::size_t MaxEntries,
             milliseconds Wait, ReadHandler Done) override {
     const std::scoped_lock Guard(Lock);
     ++ReadCount;
-    Waiting.push_back(Reader{Stream, From, MaxEntries, Now + Wait, Now + Delay,
-                             std::move(Done)});
+    WaitingReads.push_back(WaitingRead{Stream, From, MaxEntries, Now + Wait,
+                                       Now + Delay, std::move(Done)});
   }
 
-  /// Puts a record on a stream without a client.
+  /// Appends a record to a stream directly, without a handler or faults.
   Offset push(const StreamName &Stream, std::vector<std::byte> Payload) {
     const std::scoped_lock Guard(Lock);
     return put(Stream, std::move(Payload));
   }
-  /// While true, nothing is done and every call answers NotDone.
+  /// While true, calls have no effect and fail with LogFailure::NotDone.
   void setDown(bool Value) {
     const std::scoped_lock Guard(Lock);
     Down = Value;
   }
-  /// The next appends take effect, but their answers are lost.
+  /// The next Count appends take effect, but their calls fail with
+  /// LogFailure::Unknown at their timeout.
   void loseAnswers(std::uint32_t Count) {
     const std::scoped_lock Guard(Lock);
-    LostAnswers = Count;
+    ResponsesToLose = Count;
   }
-  /// Time from a call to its answer.
+  /// Time from a call to its response.
   void setDelay(milliseconds Value) {
     const std::scoped_lock Guard(Lock);
     Delay = Value;
   }
-  /// Drops the records below an offset.
+  /// Removes the records of a stream below an offset.
   void trim(const StreamName &Stream, Offset Horizon) {
     const std::scoped_lock Guard(Lock);
     trimTo(Streams[Stream], Horizon);
   }
-  /// Keeps only this many of the latest records of each stream; zero for all.
+  /// Keeps only the latest records of each stream, up to this number; zero
+  /// keeps all.
   void setRetention(std::size_t Entries) {
     const std::scoped_lock Guard(Lock);
     Retention = Entries;
-    for (auto &[Name, Each] : Streams)
-      retain(Each);
+    for (auto &[Name, Entry] : Streams)
+      retain(Entry);
   }
-  /// Moves the time on and gives the answers that are due, until none is left.
+  /// Advances the time and calls the handlers that are due, until none is left.
   void run(Duration Elapsed = {}) {
     {
       const std::scoped_lock Guard(Lock);
       Now += Elapsed;
     }
-    while (const std::function<void()> Next = takeDue())
+    while (const std::function<void()> Next = takeDueResponse())
       Next();
   }
 
@@ -260,7 +265,7 @@
     const std::scoped_lock Guard(Lock);
     return Streams[Stream].Horizon;
   }
-  /// Records that are still kept, in order.
+  /// The records not yet trimmed, in order.
   [[nodiscard]] std::vector<LogEntry> entries(const StreamName &Stream) {
     const std::scoped_lock Guard(Lock);
     return copyOf(Streams[Stream], Streams[Stream].Horizon, SIZE_MAX);
@@ -275,11 +280,11 @@
   }
 
 private:
-  struct Records {
+  struct StreamRecords {
     Offset Horizon = 0;
-    std::deque<std::vector<std::byte>> Kept;
+    std::deque<std::vector<std::byte>> Entries;
   };
-  struct Reader {
+  struct WaitingRead {
     StreamName Stream;
     Offset From = 0;
     std::size_t MaxEntries = 0;
@@ -288,80 +293,85 @@
     ReadHandler Done;
   };
 
-  static Offset endOf(const Records &Of) { return Of.Horizon + Of.Kept.size(); }
-  static void trimTo(Records &Of, Offset Horizon) {
-    while (Of.Horizon < Horizon && !Of.Kept.empty()) {
-      Of.Kept.pop_front();
-      ++Of.Horizon;
+  static Offset endOf(const StreamRecords &Stream) {
+    return Stream.Horizon + Stream.Entries.size();
+  }
+  static void trimTo(StreamRecords &Stream, Offset Horizon) {
+    while (Stream.Horizon < Horizon && !Stream.Entries.empty()) {
+      Stream.Entries.pop_front();
+      ++Stream.Horizon;
     }
   }
-  void retain(Records &Of) const {
-    if (Retention > 0 && Of.Kept.size() > Retention)
-      trimTo(Of, endOf(Of) - Retention);
+  void retain(StreamRecords &Stream) const {
+    if (Retention > 0 && Stream.Entries.size() > Retention)
+      trimTo(Stream, endOf(Stream) - Retention);
   }
   Offset put(const StreamName &Stream, std::vector<std::byte> Payload) {
-    Records &To = Streams[Stream];
-    const Offset At = endOf(To);
-    To.Kept.push_back(std::move(Payload));
-    retain(To);
-    return At;
-  }
-  static std::vector<LogEntry> copyOf(const Records &Of, Offset From,
-                                      std::size_t Most) {
-    std::vector<LogEntry> Out;
-    for (Offset At = From; At < endOf(Of) && Out.size() < Most; ++At)
-      Out.push_back(LogEntry{At, Of.Kept[At - Of.Horizon]});
-    return Out;
-  }
-  void answer(std::function<void()> Call, Duration After) {
-    Answers.emplace(Now + After, std::move(Call));
+    StreamRecords &Target = Streams[Stream];
+    const Offset Position = endOf(Target);
+    Target.Entries.push_back(std::move(Payload));
+    retain(Target);
+    return Position;
+  }
+  static std::vector<LogEntry> copyOf(const StreamRecords &Stream, Offset From,
+                                      std::size_t MaxEntries) {
+    std::vector<LogEntry> Result;
+    for (Offset Position = From;
+         Position < endOf(Stream) && Result.size() < MaxEntries; ++Position)
+      Result.push_back(
+          LogEntry{Position, Stream.Entries[Position - Stream.Horizon]});
+    return Result;
+  }
+  void respondAfter(std::function<void()> Call, Duration After) {
+    PendingResponses.emplace(Now + After, std::move(Call));
   }
 
-  [[nodiscard]] ReadResult resultOf(const Reader &Each) {
+  [[nodiscard]] ReadResult resultOf(const WaitingRead &Entry) {
     if (Down)
       return LogFailure::NotDone;
-    const Records &Of = Streams[Each.Stream];
-    if (Each.From < Of.Horizon)
+    const StreamRecords &Stream = Streams[Entry.Stream];
+    if (Entry.From < Stream.Horizon)
       return LogFailure::Trimmed;
-    return LogBatch{copyOf(Of, Each.From, Each.MaxEntries), endOf(Of),
-                    Of.Horizon};
+    return LogBatch{copyOf(Stream, Entry.From, Entry.MaxEntries), endOf(Stream),
+                    Stream.Horizon};
   }
-  [[nodiscard]] bool isDue(const Reader &Each) {
-    if (Now < Each.NotBefore)
+  [[nodiscard]] bool isDue(const WaitingRead &Entry) {
+    if (Now < Entry.NotBefore)
       return false;
-    const Records &Of = Streams[Each.Stream];
-    return Down || Each.From < Of.Horizon || Each.From < endOf(Of) ||
-           Now >= Each.Until;
+    const StreamRecords &Stream = Streams[Entry.Stream];
+    return Down || Entry.From < Stream.Horizon || Entry.From < endOf(Stream) ||
+           Now >= Entry.Until;
   }
-  [[nodiscard]] std::function<void()> takeDue() {
+  [[nodiscard]] std::function<void()> takeDueResponse() {
     const std::scoped_lock Guard(Lock);
-    if (!Answers.empty() && Answers.begin()->first <= Now) {
-      std::function<void()> Call = std::move(Answers.begin()->second);
-      Answers.erase(Answers.begin());
+    if (!PendingResponses.empty() && PendingResponses.begin()->first <= Now) {
+      std::function<void()> Call = std::move(PendingResponses.begin()->second);
+      PendingResponses.erase(PendingResponses.begin());
       return Call;
     }
-    const auto Found = std::ranges::find_if(
-        Waiting, [&](const Reader &Each) { return isDue(Each); });
-    if (Found == Waiting.end())
+    const auto Due = std::ranges::find_if(
+        WaitingReads, [&](const WaitingRead &Entry) { return isDue(Entry); });
+    if (Due == WaitingReads.end())
       return {};
-    ReadHandler Done = std::move(Found->Done);
-    ReadResult Result = resultOf(*Found);
-    Waiting.erase(Found);
+    ReadHandler Done = std::move(Due->Done);
+    ReadResult Result = resultOf(*Due);
+    WaitingReads.erase(Due);
     return
         [Done = std::move(Done), Result = std::move(Result)] { Done(Result); };
   }
 
   std::mutex Lock;
+  /// Simulated time.
   TimePoint Now;
   bool Down = false;
-  std::uint32_t LostAnswers = 0;
+  std::uint32_t ResponsesToLose = 0;
   milliseconds Delay{0};
   std::size_t Retention = 0;
   std::size_t AppendCount = 0;
   std::size_t ReadCount = 0;
-  std::map<StreamName, Records> Streams;
-  std::multimap<TimePoint, std::function<void()>> Answers;
-  std::vector<Reader> Waiting;
+  std::map<StreamName, StreamRecords> Streams;
+  std::multimap<TimePoint, std::function<void()>> PendingResponses;
+  std::vector<WaitingRead> WaitingReads;
 };
 
 } // namespace coltsfoottrail::test
