--- a/packages/standin/src/coltsfoottrail/standin/query.cpp
+++ b/packages/standin/src/coltsfoottrail/standin/query.cpp
@@ -25,8 +25,9 @@
   return {};
 }
 
-std::uint64_t numberOf(std::string_view Target, std::string_view Name,
-                       std::uint64_t Default) noexcept {
+std::uint64_t numericQueryParameter(std::string_view Target,
+                                    std::string_view Name,
+                                    std::uint64_t Default) noexcept {
   const std::string_view Text = queryParameter(Target, Name);
   std::uint64_t Number = 0;
   const auto Parsed =
