--- a/packages/core/src/coltsfoottrail/core/error.hpp
+++ b/packages/core/src/coltsfoottrail/core/error.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Base of the exceptions that the project throws.
+/// Base class of the project's exceptions.
 #ifndef COLTSFOOTTRAIL_CORE_ERROR_HPP
 #define COLTSFOOTTRAIL_CORE_ERROR_HPP
 
@@ -7,7 +7,7 @@
 
 namespace coltsfoottrail {
 
-/// @brief Base of all exceptions of the project; its text is fit to be shown to
+/// @brief Base class of the project's exceptions; the message can be shown to
 /// an operator.
 class Error : public std::runtime_error {
 public:
--- a/packages/core/src/coltsfoottrail/core/fwd.hpp
+++ b/packages/core/src/coltsfoottrail/core/fwd.hpp
@@ -16,13 +16,13 @@
 class Random;
 struct BootClock;
 
-/// Position of a record on a stream of the platform's log; also the fencing
-/// number of what it grants.
+/// Position of a record on a stream of the platform's log. Also serves as the
+/// fencing number of a lease or group that the record creates.
 using Offset = std::uint64_t;
-/// Number that one run of an entry host draws at start; a restarted process has
-/// another one.
+/// Random number that identifies one run of an entry host's process; it changes
+/// with each restart.
 using Incarnation = std::uint64_t;
-/// Bytes on their way to or from a codec.
+/// A view of encoded bytes.
 using ByteView = std::span<const std::byte>;
 
 struct HostTag;
@@ -42,15 +42,15 @@
 using DataCentreName = Name<DataCentreTag>;
 /// A customer whose callers share limits and a credential.
 using TeamName = Name<TeamTag>;
-/// A model that callers ask for.
+/// A model that callers request.
 using ModelName = Name<ModelTag>;
-/// A plain service that callers ask for.
+/// A plain service (not a model) that callers request.
 using ServiceName = Name<ServiceTag>;
 /// A version of a model.
 using VersionName = Name<VersionTag>;
 /// An adapter of a model.
 using AdapterName = Name<AdapterTag>;
-/// A set of hosts with a shared fast interconnect.
+/// A set of hosts that share a fast interconnect.
 using FabricDomainName = Name<FabricDomainTag>;
 /// A stream of the platform's log.
 using StreamName = Name<StreamTag>;
--- a/packages/core/src/coltsfoottrail/core/name.hpp
+++ b/packages/core/src/coltsfoottrail/core/name.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Strongly typed names, so that a team cannot be passed where a model is
-/// meant.
+/// Strongly typed names: a team's name cannot be passed where a model's is
+/// expected.
 #ifndef COLTSFOOTTRAIL_CORE_NAME_HPP
 #define COLTSFOOTTRAIL_CORE_NAME_HPP
 
@@ -14,13 +14,13 @@
 
 namespace coltsfoottrail {
 
-/// @brief A name whose type tells what it names.
-/// @tparam Tag What is named; never defined.
+/// @brief A name with a distinct type for each kind of named entity.
+/// @tparam Tag Identifies the kind; never defined.
 template <class Tag> struct Name {
   Name() = default;
   /// @brief Takes a name's text.
-  /// @param Value The text; any string, the settings and declarations check its
-  /// form.
+  /// @param Value Any text; the readers of settings and declarations validate
+  /// its form.
   explicit Name(std::string Value) : Text(std::move(Value)) {}
   /// @brief Copies a name's text.
   /// @param Value The text.
@@ -29,7 +29,7 @@
   /// @param Value The text, null-terminated.
   explicit Name(const char *Value) : Text(Value) {}
 
-  /// @brief Tells whether there is no name.
+  /// @brief Tells whether the text is empty.
   [[nodiscard]] bool empty() const noexcept { return Text.empty(); }
 
   // The linter reports on the body that the compiler makes.
--- a/packages/core/src/coltsfoottrail/core/random.hpp
+++ b/packages/core/src/coltsfoottrail/core/random.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Seeded randomness for decisions, so that a run can be replayed.
+/// Seeded pseudo-random numbers for decisions, so that a run can be replayed.
 #ifndef COLTSFOOTTRAIL_CORE_RANDOM_HPP
 #define COLTSFOOTTRAIL_CORE_RANDOM_HPP
 
@@ -13,8 +13,8 @@
 __extension__ using Wide128 = unsigned __int128;
 } // namespace internal
 
-/// @brief Small seeded generator (SplitMix64), usable with the distributions of
-/// the standard library.
+/// @brief Small seeded generator (SplitMix64) that works with the standard
+/// library's distributions.
 class Random {
 public:
   using result_type = std::uint64_t;
@@ -28,7 +28,7 @@
     return std::numeric_limits<result_type>::max();
   }
 
-  /// @brief Draws the next value. Not thread-safe: one owner each.
+  /// @brief Draws the next value. Not thread-safe.
   [[nodiscard]] result_type operator()() noexcept {
     State += 0x9E3779B97F4A7C15ULL;
     std::uint64_t Mixed = State;
@@ -37,8 +37,8 @@
     return Mixed ^ (Mixed >> 31U);
   }
 
-  /// @brief Draws an index below a bound.
-  /// @param Bound Above zero.
+  /// @brief Draws an integer below a bound.
+  /// @param Bound Must be greater than zero.
   [[nodiscard]] std::uint64_t below(std::uint64_t Bound) noexcept {
     const auto Wide = static_cast<internal::Wide128>((*this)()) * Bound;
     return static_cast<std::uint64_t>(Wide >> 64U);
--- a/packages/core/src/coltsfoottrail/core/slotmap.hpp
+++ b/packages/core/src/coltsfoottrail/core/slotmap.hpp
@@ -14,9 +14,9 @@
 
 namespace coltsfoottrail {
 
-/// @brief Identifier of an object in a SlotMap; one that outlived its object
+/// @brief Identifier of an object in a SlotMap; after the object is erased it
 /// finds nothing.
-/// @tparam Tag What is identified; never defined.
+/// @tparam Tag Identifies the kind of object; never defined.
 template <class Tag> struct Ident {
   std::uint32_t Index = 0;
   std::uint32_t Generation = 0;
@@ -28,15 +28,15 @@
 };
 
 /// @brief Container whose objects are addressed by identifiers that are never
-/// valid twice.
+/// reused: a slot is reused under another generation.
 ///
-/// Not thread-safe: it stands under the lock of the shard that owns it.
-/// @tparam Value What is stored; movable.
+/// Not thread-safe: protected by the lock of the shard that owns it.
+/// @tparam Value Type of the objects; movable.
 /// @tparam Id An Ident.
 template <class Value, class Id> class SlotMap {
 public:
   /// @brief Stores an object.
-  /// @param Object What to store.
+  /// @param Object The object to store.
   /// @return Its identifier.
   [[nodiscard]] Id insert(Value Object) {
     ++Count;
@@ -51,33 +51,33 @@
   }
 
   /// @brief Finds an object.
-  /// @param Which Its identifier.
-  /// @return The object, or null when it is gone. Valid until the next insert
-  /// or erase.
-  [[nodiscard]] Value *find(Id Which) noexcept {
-    return holds(Which) ? &*Slots[Which.Index].Object : nullptr;
+  /// @param Identifier Its identifier.
+  /// @return The object, or null when it was erased. Valid until the next
+  /// insert or erase.
+  [[nodiscard]] Value *find(Id Identifier) noexcept {
+    return holds(Identifier) ? &*Slots[Identifier.Index].Object : nullptr;
   }
 
   /// @copydoc find
-  [[nodiscard]] const Value *find(Id Which) const noexcept {
-    return holds(Which) ? &*Slots[Which.Index].Object : nullptr;
+  [[nodiscard]] const Value *find(Id Identifier) const noexcept {
+    return holds(Identifier) ? &*Slots[Identifier.Index].Object : nullptr;
   }
 
   /// @brief Removes an object.
-  /// @param Which Its identifier.
-  /// @return The object, or nothing when it was gone already.
-  std::optional<Value> erase(Id Which) {
-    if (!holds(Which))
+  /// @param Identifier Its identifier.
+  /// @return The object, or nothing when it was erased before.
+  std::optional<Value> erase(Id Identifier) {
+    if (!holds(Identifier))
       return std::nullopt;
-    std::optional<Value> Object = std::move(Slots[Which.Index].Object);
-    Slots[Which.Index].Object.reset();
-    ++Slots[Which.Index].Generation;
-    Free.push_back(Which.Index);
+    std::optional<Value> Object = std::move(Slots[Identifier.Index].Object);
+    Slots[Identifier.Index].Object.reset();
+    ++Slots[Identifier.Index].Generation;
+    Free.push_back(Identifier.Index);
     --Count;
     return Object;
   }
 
-  /// @brief Counts the objects.
+  /// @brief Number of objects.
   [[nodiscard]] std::size_t size() const noexcept { return Count; }
 
   /// @brief Calls a function with each identifier and object.
@@ -94,10 +94,10 @@
     std::optional<Value> Object;
   };
 
-  [[nodiscard]] bool holds(Id Which) const noexcept {
-    return Which.Index < Slots.size() &&
-           Slots[Which.Index].Generation == Which.Generation &&
-           Slots[Which.Index].Object;
+  [[nodiscard]] bool holds(Id Identifier) const noexcept {
+    return Identifier.Index < Slots.size() &&
+           Slots[Identifier.Index].Generation == Identifier.Generation &&
+           Slots[Identifier.Index].Object;
   }
 
   std::vector<Slot> Slots;
@@ -109,8 +109,9 @@
 
 template <class Tag> struct std::hash<coltsfoottrail::Ident<Tag>> {
   [[nodiscard]] std::size_t
-  operator()(const coltsfoottrail::Ident<Tag> &Which) const noexcept {
-    return (static_cast<std::size_t>(Which.Generation) << 32U) | Which.Index;
+  operator()(const coltsfoottrail::Ident<Tag> &Identifier) const noexcept {
+    return (static_cast<std::size_t>(Identifier.Generation) << 32U) |
+           Identifier.Index;
   }
 };
 
--- a/packages/core/src/coltsfoottrail/core/time.hpp
+++ b/packages/core/src/coltsfoottrail/core/time.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The clock that leases, deadlines and decisions use.
+/// The clock for leases, deadlines and decisions.
 #ifndef COLTSFOOTTRAIL_CORE_TIME_HPP
 #define COLTSFOOTTRAIL_CORE_TIME_HPP
 
@@ -7,11 +7,12 @@
 
 namespace coltsfoottrail {
 
-/// @brief Monotonic clock that goes on counting while the machine is suspended.
+/// @brief Monotonic clock that includes the time while the machine is
+/// suspended.
 ///
-/// Failure guarded against: a host that sleeps and wakes believes that its
-/// leases still run, because the usual monotonic clock stood still meanwhile.
-/// CLOCK_BOOTTIME counts the sleep, so the lease is seen to have lapsed.
+/// With CLOCK_MONOTONIC, which stops during suspension, a host that resumes
+/// would take its leases for valid although they have expired. CLOCK_BOOTTIME
+/// counts the suspended time, so the leases are seen to have expired.
 struct BootClock {
   using rep = std::chrono::nanoseconds::rep;
   using period = std::chrono::nanoseconds::period;
@@ -20,11 +21,11 @@
   static constexpr bool is_steady = true;
 
   /// @brief Reads the clock. Thread-safe.
-  /// @return The time since boot, suspended time included.
+  /// @return The time since boot, including suspended time.
   [[nodiscard]] static time_point now() noexcept;
 };
 
-/// A time on this machine's BootClock; never sent to another machine.
+/// A point in time on this machine's BootClock; never sent to another machine.
 using TimePoint = BootClock::time_point;
 /// A span of time in nanoseconds.
 using Duration = BootClock::duration;
--- a/packages/core/src/coltsfoottrail/json/cbor.cpp
+++ b/packages/core/src/coltsfoottrail/json/cbor.cpp
@@ -27,56 +27,59 @@
   Simple
 };
 
-/// Checks that bytes are one well-formed item before the library reads them.
+/// Checks that bytes are one well-formed item before the JSON library reads
+/// them.
 ///
-/// Failure guarded against: the library's reader calls itself for nested lists
-/// and for strings of indefinite length, so a damaged record of a few hundred
-/// kilobytes ends the process by a stack overflow on every host that reads it.
-/// This check keeps its own bounded stack and refuses such input first.
-class Scanner {
+/// The library's reader is recursive for nested lists and for strings of
+/// indefinite length, so a damaged record of a few hundred kilobytes would
+/// crash every host that reads it by a stack overflow. This check uses a stack
+/// of bounded depth and refuses such input first.
+class WellFormednessChecker {
 public:
-  explicit Scanner(ByteView Input) : Bytes(Input) {}
+  explicit WellFormednessChecker(ByteView Input) : Bytes(Input) {}
 
+  /// @return A description of the first error, or null.
   [[nodiscard]] const char *check() {
-    Open.push_back(1);
-    while (!Open.empty()) {
-      if (Open.back() == 0) {
-        Open.pop_back();
+    RemainingItems.push_back(1);
+    while (!RemainingItems.empty()) {
+      if (RemainingItems.back() == 0) {
+        RemainingItems.pop_back();
         continue;
       }
-      --Open.back();
-      if (const char *const Problem = item())
+      --RemainingItems.back();
+      if (const char *const Problem = checkItem())
         return Problem;
     }
-    return Place == Bytes.size() ? nullptr : "bytes after the item";
+    return Position == Bytes.size() ? nullptr : "bytes after the item";
   }
 
-  [[nodiscard]] std::size_t place() const noexcept { return Place; }
+  /// Byte at which check() stopped.
+  [[nodiscard]] std::size_t position() const noexcept { return Position; }
 
 private:
-  [[nodiscard]] const char *item() {
-    if (Place >= Bytes.size())
+  [[nodiscard]] const char *checkItem() {
+    if (Position >= Bytes.size())
       return "an item that is cut off";
-    const auto Head = std::to_integer<unsigned>(Bytes[Place++]);
-    const auto Kind = static_cast<Major>(Head >> MajorShift);
+    const auto Head = std::to_integer<unsigned>(Bytes[Position++]);
+    const auto Type = static_cast<Major>(Head >> MajorShift);
     const unsigned Low = Head & LowBits;
     if (Low > EightByteLength)
       return "an item of indefinite length";
     std::uint64_t Value = Low;
     if (Low >= OneByteLength && !readValue(1U << (Low - OneByteLength), Value))
       return "an item that is cut off";
-    switch (Kind) {
+    switch (Type) {
     case Major::Unsigned:
     case Major::Negative:
       return nullptr;
     case Major::Bytes:
-      return skip(Value);
+      return skipString(Value);
     case Major::Text:
-      return text(Value);
+      return checkText(Value);
     case Major::List:
-      return enter(Value);
+      return enterContainer(Value);
     case Major::Object:
-      return object(Value);
+      return checkObject(Value);
     case Major::Tag:
       return "a tag";
     case Major::Simple:
@@ -86,44 +89,45 @@
   }
 
   [[nodiscard]] bool readValue(std::size_t Size, std::uint64_t &Value) {
-    if (Bytes.size() - Place < Size)
+    if (Bytes.size() - Position < Size)
       return false;
     Value = 0;
     for (std::size_t Index = 0; Index < Size; ++Index)
-      Value = (Value << 8U) | std::to_integer<std::uint64_t>(Bytes[Place++]);
+      Value = (Value << 8U) | std::to_integer<std::uint64_t>(Bytes[Position++]);
     return true;
   }
 
-  [[nodiscard]] const char *skip(std::uint64_t Size) {
-    if (Bytes.size() - Place < Size)
+  [[nodiscard]] const char *skipString(std::uint64_t Size) {
+    if (Bytes.size() - Position < Size)
       return "a string that is cut off";
-    Place += Size;
+    Position += Size;
     return nullptr;
   }
 
-  [[nodiscard]] const char *text(std::uint64_t Size) {
-    const std::size_t Start = Place;
-    if (const char *const Problem = skip(Size))
+  [[nodiscard]] const char *checkText(std::uint64_t Size) {
+    const std::size_t Start = Position;
+    if (const char *const Problem = skipString(Size))
       return Problem;
-    return utf8(Bytes.subspan(Start, Size)) ? nullptr
-                                            : "text that is not UTF-8";
+    return isUtf8(Bytes.subspan(Start, Size)) ? nullptr
+                                              : "text that is not UTF-8";
   }
 
-  [[nodiscard]] const char *object(std::uint64_t Members) {
+  [[nodiscard]] const char *checkObject(std::uint64_t Members) {
     if (Members > Bytes.size())
       return "an object that is cut off";
-    return enter(Members * 2);
+    return enterContainer(Members * 2);
   }
 
-  [[nodiscard]] const char *enter(std::uint64_t Items) {
-    if (Items > Bytes.size() - Place)
+  [[nodiscard]] const char *enterContainer(std::uint64_t Items) {
+    if (Items > Bytes.size() - Position)
       return "a list that is cut off";
-    if (Open.size() > MaxCborDepth)
+    if (RemainingItems.size() > MaxCborDepth)
       return "items nested too deep";
-    Open.push_back(Items);
+    RemainingItems.push_back(Items);
     return nullptr;
   }
 
+  /// @return Bytes of the UTF-8 sequence with this first byte; zero if invalid.
   [[nodiscard]] static std::size_t sequenceSize(unsigned Lead) {
     if (Lead < 0x80)
       return 1;
@@ -134,7 +138,8 @@
     return Lead >= 0xF0 && Lead < 0xF5 ? 4 : 0;
   }
 
-  [[nodiscard]] static bool secondFits(unsigned Lead, unsigned Second) {
+  /// Rejects overlong encodings, surrogates and code points above U+10FFFF.
+  [[nodiscard]] static bool isValidSecondByte(unsigned Lead, unsigned Second) {
     switch (Lead) {
     case 0xE0:
       return Second >= 0xA0;
@@ -149,37 +154,38 @@
     }
   }
 
-  [[nodiscard]] static bool utf8(ByteView Text) {
-    std::size_t At = 0;
-    while (At < Text.size()) {
-      const auto Lead = std::to_integer<unsigned>(Text[At]);
+  [[nodiscard]] static bool isUtf8(ByteView Text) {
+    std::size_t Start = 0;
+    while (Start < Text.size()) {
+      const auto Lead = std::to_integer<unsigned>(Text[Start]);
       const std::size_t Size = sequenceSize(Lead);
-      if (Size == 0 || Text.size() - At < Size)
+      if (Size == 0 || Text.size() - Start < Size)
         return false;
       for (std::size_t Index = 1; Index < Size; ++Index)
-        if ((std::to_integer<unsigned>(Text[At + Index]) & 0xC0U) != 0x80U)
+        if ((std::to_integer<unsigned>(Text[Start + Index]) & 0xC0U) != 0x80U)
           return false;
       if (Size > 2 &&
-          !secondFits(Lead, std::to_integer<unsigned>(Text[At + 1])))
+          !isValidSecondByte(Lead, std::to_integer<unsigned>(Text[Start + 1])))
         return false;
-      At += Size;
+      Start += Size;
     }
     return true;
   }
 
   ByteView Bytes;
-  std::size_t Place = 0;
-  std::vector<std::uint64_t> Open;
+  std::size_t Position = 0;
+  /// Number of items still to read at each nesting level.
+  std::vector<std::uint64_t> RemainingItems;
 };
 
 } // namespace
 
 Json parseCbor(ByteView Bytes, std::string_view Source) {
-  Scanner Check(Bytes);
-  if (const char *const Problem = Check.check())
+  WellFormednessChecker Checker(Bytes);
+  if (const char *const Problem = Checker.check())
     throw InputError(Source, "",
                      std::string(Problem) + " at byte " +
-                         std::to_string(Check.place()),
+                         std::to_string(Checker.position()),
                      "one CBOR item (RFC 8949)");
   try {
     return Json::from_cbor(Bytes.begin(), Bytes.end());
@@ -189,12 +195,12 @@
 }
 
 std::vector<std::byte> writeCbor(const Json &Value) {
-  std::vector<std::uint8_t> Raw;
-  Json::to_cbor(Value, Raw);
-  std::vector<std::byte> Out(Raw.size());
-  if (!Raw.empty())
-    std::memcpy(Out.data(), Raw.data(), Raw.size());
-  return Out;
+  std::vector<std::uint8_t> Encoded;
+  Json::to_cbor(Value, Encoded);
+  std::vector<std::byte> Result(Encoded.size());
+  if (!Encoded.empty())
+    std::memcpy(Result.data(), Encoded.data(), Encoded.size());
+  return Result;
 }
 
 } // namespace coltsfoottrail
--- a/packages/core/src/coltsfoottrail/json/cbor.hpp
+++ b/packages/core/src/coltsfoottrail/json/cbor.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// CBOR from sources that may hold anything.
+/// Reads CBOR from untrusted sources, and writes CBOR.
 #ifndef COLTSFOOTTRAIL_JSON_CBOR_HPP
 #define COLTSFOOTTRAIL_JSON_CBOR_HPP
 
@@ -11,20 +11,19 @@
 
 namespace coltsfoottrail {
 
-/// Deepest nesting of lists and objects that parseCbor() takes.
+/// Maximum nesting depth of lists and objects that parseCbor() accepts.
 inline constexpr std::size_t MaxCborDepth = 64;
 
-/// @brief Reads CBOR (RFC 8949): one item of definite lengths without tags, its
-/// texts in UTF-8. Thread-safe.
-/// @param Bytes Anything; damaged, truncated or hostile input is refused.
-/// @param Source Named in errors.
+/// @brief Reads CBOR (RFC 8949): one item of definite length without tags, with
+/// texts in valid UTF-8. Thread-safe.
+/// @param Bytes Untrusted bytes; damaged, truncated or hostile input is
+/// refused.
+/// @param Source Name of the bytes' source for errors.
 /// @return The value.
 /// @throws InputError The bytes are not such an item.
 [[nodiscard]] Json parseCbor(ByteView Bytes, std::string_view Source);
 
-/// @brief Writes CBOR that parseCbor() takes. Thread-safe.
-/// @param Value What to write.
-/// @return The bytes.
+/// @brief Encodes a value as CBOR that parseCbor() reads. Thread-safe.
 [[nodiscard]] std::vector<std::byte> writeCbor(const Json &Value);
 
 } // namespace coltsfoottrail
--- a/packages/core/src/coltsfoottrail/json/reader.cpp
+++ b/packages/core/src/coltsfoottrail/json/reader.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t MaxShownBytes = 80;
 
-std::string shown(const Json &Value) {
+std::string truncatedDump(const Json &Value) {
   std::string Text = Value.dump(-1, ' ', false, Json::error_handler_t::replace);
   if (Text.size() > MaxShownBytes)
     Text = Text.substr(0, MaxShownBytes) + "...";
@@ -16,35 +16,35 @@
 }
 
 std::string escaped(std::string_view Key) {
-  std::string Out;
-  for (const char Letter : Key) {
-    if (Letter == '~')
-      Out += "~0";
-    else if (Letter == '/')
-      Out += "~1";
+  std::string Result;
+  for (const char Character : Key) {
+    if (Character == '~')
+      Result += "~0";
+    else if (Character == '/')
+      Result += "~1";
     else
-      Out.push_back(Letter);
+      Result.push_back(Character);
   }
-  return Out;
+  return Result;
 }
 
-std::string joined(std::span<const std::string_view> Words) {
-  std::string Out = "one of";
+std::string wordRule(std::span<const std::string_view> Words) {
+  std::string Result = "one of";
   for (const std::string_view Word : Words)
-    Out += " \"" + std::string(Word) + "\"";
-  return Out;
+    Result += " \"" + std::string(Word) + "\"";
+  return Result;
 }
 
 std::string describe(std::string_view Source, std::string_view Pointer,
                      std::string_view Value, std::string_view Allowed) {
-  std::string Out(Source);
-  Out += ": at ";
-  Out += Pointer.empty() ? std::string_view("the root") : Pointer;
-  Out += ": found ";
-  Out += Value;
-  Out += "; allowed: ";
-  Out += Allowed;
-  return Out;
+  std::string Result(Source);
+  Result += ": at ";
+  Result += Pointer.empty() ? std::string_view("the root") : Pointer;
+  Result += ": found ";
+  Result += Value;
+  Result += "; allowed: ";
+  Result += Allowed;
+  return Result;
 }
 
 std::string textRule(std::size_t MaxBytes) {
@@ -60,25 +60,26 @@
 
 InputError::InputError(std::string_view Source, std::string_view Pointer,
                        std::string_view Value, std::string_view Allowed)
-    : Error(describe(Source, Pointer, Value, Allowed)), Where(Pointer) {}
+    : Error(describe(Source, Pointer, Value, Allowed)), Location(Pointer) {}
 
 Json parseJson(std::string_view Text, std::string_view Source) {
   try {
     return Json::parse(Text);
-  } catch (const Json::parse_error &Problem) {
+  } catch (const Json::parse_error &ParseError) {
     throw InputError(Source, "",
                      "text that is not JSON at byte " +
-                         std::to_string(Problem.byte),
+                         std::to_string(ParseError.byte),
                      "JSON (RFC 8259)");
   }
 }
 
 ObjectReader::ObjectReader(const Json &Value, std::string_view Source,
                            std::string Pointer, UnknownKeys Policy)
-    : Object(&Value), From(Source), Place(std::move(Pointer)),
-      OnUnknown(Policy) {
+    : Object(&Value), SourceName(Source), BasePointer(std::move(Pointer)),
+      UnknownKeyPolicy(Policy) {
   if (!Value.is_object())
-    throw InputError(From, Place, shown(Value), "an object");
+    throw InputError(SourceName, BasePointer, truncatedDump(Value),
+                     "an object");
 }
 
 bool ObjectReader::has(std::string_view Key) const {
@@ -86,11 +87,11 @@
 }
 
 std::string ObjectReader::pointerTo(std::string_view Key) const {
-  return Place + "/" + escaped(Key);
+  return BasePointer + "/" + escaped(Key);
 }
 
 const Json *ObjectReader::find(std::string_view Key) {
-  Asked.emplace(Key);
+  ReadKeys.emplace(Key);
   const auto Found = Object->find(Key);
   return Found == Object->end() ? nullptr : &*Found;
 }
@@ -99,15 +100,15 @@
                                   std::string_view Allowed) {
   const Json *const Found = find(Key);
   if (Found == nullptr)
-    throw InputError(From, pointerTo(Key), "(missing)", Allowed);
+    throw InputError(SourceName, pointerTo(Key), "(missing)", Allowed);
   return *Found;
 }
 
 void ObjectReader::refuse(std::string_view Key,
                           std::string_view Allowed) const {
   const auto Found = Object->find(Key);
-  throw InputError(From, pointerTo(Key),
-                   Found == Object->end() ? "(missing)" : shown(*Found),
+  throw InputError(SourceName, pointerTo(Key),
+                   Found == Object->end() ? "(missing)" : truncatedDump(*Found),
                    Allowed);
 }
 
@@ -174,12 +175,12 @@
 
 std::size_t ObjectReader::word(std::string_view Key,
                                std::span<const std::string_view> Words) {
-  const Json &Value = require(Key, joined(Words));
+  const Json &Value = require(Key, wordRule(Words));
   if (Value.is_string())
     for (std::size_t Index = 0; Index < Words.size(); ++Index)
       if (Value.get_ref<const std::string &>() == Words[Index])
         return Index;
-  refuse(Key, joined(Words));
+  refuse(Key, wordRule(Words));
 }
 
 std::size_t ObjectReader::wordOr(std::string_view Key,
@@ -191,8 +192,8 @@
 }
 
 ObjectReader ObjectReader::object(std::string_view Key) {
-  return ObjectReader(require(Key, "an object"), From, pointerTo(Key),
-                      OnUnknown);
+  return ObjectReader(require(Key, "an object"), SourceName, pointerTo(Key),
+                      UnknownKeyPolicy);
 }
 
 void ObjectReader::eachObject(
@@ -203,8 +204,9 @@
   if (!List->is_array())
     refuse(Key, "a list of objects");
   for (std::size_t Index = 0; Index < List->size(); ++Index) {
-    ObjectReader Entry((*List)[Index], From,
-                       pointerTo(Key) + "/" + std::to_string(Index), OnUnknown);
+    ObjectReader Entry((*List)[Index], SourceName,
+                       pointerTo(Key) + "/" + std::to_string(Index),
+                       UnknownKeyPolicy);
     Visit(Entry);
     Entry.finish();
   }
@@ -213,20 +215,20 @@
 std::vector<std::string> ObjectReader::texts(std::string_view Key,
                                              std::size_t MaxBytes) {
   const Json *const List = find(Key);
-  std::vector<std::string> Out;
+  std::vector<std::string> Result;
   if (List == nullptr)
-    return Out;
+    return Result;
   if (!List->is_array())
     refuse(Key, "a list of texts");
   for (std::size_t Index = 0; Index < List->size(); ++Index) {
     const Json &Entry = (*List)[Index];
     if (!Entry.is_string() || Entry.get_ref<const std::string &>().empty() ||
         Entry.get_ref<const std::string &>().size() > MaxBytes)
-      throw InputError(From, pointerTo(Key) + "/" + std::to_string(Index),
-                       shown(Entry), textRule(MaxBytes));
-    Out.push_back(Entry.get<std::string>());
+      throw InputError(SourceName, pointerTo(Key) + "/" + std::to_string(Index),
+                       truncatedDump(Entry), textRule(MaxBytes));
+    Result.push_back(Entry.get<std::string>());
   }
-  return Out;
+  return Result;
 }
 
 const Json &ObjectReader::raw(std::string_view Key) {
@@ -236,15 +238,16 @@
 }
 
 void ObjectReader::finish() const {
-  if (OnUnknown == UnknownKeys::Ignore)
+  if (UnknownKeyPolicy == UnknownKeys::Ignore)
     return;
   for (const auto &Member : Object->items()) {
-    if (Asked.contains(Member.key()))
+    if (ReadKeys.contains(Member.key()))
       continue;
     std::string Known = "the keys";
-    for (const std::string &Key : Asked)
+    for (const std::string &Key : ReadKeys)
       Known += " \"" + Key + "\"";
-    throw InputError(From, pointerTo(Member.key()), "an unknown key", Known);
+    throw InputError(SourceName, pointerTo(Member.key()), "an unknown key",
+                     Known);
   }
 }
 
--- a/packages/core/src/coltsfoottrail/verdict/verdict.hpp
+++ b/packages/core/src/coltsfoottrail/verdict/verdict.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What a caller is told of a request that was not answered: whether it may
-/// have run, and why.
+/// What a caller is told about a request that was not answered: whether it may
+/// have been executed, and the reason.
 #ifndef COLTSFOOTTRAIL_VERDICT_VERDICT_HPP
 #define COLTSFOOTTRAIL_VERDICT_VERDICT_HPP
 
@@ -12,12 +12,11 @@
 
 namespace coltsfoottrail {
 
-/// Whether a request may have run at an endpoint. Ordered: a later one is never
-/// turned back into an earlier one.
+/// Whether an endpoint may have executed a request. Ordered: a request's state
+/// never returns to an earlier value.
 enum class RunState : std::uint8_t { NotRun, MayHaveRun, Ran };
 
-/// Why a request was not answered. The codes that callers see are stable: see
-/// reasonCode().
+/// Why a request was not answered. Callers see stable codes; see reasonCode().
 enum class Reason : std::uint8_t {
   BadRequest,
   Unauthenticated,
@@ -45,11 +44,11 @@
   Internal,
 };
 
-/// @brief Final word on a request that was not answered.
+/// @brief Final outcome of a request that was not answered.
 struct Verdict {
   RunState State = RunState::NotRun;
   Reason Why = Reason::Internal;
-  /// When asking again may help; nothing where it would not.
+  /// Time after which a retry may succeed; nothing when a retry would not help.
   std::optional<milliseconds> RetryAfter;
 
   [[nodiscard]] friend bool operator==(const Verdict &,
@@ -57,24 +56,19 @@
 };
 
 /// @brief The later of two run states.
-/// @param Left One state.
-/// @param Right Another state.
-/// @return MayHaveRun for {NotRun, MayHaveRun}, and so on. Thread-safe.
+/// @return For example MayHaveRun for {NotRun, MayHaveRun}. Thread-safe.
 [[nodiscard]] RunState laterRunState(RunState Left, RunState Right) noexcept;
 
-/// @brief Stable text of a run state, as callers see it. Thread-safe.
-/// @param State A run state.
+/// @brief Stable code of a run state, as callers see it. Thread-safe.
 /// @return "not-run", "may-have-run" or "ran".
 [[nodiscard]] std::string_view runStateCode(RunState State) noexcept;
 
 /// @brief Stable code of a reason, as callers see it. Thread-safe.
-/// @param Why A reason.
 /// @return Words in lower case, joined by hyphens.
 [[nodiscard]] std::string_view reasonCode(Reason Why) noexcept;
 
-/// @brief HTTP status that goes with a verdict. Thread-safe.
-/// @param Final A verdict.
-/// @return 4xx where the caller must change something, else 5xx.
+/// @brief HTTP status code for a verdict. Thread-safe.
+/// @return 4xx when the caller must change the request, else 5xx.
 [[nodiscard]] unsigned httpStatus(const Verdict &Final) noexcept;
 
 } // namespace coltsfoottrail
--- a/packages/core/test/coltsfoottrail/core/slotmap.cpp
+++ b/packages/core/test/coltsfoottrail/core/slotmap.cpp
@@ -9,9 +9,9 @@
 struct ThingTag;
 using ThingId = Ident<ThingTag>;
 
-// A caller would get another caller's answer: the first request ends, its slot
-// is taken by a second one, and a late message that still names the first must
-// not find the second.
+// A request ends and its slot is reused by another request. A late message with
+// the first identifier must not find the second request, or a caller would get
+// another caller's answer.
 TEST(SlotMap, StaleIdentifierFindsNothing) {
   SlotMap<std::string, ThingId> Things;
   const ThingId First = Things.insert("first");
--- a/packages/core/test/coltsfoottrail/json/cbor.cpp
+++ b/packages/core/test/coltsfoottrail/json/cbor.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 std::vector<std::byte> bytesOf(std::initializer_list<unsigned> Values) {
-  std::vector<std::byte> Out;
-  for (const unsigned Each : Values)
-    Out.push_back(static_cast<std::byte>(Each));
-  return Out;
+  std::vector<std::byte> Bytes;
+  for (const unsigned Value : Values)
+    Bytes.push_back(static_cast<std::byte>(Value));
+  return Bytes;
 }
 
 TEST(Cbor, ValuesComeBackAsTheyWere) {
@@ -42,8 +42,8 @@
   std::size_t Parsed = 0;
   for (int Round = 0; Round < 50'000; ++Round) {
     std::vector<std::byte> Bytes(1 + Draw.below(12));
-    for (std::byte &Each : Bytes)
-      Each = static_cast<std::byte>(Draw());
+    for (std::byte &Value : Bytes)
+      Value = static_cast<std::byte>(Draw());
     try {
       static_cast<void>(parseCbor(Bytes, "test"));
       ++Parsed;
--- a/packages/core/test/coltsfoottrail/json/reader.cpp
+++ b/packages/core/test/coltsfoottrail/json/reader.cpp
@@ -9,40 +9,40 @@
 using ::testing::AllOf;
 using ::testing::HasSubstr;
 
-std::string problemOf(const std::function<void()> &Act) {
+std::string errorOf(const std::function<void()> &Action) {
   try {
-    Act();
-  } catch (const InputError &Problem) {
-    return Problem.what();
+    Action();
+  } catch (const InputError &Text) {
+    return Text.what();
   }
   return "(accepted)";
 }
 
-// An operator mistypes a key in the settings: the file would be taken and the
-// limit silently stay at its default.
+// Guards against a mistyped key in the settings: the file would be accepted and
+// the limit would silently keep its default.
 TEST(ObjectReader, UnknownKeyIsNamedWithTheKnownOnes) {
   const Json Value = Json::parse(R"({"limits":{"max_body":1,"max_bdoy":2}})");
-  const std::string Problem = problemOf([&] {
+  const std::string Text = errorOf([&] {
     ObjectReader Root(Value, "entry.json");
     ObjectReader Limits = Root.object("limits");
     EXPECT_EQ(Limits.number("max_body"), 1U);
     Limits.finish();
   });
-  EXPECT_THAT(Problem,
+  EXPECT_THAT(Text,
               AllOf(HasSubstr("entry.json"), HasSubstr("/limits/max_bdoy"),
                     HasSubstr("\"max_body\"")));
 }
 
 TEST(ObjectReader, WrongValueNamesPlaceValueAndWhatIsAllowed) {
   const Json Value = Json::parse(R"({"list":[{"port":70000}]})");
-  const std::string Problem = problemOf([&] {
+  const std::string Text = errorOf([&] {
     ObjectReader Root(Value, "entry.json");
     Root.eachObject("list", [](ObjectReader &Entry) {
       EXPECT_EQ(Entry.number("port", 1, 65535), 0U);
     });
   });
-  EXPECT_THAT(Problem, AllOf(HasSubstr("/list/0/port"), HasSubstr("70000"),
-                             HasSubstr("from 1 to 65535")));
+  EXPECT_THAT(Text, AllOf(HasSubstr("/list/0/port"), HasSubstr("70000"),
+                          HasSubstr("from 1 to 65535")));
 }
 
 TEST(ObjectReader, MessagesMayCarryUnknownFields) {
