--- a/packages/standin/app/main.cpp
+++ b/packages/standin/app/main.cpp
@@ -43,28 +43,28 @@
 Standins startAll(const Json &Config, const std::string &File, IoPool &Pool) {
   ObjectReader Root(Config, File);
   const std::string Address = Root.textOr("address", "127.0.0.1");
-  Standins Out;
+  Standins Result;
   Root.eachObject("logs", [&](ObjectReader &Reader) {
-    const auto Keep =
+    const auto RetainedEntries =
         static_cast<std::size_t>(Reader.numberOr("keep_entries", 1U << 20U, 1));
-    Out.Logs.push_back(
-        std::make_unique<LogStandin>(Pool, Address, portOf(Reader), Keep));
+    Result.Logs.push_back(std::make_unique<LogStandin>(
+        Pool, Address, portOf(Reader), RetainedEntries));
   });
   Root.eachObject("host_lists", [&](ObjectReader &Reader) {
-    Out.HostLists.push_back(
+    Result.HostLists.push_back(
         std::make_unique<HostListStandin>(Pool, Address, portOf(Reader)));
   });
   Root.eachObject("engines", [&](ObjectReader &Reader) {
     const std::uint16_t Port = portOf(Reader);
-    Out.Engines.push_back(
+    Result.Engines.push_back(
         std::make_unique<EngineStandin>(Pool, Address, Port, traitsOf(Reader)));
   });
   Root.eachObject("services", [&](ObjectReader &Reader) {
-    Out.Services.push_back(
+    Result.Services.push_back(
         std::make_unique<ServiceStandin>(Pool, Address, portOf(Reader)));
   });
   Root.finish();
-  return Out;
+  return Result;
 }
 
 int run(const std::string &File) {
@@ -76,11 +76,11 @@
   const std::string Text((std::istreambuf_iterator<char>(Input)), {});
   IoPool Pool(2);
   const Standins Running = startAll(parseJson(Text, File), File, Pool);
-  boost::asio::io_context Waiting;
-  boost::asio::signal_set Signals(Waiting, SIGINT, SIGTERM);
+  boost::asio::io_context MainContext;
+  boost::asio::signal_set Signals(MainContext, SIGINT, SIGTERM);
   Signals.async_wait([](const boost::system::error_code &, int) {});
   std::cout << "stand-ins ready\n" << std::flush;
-  Waiting.run();
+  MainContext.run();
   Pool.stop();
   return 0;
 }
@@ -96,8 +96,8 @@
   }
   try {
     return run(Arguments[1]);
-  } catch (const std::exception &Problem) {
-    std::cerr << Problem.what() << '\n';
+  } catch (const std::exception &Exception) {
+    std::cerr << Exception.what() << '\n';
     return 1;
   }
 }
--- a/packages/standin/src/coltsfoottrail/standin/engine.cpp
+++ b/packages/standin/src/coltsfoottrail/standin/engine.cpp
@@ -36,11 +36,11 @@
   static constexpr std::array<std::string_view, 16> Words{
       "close",  "lane", "at",   "the", "bridge", "place", "sign",    "before",
       "detour", "via",  "road", "and", "keep",   "the",   "barrier", "lit"};
-  Random Draw(PromptHash + Index);
-  return std::string(Words[Draw.below(Words.size())]) + " ";
+  Random Generator(PromptHash + Index);
+  return std::string(Words[Generator.below(Words.size())]) + " ";
 }
 
-std::string wordEvent(bool Chat, const std::string &Word, bool Last) {
+std::string tokenEvent(bool Chat, const std::string &Word, bool Last) {
   Json Choice{{"index", 0}};
   if (Chat)
     Choice["delta"] = {{"content", Word}};
@@ -50,8 +50,8 @@
   return "data: " + Json{{"choices", {Choice}}}.dump() + "\n\n";
 }
 
-HttpResponse wholeAnswer(bool Chat, const std::string &Text,
-                         std::uint64_t Tokens) {
+HttpResponse completionResponse(bool Chat, const std::string &Text,
+                                std::uint64_t Tokens) {
   Json Choice{{"index", 0}, {"finish_reason", "length"}};
   if (Chat)
     Choice["message"] = {{"role", "assistant"}, {"content", Text}};
@@ -62,7 +62,7 @@
                                .dump());
 }
 
-HttpResponse streamHead() {
+HttpResponse streamResponseHead() {
   return HttpResponse{200, {{"Content-Type", "text/event-stream"}}, ""};
 }
 
@@ -70,27 +70,27 @@
   return std::to_string(Group.Plan) + "." + std::to_string(Group.Number);
 }
 
-HttpResponse notRun(unsigned Status, std::string_view Why) {
-  HttpResponse Out =
+HttpResponse notRunResponse(unsigned Status, std::string_view Why) {
+  HttpResponse Result =
       jsonResponse(Status, Json{{"error", std::string(Why)}}.dump());
-  Out.Fields.push_back({"Coltsfoottrail-Verdict", "not-run"});
-  return Out;
+  Result.Fields.push_back({"Coltsfoottrail-Verdict", "not-run"});
+  return Result;
 }
 
-std::string draftFor(std::uint64_t PromptHash, std::uint64_t Tokens) {
-  std::string Out;
+std::string generateText(std::uint64_t PromptHash, std::uint64_t Tokens) {
+  std::string Result;
   for (std::uint64_t Index = 0; Index < Tokens; ++Index)
-    Out += wordAt(PromptHash, Index);
-  return Out;
+    Result += wordAt(PromptHash, Index);
+  return Result;
 }
 
 } // namespace
 
 std::string completionText(std::string_view Prompt, std::uint64_t Tokens) {
-  return draftFor(hashText(Prompt), Tokens);
+  return generateText(hashText(Prompt), Tokens);
 }
 
-struct EngineStandin::Work {
+struct EngineStandin::CompletionRequest {
   std::string Prompt;
   std::uint64_t Hash = 0;
   std::uint64_t Tokens = DefaultTokens;
@@ -99,61 +99,62 @@
   bool Chat = false;
 };
 
-/// Counts a request while it is worked on.
-struct EngineStandin::Running {
-  explicit Running(EngineStandin &Of) : Owner(Of) {
+/// Counts a request while it is processed.
+struct EngineStandin::InProgressGuard {
+  explicit InProgressGuard(EngineStandin &Engine) : Owner(Engine) {
     const std::lock_guard Hold(Owner.Lock);
     ++Owner.Started;
-    ++Owner.Now.Running;
-    Owner.Most = std::max(Owner.Most, Owner.Now.Running);
+    ++Owner.Status.Running;
+    Owner.PeakConcurrency =
+        std::max(Owner.PeakConcurrency, Owner.Status.Running);
   }
-  Running(const Running &) = delete;
-  Running &operator=(const Running &) = delete;
-  ~Running() {
+  InProgressGuard(const InProgressGuard &) = delete;
+  InProgressGuard &operator=(const InProgressGuard &) = delete;
+  ~InProgressGuard() {
     const std::lock_guard Hold(Owner.Lock);
-    --Owner.Now.Running;
-    if (!Whole)
+    --Owner.Status.Running;
+    if (!Completed)
       ++Owner.Cancelled;
   }
   EngineStandin &Owner;
-  bool Whole = false;
+  bool Completed = false;
 };
 
 EngineStandin::EngineStandin(IoPool &Threads, const std::string &Address,
                              std::uint16_t Port, EngineTraits Traits)
-    : Can(Traits),
+    : Capabilities(Traits),
       Server(Threads, Address, Port,
              ServerLimits{.MaxBodyBytes = std::uint64_t{8} << 20U},
              ServerHooks{
                  [this](Exchange &Call) { return handle(Call); }, {}, {}}) {
-  Now.Run = drawRun();
+  Status.Run = drawRun();
 }
 
 std::uint16_t EngineStandin::port() const noexcept { return Server.port(); }
 
-void EngineStandin::setFaults(EngineFaults Wanted) {
+void EngineStandin::setFaults(EngineFaults NewFaults) {
   const std::lock_guard Hold(Lock);
-  Faults = std::move(Wanted);
+  Faults = std::move(NewFaults);
 }
 
 void EngineStandin::restart() {
   const std::lock_guard Hold(Lock);
-  const std::uint32_t InProgress = Now.Running;
-  Now = EngineReport{};
-  Now.Run = drawRun();
-  Now.Running = InProgress;
+  const std::uint32_t InProgress = Status.Running;
+  Status = EngineReport{};
+  Status.Run = drawRun();
+  Status.Running = InProgress;
   Server.cutAll();
 }
 
 EngineReport EngineStandin::report() const {
   const std::lock_guard Hold(Lock);
-  settlePhase();
-  return Now;
+  updatePhase();
+  return Status;
 }
 
 std::uint32_t EngineStandin::peakConcurrency() const {
   const std::lock_guard Hold(Lock);
-  return Most;
+  return PeakConcurrency;
 }
 
 std::uint64_t EngineStandin::started() const {
@@ -166,80 +167,80 @@
   return Cancelled;
 }
 
-void EngineStandin::settlePhase() const {
-  if (Now.Phase == EnginePhase::Loading && BootClock::now() >= LoadedAt)
-    Now.Phase = EnginePhase::Ready;
-  if (Now.Phase == EnginePhase::Leaving && Now.Running == 0) {
-    Now.Phase = EnginePhase::Idle;
-    Now.Group.reset();
+void EngineStandin::updatePhase() const {
+  if (Status.Phase == EnginePhase::Loading && BootClock::now() >= LoadedAt)
+    Status.Phase = EnginePhase::Ready;
+  if (Status.Phase == EnginePhase::Leaving && Status.Running == 0) {
+    Status.Phase = EnginePhase::Idle;
+    Status.Group.reset();
   }
 }
 
 Awaitable<void> EngineStandin::handle(Exchange &Call) {
-  const HttpRequest &Asked = Call.request();
-  const std::string_view Path = pathOf(Asked.Target);
+  const HttpRequest &Request = Call.request();
+  const std::string_view Path = pathOf(Request.Target);
   if (Path == "/report")
     co_await Call.respond(jsonResponse(200, writeReport(report()).dump()));
-  else if (Path == "/orders" && Asked.Method == "POST")
-    co_await Call.respond(obey(Asked.Body));
-  else if (Path == "/faults" && Asked.Method == "POST")
-    co_await Call.respond(setFaultsFrom(Asked.Body));
-  else if (Path == "/restart" && Asked.Method == "POST") {
+  else if (Path == "/orders" && Request.Method == "POST")
+    co_await Call.respond(handleOrder(Request.Body));
+  else if (Path == "/faults" && Request.Method == "POST")
+    co_await Call.respond(setFaultsFrom(Request.Body));
+  else if (Path == "/restart" && Request.Method == "POST") {
     restart();
     co_await Call.respond(jsonResponse(200, "{}"));
   } else if (Path == "/v1/completions" || Path == "/v1/chat/completions")
     co_await complete(Call);
   else
-    co_await Call.respond(notRun(404, "unknown path"));
+    co_await Call.respond(notRunResponse(404, "unknown path"));
 }
 
 HttpResponse EngineStandin::setFaultsFrom(const std::string &Body) {
   try {
     const Json Value = parseJson(Body, "faults");
     ObjectReader Reader(Value, "faults");
-    EngineFaults Wanted;
-    Wanted.CrashOn = Reader.textOr("crash_on", "");
-    Wanted.CutAfterTokens = static_cast<std::uint32_t>(
+    EngineFaults NewFaults;
+    NewFaults.CrashOn = Reader.textOr("crash_on", "");
+    NewFaults.CutAfterTokens = static_cast<std::uint32_t>(
         Reader.numberOr("cut_after_tokens", 0, 0, MaxTokens));
-    Wanted.Delay = milliseconds(Reader.numberOr("delay_ms", 0, 0, 60'000));
+    NewFaults.Delay = milliseconds(Reader.numberOr("delay_ms", 0, 0, 60'000));
     Reader.finish();
-    setFaults(std::move(Wanted));
+    setFaults(std::move(NewFaults));
     return jsonResponse(200, "{}");
   } catch (const InputError &Problem) {
     return jsonResponse(400, Json{{"error", Problem.what()}}.dump());
   }
 }
 
-HttpResponse EngineStandin::obey(const std::string &Body) {
+HttpResponse EngineStandin::handleOrder(const std::string &Body) {
   try {
     const EngineOrder Order = readOrder(parseJson(Body, "order"));
     const std::lock_guard Hold(Lock);
-    settlePhase();
-    if (Can.RefusesOldFences && Order.Fence < Now.Fence)
-      return jsonResponse(412, Json{{"fence", Now.Fence}}.dump());
-    Now.Fence = std::max(Now.Fence, Order.Fence);
+    updatePhase();
+    if (Capabilities.RefusesOldFences && Order.Fence < Status.Fence)
+      return jsonResponse(412, Json{{"fence", Status.Fence}}.dump());
+    Status.Fence = std::max(Status.Fence, Order.Fence);
     if (const auto *const Join = std::get_if<JoinGroup>(&Order.What)) {
-      const bool Same = Now.Group == Join->Group &&
-                        Now.Version == Join->Version &&
-                        Now.Phase != EnginePhase::Leaving;
-      if (!Same && Now.Running > 0)
-        return jsonResponse(409, R"({"error":"still at work"})");
+      const bool Same = Status.Group == Join->Group &&
+                        Status.Version == Join->Version &&
+                        Status.Phase != EnginePhase::Leaving;
+      if (!Same && Status.Running > 0)
+        return jsonResponse(409, R"({"error":"requests in progress"})");
       if (!Same) {
-        Now.Group = Join->Group;
-        Now.Version = Join->Version;
-        Now.Adapters = Join->Adapters;
-        Now.Phase = EnginePhase::Loading;
-        LoadedAt = BootClock::now() + Can.LoadTime;
+        Status.Group = Join->Group;
+        Status.Version = Join->Version;
+        Status.Adapters = Join->Adapters;
+        Status.Phase = EnginePhase::Loading;
+        LoadedAt = BootClock::now() + Capabilities.LoadTime;
       }
     } else if (const auto *const Leave = std::get_if<LeaveGroup>(&Order.What)) {
-      if (Now.Group == Leave->Group)
-        Now.Phase = EnginePhase::Leaving;
-      settlePhase();
+      if (Status.Group == Leave->Group)
+        Status.Phase = EnginePhase::Leaving;
+      updatePhase();
     } else if (const auto *const Load =
                    std::get_if<LoadAdapters>(&Order.What)) {
-      if (Now.Group != Load->Group)
-        return jsonResponse(409, R"({"error":"another group"})");
-      Now.Adapters = Load->Adapters;
+      if (Status.Group != Load->Group)
+        return jsonResponse(409, R"({"error":"not a member of that group"})");
+      Status.Adapters = Load->Adapters;
     }
     return jsonResponse(200, "{}");
   } catch (const InputError &Problem) {
@@ -247,16 +248,17 @@
   }
 }
 
-std::optional<HttpResponse> EngineStandin::refuse(const HttpRequest &Asked) {
+std::optional<HttpResponse> EngineStandin::refuse(const HttpRequest &Request) {
   const std::lock_guard Hold(Lock);
-  settlePhase();
-  if (Now.Phase != EnginePhase::Ready || !Now.Group)
-    return notRun(409, "not serving");
-  const std::string_view Wanted = fieldOf(Asked.Fields, "Coltsfoottrail-Group");
-  if (!Wanted.empty() && Wanted != groupKey(*Now.Group))
-    return notRun(409, "serves another group");
-  if (Now.Running >= Can.MaxConcurrentRequests)
-    return notRun(503, "more than it bears");
+  updatePhase();
+  if (Status.Phase != EnginePhase::Ready || !Status.Group)
+    return notRunResponse(409, "not serving");
+  const std::string_view RequestedGroup =
+      fieldOf(Request.Fields, "Coltsfoottrail-Group");
+  if (!RequestedGroup.empty() && RequestedGroup != groupKey(*Status.Group))
+    return notRunResponse(409, "serves another group");
+  if (Status.Running >= Capabilities.MaxConcurrentRequests)
+    return notRunResponse(503, "too many requests in progress");
   return std::nullopt;
 }
 
@@ -265,58 +267,60 @@
     co_await Call.respond(std::move(*Refusal));
     co_return;
   }
-  Work Asked;
+  CompletionRequest Request;
   std::string Problem;
   try {
     const Json Body = parseJson(Call.request().Body, "request");
     ObjectReader Reader(Body, "request", "", UnknownKeys::Ignore);
-    Asked.Chat = Reader.has("messages");
-    Asked.Prompt = Asked.Chat ? Reader.raw("messages").dump()
-                              : Reader.text("prompt", 1U << 20U);
-    Asked.Tokens = Reader.numberOr("max_tokens", DefaultTokens, 1, MaxTokens);
-    Asked.Stream = Reader.flagOr("stream", false);
+    Request.Chat = Reader.has("messages");
+    Request.Prompt = Request.Chat ? Reader.raw("messages").dump()
+                                  : Reader.text("prompt", 1U << 20U);
+    Request.Tokens = Reader.numberOr("max_tokens", DefaultTokens, 1, MaxTokens);
+    Request.Stream = Reader.flagOr("stream", false);
     if (Reader.has("coltsfoottrail_resume"))
-      Asked.From = Reader.object("coltsfoottrail_resume").number("tokens");
-    Asked.Hash = hashText(Asked.Prompt);
+      Request.From = Reader.object("coltsfoottrail_resume").number("tokens");
+    Request.Hash = hashText(Request.Prompt);
   } catch (const InputError &Wrong) {
     Problem = Wrong.what();
   }
   if (!Problem.empty()) {
-    co_await Call.respond(notRun(400, Problem));
+    co_await Call.respond(notRunResponse(400, Problem));
     co_return;
   }
-  Running Mark(*this);
-  EngineFaults Today;
+  InProgressGuard Mark(*this);
+  EngineFaults CurrentFaults;
   {
     const std::lock_guard Hold(Lock);
-    Today = Faults;
+    CurrentFaults = Faults;
   }
-  if (!Today.CrashOn.empty() &&
-      Asked.Prompt.find(Today.CrashOn) != std::string::npos) {
+  if (!CurrentFaults.CrashOn.empty() &&
+      Request.Prompt.find(CurrentFaults.CrashOn) != std::string::npos) {
     restart();
     co_return;
   }
-  if (Today.Delay.count() > 0)
-    co_await pause(Today.Delay);
-  if (Asked.Stream)
-    co_await streamWords(Call, Asked);
+  if (CurrentFaults.Delay.count() > 0)
+    co_await pause(CurrentFaults.Delay);
+  if (Request.Stream)
+    co_await streamCompletion(Call, Request);
   else
-    co_await answerWhole(Call, Asked);
-  Mark.Whole = true;
+    co_await respondComplete(Call, Request);
+  Mark.Completed = true;
 }
 
-Awaitable<void> EngineStandin::streamWords(Exchange &Call, const Work &Asked) {
+Awaitable<void>
+EngineStandin::streamCompletion(Exchange &Call,
+                                const CompletionRequest &Request) {
   std::uint32_t CutAfter = 0;
   {
     const std::lock_guard Hold(Lock);
     CutAfter = Faults.CutAfterTokens;
   }
-  co_await Call.begin(streamHead());
-  for (std::uint64_t Index = Asked.From; Index < Asked.Tokens; ++Index) {
-    co_await pause(Can.TimePerToken);
-    co_await Call.write(wordEvent(Asked.Chat, wordAt(Asked.Hash, Index),
-                                  Index + 1 == Asked.Tokens));
-    if (CutAfter != 0 && Index + 1 - Asked.From >= CutAfter) {
+  co_await Call.begin(streamResponseHead());
+  for (std::uint64_t Index = Request.From; Index < Request.Tokens; ++Index) {
+    co_await pause(Capabilities.TimePerToken);
+    co_await Call.write(tokenEvent(Request.Chat, wordAt(Request.Hash, Index),
+                                   Index + 1 == Request.Tokens));
+    if (CutAfter != 0 && Index + 1 - Request.From >= CutAfter) {
       Call.cut();
       co_return;
     }
@@ -325,10 +329,12 @@
   co_await Call.end();
 }
 
-Awaitable<void> EngineStandin::answerWhole(Exchange &Call, const Work &Asked) {
-  const std::string Text = draftFor(Asked.Hash, Asked.Tokens);
-  co_await pause(Can.TimePerToken * static_cast<int>(Asked.Tokens));
-  co_await Call.respond(wholeAnswer(Asked.Chat, Text, Asked.Tokens));
+Awaitable<void>
+EngineStandin::respondComplete(Exchange &Call,
+                               const CompletionRequest &Request) {
+  const std::string Text = generateText(Request.Hash, Request.Tokens);
+  co_await pause(Capabilities.TimePerToken * static_cast<int>(Request.Tokens));
+  co_await Call.respond(completionResponse(Request.Chat, Text, Request.Tokens));
 }
 
 } // namespace coltsfoottrail
--- a/packages/standin/src/coltsfoottrail/standin/engine.hpp
+++ b/packages/standin/src/coltsfoottrail/standin/engine.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Stand-in for a model engine.
+/// Stand-in for a model engine, for tests and trials.
 #ifndef COLTSFOOTTRAIL_STANDIN_ENGINE_HPP
 #define COLTSFOOTTRAIL_STANDIN_ENGINE_HPP
 
@@ -16,77 +16,85 @@
 
 namespace coltsfoottrail {
 
-/// @brief What an engine can do.
+/// @brief Properties of an engine.
 struct EngineTraits {
+  /// Whether it rejects orders with an outdated fencing number.
   bool RefusesOldFences = true;
-  /// Requests at once that it bears when warm; more make it fall over.
+  /// Maximum number of concurrent requests; further requests are refused.
   std::uint32_t MaxConcurrentRequests = 64;
   milliseconds LoadTime{50};
   milliseconds TimePerToken{2};
 };
 
-/// @brief How an engine misbehaves.
+/// @brief Faults to inject into an engine.
 struct EngineFaults {
-  /// A prompt that holds this text breaks the connection, as a crash does.
+  /// A prompt that contains this text makes the engine restart, as a crash
+  /// does; empty for none.
   std::string CrashOn;
-  /// Streams are cut after so many tokens; zero for never.
+  /// Number of tokens after which streams are cut; zero for never.
   std::uint32_t CutAfterTokens = 0;
-  /// Added before the first token.
+  /// Delay before the first token.
   milliseconds Delay{0};
 };
 
-/// @brief The text that every engine drafts for a prompt. Thread-safe.
-/// @param Prompt Text of a completion's prompt.
-/// @param Tokens Its max_tokens.
+/// @brief The text that every engine generates for a prompt. Thread-safe.
+/// @param Prompt The prompt of the completion.
+/// @param Tokens Number of tokens to generate.
 [[nodiscard]] std::string completionText(std::string_view Prompt,
                                          std::uint64_t Tokens);
 
-/// @brief A model engine: takes orders, drafts deterministic text, counts.
+/// @brief A model engine that obeys orders, generates deterministic text and
+/// counts requests.
 class EngineStandin {
 public:
-  /// @brief Starts to serve.
-  /// @param Threads Where connections live; must outlive the stand-in.
-  /// @param Address IP number.
-  /// @param Port Port; zero for any free one.
-  /// @param Traits What it can do.
+  /// @brief Starts serving.
+  /// @param Threads Threads that serve connections; must outlive the stand-in.
+  /// @param Address IP address to listen on.
+  /// @param Port Port to listen on; zero for any free port.
+  /// @param Traits The engine's properties.
   EngineStandin(IoPool &Threads, const std::string &Address, std::uint16_t Port,
                 EngineTraits Traits);
 
-  /// @brief The port served on. Thread-safe.
+  /// @brief The port listened on. Thread-safe.
   [[nodiscard]] std::uint16_t port() const noexcept;
   /// @brief Sets the faults. Thread-safe.
-  void setFaults(EngineFaults Wanted);
-  /// @brief Forgets its group and takes another run, as a restart does.
-  /// Thread-safe.
+  void setFaults(EngineFaults NewFaults);
+  /// @brief Simulates a restart: drops connections, leaves the group and draws
+  /// a new run number. Thread-safe.
   void restart();
-  /// @brief What it says of itself. Thread-safe.
+  /// @brief The status that it reports. Thread-safe.
   [[nodiscard]] EngineReport report() const;
-  /// @brief Most requests that it had at once. Thread-safe.
+  /// @brief Highest number of concurrent requests so far. Thread-safe.
   [[nodiscard]] std::uint32_t peakConcurrency() const;
-  /// @brief Requests that it began to work on. Thread-safe.
+  /// @brief Number of requests that it started to process. Thread-safe.
   [[nodiscard]] std::uint64_t started() const;
-  /// @brief Requests whose caller went away before the end. Thread-safe.
+  /// @brief Number of requests that ended early because the caller left or the
+  /// engine restarted. Thread-safe.
   [[nodiscard]] std::uint64_t cancelled() const;
 
 private:
-  struct Work;
-  struct Running;
+  struct CompletionRequest;
+  struct InProgressGuard;
 
   [[nodiscard]] Awaitable<void> handle(Exchange &Call);
   [[nodiscard]] Awaitable<void> complete(Exchange &Call);
-  [[nodiscard]] Awaitable<void> streamWords(Exchange &Call, const Work &Asked);
-  [[nodiscard]] Awaitable<void> answerWhole(Exchange &Call, const Work &Asked);
-  [[nodiscard]] HttpResponse obey(const std::string &Body);
+  [[nodiscard]] Awaitable<void>
+  streamCompletion(Exchange &Call, const CompletionRequest &Request);
+  [[nodiscard]] Awaitable<void>
+  respondComplete(Exchange &Call, const CompletionRequest &Request);
+  [[nodiscard]] HttpResponse handleOrder(const std::string &Body);
   [[nodiscard]] HttpResponse setFaultsFrom(const std::string &Body);
-  [[nodiscard]] std::optional<HttpResponse> refuse(const HttpRequest &Asked);
-  void settlePhase() const;
+  /// @return The refusal of a request that cannot be served, or nothing.
+  [[nodiscard]] std::optional<HttpResponse> refuse(const HttpRequest &Request);
+  /// Completes a finished load or leave. Requires Lock to be held.
+  void updatePhase() const;
 
-  EngineTraits Can;
+  EngineTraits Capabilities;
   mutable std::mutex Lock;
   EngineFaults Faults;
-  mutable EngineReport Now;
+  mutable EngineReport Status;
   mutable TimePoint LoadedAt{};
-  std::uint32_t Most = 0;
+  std::uint32_t PeakConcurrency = 0;
   std::uint64_t Started = 0;
   std::uint64_t Cancelled = 0;
   HttpServer Server;
--- a/packages/standin/src/coltsfoottrail/standin/fwd.hpp
+++ b/packages/standin/src/coltsfoottrail/standin/fwd.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Forward declarations of the stand-ins.
+/// Forward declarations of the standin module.
 #ifndef COLTSFOOTTRAIL_STANDIN_FWD_HPP
 #define COLTSFOOTTRAIL_STANDIN_FWD_HPP
 
--- a/packages/standin/src/coltsfoottrail/standin/load.cpp
+++ b/packages/standin/src/coltsfoottrail/standin/load.cpp
@@ -22,45 +22,46 @@
 constexpr milliseconds PauseAfterRefusal{20};
 constexpr unsigned StatusOk = 200;
 
-/// What all clients of a run share.
-struct Shared {
-  Shared(const LoadOptions &Asked, const std::atomic<bool> &Ending)
-      : Wanted(Asked), Stop(Ending), Until(BootClock::now() + Asked.Time) {}
+/// State shared by all clients of a run.
+struct LoadRun {
+  LoadRun(const LoadOptions &LoadSettings, const std::atomic<bool> &StopFlag)
+      : Options(LoadSettings), Stop(StopFlag),
+        EndTime(BootClock::now() + LoadSettings.Time) {}
 
   [[nodiscard]] bool takeTurn() {
-    if (Stop || BootClock::now() >= Until)
+    if (Stop || BootClock::now() >= EndTime)
       return false;
     const std::uint64_t Number = Next++;
-    return Wanted.Requests == 0 || Number < Wanted.Requests;
+    return Options.Requests == 0 || Number < Options.Requests;
   }
 
-  const LoadOptions &Wanted;
+  const LoadOptions &Options;
   const std::atomic<bool> &Stop;
-  TimePoint Until;
+  TimePoint EndTime;
   std::atomic<std::uint64_t> Next{0};
   std::mutex Lock;
   LoadResult Result;
 };
 
-HttpRequest requestOf(const LoadOptions &Wanted, std::uint32_t Client,
-                      std::uint64_t Turn) {
-  HttpRequest Out;
-  Out.Method = "POST";
-  Out.Target = Wanted.Path;
-  Out.Fields = {{"Authorization", "Bearer " + Wanted.Credential},
-                {"Content-Type", "application/json"}};
-  if (!Wanted.Body.empty()) {
-    Out.Body = Wanted.Body;
-    return Out;
+HttpRequest makeRequest(const LoadOptions &Options, std::uint32_t Client,
+                        std::uint64_t Turn) {
+  HttpRequest Result;
+  Result.Method = "POST";
+  Result.Target = Options.Path;
+  Result.Fields = {{"Authorization", "Bearer " + Options.Credential},
+                   {"Content-Type", "application/json"}};
+  if (!Options.Body.empty()) {
+    Result.Body = Options.Body;
+    return Result;
   }
   const std::string Prompt = "detour plan " + std::to_string(Turn) +
                              " of client " + std::to_string(Client);
-  Out.Body = Json{{"model", Wanted.Model},
-                  {"prompt", Prompt},
-                  {"max_tokens", Wanted.Tokens},
-                  {"stream", Wanted.Stream}}
-                 .dump();
-  return Out;
+  Result.Body = Json{{"model", Options.Model},
+                     {"prompt", Prompt},
+                     {"max_tokens", Options.Tokens},
+                     {"stream", Options.Stream}}
+                    .dump();
+  return Result;
 }
 
 std::string refusalCode(const HttpResponse &Refusal) {
@@ -70,82 +71,84 @@
   return Body.value("verdict", "?") + " " + Body.value("reason", "?");
 }
 
-/// One answer as it came.
+/// Outcome of one call.
 struct Outcome {
-  HttpResponse Got;
+  HttpResponse Response;
   bool Lost = false;
   bool Cut = false;
   Duration FirstByte{};
   Duration Total{};
 };
 
-void note(Shared &Run, const Outcome &Ended) {
+void recordOutcome(LoadRun &Run, const Outcome &CallOutcome) {
   const std::lock_guard Hold(Run.Lock);
   LoadResult &Result = Run.Result;
-  const bool Unfinished = Run.Wanted.Stream && Ended.Got.Status == StatusOk &&
-                          !Ended.Got.Body.ends_with("data: [DONE]\n\n");
-  if (Ended.Lost)
+  const bool Unfinished =
+      Run.Options.Stream && CallOutcome.Response.Status == StatusOk &&
+      !CallOutcome.Response.Body.ends_with("data: [DONE]\n\n");
+  if (CallOutcome.Lost)
     ++Result.Lost;
-  else if (Ended.Cut || Unfinished)
+  else if (CallOutcome.Cut || Unfinished)
     ++Result.Cut;
-  else if (Ended.Got.Status != StatusOk)
-    ++Result.Refused[refusalCode(Ended.Got)];
+  else if (CallOutcome.Response.Status != StatusOk)
+    ++Result.Refused[refusalCode(CallOutcome.Response)];
   else {
     ++Result.Answered;
-    Result.Latencies.push_back(Ended.Total);
-    Result.FirstBytes.push_back(Ended.FirstByte);
+    Result.Latencies.push_back(CallOutcome.Total);
+    Result.FirstBytes.push_back(CallOutcome.FirstByte);
   }
 }
 
 Awaitable<Outcome> callOnce(HttpClient &Client, EngineAddress To,
                             HttpRequest Request) {
-  Outcome Out;
+  Outcome Result;
   const TimePoint Start = BootClock::now();
   const TimePoint Deadline = Start + CallTimeout;
   auto Started =
       co_await Client.start(std::move(To), std::move(Request), Deadline);
   if (!std::holds_alternative<HttpCall>(Started)) {
-    Out.Lost = true;
-    co_return Out;
+    Result.Lost = true;
+    co_return Result;
   }
   HttpCall &Call = std::get<HttpCall>(Started);
-  Out.Got = Call.head();
+  Result.Response = Call.head();
   bool Open = true;
   while (Open) {
     auto Next = co_await Call.next(Deadline);
     if (std::holds_alternative<CallFailure>(Next)) {
-      Out.Cut = true;
-      co_return Out;
+      Result.Cut = true;
+      co_return Result;
     }
-    if (Out.FirstByte == Duration{})
-      Out.FirstByte = BootClock::now() - Start;
+    if (Result.FirstByte == Duration{})
+      Result.FirstByte = BootClock::now() - Start;
     auto &Part = std::get<std::optional<std::string>>(Next);
     Open = Part.has_value();
     if (Open)
-      Out.Got.Body += *Part;
+      Result.Response.Body += *Part;
   }
-  Out.Total = BootClock::now() - Start;
-  co_return Out;
+  Result.Total = BootClock::now() - Start;
+  co_return Result;
 }
 
-Awaitable<void> runClient(Shared &Run, HttpClient &Client,
+Awaitable<void> runClient(LoadRun &Run, HttpClient &Client,
                           std::uint32_t Number) {
   boost::asio::steady_timer Pause(co_await boost::asio::this_coro::executor);
   std::uint64_t Turn = 0;
   while (Run.takeTurn()) {
-    const std::size_t Where = (Number + Turn) % Run.Wanted.Targets.size();
-    HttpRequest Request = requestOf(Run.Wanted, Number, Turn++);
-    const Outcome Ended = co_await callOnce(Client, Run.Wanted.Targets[Where],
-                                            std::move(Request));
-    note(Run, Ended);
-    if (Ended.Lost || Ended.Got.Status != StatusOk) {
+    const std::size_t TargetIndex =
+        (Number + Turn) % Run.Options.Targets.size();
+    HttpRequest Request = makeRequest(Run.Options, Number, Turn++);
+    const Outcome CallOutcome = co_await callOnce(
+        Client, Run.Options.Targets[TargetIndex], std::move(Request));
+    recordOutcome(Run, CallOutcome);
+    if (CallOutcome.Lost || CallOutcome.Response.Status != StatusOk) {
       Pause.expires_after(PauseAfterRefusal);
       co_await Pause.async_wait(boost::asio::use_awaitable);
     }
   }
 }
 
-Json millis(Duration Time) {
+Json toMilliseconds(Duration Time) {
   return std::chrono::duration<double, std::milli>(Time).count();
 }
 
@@ -160,18 +163,18 @@
   return Sorted[std::min(Rank, Sorted.size() - 1)];
 }
 
-LoadResult runLoad(const LoadOptions &Wanted, const std::atomic<bool> &Stop) {
-  Shared Run(Wanted, Stop);
-  IoPool Threads(Wanted.Threads);
+LoadResult runLoad(const LoadOptions &Options, const std::atomic<bool> &Stop) {
+  LoadRun Run(Options, Stop);
+  IoPool Threads(Options.Threads);
   std::vector<std::unique_ptr<HttpClient>> Clients;
   ClientOptions Limits;
-  Limits.MaxIdlePerEndpoint = Wanted.Clients;
+  Limits.MaxIdlePerEndpoint = Options.Clients;
   for (std::size_t Index = 0; Index < Threads.size(); ++Index)
     Clients.push_back(
         std::make_unique<HttpClient>(Threads.context(Index), Limits));
-  std::vector<std::promise<void>> Ends(Wanted.Clients);
+  std::vector<std::promise<void>> Ends(Options.Clients);
   const TimePoint Start = BootClock::now();
-  for (std::uint32_t Number = 0; Number < Wanted.Clients; ++Number) {
+  for (std::uint32_t Number = 0; Number < Options.Clients; ++Number) {
     const std::size_t Thread = Number % Threads.size();
     boost::asio::co_spawn(
         Threads.context(Thread),
@@ -192,19 +195,20 @@
 
 Json describeLoad(const LoadResult &Result) {
   const double Seconds = std::chrono::duration<double>(Result.Elapsed).count();
-  return {{"answered", Result.Answered},
-          {"cut", Result.Cut},
-          {"lost", Result.Lost},
-          {"refused", Result.Refused},
-          {"seconds", Seconds},
-          {"requests_per_second",
-           Seconds > 0 ? static_cast<double>(Result.Answered) / Seconds : 0.0},
-          {"p50_ms", millis(LoadResult::quantile(Result.Latencies, 0.50))},
-          {"p99_ms", millis(LoadResult::quantile(Result.Latencies, 0.99))},
-          {"first_byte_p50_ms",
-           millis(LoadResult::quantile(Result.FirstBytes, 0.50))},
-          {"first_byte_p99_ms",
-           millis(LoadResult::quantile(Result.FirstBytes, 0.99))}};
+  return {
+      {"answered", Result.Answered},
+      {"cut", Result.Cut},
+      {"lost", Result.Lost},
+      {"refused", Result.Refused},
+      {"seconds", Seconds},
+      {"requests_per_second",
+       Seconds > 0 ? static_cast<double>(Result.Answered) / Seconds : 0.0},
+      {"p50_ms", toMilliseconds(LoadResult::quantile(Result.Latencies, 0.50))},
+      {"p99_ms", toMilliseconds(LoadResult::quantile(Result.Latencies, 0.99))},
+      {"first_byte_p50_ms",
+       toMilliseconds(LoadResult::quantile(Result.FirstBytes, 0.50))},
+      {"first_byte_p99_ms",
+       toMilliseconds(LoadResult::quantile(Result.FirstBytes, 0.99))}};
 }
 
 } // namespace coltsfoottrail
--- a/packages/standin/src/coltsfoottrail/standin/log.cpp
+++ b/packages/standin/src/coltsfoottrail/standin/log.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::string_view StreamsPrefix = "/v1/streams/";
 constexpr std::string_view RecordsSuffix = "/records";
-constexpr milliseconds PollEvery{5};
+constexpr milliseconds PollInterval{5};
 constexpr std::uint64_t MaxWaitMs = 30'000;
 
 Awaitable<void> pause(Duration Time) {
@@ -25,15 +25,15 @@
   co_await Timer.async_wait(asio::use_awaitable);
 }
 
-HttpResponse downAnswer() {
+HttpResponse unavailableResponse() {
   return HttpResponse{503, {{"Coltsfoottrail-Verdict", "not-run"}}, ""};
 }
 
-HttpResponse offsetAnswer(Offset At) {
-  return jsonResponse(200, Json{{"offset", At}}.dump());
+HttpResponse offsetResponse(Offset Position) {
+  return jsonResponse(200, Json{{"offset", Position}}.dump());
 }
 
-std::optional<std::string> streamOf(std::string_view Path) {
+std::optional<std::string> streamNameOf(std::string_view Path) {
   if (!Path.starts_with(StreamsPrefix) || !Path.ends_with(RecordsSuffix))
     return std::nullopt;
   Path.remove_prefix(StreamsPrefix.size());
@@ -45,7 +45,7 @@
 
 LogStandin::LogStandin(IoPool &Threads, const std::string &Address,
                        std::uint16_t Port, std::size_t KeepEntries)
-    : Keep(KeepEntries),
+    : RetainedEntries(KeepEntries),
       Server(Threads, Address, Port,
              ServerLimits{.MaxBodyBytes = std::uint64_t{8} << 20U},
              ServerHooks{
@@ -53,9 +53,9 @@
 
 std::uint16_t LogStandin::port() const noexcept { return Server.port(); }
 
-void LogStandin::setFaults(LogFaults Wanted) {
+void LogStandin::setFaults(LogFaults NewFaults) {
   const std::lock_guard Hold(Lock);
-  Faults = Wanted;
+  Faults = NewFaults;
 }
 
 std::uint64_t LogStandin::appends() const {
@@ -70,10 +70,10 @@
 
 void LogStandin::trim(const StreamName &Name, Offset Horizon) {
   const std::lock_guard Hold(Lock);
-  Stream &Kept = Streams[Name.Text];
-  while (Kept.Horizon < Horizon && !Kept.Entries.empty()) {
-    Kept.Entries.pop_front();
-    ++Kept.Horizon;
+  Stream &Records = Streams[Name.Text];
+  while (Records.Horizon < Horizon && !Records.Entries.empty()) {
+    Records.Entries.pop_front();
+    ++Records.Horizon;
   }
 }
 
@@ -83,16 +83,16 @@
     co_await Call.respond(setFaultsFrom(Call.request().Body));
     co_return;
   }
-  const std::optional<std::string> Name = streamOf(Path);
-  LogFaults Now;
+  const std::optional<std::string> Name = streamNameOf(Path);
+  LogFaults CurrentFaults;
   {
     const std::lock_guard Hold(Lock);
-    Now = Faults;
+    CurrentFaults = Faults;
   }
-  if (Now.Delay.count() > 0)
-    co_await pause(Now.Delay);
-  if (Now.Down)
-    co_await Call.respond(downAnswer());
+  if (CurrentFaults.Delay.count() > 0)
+    co_await pause(CurrentFaults.Delay);
+  if (CurrentFaults.Down)
+    co_await Call.respond(unavailableResponse());
   else if (!Name)
     co_await Call.respond(jsonResponse(404, R"({"error":"unknown path"})"));
   else if (Call.request().Method == "POST")
@@ -105,13 +105,13 @@
   try {
     const Json Value = parseJson(Body, "faults");
     ObjectReader Reader(Value, "faults");
-    LogFaults Wanted;
-    Wanted.Down = Reader.flagOr("down", false);
-    Wanted.Delay = milliseconds(Reader.numberOr("delay_ms", 0, 0, 60'000));
-    Wanted.LoseAnswers = static_cast<std::uint32_t>(
+    LogFaults NewFaults;
+    NewFaults.Down = Reader.flagOr("down", false);
+    NewFaults.Delay = milliseconds(Reader.numberOr("delay_ms", 0, 0, 60'000));
+    NewFaults.LoseAnswers = static_cast<std::uint32_t>(
         Reader.numberOr("lose_answers", 0, 0, 1'000'000));
     Reader.finish();
-    setFaults(Wanted);
+    setFaults(NewFaults);
     return jsonResponse(200, "{}");
   } catch (const InputError &Problem) {
     return jsonResponse(400, Json{{"error", Problem.what()}}.dump());
@@ -123,26 +123,26 @@
   const std::string &Body = Call.request().Body;
   std::vector<std::byte> Payload(Body.size());
   std::memcpy(Payload.data(), Body.data(), Body.size());
-  Offset At = 0;
-  bool Lose = false;
+  Offset Position = 0;
+  bool DropResponse = false;
   {
     const std::lock_guard Hold(Lock);
-    Stream &Kept = Streams[Name];
-    At = Kept.Horizon + Kept.Entries.size();
-    Kept.Entries.push_back(std::move(Payload));
-    if (Kept.Entries.size() > Keep) {
-      Kept.Entries.pop_front();
-      ++Kept.Horizon;
+    Stream &Records = Streams[Name];
+    Position = Records.Horizon + Records.Entries.size();
+    Records.Entries.push_back(std::move(Payload));
+    if (Records.Entries.size() > RetainedEntries) {
+      Records.Entries.pop_front();
+      ++Records.Horizon;
     }
     ++AppendCount;
-    Lose = Faults.LoseAnswers > 0;
-    if (Lose)
+    DropResponse = Faults.LoseAnswers > 0;
+    if (DropResponse)
       --Faults.LoseAnswers;
   }
-  if (Lose)
+  if (DropResponse)
     Call.cut();
   else
-    co_await Call.respond(offsetAnswer(At));
+    co_await Call.respond(offsetResponse(Position));
 }
 
 Awaitable<void> LogStandin::handleRead(Exchange &Call,
@@ -155,46 +155,47 @@
       std::min(numericQueryParameter(Target, "wait_ms", 0), MaxWaitMs));
   const TimePoint Until = BootClock::now() + Wait;
   while (true) {
-    const bool Last = BootClock::now() >= Until;
-    std::optional<HttpResponse> Answer = readNow(Name, From, Max, Last);
-    if (Answer) {
-      co_await Call.respond(std::move(*Answer));
+    const bool Final = BootClock::now() >= Until;
+    std::optional<HttpResponse> Response = readNow(Name, From, Max, Final);
+    if (Response) {
+      co_await Call.respond(std::move(*Response));
       co_return;
     }
-    co_await pause(PollEvery);
+    co_await pause(PollInterval);
   }
 }
 
 std::optional<HttpResponse> LogStandin::readNow(const std::string &Name,
                                                 Offset From, std::size_t Max,
-                                                bool Last) {
+                                                bool Final) {
   const std::lock_guard Hold(Lock);
   if (Faults.Down)
     return HttpResponse{503, {}, ""};
-  const Stream &Kept = Streams[Name];
-  const Offset End = Kept.Horizon + Kept.Entries.size();
-  if (From < Kept.Horizon) {
+  const Stream &Records = Streams[Name];
+  const Offset End = Records.Horizon + Records.Entries.size();
+  if (From < Records.Horizon) {
     ++ReadCount;
-    return jsonResponse(410, Json{{"horizon", Kept.Horizon}}.dump());
+    return jsonResponse(410, Json{{"horizon", Records.Horizon}}.dump());
   }
-  if (From >= End && !Last)
+  if (From >= End && !Final)
     return std::nullopt;
   Json Entries = Json::array();
-  for (Offset At = From; At < End && Entries.size() < Max; ++At) {
-    const auto &Bytes = Kept.Entries[At - Kept.Horizon];
-    const auto *const First =
+  for (Offset Position = From; Position < End && Entries.size() < Max;
+       ++Position) {
+    const auto &Bytes = Records.Entries[Position - Records.Horizon];
+    const auto *const Begin =
         reinterpret_cast<const std::uint8_t *>(Bytes.data());
-    Entries.push_back({{"at", At},
+    Entries.push_back({{"at", Position},
                        {"payload", Json::binary(std::vector<std::uint8_t>(
-                                       First, First + Bytes.size()))}});
+                                       Begin, Begin + Bytes.size()))}});
   }
   ++ReadCount;
-  HttpResponse Answer{200, {{"Content-Type", "application/cbor"}}, ""};
+  HttpResponse Response{200, {{"Content-Type", "application/cbor"}}, ""};
   Json::to_cbor(Json{{"entries", std::move(Entries)},
                      {"end", End},
-                     {"horizon", Kept.Horizon}},
-                Answer.Body);
-  return Answer;
+                     {"horizon", Records.Horizon}},
+                Response.Body);
+  return Response;
 }
 
 } // namespace coltsfoottrail
--- a/packages/standin/src/coltsfoottrail/standin/log.hpp
+++ b/packages/standin/src/coltsfoottrail/standin/log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Stand-in for the platform's log.
+/// Stand-in for the platform's log, for tests and trials.
 #ifndef COLTSFOOTTRAIL_STANDIN_LOG_HPP
 #define COLTSFOOTTRAIL_STANDIN_LOG_HPP
 
@@ -15,36 +15,38 @@
 
 namespace coltsfoottrail {
 
-/// @brief How the log misbehaves.
+/// @brief Faults to inject into the log.
 struct LogFaults {
-  /// Every call is answered with 503 and has no effect.
+  /// Every call fails with status 503 and has no effect.
   bool Down = false;
-  /// Added to each call.
+  /// Delay added to each call.
   milliseconds Delay{0};
-  /// So many appends take effect while their answer is lost.
+  /// Number of coming appends that take effect but whose response is dropped.
   std::uint32_t LoseAnswers = 0;
 };
 
-/// @brief An append-only log in memory, with offsets, a horizon and faults.
+/// @brief An append-only log in memory with offsets, retention and fault
+/// injection.
 class LogStandin {
 public:
-  /// @brief Starts to serve.
-  /// @param Threads Where connections live; must outlive the stand-in.
-  /// @param Address IP number.
-  /// @param Port Port; zero for any free one.
-  /// @param KeepEntries Records kept in each stream; older ones are trimmed.
+  /// @brief Starts serving.
+  /// @param Threads Threads that serve connections; must outlive the stand-in.
+  /// @param Address IP address to listen on.
+  /// @param Port Port to listen on; zero for any free port.
+  /// @param KeepEntries Maximum number of records kept in each stream; older
+  /// ones are trimmed.
   LogStandin(IoPool &Threads, const std::string &Address, std::uint16_t Port,
              std::size_t KeepEntries = std::size_t{1} << 20U);
 
-  /// @brief The port served on. Thread-safe.
+  /// @brief The port listened on. Thread-safe.
   [[nodiscard]] std::uint16_t port() const noexcept;
   /// @brief Sets the faults. Thread-safe.
-  void setFaults(LogFaults Wanted);
-  /// @brief Appends taken so far over all streams. Thread-safe.
+  void setFaults(LogFaults NewFaults);
+  /// @brief Number of appends so far on all streams. Thread-safe.
   [[nodiscard]] std::uint64_t appends() const;
-  /// @brief Reads answered so far over all streams. Thread-safe.
+  /// @brief Number of reads answered so far on all streams. Thread-safe.
   [[nodiscard]] std::uint64_t reads() const;
-  /// @brief Trims a stream below an offset. Thread-safe.
+  /// @brief Removes the records of a stream below an offset. Thread-safe.
   void trim(const StreamName &Stream, Offset Horizon);
 
 private:
@@ -59,10 +61,12 @@
   [[nodiscard]] Awaitable<void> handleRead(Exchange &Call,
                                            const std::string &Name);
   [[nodiscard]] HttpResponse setFaultsFrom(const std::string &Body);
+  /// @param Final Whether to respond even if there are no records.
+  /// @return Nothing when there are no records yet and the read may wait on.
   [[nodiscard]] std::optional<HttpResponse>
-  readNow(const std::string &Name, Offset From, std::size_t Max, bool Last);
+  readNow(const std::string &Name, Offset From, std::size_t Max, bool Final);
 
-  std::size_t Keep;
+  std::size_t RetainedEntries;
   mutable std::mutex Lock;
   LogFaults Faults;
   std::map<std::string, Stream> Streams;
--- a/packages/standin/src/coltsfoottrail/standin/plainrelay.cpp
+++ b/packages/standin/src/coltsfoottrail/standin/plainrelay.cpp
@@ -22,10 +22,11 @@
 
 namespace {
 
-constexpr std::size_t PartBytes = std::size_t{16} << 10U;
+constexpr std::size_t ChunkBytes = std::size_t{16} << 10U;
 
-Awaitable<void> passBack(beast::tcp_stream &Caller, beast::tcp_stream &Endpoint,
-                         beast::flat_buffer &Buffer) {
+Awaitable<void> relayResponse(beast::tcp_stream &Caller,
+                              beast::tcp_stream &Endpoint,
+                              beast::flat_buffer &Buffer) {
   http::response_parser<http::buffer_body> Parser;
   co_await http::async_read_header(Endpoint, Buffer, Parser,
                                    asio::use_awaitable);
@@ -33,22 +34,22 @@
   Parser.get().body().data = nullptr;
   Parser.get().body().more = true;
   co_await http::async_write_header(Caller, Serializer, asio::use_awaitable);
-  std::array<char, PartBytes> Part{};
+  std::array<char, ChunkBytes> Chunk{};
   while (!Serializer.is_done()) {
     auto &Body = Parser.get().body();
     Body.data = nullptr;
     Body.size = 0;
     if (!Parser.is_done()) {
-      Body.data = Part.data();
-      Body.size = Part.size();
+      Body.data = Chunk.data();
+      Body.size = Chunk.size();
       ErrorCode Problem;
       co_await http::async_read_some(
           Endpoint, Buffer, Parser,
           asio::redirect_error(asio::use_awaitable, Problem));
       if (Problem && Problem != http::error::need_buffer)
         throw boost::system::system_error(Problem);
-      Body.size = Part.size() - Body.size;
-      Body.data = Body.size > 0 ? Part.data() : nullptr;
+      Body.size = Chunk.size() - Body.size;
+      Body.data = Body.size > 0 ? Chunk.data() : nullptr;
       if (Body.size == 0 && !Parser.is_done())
         continue;
     }
@@ -61,70 +62,76 @@
   }
 }
 
-Awaitable<void> serve(Tcp::socket Socket, EngineAddress To) {
+Awaitable<void> serve(Tcp::socket Socket, EngineAddress EndpointAddress) {
   beast::tcp_stream Caller(std::move(Socket));
   beast::tcp_stream Endpoint(Caller.get_executor());
   beast::flat_buffer FromCaller;
   beast::flat_buffer FromEndpoint;
   try {
-    const Tcp::endpoint Where(asio::ip::make_address(To.Address), To.Port);
-    co_await Endpoint.async_connect(Where, asio::use_awaitable);
+    const Tcp::endpoint Destination(
+        asio::ip::make_address(EndpointAddress.Address), EndpointAddress.Port);
+    co_await Endpoint.async_connect(Destination, asio::use_awaitable);
     Endpoint.socket().set_option(Tcp::no_delay(true));
     while (true) {
       http::request<http::string_body> Request;
       co_await http::async_read(Caller, FromCaller, Request,
                                 asio::use_awaitable);
       co_await http::async_write(Endpoint, Request, asio::use_awaitable);
-      co_await passBack(Caller, Endpoint, FromEndpoint);
+      co_await relayResponse(Caller, Endpoint, FromEndpoint);
     }
   } catch (const boost::system::system_error &) {
-    // One of the two has closed: the other one's connection ends with it.
+    // One of the two connections has closed; leaving the scope closes the
+    // other.
   }
 }
 
 } // namespace
 
 struct PlainRelay::Core {
-  Core(IoPool &Pool, EngineAddress Where)
-      : Threads(Pool), To(std::move(Where)) {}
+  Core(IoPool &Pool, EngineAddress Destination)
+      : Threads(Pool), EndpointAddress(std::move(Destination)) {}
 
-  static Awaitable<void> accept(std::shared_ptr<Core> Self,
-                                std::shared_ptr<Tcp::acceptor> Listening) {
+  static Awaitable<void>
+  accept(std::shared_ptr<Core> Self,
+         std::shared_ptr<Tcp::acceptor> ListeningAcceptor) {
     std::size_t Next = 0;
     while (true) {
-      asio::io_context &Home =
+      asio::io_context &Context =
           Self->Threads.context(Next++ % Self->Threads.size());
       ErrorCode Problem;
-      Tcp::socket Socket = co_await Listening->async_accept(
-          Home, asio::redirect_error(asio::use_awaitable, Problem));
+      Tcp::socket Socket = co_await ListeningAcceptor->async_accept(
+          Context, asio::redirect_error(asio::use_awaitable, Problem));
       if (Problem)
         co_return;
       Socket.set_option(Tcp::no_delay(true), Problem);
-      asio::co_spawn(Home, serve(std::move(Socket), Self->To), asio::detached);
+      asio::co_spawn(Context, serve(std::move(Socket), Self->EndpointAddress),
+                     asio::detached);
     }
   }
 
   IoPool &Threads;
-  EngineAddress To;
+  EngineAddress EndpointAddress;
   std::uint16_t Port = 0;
   std::weak_ptr<Tcp::acceptor> Acceptor;
 };
 
-PlainRelay::PlainRelay(IoPool &Threads, EngineAddress To)
-    : Shared(std::make_shared<Core>(Threads, std::move(To))) {
+PlainRelay::PlainRelay(IoPool &Threads, EngineAddress EndpointAddress)
+    : Shared(std::make_shared<Core>(Threads, std::move(EndpointAddress))) {
   const Tcp::endpoint Any(asio::ip::make_address("127.0.0.1"), 0);
-  auto Listening = std::make_shared<Tcp::acceptor>(Threads.context(0), Any);
-  Shared->Port = Listening->local_endpoint().port();
-  Shared->Acceptor = Listening;
-  asio::co_spawn(Threads.context(0), Core::accept(Shared, std::move(Listening)),
+  auto ListeningAcceptor =
+      std::make_shared<Tcp::acceptor>(Threads.context(0), Any);
+  Shared->Port = ListeningAcceptor->local_endpoint().port();
+  Shared->Acceptor = ListeningAcceptor;
+  asio::co_spawn(Threads.context(0),
+                 Core::accept(Shared, std::move(ListeningAcceptor)),
                  asio::detached);
 }
 
 PlainRelay::~PlainRelay() {
   asio::post(Shared->Threads.context(0), [Self = Shared] {
     ErrorCode Ignored;
-    if (const auto Listening = Self->Acceptor.lock())
-      Listening->close(Ignored);
+    if (const auto ListeningAcceptor = Self->Acceptor.lock())
+      ListeningAcceptor->close(Ignored);
   });
 }
 
--- a/packages/standin/src/coltsfoottrail/standin/plainrelay.hpp
+++ b/packages/standin/src/coltsfoottrail/standin/plainrelay.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The plainest relay that Beast makes, to measure ours against.
+/// A minimal HTTP relay based on Boost.Beast, as a baseline for benchmarks.
 #ifndef COLTSFOOTTRAIL_STANDIN_PLAINRELAY_HPP
 #define COLTSFOOTTRAIL_STANDIN_PLAINRELAY_HPP
 
@@ -10,14 +10,14 @@
 
 namespace coltsfoottrail {
 
-/// @brief Passes each request on to one endpoint and its answer back; no
-/// decisions, no limits, one upstream connection for each caller's.
+/// @brief Forwards each request to a fixed endpoint and its response back; no
+/// routing, no limits, one upstream connection for each caller connection.
 class PlainRelay {
 public:
   /// @brief Listens on loopback.
-  /// @param Threads Where connections live; must outlive the relay.
-  /// @param To The endpoint.
-  PlainRelay(IoPool &Threads, EngineAddress To);
+  /// @param Threads Threads that serve connections; must outlive the relay.
+  /// @param EndpointAddress The endpoint to forward to.
+  PlainRelay(IoPool &Threads, EngineAddress EndpointAddress);
   PlainRelay(const PlainRelay &) = delete;
   PlainRelay &operator=(const PlainRelay &) = delete;
   ~PlainRelay();
--- a/packages/standin/src/coltsfoottrail/standin/service.cpp
+++ b/packages/standin/src/coltsfoottrail/standin/service.cpp
@@ -13,35 +13,37 @@
 
 namespace {
 
-/// Counts a call while it runs.
-struct CountUp {
-  explicit CountUp(std::atomic<std::uint32_t> &Counter) : Count(Counter) {
+/// Counts a call while it is in progress.
+struct InProgressGuard {
+  explicit InProgressGuard(std::atomic<std::uint32_t> &Counter)
+      : Count(Counter) {
     ++Count;
   }
-  CountUp(const CountUp &) = delete;
-  CountUp &operator=(const CountUp &) = delete;
-  ~CountUp() { --Count; }
+  InProgressGuard(const InProgressGuard &) = delete;
+  InProgressGuard &operator=(const InProgressGuard &) = delete;
+  ~InProgressGuard() { --Count; }
   std::atomic<std::uint32_t> &Count;
 };
 
-HttpResponse reportAnswer(std::uint32_t InProgress) {
+HttpResponse reportResponse(std::uint32_t InProgress) {
   return jsonResponse(
       200, Json{{"run", 1}, {"running", InProgress}, {"queued", 0}}.dump());
 }
 
-HttpResponse countAnswer(std::uint64_t Runs) {
+HttpResponse countResponse(std::uint64_t Runs) {
   return jsonResponse(200, Json{{"runs", Runs}}.dump());
 }
 
-HttpResponse runAnswer(const HttpRequest &Asked, std::uint64_t Number) {
+HttpResponse executionResponse(const HttpRequest &Request,
+                               std::uint64_t Number) {
   return jsonResponse(200, Json{{"run", Number},
-                                {"method", Asked.Method},
-                                {"path", Asked.Target},
-                                {"body_bytes", Asked.Body.size()}}
+                                {"method", Request.Method},
+                                {"path", Request.Target},
+                                {"body_bytes", Request.Body.size()}}
                                .dump());
 }
 
-HttpResponse listAnswer(const std::vector<ListedHost> &Hosts) {
+HttpResponse hostListResponse(const std::vector<ListedHost> &Hosts) {
   Json List = Json::array();
   for (const ListedHost &Host : Hosts)
     List.push_back({{"name", Host.Name.Text}, {"leaving", Host.Leaving}});
@@ -60,56 +62,56 @@
 
 std::uint64_t ServiceStandin::executionsOf(const std::string &Body) const {
   const std::lock_guard Hold(Lock);
-  const auto Found = Runs.find(Body);
-  return Found == Runs.end() ? 0 : Found->second;
+  const auto Entry = Runs.find(Body);
+  return Entry == Runs.end() ? 0 : Entry->second;
 }
 
 std::uint64_t ServiceStandin::runs() const {
   const std::lock_guard Hold(Lock);
-  std::uint64_t All = 0;
+  std::uint64_t Total = 0;
   for (const auto &[Body, Count] : Runs)
-    All += Count;
-  return All;
+    Total += Count;
+  return Total;
 }
 
-void ServiceStandin::setDelay(milliseconds Wanted) {
+void ServiceStandin::setDelay(milliseconds Value) {
   const std::lock_guard Hold(Lock);
-  Delay = Wanted;
+  Delay = Value;
 }
 
-void ServiceStandin::setLoseAnswers(bool Wanted) {
+void ServiceStandin::setLoseAnswers(bool Value) {
   const std::lock_guard Hold(Lock);
-  LoseAnswers = Wanted;
+  LoseAnswers = Value;
 }
 
 Awaitable<void> ServiceStandin::handle(Exchange &Call) {
-  const HttpRequest &Asked = Call.request();
-  if (pathOf(Asked.Target) == "/count") {
-    co_await Call.respond(countAnswer(runs()));
+  const HttpRequest &Request = Call.request();
+  if (pathOf(Request.Target) == "/count") {
+    co_await Call.respond(countResponse(runs()));
     co_return;
   }
-  if (pathOf(Asked.Target) == "/report") {
-    co_await Call.respond(reportAnswer(InProgress));
+  if (pathOf(Request.Target) == "/report") {
+    co_await Call.respond(reportResponse(InProgress));
     co_return;
   }
-  const CountUp Mark(InProgress);
+  const InProgressGuard Mark(InProgress);
   std::uint64_t Number = 0;
   milliseconds Wait{0};
-  bool Lose = false;
+  bool DropResponse = false;
   {
     const std::lock_guard Hold(Lock);
-    Number = ++Runs[Asked.Body];
+    Number = ++Runs[Request.Body];
     Wait = Delay;
-    Lose = LoseAnswers;
+    DropResponse = LoseAnswers;
   }
   if (Wait.count() > 0) {
     asio::steady_timer Timer(co_await asio::this_coro::executor, Wait);
     co_await Timer.async_wait(asio::use_awaitable);
   }
-  if (Lose)
+  if (DropResponse)
     Call.cut();
   else
-    co_await Call.respond(runAnswer(Asked, Number));
+    co_await Call.respond(executionResponse(Request, Number));
 }
 
 HostListStandin::HostListStandin(IoPool &Threads, const std::string &Address,
@@ -120,18 +122,18 @@
 
 std::uint16_t HostListStandin::port() const noexcept { return Server.port(); }
 
-void HostListStandin::set(std::vector<ListedHost> Wanted) {
+void HostListStandin::set(std::vector<ListedHost> Value) {
   const std::lock_guard Hold(Lock);
-  Hosts = std::move(Wanted);
+  Hosts = std::move(Value);
 }
 
 Awaitable<void> HostListStandin::handle(Exchange &Call) {
-  std::vector<ListedHost> Now;
+  std::vector<ListedHost> CurrentHosts;
   {
     const std::lock_guard Hold(Lock);
-    Now = Hosts;
+    CurrentHosts = Hosts;
   }
-  co_await Call.respond(listAnswer(Now));
+  co_await Call.respond(hostListResponse(CurrentHosts));
 }
 
 } // namespace coltsfoottrail
--- a/packages/standin/src/coltsfoottrail/standin/service.hpp
+++ b/packages/standin/src/coltsfoottrail/standin/service.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Stand-in for a plain service, and for the platform's host list.
+/// Stand-ins for a plain service and for the platform's host list, for tests
+/// and trials.
 #ifndef COLTSFOOTTRAIL_STANDIN_SERVICE_HPP
 #define COLTSFOOTTRAIL_STANDIN_SERVICE_HPP
 
@@ -15,31 +16,33 @@
 
 namespace coltsfoottrail {
 
-/// @brief A plain service that counts how often each body was run.
+/// @brief A plain service that counts how often each request body was executed.
 class ServiceStandin {
 public:
-  /// @brief Starts to serve.
-  /// @param Threads Where connections live; must outlive the stand-in.
-  /// @param Address IP number.
-  /// @param Port Port; zero for any free one.
+  /// @brief Starts serving.
+  /// @param Threads Threads that serve connections; must outlive the stand-in.
+  /// @param Address IP address to listen on.
+  /// @param Port Port to listen on; zero for any free port.
   ServiceStandin(IoPool &Threads, const std::string &Address,
                  std::uint16_t Port);
 
-  /// @brief The port served on. Thread-safe.
+  /// @brief The port listened on. Thread-safe.
   [[nodiscard]] std::uint16_t port() const noexcept;
-  /// @brief How often a body was run. Thread-safe.
+  /// @brief Number of calls executed with a request body. Thread-safe.
   [[nodiscard]] std::uint64_t executionsOf(const std::string &Body) const;
-  /// @brief All runs. Thread-safe.
+  /// @brief Number of calls executed in all. Thread-safe.
   [[nodiscard]] std::uint64_t runs() const;
-  /// @brief Sets the time that a call takes. Thread-safe.
-  void setDelay(milliseconds Wanted);
-  /// @brief Runs each call but loses its answer while set. Thread-safe.
-  void setLoseAnswers(bool Wanted);
+  /// @brief Sets the duration of a call. Thread-safe.
+  void setDelay(milliseconds Value);
+  /// @brief While set, calls are executed but their responses are dropped.
+  /// Thread-safe.
+  void setLoseAnswers(bool Value);
 
 private:
   [[nodiscard]] Awaitable<void> handle(Exchange &Call);
 
   mutable std::mutex Lock;
+  /// Number of executions by request body.
   std::map<std::string, std::uint64_t> Runs;
   milliseconds Delay{0};
   bool LoseAnswers = false;
@@ -47,20 +50,20 @@
   HttpServer Server;
 };
 
-/// @brief The platform's list of hosts.
+/// @brief The platform's host list.
 class HostListStandin {
 public:
-  /// @brief Starts to serve an empty list.
-  /// @param Threads Where connections live; must outlive the stand-in.
-  /// @param Address IP number.
-  /// @param Port Port; zero for any free one.
+  /// @brief Starts serving an empty list.
+  /// @param Threads Threads that serve connections; must outlive the stand-in.
+  /// @param Address IP address to listen on.
+  /// @param Port Port to listen on; zero for any free port.
   HostListStandin(IoPool &Threads, const std::string &Address,
                   std::uint16_t Port);
 
-  /// @brief The port served on. Thread-safe.
+  /// @brief The port listened on. Thread-safe.
   [[nodiscard]] std::uint16_t port() const noexcept;
   /// @brief Replaces the list. Thread-safe.
-  void set(std::vector<ListedHost> Wanted);
+  void set(std::vector<ListedHost> Value);
 
 private:
   [[nodiscard]] Awaitable<void> handle(Exchange &Call);
