--- a/packages/core/src/coltsfoottrail/json/reader.cpp
+++ b/packages/core/src/coltsfoottrail/json/reader.cpp
@@ -92,24 +92,24 @@
 
 const Json *ObjectReader::find(std::string_view Key) {
   ReadKeys.emplace(Key);
-  const auto Found = Object->find(Key);
-  return Found == Object->end() ? nullptr : &*Found;
+  const auto Member = Object->find(Key);
+  return Member == Object->end() ? nullptr : &*Member;
 }
 
 const Json &ObjectReader::require(std::string_view Key,
                                   std::string_view Allowed) {
-  const Json *const Found = find(Key);
-  if (Found == nullptr)
+  const Json *const Member = find(Key);
+  if (Member == nullptr)
     throw InputError(SourceName, pointerTo(Key), "(missing)", Allowed);
-  return *Found;
+  return *Member;
 }
 
 void ObjectReader::refuse(std::string_view Key,
                           std::string_view Allowed) const {
-  const auto Found = Object->find(Key);
-  throw InputError(SourceName, pointerTo(Key),
-                   Found == Object->end() ? "(missing)" : truncatedDump(*Found),
-                   Allowed);
+  const auto Member = Object->find(Key);
+  throw InputError(
+      SourceName, pointerTo(Key),
+      Member == Object->end() ? "(missing)" : truncatedDump(*Member), Allowed);
 }
 
 std::string ObjectReader::text(std::string_view Key, std::size_t MaxBytes) {
@@ -233,8 +233,8 @@
 
 const Json &ObjectReader::raw(std::string_view Key) {
   static const Json Missing;
-  const Json *const Found = find(Key);
-  return Found == nullptr ? Missing : *Found;
+  const Json *const Member = find(Key);
+  return Member == nullptr ? Missing : *Member;
 }
 
 void ObjectReader::finish() const {
@@ -243,11 +243,11 @@
   for (const auto &Member : Object->items()) {
     if (ReadKeys.contains(Member.key()))
       continue;
-    std::string Known = "the keys";
+    std::string KnownKeys = "the keys";
     for (const std::string &Key : ReadKeys)
-      Known += " \"" + Key + "\"";
+      KnownKeys += " \"" + Key + "\"";
     throw InputError(SourceName, pointerTo(Member.key()), "an unknown key",
-                     Known);
+                     KnownKeys);
   }
 }
 
--- a/packages/core/src/coltsfoottrail/verdict/verdict.cpp
+++ b/packages/core/src/coltsfoottrail/verdict/verdict.cpp
@@ -41,10 +41,10 @@
 };
 
 const ReasonEntry &entryOf(Reason Why) noexcept {
-  const auto *const Found = std::find_if(
+  const auto *const Match = std::find_if(
       Reasons.begin(), Reasons.end(),
       [Why](const ReasonEntry &Entry) { return Entry.Why == Why; });
-  return Found == Reasons.end() ? Reasons.back() : *Found;
+  return Match == Reasons.end() ? Reasons.back() : *Match;
 }
 
 } // namespace
--- a/packages/core/test/coltsfoottrail/json/cbor.cpp
+++ b/packages/core/test/coltsfoottrail/json/cbor.cpp
@@ -38,12 +38,12 @@
 }
 
 TEST(Cbor, RandomBytesEitherParseOrAreRefused) {
-  Random Draw(3);
+  Random Generator(3);
   std::size_t Parsed = 0;
   for (int Round = 0; Round < 50'000; ++Round) {
-    std::vector<std::byte> Bytes(1 + Draw.below(12));
+    std::vector<std::byte> Bytes(1 + Generator.below(12));
     for (std::byte &Value : Bytes)
-      Value = static_cast<std::byte>(Draw());
+      Value = static_cast<std::byte>(Generator());
     try {
       static_cast<void>(parseCbor(Bytes, "test"));
       ++Parsed;
--- a/packages/standin/src/coltsfoottrail/standin/load.cpp
+++ b/packages/standin/src/coltsfoottrail/standin/load.cpp
@@ -99,13 +99,13 @@
   }
 }
 
-Awaitable<Outcome> callOnce(HttpClient &Client, EngineAddress To,
+Awaitable<Outcome> callOnce(HttpClient &Client, EngineAddress Endpoint,
                             HttpRequest Request) {
   Outcome Result;
   const TimePoint Start = BootClock::now();
   const TimePoint Deadline = Start + CallTimeout;
   auto Started =
-      co_await Client.start(std::move(To), std::move(Request), Deadline);
+      co_await Client.start(std::move(Endpoint), std::move(Request), Deadline);
   if (!std::holds_alternative<HttpCall>(Started)) {
     Result.Lost = true;
     co_return Result;
--- a/packages/version/src/coltsfoottrail/intents/convergence.cpp
+++ b/packages/version/src/coltsfoottrail/intents/convergence.cpp
@@ -27,8 +27,7 @@
   DataCentreName DataCentre;
   /// Null when the model is no longer declared.
   const ModelSpec *Spec = nullptr;
-  /// Number of groups declared.
-  std::uint32_t Wanted = 0;
+  std::uint32_t DeclaredGroups = 0;
   /// Groups that match Spec and use no drained host.
   std::vector<ExpectedGroup> UpToDate;
   /// All other groups; to be replaced or stopped.
@@ -104,8 +103,8 @@
 
   void openSites() {
     for (const ModelSpec &Model : Input.Declared->Models)
-      for (const auto &[DataCentre, Wanted] : Model.Groups)
-        openSite({Model.Name, DataCentre}).Wanted = Wanted;
+      for (const auto &[DataCentre, Count] : Model.Groups)
+        openSite({Model.Name, DataCentre}).DeclaredGroups = Count;
   }
 
   SiteState &openSite(const SiteKey &Key) {
@@ -168,7 +167,7 @@
   void findMissing() {
     for (const auto &[Key, Site] : Sites)
       if (!isDrained(Site.DataCentre) &&
-          Site.UpToDate.size() + Site.Outdated.size() < Site.Wanted)
+          Site.UpToDate.size() + Site.Outdated.size() < Site.DeclaredGroups)
         Result.Missing.push_back(Key);
   }
 
@@ -206,7 +205,7 @@
     if (!isDrained(Site.DataCentre))
       return false;
     const bool Differs = !Site.Outdated.empty() ||
-                         Site.UpToDate.size() != Site.Wanted ||
+                         Site.UpToDate.size() != Site.DeclaredGroups ||
                          needsAdapterSwap(Site);
     if (Differs && Input.Allowed == AllowedSteps::All)
       refuse("change the groups of " + Site.Model.Text + " in " +
@@ -224,7 +223,7 @@
   }
 
   void stopSurplus(SiteState &Site) {
-    if (Site.Spec == nullptr || Site.Wanted == 0)
+    if (Site.Spec == nullptr || Site.DeclaredGroups == 0)
       stopAllOutdated(Site);
     stopReplaced(Site);
     // Groups in the domains with the most free hosts are stopped first, so that
@@ -235,7 +234,7 @@
           return freeHostsInSameDomain(Left) < freeHostsInSameDomain(Right);
         });
     for (std::size_t Index = Site.UpToDate.size();
-         Index-- > 0 && Site.UpToDate.size() > Site.Wanted;)
+         Index-- > 0 && Site.UpToDate.size() > Site.DeclaredGroups;)
       if (stop(Site, Site.UpToDate[Index]))
         Site.UpToDate.erase(Site.UpToDate.begin() +
                             static_cast<std::ptrdiff_t>(Index));
@@ -296,7 +295,8 @@
     const std::size_t Present =
         Site.UpToDate.size() +
         (Input.Allowed == AllowedSteps::All ? 0 : Site.Outdated.size());
-    std::size_t Unmet = Site.Wanted > Present ? Site.Wanted - Present : 0;
+    std::size_t Unmet =
+        Site.DeclaredGroups > Present ? Site.DeclaredGroups - Present : 0;
     Unmet -= formInBatches(Site, Unmet);
     if (Unmet > 0)
       reportShortage(Site, Unmet);
@@ -409,10 +409,10 @@
     const std::size_t Before = Result.Steps.size();
     for (auto Entry = Site.Outdated.begin(); Entry != Site.Outdated.end();) {
       const std::size_t Left = Site.RoutedCount - (Entry->Routed ? 1 : 0);
-      const bool Affordable = !Entry->Routed || Left >= Site.Wanted;
+      const bool Affordable = !Entry->Routed || Left >= Site.DeclaredGroups;
       const bool Surplus =
           Site.UpToDate.size() + Site.FormedCount + Site.Outdated.size() >
-          Site.Wanted;
+          Site.DeclaredGroups;
       if (Surplus && Affordable && stop(Site, *Entry))
         Entry = Site.Outdated.erase(Entry);
       else
@@ -441,8 +441,8 @@
 
   void reportShortage(const SiteState &Site, std::size_t Unmet) {
     refuse("form " + std::to_string(Unmet) + " of " +
-           std::to_string(Site.Wanted) + " groups of " + Site.Model.Text +
-           " in " + Site.DataCentre.Text + ": each needs " +
+           std::to_string(Site.DeclaredGroups) + " groups of " +
+           Site.Model.Text + " in " + Site.DataCentre.Text + ": each needs " +
            std::to_string(Site.Spec->MembersPerGroup) +
            " free hosts in one fabric domain, and the domain with most has " +
            std::to_string(AvailableHosts.largestDomain(Site.DataCentre)));
@@ -483,8 +483,8 @@
     for (auto &[Model, Forecast] : Forecasts) {
       Forecast.GroupsAfter += PendingCounts[Model];
       if (const ModelSpec *Spec = findModel(*Input.Declared, Model))
-        for (const auto &[DataCentre, Wanted] : Spec->Groups)
-          Forecast.GroupsWanted += Wanted;
+        for (const auto &[DataCentre, Count] : Spec->Groups)
+          Forecast.GroupsWanted += Count;
       Result.Forecast.push_back(Forecast);
     }
   }
--- a/packages/version/src/coltsfoottrail/intents/planner.cpp
+++ b/packages/version/src/coltsfoottrail/intents/planner.cpp
@@ -189,9 +189,9 @@
   /// The host of a broken group may be dropped: in this way an operator
   /// declares it lost for good.
   void requireUnchanged(const HostName &Name, const GroupId &Group,
-                        const Declaration &Wanted) const {
+                        const Declaration &NewDeclaration) const {
     const HostSpec *Before = findHost(Now.Declared, Name);
-    const HostSpec *After = findHost(Wanted, Name);
+    const HostSpec *After = findHost(NewDeclaration, Name);
     const auto Occupant = Now.Groups.find(Group);
     const bool Broken = Occupant != Now.Groups.end() &&
                         Occupant->second.Phase == GroupPhase::Broken;
@@ -211,9 +211,9 @@
 
   /// Rejects a declaration that adds a dropped host again while an engine of a
   /// broken group may still run on it: the host could get a second group.
-  void requireReleased(const Declaration &Wanted) const {
+  void requireReleased(const Declaration &NewDeclaration) const {
     for (const auto &[Name, Before] : Now.Departed)
-      if (findHost(Wanted, Name) != nullptr)
+      if (findHost(NewDeclaration, Name) != nullptr)
         throw PlanError("host \"" + Name.Text +
                         "\" was dropped while a broken group held it and has "
                         "not proved that it stopped; declare it again once its "
--- a/packages/version/test/coltsfoottrail/intents/planner.cpp
+++ b/packages/version/test/coltsfoottrail/intents/planner.cpp
@@ -107,10 +107,10 @@
 TEST(Planner, OldGroupsStayWhenNothingCanReplaceThem) {
   State Now = makeState(1, 2, signageModel(2, 1));
   addGroup(Now, 10, 0, East, hostsOf(East, 0, 0, 2));
-  Declaration Wanted = Now.Declared;
-  Wanted.Models[0].Version = NextVersion;
-  Wanted.Models[0].MembersPerGroup = 3;
-  const Plan Planned = planIntent(Now, ApplyDeclaration{Wanted});
+  Declaration NewDeclaration = Now.Declared;
+  NewDeclaration.Models[0].Version = NextVersion;
+  NewDeclaration.Models[0].MembersPerGroup = 3;
+  const Plan Planned = planIntent(Now, ApplyDeclaration{NewDeclaration});
   EXPECT_TRUE(Planned.Steps.empty());
   EXPECT_THAT(Planned.WillNotDo,
               Contains(HasSubstr("nothing can be formed in its place")));
@@ -224,11 +224,12 @@
 TEST(Planner, ServingHostCannotLeaveTheDeclaration) {
   State Now = makeState(1, 2, signageModel(2, 1));
   const GroupId Id = addGroup(Now, 10, 0, East, hostsOf(East, 0, 0, 2));
-  Declaration Wanted = Now.Declared;
-  Wanted.Hosts.erase(Wanted.Hosts.begin());
-  EXPECT_THROW((void)planIntent(Now, ApplyDeclaration{Wanted}), PlanError);
+  Declaration NewDeclaration = Now.Declared;
+  NewDeclaration.Hosts.erase(NewDeclaration.Hosts.begin());
+  EXPECT_THROW((void)planIntent(Now, ApplyDeclaration{NewDeclaration}),
+               PlanError);
   Now.Groups[Id].Phase = GroupPhase::Broken;
-  EXPECT_NO_THROW((void)planIntent(Now, ApplyDeclaration{Wanted}));
+  EXPECT_NO_THROW((void)planIntent(Now, ApplyDeclaration{NewDeclaration}));
 }
 
 TEST(Planner, RepairKeepsTheSurvivors) {
@@ -288,19 +289,22 @@
 // into two groups, forms a group across domains or uses the host it drains.
 TEST(Planner, StepsNeverUseAHostTwice) {
   for (std::uint64_t Seed = 0; Seed < 300; ++Seed) {
-    Random Draw(Seed);
-    const auto Members = static_cast<std::uint32_t>(1 + Draw.below(4));
-    State Now = makeState(3, 6, signageModel(Members, 2 + Draw.below(3), 1));
+    Random Generator(Seed);
+    const auto Members = static_cast<std::uint32_t>(1 + Generator.below(4));
+    State Now =
+        makeState(3, 6, signageModel(Members, 2 + Generator.below(3), 1));
     for (const Step &PlanStep :
          planIntent(Now, ApplyDeclaration{Now.Declared}).Steps)
       addGroup(Now, 10, std::get<FormGroup>(PlanStep).Number,
                std::get<FormGroup>(PlanStep).DataCentre, membersOf(PlanStep),
-               Draw.below(8) == 0 ? GroupPhase::Broken : GroupPhase::Serving);
+               Generator.below(8) == 0 ? GroupPhase::Broken
+                                       : GroupPhase::Serving);
     const Intent Choices[] = {
         SetVersion{Signage, NextVersion},
-        SetCapacity{Signage, East, static_cast<std::uint32_t>(Draw.below(6))},
-        DrainHost{hostIn(East, 0, static_cast<int>(Draw.below(6)))}};
-    const Plan Planned = planIntent(Now, Choices[Draw.below(3)]);
+        SetCapacity{Signage, East,
+                    static_cast<std::uint32_t>(Generator.below(6))},
+        DrainHost{hostIn(East, 0, static_cast<int>(Generator.below(6)))}};
+    const Plan Planned = planIntent(Now, Choices[Generator.below(3)]);
     std::map<HostName, GroupId> Occupied = Now.Occupied;
     for (const Step &PlanStep : Planned.Steps)
       ASSERT_TRUE(applyStep(Now, Planned, PlanStep, Occupied))
