--- a/apps/coltsfoottrail/main.cpp
+++ b/apps/coltsfoottrail/main.cpp
@@ -12,11 +12,11 @@
   for (const char *const Name : environmentNames())
     if (const char *const Value = std::getenv(Name))
       Variables[Name] = Value;
-  const CommandContext With{
+  const CommandContext Context{
       std::cout, std::cerr, fetchBlocking,
-      [](milliseconds Pause) { std::this_thread::sleep_for(Pause); }};
+      [](milliseconds Delay) { std::this_thread::sleep_for(Delay); }};
   const ExitCode Code =
       runCommandLine(std::vector<std::string>(Arguments + 1, Arguments + Count),
-                     Variables, With);
+                     Variables, Context);
   return static_cast<int>(Code);
 }
--- a/apps/coltsfoottraild/fleetmain.cpp
+++ b/apps/coltsfoottraild/fleetmain.cpp
@@ -15,18 +15,19 @@
 
 namespace {
 
-/// Takes signals until one that stops has done its work.
+/// Handles signals until the shutdown that SIGINT or SIGTERM began is complete.
+/// SIGHUP checks the settings file.
 class SignalLoop {
 public:
-  SignalLoop(FleetHost &Running, std::filesystem::path Settings)
-      : Host(Running), File(std::move(Settings)),
-        Signals(Waiting, SIGINT, SIGTERM, SIGHUP) {
+  SignalLoop(FleetHost &ManagedHost, std::filesystem::path Path)
+      : Host(ManagedHost), SettingsFile(std::move(Path)),
+        Signals(Context, SIGINT, SIGTERM, SIGHUP) {
     listen();
   }
 
   std::size_t run() {
-    Waiting.run();
-    return Cut;
+    Context.run();
+    return CutRequests;
   }
 
 private:
@@ -36,7 +37,7 @@
           if (Problem)
             return;
           if (Signal == SIGHUP)
-            reload();
+            checkSettings();
           else
             beginStop();
           listen();
@@ -49,52 +50,52 @@
       return;
     }
     Stopping = true;
-    Host.stop([this](std::size_t Left) {
-      Cut = Left;
-      Waiting.stop();
+    Host.stop([this](std::size_t Unfinished) {
+      CutRequests = Unfinished;
+      Context.stop();
     });
   }
 
-  // Addresses cannot change under open connections, and the bounds hold for the
-  // life of the process; the file is still checked, so that a mistake shows
-  // before the next start.
-  void reload() {
+  // Validates the file without applying it: addresses cannot change under open
+  // connections, and the limits are fixed for the life of the process. An
+  // invalid file is reported now rather than at the next start.
+  void checkSettings() {
     try {
-      (void)readFleetSettings(File);
-      logEvent(Event::Reloaded, {{"file", File.string()}});
+      (void)readFleetSettings(SettingsFile);
+      logEvent(Event::Reloaded, {{"file", SettingsFile.string()}});
     } catch (const InputError &Problem) {
       logEvent(Event::SettingsRefused, {{"problem", Problem.what()}});
     }
   }
 
   FleetHost &Host;
-  std::filesystem::path File;
-  boost::asio::io_context Waiting{1};
+  std::filesystem::path SettingsFile;
+  boost::asio::io_context Context{1};
   boost::asio::signal_set Signals;
-  std::size_t Cut = 0;
+  std::size_t CutRequests = 0;
   bool Stopping = false;
 };
 
 } // namespace
 
-std::size_t runFleetHost(const std::filesystem::path &File) {
-  const FleetSettings Wanted = readFleetSettings(File);
+std::size_t runFleetHost(const std::filesystem::path &SettingsFile) {
+  const FleetSettings Config = readFleetSettings(SettingsFile);
   IoPool Pool(1);
   PlatformStore Store(Pool.context(0),
-                      {Wanted.Store.Address, Wanted.Store.Port});
+                      {Config.Store.Address, Config.Store.Port});
   PlatformEngines Engines(Pool.context(0));
   const PlatformWire Wire;
-  FleetHost Host(Wanted, Pool, {Store, Engines, Wire});
-  logEvent(Event::Started, {{"host", Wanted.Host},
-                            {"data_centre", Wanted.DataCentre},
+  FleetHost Host(Config, Pool, {Store, Engines, Wire});
+  logEvent(Event::Started, {{"host", Config.Host},
+                            {"data_centre", Config.DataCentre},
                             {"caller_port", Host.callerPort()},
                             {"readiness_port", Host.readinessPort()}});
-  const std::size_t Cut = SignalLoop(Host, File).run();
+  const std::size_t CutRequests = SignalLoop(Host, SettingsFile).run();
   Pool.stop();
   Store.close();
   Engines.close();
   Host.close();
-  return Cut;
+  return CutRequests;
 }
 
 } // namespace coltsfoottrail
--- a/apps/coltsfoottraild/fleetmain.hpp
+++ b/apps/coltsfoottraild/fleetmain.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Runs an entry host on the users' platform.
+/// Runs an entry host on a platform whose endpoints publish themselves.
 #ifndef COLTSFOOTTRAILD_FLEETMAIN_HPP
 #define COLTSFOOTTRAILD_FLEETMAIN_HPP
 
@@ -7,12 +7,13 @@
 
 namespace coltsfoottrail {
 
-/// @brief Runs until a signal stops it.
-/// @param File Settings; docs/operations/fleet.md.
-/// @return Requests that were cut by the stop.
-/// @throws InputError The settings cannot be used.
-/// @throws boost::system::system_error A port cannot be had.
-[[nodiscard]] std::size_t runFleetHost(const std::filesystem::path &File);
+/// @brief Runs the entry host until SIGINT or SIGTERM has shut it down.
+/// @param SettingsFile Settings in JSON; see docs/operations/fleet.md.
+/// @return Number of requests that the shutdown cut off.
+/// @throws InputError The settings are invalid.
+/// @throws boost::system::system_error A port is unavailable.
+[[nodiscard]] std::size_t
+runFleetHost(const std::filesystem::path &SettingsFile);
 
 } // namespace coltsfoottrail
 
--- a/apps/coltsfoottraild/main.cpp
+++ b/apps/coltsfoottraild/main.cpp
@@ -24,10 +24,10 @@
 constexpr int ExitOk = 0;
 constexpr int ExitFailed = 1;
 constexpr int ExitUsage = 2;
-constexpr int ExitSettings = 3;
-constexpr int ExitPort = 4;
-constexpr int ExitCut = 5;
-constexpr int ExitEnded = 6;
+constexpr int ExitBadSettings = 3;
+constexpr int ExitPortUnavailable = 4;
+constexpr int ExitRequestsCut = 5;
+constexpr int ExitRunEnded = 6;
 
 constexpr const char *Usage =
     "usage: coltsfoottraild --config FILE [--check] [--show]\n"
@@ -44,42 +44,43 @@
     "  -V, --version      show the version\n"
     "  -h, --help         show this text\n"
     "\n"
-    "SIGTERM or SIGINT stops it as planned: unready at once, no new requests\n"
-    "after stop.grace_ms, requests in progress run out. Another signal "
-    "changes\n"
-    "nothing.\n"
+    "SIGTERM or SIGINT shuts it down gracefully: unready at once, no new "
+    "requests\n"
+    "after stop.grace_ms, requests in progress are completed. Further "
+    "signals\n"
+    "have no effect.\n"
     "\n"
-    "Exit codes: 0 stopped with nothing cut, 1 failed, 2 wrong usage, 3 wrong\n"
-    "settings, 4 a port cannot be had, 5 stopped and requests were cut at\n"
-    "stop.stream_limit_ms, 6 its peers had found this run gone (a long "
-    "pause):\n"
-    "it stopped as planned and is to be started again.\n";
+    "Exit codes: 0 stopped, no requests cut, 1 failed, 2 usage error,\n"
+    "3 invalid settings, 4 port unavailable, 5 stopped, and requests were cut\n"
+    "at stop.stream_limit_ms, 6 its peers had removed this run (after a long\n"
+    "pause): it shut down gracefully and should be restarted.\n";
 
 struct Options {
-  std::string File;
-  std::string FleetFile;
+  std::string SettingsFile;
+  std::string FleetSettingsFile;
   bool Check = false;
   bool Show = false;
 };
 
-/// Runs until a signal, then stops as planned.
-int runHost(const Settings &Wanted) {
-  EntryHostProcess Process(Wanted);
-  logEvent(Event::Started, {{"host", Wanted.Host},
-                            {"data_centre", Wanted.DataCentre},
+/// Runs the entry host until SIGINT, SIGTERM or the end of its run, then shuts
+/// it down gracefully.
+int runHost(const Settings &Config) {
+  EntryHostProcess Process(Config);
+  logEvent(Event::Started, {{"host", Config.Host},
+                            {"data_centre", Config.DataCentre},
                             {"caller_port", Process.callerPort()},
                             {"operator_port", Process.operatorPort()}});
-  boost::asio::io_context Waiting;
-  boost::asio::signal_set Signals(Waiting, SIGINT, SIGTERM);
-  std::thread Stopper;
-  std::size_t Cut = 0;
-  bool Ended = false;
+  boost::asio::io_context Context;
+  boost::asio::signal_set Signals(Context, SIGINT, SIGTERM);
+  std::thread StopThread;
+  std::size_t CutRequests = 0;
+  bool RunEnded = false;
   const auto BeginStop = [&] {
-    if (Stopper.joinable())
+    if (StopThread.joinable())
       return false;
-    Stopper = std::thread([&] {
-      Cut = Process.stop();
-      Waiting.stop();
+    StopThread = std::thread([&] {
+      CutRequests = Process.stop();
+      Context.stop();
     });
     return true;
   };
@@ -92,71 +93,72 @@
         Signals.async_wait(OnSignal);
       };
   Signals.async_wait(OnSignal);
-  // Failure guarded against: the host slept, its peers have dropped this run,
-  // and it would stay unready for good. It stops as planned, and whoever keeps
-  // it running starts it again under a new run.
+  // After a long pause of the process, the peers may have removed this run from
+  // the membership, and it would stay unready forever. It shuts down gracefully
+  // with an exit code of its own, so that its supervisor restarts it under a
+  // new run.
   Process.onEnded([&] {
-    boost::asio::post(Waiting, [&] { Ended = BeginStop() || Ended; });
+    boost::asio::post(Context, [&] { RunEnded = BeginStop() || RunEnded; });
   });
-  Waiting.run();
-  Stopper.join();
-  if (Cut > 0)
-    return ExitCut;
-  return Ended ? ExitEnded : ExitOk;
+  Context.run();
+  StopThread.join();
+  if (CutRequests > 0)
+    return ExitRequestsCut;
+  return RunEnded ? ExitRunEnded : ExitOk;
 }
 
-int start(const Options &Given) {
-  Settings Wanted;
+int startHost(const Options &CommandLine) {
+  Settings Config;
   try {
-    Wanted = readSettings(Given.File);
+    Config = readSettings(CommandLine.SettingsFile);
   } catch (const Error &Problem) {
     std::cerr << "coltsfoottraild: " << Problem.what() << '\n';
-    return ExitSettings;
+    return ExitBadSettings;
   }
-  if (Given.Show)
-    std::cout << describeSettings(Wanted).dump(2) << '\n';
-  if (Given.Check && !Given.Show)
-    std::cout << Given.File << ": ok\n";
-  if (Given.Check || Given.Show)
+  if (CommandLine.Show)
+    std::cout << describeSettings(Config).dump(2) << '\n';
+  if (CommandLine.Check && !CommandLine.Show)
+    std::cout << CommandLine.SettingsFile << ": ok\n";
+  if (CommandLine.Check || CommandLine.Show)
     return ExitOk;
   try {
-    openLog(Wanted.Telemetry);
-    const int Code = runHost(Wanted);
+    openLog(Config.Telemetry);
+    const int Code = runHost(Config);
     closeLog();
     return Code;
   } catch (const boost::system::system_error &Problem) {
     logEvent(Event::PortTaken, {{"problem", Problem.what()}});
     std::cerr << "coltsfoottraild: cannot listen: " << Problem.what() << '\n';
-    return ExitPort;
+    return ExitPortUnavailable;
   } catch (const PortError &Problem) {
     logEvent(Event::PortTaken, {{"problem", Problem.what()}});
     std::cerr << "coltsfoottraild: cannot listen: " << Problem.what() << '\n';
-    return ExitPort;
+    return ExitPortUnavailable;
   } catch (const std::exception &Problem) {
     std::cerr << "coltsfoottraild: " << Problem.what() << '\n';
     return ExitFailed;
   }
 }
 
-int startFleet(const Options &Given) {
+int startFleet(const Options &CommandLine) {
   try {
-    if (Given.Check) {
-      (void)readFleetSettings(Given.FleetFile);
-      std::cout << Given.FleetFile << ": ok\n";
+    if (CommandLine.Check) {
+      (void)readFleetSettings(CommandLine.FleetSettingsFile);
+      std::cout << CommandLine.FleetSettingsFile << ": ok\n";
       return ExitOk;
     }
     openOutputLog(LogLevel::Info);
-    const std::size_t Cut = runFleetHost(Given.FleetFile);
+    const std::size_t CutRequests = runFleetHost(CommandLine.FleetSettingsFile);
     closeLog();
-    return Cut > 0 ? ExitCut : ExitOk;
+    return CutRequests > 0 ? ExitRequestsCut : ExitOk;
   } catch (const InputError &Problem) {
     logEvent(Event::SettingsRefused, {{"problem", Problem.what()}});
     std::cerr << "coltsfoottraild: " << Problem.what() << '\n';
-    return ExitSettings;
+    return ExitBadSettings;
   } catch (const boost::system::system_error &Problem) {
     logEvent(Event::PortTaken, {{"problem", Problem.what()}});
     std::cerr << "coltsfoottraild: cannot listen: " << Problem.what() << '\n';
-    return ExitPort;
+    return ExitPortUnavailable;
   }
 }
 
@@ -165,29 +167,30 @@
 int main(int Count, char **Arguments) {
   constexpr int CheckOption = 256;
   constexpr int ShowOption = 257;
-  static const option Known[] = {{"config", required_argument, nullptr, 'c'},
-                                 {"fleet", required_argument, nullptr, 'f'},
-                                 {"check", no_argument, nullptr, CheckOption},
-                                 {"show", no_argument, nullptr, ShowOption},
-                                 {"version", no_argument, nullptr, 'V'},
-                                 {"help", no_argument, nullptr, 'h'},
-                                 {nullptr, 0, nullptr, 0}};
-  Options Given;
-  int Letter = 0;
-  while ((Letter = ::getopt_long(Count, Arguments, "c:f:Vh", Known, nullptr)) !=
-         -1) {
-    switch (Letter) {
+  static const option LongOptions[] = {
+      {"config", required_argument, nullptr, 'c'},
+      {"fleet", required_argument, nullptr, 'f'},
+      {"check", no_argument, nullptr, CheckOption},
+      {"show", no_argument, nullptr, ShowOption},
+      {"version", no_argument, nullptr, 'V'},
+      {"help", no_argument, nullptr, 'h'},
+      {nullptr, 0, nullptr, 0}};
+  Options CommandLine;
+  int OptionCode = 0;
+  while ((OptionCode = ::getopt_long(Count, Arguments, "c:f:Vh", LongOptions,
+                                     nullptr)) != -1) {
+    switch (OptionCode) {
     case 'c':
-      Given.File = optarg;
+      CommandLine.SettingsFile = optarg;
       break;
     case 'f':
-      Given.FleetFile = optarg;
+      CommandLine.FleetSettingsFile = optarg;
       break;
     case CheckOption:
-      Given.Check = true;
+      CommandLine.Check = true;
       break;
     case ShowOption:
-      Given.Show = true;
+      CommandLine.Show = true;
       break;
     case 'V':
       std::cout << "coltsfoottraild " << COLTSFOOTTRAIL_VERSION << '\n';
@@ -200,9 +203,12 @@
       return ExitUsage;
     }
   }
-  if (Given.File.empty() == Given.FleetFile.empty() || optind != Count) {
+  if (CommandLine.SettingsFile.empty() ==
+          CommandLine.FleetSettingsFile.empty() ||
+      optind != Count) {
     std::cerr << Usage;
     return ExitUsage;
   }
-  return Given.File.empty() ? startFleet(Given) : start(Given);
+  return CommandLine.SettingsFile.empty() ? startFleet(CommandLine)
+                                          : startHost(CommandLine);
 }
