--- a/bench/config.cpp
+++ b/bench/config.cpp
@@ -1,3 +1,5 @@
+// Cost of the operations of a configuration follower that is a relay, in fleets
+// of 9 and of 1,000 hosts.
 #include "coltsfoottrail/config/follower.hpp"
 
 #include <benchmark/benchmark.h>
@@ -12,77 +14,77 @@
 
 std::vector<Member> makeMembers(std::size_t Hosts) {
   const std::size_t DataCentres = Hosts < 100 ? 3 : 28;
-  std::vector<Member> Out;
+  std::vector<Member> Members;
   for (std::size_t Index = 0; Index < Hosts; ++Index)
-    Out.push_back(
+    Members.push_back(
         Member{HostName("entry-" + std::to_string(Index)),
                DataCentreName("dc-" + std::to_string(Index % DataCentres))});
-  return Out;
+  return Members;
 }
 
-/// A follower that is a relay, the busiest place in the tree.
+/// A follower that is a relay, the busiest position in the distribution tree.
 Follower makeRelay(const std::vector<Member> &Members) {
-  for (const Member &Each : Members) {
-    if (!RelayTree(Members, Each).isRelay())
+  for (const Member &Candidate : Members) {
+    if (!RelayTree(Members, Candidate).isRelay())
       continue;
     FollowerOptions Options;
-    Options.Self = Each;
-    Follower Out(Options, 0, Start);
-    Out.setMembers(Members);
-    return Out;
+    Options.Self = Candidate;
+    Follower Relay(Options, 0, Start);
+    Relay.setMembers(Members);
+    return Relay;
   }
   return Follower(FollowerOptions{}, 0, Start);
 }
 
-std::vector<Member> membersOf(const benchmark::State &Run) {
+std::vector<Member> membersFor(const benchmark::State &Run) {
   return makeMembers(static_cast<std::size_t>(Run.range(0)));
 }
 
 void takeMembers(benchmark::State &Run) {
-  const std::vector<Member> Members = membersOf(Run);
-  Follower One = makeRelay(Members);
+  const std::vector<Member> Members = membersFor(Run);
+  Follower Relay = makeRelay(Members);
   for (auto _ : Run)
-    One.setMembers(Members);
+    Relay.setMembers(Members);
 }
 
 void answerQuery(benchmark::State &Run) {
-  const std::vector<Member> Members = membersOf(Run);
-  Follower One = makeRelay(Members);
+  const std::vector<Member> Members = membersFor(Run);
+  Follower Relay = makeRelay(Members);
   std::uint64_t Stamp = 0;
   for (auto _ : Run) {
-    FollowCommands Out;
+    FollowCommands Commands;
     ++Stamp;
-    One.onQuery(Members[Stamp % Members.size()].Name, FollowQuery{Stamp, 0},
-                Start, Out);
-    benchmark::DoNotOptimize(Out);
+    Relay.onQuery(Members[Stamp % Members.size()].Name, FollowQuery{Stamp, 0},
+                  Start, Commands);
+    benchmark::DoNotOptimize(Commands);
   }
 }
 
 void takeRecord(benchmark::State &Run) {
-  const std::vector<Member> Members = membersOf(Run);
-  Follower One = makeRelay(Members);
+  const std::vector<Member> Members = membersFor(Run);
+  Follower Relay = makeRelay(Members);
   const TimePoint Now = Start + seconds(3);
-  FollowCommands Out;
-  One.advance(Now, Out);
-  for (const FollowCommand &Each : FollowCommands(Out))
-    if (const auto *const Read = std::get_if<ReadAgreed>(&Each))
-      One.onRead(Read->Number, LogBatch{}, Now, Out);
-  if (One.freshness(Now) != Freshness::Fresh)
-    Run.SkipWithError("a host that is not fresh does not relay");
-  Offset At = 0;
+  FollowCommands Commands;
+  Relay.advance(Now, Commands);
+  for (const FollowCommand &Command : FollowCommands(Commands))
+    if (const auto *const Read = std::get_if<ReadAgreed>(&Command))
+      Relay.onRead(Read->Number, LogBatch{}, Now, Commands);
+  if (Relay.freshness(Now) != Freshness::Fresh)
+    Run.SkipWithError("the follower is not fresh, so it does not relay");
+  Offset NextOffset = 0;
   for (auto _ : Run) {
-    Out.clear();
+    Commands.clear();
     const std::vector<RecordPtr> Records{std::make_shared<const LogEntry>(
-        LogEntry{At++, std::vector<std::byte>(200)})};
-    One.onRecords(Members.front().Name, Records, Now, Out);
-    benchmark::DoNotOptimize(Out);
+        LogEntry{NextOffset++, std::vector<std::byte>(200)})};
+    Relay.onRecords(Members.front().Name, Records, Now, Commands);
+    benchmark::DoNotOptimize(Commands);
   }
 }
 
 void askForVerdict(benchmark::State &Run) {
-  Follower One = makeRelay(membersOf(Run));
+  Follower Relay = makeRelay(membersFor(Run));
   for (auto _ : Run)
-    benchmark::DoNotOptimize(One.freshness(Start));
+    benchmark::DoNotOptimize(Relay.freshness(Start));
 }
 
 BENCHMARK(takeMembers)->Arg(9)->Arg(1000)->Unit(benchmark::kMicrosecond);
--- a/bench/fold.cpp
+++ b/bench/fold.cpp
@@ -1,3 +1,5 @@
+// Cost of folding records into the state, of the state's digest and copy, of
+// the routing table and of checkpoints, by the number of groups.
 #include "coltsfoottrail/fold/fold.hpp"
 #include "coltsfoottrail/checkpoint/parts.hpp"
 #include "coltsfoottrail/checkpoint/statecodec.hpp"
@@ -18,19 +20,19 @@
 constexpr std::uint32_t GroupsPerDomain = 8;
 constexpr std::uint32_t LargestGroup = 16;
 
-std::string numbered(const char *Prefix, std::uint32_t Number) {
+std::string numberedName(const char *Prefix, std::uint32_t Number) {
   std::string Digits = std::to_string(Number);
   return Prefix +
          std::string(6 - std::min<std::size_t>(6, Digits.size()), '0') + Digits;
 }
 
 HostSpec makeHost(std::uint32_t Number, std::uint32_t Group,
-                  const DataCentreName &Where) {
+                  const DataCentreName &DataCentre) {
   HostSpec Host;
-  Host.Name = HostName(numbered("host-", Number));
-  Host.DataCentre = Where;
+  Host.Name = HostName(numberedName("host-", Number));
+  Host.DataCentre = DataCentre;
   Host.FabricDomain =
-      FabricDomainName(numbered("domain-", Group / GroupsPerDomain));
+      FabricDomainName(numberedName("domain-", Group / GroupsPerDomain));
   Host.Address = "10." + std::to_string(Number >> 16U) + "." +
                  std::to_string((Number >> 8U) & 0xFFU) + "." +
                  std::to_string(Number & 0xFFU);
@@ -38,86 +40,89 @@
   return Host;
 }
 
-/// Groups of a size out of a cycle of 1 to the largest, or all of one size.
-std::uint32_t membersOf(std::uint32_t Group, bool Mixed) {
+/// Number of members of a group: if mixed, the sizes cycle from 1 to
+/// LargestGroup; otherwise all groups have LargestGroup members.
+std::uint32_t groupSize(std::uint32_t Group, bool Mixed) {
   return Mixed ? Group % LargestGroup + 1 : LargestGroup;
 }
 
-void addGroup(State &Into, std::uint32_t Number, std::uint32_t Members,
-              const DataCentreName &Where, const ModelName &Model) {
-  const GroupId Which{1000 + Number, 0};
-  Group &Made = Into.Groups[Which];
-  Made.Formed.Model = Model;
-  Made.Formed.Version = VersionName("2026-11-30");
-  Made.Formed.DataCentre = Where;
-  Made.Phase = GroupPhase::Serving;
-  Made.Generation = 1000 + Number;
+void addGroup(State &Target, std::uint32_t Number, std::uint32_t Members,
+              const DataCentreName &DataCentre, const ModelName &Model) {
+  const GroupId Id{1000 + Number, 0};
+  Group &Added = Target.Groups[Id];
+  Added.Formed.Model = Model;
+  Added.Formed.Version = VersionName("2026-11-30");
+  Added.Formed.DataCentre = DataCentre;
+  Added.Phase = GroupPhase::Serving;
+  Added.Generation = 1000 + Number;
   for (std::uint32_t Index = 0; Index < Members; ++Index) {
-    Into.Declared.Hosts.push_back(makeHost(
-        static_cast<std::uint32_t>(Into.Declared.Hosts.size()), Number, Where));
-    const HostName &Name = Into.Declared.Hosts.back().Name;
-    Made.Formed.Members.push_back(Name);
-    Made.MemberRuns.push_back(0x9E3779B97F4A7C15ULL * (Number + Index + 1));
-    Made.Held.insert(Name);
-    Into.Occupied[Name] = Which;
+    Target.Declared.Hosts.push_back(
+        makeHost(static_cast<std::uint32_t>(Target.Declared.Hosts.size()),
+                 Number, DataCentre));
+    const HostName &Name = Target.Declared.Hosts.back().Name;
+    Added.Formed.Members.push_back(Name);
+    Added.MemberRuns.push_back(0x9E3779B97F4A7C15ULL * (Number + Index + 1));
+    Added.Held.insert(Name);
+    Target.Occupied[Name] = Id;
   }
 }
 
-/// A state with so many serving groups, a model for each member count and entry
-/// hosts in proportion.
+/// A state with a number of serving groups, one model per group size, and a
+/// number of entry hosts proportional to the groups.
 State makeState(std::uint32_t Groups, bool Mixed) {
-  State Out;
+  State Result;
   const std::uint32_t DataCentres = Groups < 500 ? 3 : 28;
   const std::uint32_t EntryHosts = std::max(9U, Groups / 10);
   for (std::uint32_t Index = 0; Index < DataCentres; ++Index)
-    Out.Declared.DataCentres.emplace_back(numbered("dc-", Index));
+    Result.Declared.DataCentres.emplace_back(numberedName("dc-", Index));
   for (std::uint32_t Members = 1; Members <= LargestGroup; ++Members) {
     ModelSpec Model;
-    Model.Name = ModelName(numbered("model-", Members));
+    Model.Name = ModelName(numberedName("model-", Members));
     Model.Version = VersionName("2026-11-30");
     Model.MembersPerGroup = Members;
-    Out.Declared.Models.push_back(std::move(Model));
+    Result.Declared.Models.push_back(std::move(Model));
   }
   for (std::uint32_t Number = 0; Number < Groups; ++Number) {
-    const std::uint32_t Members = membersOf(Number, Mixed);
-    addGroup(Out, Number, Members,
-             Out.Declared.DataCentres[Number % DataCentres],
-             Out.Declared.Models[Members - 1].Name);
+    const std::uint32_t Members = groupSize(Number, Mixed);
+    addGroup(Result, Number, Members,
+             Result.Declared.DataCentres[Number % DataCentres],
+             Result.Declared.Models[Members - 1].Name);
   }
   for (std::uint32_t Index = 0; Index < EntryHosts; ++Index) {
-    EntryHostJoined Joined{HostName(numbered("entry-", Index)),
+    EntryHostJoined Joined{HostName(numberedName("entry-", Index)),
                            Index + 1,
-                           Out.Declared.DataCentres[Index % DataCentres],
+                           Result.Declared.DataCentres[Index % DataCentres],
                            "10.250.0.1",
                            7001,
                            7002};
     const HostName Name = Joined.Host;
-    Out.EntryHosts[Name] = EntryHost{std::move(Joined), Index};
-    Out.Writers[Index + 1] = WriterMark{100, Index};
+    Result.EntryHosts[Name] = EntryHost{std::move(Joined), Index};
+    Result.Writers[Index + 1] = WriterMark{100, Index};
   }
-  Out.Next = 1'000'000;
-  return Out;
+  Result.Next = 1'000'000;
+  return Result;
 }
 
-struct Size {
+struct Scenario {
   std::uint32_t Groups = 0;
   bool Mixed = false;
 };
 
-Size sizeOf(const benchmark::State &Run) {
-  return Size{static_cast<std::uint32_t>(Run.range(0)), Run.range(1) != 0};
+Scenario scenarioOf(const benchmark::State &Run) {
+  return Scenario{static_cast<std::uint32_t>(Run.range(0)), Run.range(1) != 0};
 }
 
 const State &stateOf(const benchmark::State &Run) {
-  static std::map<std::pair<std::uint32_t, bool>, State> Made;
-  const Size Wanted = sizeOf(Run);
-  const auto [Found, First] = Made.try_emplace({Wanted.Groups, Wanted.Mixed});
-  if (First)
-    Found->second = makeState(Wanted.Groups, Wanted.Mixed);
-  return Found->second;
+  static std::map<std::pair<std::uint32_t, bool>, State> States;
+  const Scenario Requested = scenarioOf(Run);
+  const auto [Entry, Inserted] =
+      States.try_emplace({Requested.Groups, Requested.Mixed});
+  if (Inserted)
+    Entry->second = makeState(Requested.Groups, Requested.Mixed);
+  return Entry->second;
 }
 
-void setHosts(benchmark::State &Run) {
+void setHostCounter(benchmark::State &Run) {
   Run.counters["hosts"] =
       static_cast<double>(stateOf(Run).Declared.Hosts.size());
 }
@@ -134,30 +139,33 @@
     if (Now.Next % Records.size() == 0)
       Now.Writers.clear();
   }
-  setHosts(Run);
+  setHostCounter(Run);
 }
-/// One group breaks, its hosts are released, and a plan puts another one in its
-/// place: the records of one repair.
-std::vector<Record> repairOf(const State &Now, const GroupId &Broken) {
-  const FormGroup Formed = Now.Groups.at(Broken).Formed;
-  std::vector<Record> Out{GroupBroken{Broken, Formed.Members.front(), "lost"}};
-  for (const HostName &Host : Formed.Members)
-    Out.emplace_back(HostReleased{Host, Broken});
-  const Offset PlanAt = Now.Next + Out.size();
+
+/// The records of one repair: a group breaks, its hosts are released, and a
+/// plan forms a replacement.
+std::vector<Record> repairRecords(const State &Now, const GroupId &Broken) {
+  const FormGroup Spec = Now.Groups.at(Broken).Formed;
+  std::vector<Record> Records{
+      GroupBroken{Broken, Spec.Members.front(), "lost"}};
+  for (const HostName &Host : Spec.Members)
+    Records.emplace_back(HostReleased{Host, Broken});
+  const Offset PlanOffset = Now.Next + Records.size();
   Plan Proposal;
-  Proposal.Asked = SetCapacity{Formed.Model, Formed.DataCentre, 1};
-  Proposal.PlannedAt = PlanAt;
-  Proposal.Steps.emplace_back(Formed);
-  Out.emplace_back(PlanProposed{std::move(Proposal), "repair"});
-  Out.emplace_back(PlanConfirmed{PlanAt, "repair"});
+  Proposal.Asked = SetCapacity{Spec.Model, Spec.DataCentre, 1};
+  Proposal.PlannedAt = PlanOffset;
+  Proposal.Steps.emplace_back(Spec);
+  Records.emplace_back(PlanProposed{std::move(Proposal), "repair"});
+  Records.emplace_back(PlanConfirmed{PlanOffset, "repair"});
   const EntryHostJoined &Executor = Now.EntryHosts.begin()->second.Joined;
-  Out.emplace_back(ExecutorTaken{PlanAt, Executor.Host, Executor.Run, 0});
-  const Offset Lease = PlanAt + 2;
-  Out.emplace_back(
-      GroupConfirmed{GroupId{PlanAt, Formed.Number}, Lease,
-                     std::vector<Incarnation>(Formed.Members.size(), 7)});
-  Out.emplace_back(StepFinished{PlanAt, Lease, 0});
-  return Out;
+  Records.emplace_back(
+      ExecutorTaken{PlanOffset, Executor.Host, Executor.Run, 0});
+  const Offset Lease = PlanOffset + 2;
+  Records.emplace_back(
+      GroupConfirmed{GroupId{PlanOffset, Spec.Number}, Lease,
+                     std::vector<Incarnation>(Spec.Members.size(), 7)});
+  Records.emplace_back(StepFinished{PlanOffset, Lease, 0});
+  return Records;
 }
 
 void foldRepairs(benchmark::State &Run) {
@@ -168,9 +176,9 @@
   for (auto _ : Run) {
     Run.PauseTiming();
     std::vector<std::vector<std::byte>> Records;
-    for (Record &Each : repairOf(Now, Now.Groups.begin()->first))
+    for (Record &Body : repairRecords(Now, Now.Groups.begin()->first))
       Records.push_back(
-          encodeRecord(Envelope{WriterId{1, ++Sequence}, std::move(Each)}));
+          encodeRecord(Envelope{WriterId{1, ++Sequence}, std::move(Body)}));
     Run.ResumeTiming();
     for (const auto &Bytes : Records)
       Applied += foldRecord(Now, Now.Next, Bytes).Effect == FoldEffect::Applied
@@ -179,15 +187,16 @@
     Folded += static_cast<std::int64_t>(Records.size());
   }
   if (Applied != Folded)
-    Run.SkipWithError("a record of a repair was not applied");
+    Run.SkipWithError("a record of the repair was not applied");
   Run.SetItemsProcessed(Folded);
   Run.counters["records"] =
       static_cast<double>(Folded) / static_cast<double>(Run.iterations());
-  setHosts(Run);
+  setHostCounter(Run);
 }
 
-/// Changes one host of the declaration, written whole or as a change.
-void foldDeclaration(benchmark::State &Run, bool Shortened) {
+/// Folds a change of one declared host, recorded as the whole declaration or as
+/// its difference from the current one.
+void foldDeclaration(benchmark::State &Run, bool AsDifference) {
   State Now = stateOf(Run);
   Now.Declared.Hosts.push_back(
       makeHost(999'999, 0, Now.Declared.DataCentres.front()));
@@ -195,26 +204,27 @@
   std::size_t Bytes = 0;
   for (auto _ : Run) {
     Run.PauseTiming();
-    Declaration Wanted = Now.Declared;
-    Wanted.Hosts.back().Accelerators = Sequence % 8 + 1;
+    Declaration Changed = Now.Declared;
+    Changed.Hosts.back().Accelerators = Sequence % 8 + 1;
     Plan Proposal;
-    Proposal.Asked = ApplyDeclaration{std::move(Wanted)};
+    Proposal.Asked = ApplyDeclaration{std::move(Changed)};
     Proposal.PlannedAt = Now.Next;
-    if (Shortened)
+    if (AsDifference)
       shortenPlan(Proposal, Now);
-    const Offset At = Now.Next;
+    const Offset PlanOffset = Now.Next;
     const std::vector<std::byte> Proposed = encodeRecord(Envelope{
         WriterId{1, ++Sequence}, PlanProposed{std::move(Proposal), "a"}});
-    const std::vector<std::byte> Confirmed =
-        encodeRecord(Envelope{WriterId{1, ++Sequence}, PlanConfirmed{At, "a"}});
+    const std::vector<std::byte> Confirmed = encodeRecord(
+        Envelope{WriterId{1, ++Sequence}, PlanConfirmed{PlanOffset, "a"}});
     Bytes = Proposed.size() + Confirmed.size();
     Run.ResumeTiming();
-    foldRecord(Now, At, Proposed);
-    if (foldRecord(Now, At + 1, Confirmed).Effect != FoldEffect::Applied)
+    foldRecord(Now, PlanOffset, Proposed);
+    if (foldRecord(Now, PlanOffset + 1, Confirmed).Effect !=
+        FoldEffect::Applied)
       Run.SkipWithError("the change was not applied");
   }
   Run.counters["record_bytes"] = static_cast<double>(Bytes);
-  setHosts(Run);
+  setHostCounter(Run);
 }
 
 void copyState(benchmark::State &Run) {
@@ -227,21 +237,21 @@
   const auto Copy = std::make_unique<State>(Now);
   const std::size_t After = ::mallinfo2().uordblks + ::mallinfo2().hblkhd;
   Run.counters["state_bytes"] = static_cast<double>(After - Before);
-  setHosts(Run);
+  setHostCounter(Run);
 }
 
 void digestState(benchmark::State &Run) {
   const State &Now = stateOf(Run);
   for (auto _ : Run)
     benchmark::DoNotOptimize(digestOf(Now));
-  setHosts(Run);
+  setHostCounter(Run);
 }
 
 void buildTable(benchmark::State &Run) {
   const State &Now = stateOf(Run);
   for (auto _ : Run)
     benchmark::DoNotOptimize(buildRoutes(Now));
-  setHosts(Run);
+  setHostCounter(Run);
 }
 
 void writeCheckpoint(benchmark::State &Run) {
@@ -251,7 +261,7 @@
   Run.counters["checkpoint_bytes"] =
       static_cast<double>(encodeState(Now).size());
   Run.counters["parts"] = static_cast<double>(cutCheckpoint(Now).size());
-  setHosts(Run);
+  setHostCounter(Run);
 }
 
 void readCheckpoint(benchmark::State &Run) {
@@ -260,31 +270,31 @@
   for (auto _ : Run)
     if (digestOf(decodeState(Bytes)) != Digest)
       Run.SkipWithError("the checkpoint does not match its digest");
-  setHosts(Run);
+  setHostCounter(Run);
 }
 
 /// 50, 1,000 and 10,000 groups of 1 to 16 hosts, and 80,000 accelerators in 625
 /// groups of 16 hosts.
-void sizes(benchmark::internal::Benchmark *Each) {
-  Each->ArgNames({"groups", "mixed"});
-  Each->Args({50, 1})->Args({625, 0})->Args({1000, 1})->Args({10000, 1});
+void setSizes(benchmark::internal::Benchmark *Bench) {
+  Bench->ArgNames({"groups", "mixed"});
+  Bench->Args({50, 1})->Args({625, 0})->Args({1000, 1})->Args({10000, 1});
 }
 
-BENCHMARK(foldJoins)->Apply(sizes);
-BENCHMARK(foldRepairs)->Apply(sizes);
+BENCHMARK(foldJoins)->Apply(setSizes);
+BENCHMARK(foldRepairs)->Apply(setSizes);
 BENCHMARK_CAPTURE(foldDeclaration, whole, false)
     ->ArgNames({"groups", "mixed"})
     ->Args({50, 1})
     ->Args({625, 0})
     ->Unit(benchmark::kMicrosecond);
 BENCHMARK_CAPTURE(foldDeclaration, change, true)
-    ->Apply(sizes)
+    ->Apply(setSizes)
     ->Unit(benchmark::kMicrosecond);
-BENCHMARK(copyState)->Apply(sizes)->Unit(benchmark::kMicrosecond);
-BENCHMARK(digestState)->Apply(sizes)->Unit(benchmark::kMicrosecond);
-BENCHMARK(buildTable)->Apply(sizes)->Unit(benchmark::kMicrosecond);
-BENCHMARK(writeCheckpoint)->Apply(sizes)->Unit(benchmark::kMicrosecond);
-BENCHMARK(readCheckpoint)->Apply(sizes)->Unit(benchmark::kMicrosecond);
+BENCHMARK(copyState)->Apply(setSizes)->Unit(benchmark::kMicrosecond);
+BENCHMARK(digestState)->Apply(setSizes)->Unit(benchmark::kMicrosecond);
+BENCHMARK(buildTable)->Apply(setSizes)->Unit(benchmark::kMicrosecond);
+BENCHMARK(writeCheckpoint)->Apply(setSizes)->Unit(benchmark::kMicrosecond);
+BENCHMARK(readCheckpoint)->Apply(setSizes)->Unit(benchmark::kMicrosecond);
 
 } // namespace
 } // namespace coltsfoottrail
--- a/bench/groups.cpp
+++ b/bench/groups.cpp
@@ -1,6 +1,7 @@
-// Costs of intents and groups: planning, the watch over members, the time that
-// a group is out after a member's death, hosts moved and appends. Times of
-// group life are simulated; nanoseconds are of this machine.
+// Costs of intents and groups: planning, monitoring of the members, the time
+// that a group is out of service after it loses members, hosts moved and
+// appends. The seconds of a group's life cycle are simulated; times in
+// microseconds are measured on the machine that runs the benchmark.
 #include "../packages/version/test/coltsfoottrail/groups/fleet.hpp"
 #include "../packages/version/test/coltsfoottrail/intents/states.hpp"
 #include "coltsfoottrail/adapter/engines.hpp"
@@ -42,58 +43,58 @@
   const auto Start = std::chrono::steady_clock::now();
   for (int Count = 0; Count < Times; ++Count)
     Run();
-  const std::chrono::duration<double, std::micro> Took =
+  const std::chrono::duration<double, std::micro> Elapsed =
       std::chrono::steady_clock::now() - Start;
-  return Took.count() / Times;
+  return Elapsed.count() / Times;
 }
 
-/// Groups of a fleet with a tenth more hosts than its groups need, spread over
-/// two data centres, 64 hosts a fabric domain.
+/// A fleet with a tenth more hosts than its groups need, spread over two data
+/// centres, with 64 hosts per fabric domain.
 State fleetState(std::uint32_t Groups, std::uint32_t Members) {
-  const std::uint32_t HostsEach = 64;
-  const std::uint32_t Need = Groups / 2 * Members;
-  const std::uint32_t Domains = Need * 11 / 10 / HostsEach + 2;
+  const std::uint32_t HostsPerDomain = 64;
+  const std::uint32_t NeededHosts = Groups / 2 * Members;
+  const std::uint32_t Domains = NeededHosts * 11 / 10 / HostsPerDomain + 2;
   State Now;
   Now.Next = 50;
   Now.Declared =
-      declareHosts(static_cast<int>(Domains), static_cast<int>(HostsEach));
+      declareHosts(static_cast<int>(Domains), static_cast<int>(HostsPerDomain));
   std::sort(Now.Declared.Hosts.begin(), Now.Declared.Hosts.end(),
             [](const HostSpec &Left, const HostSpec &Right) {
               return Left.Name < Right.Name;
             });
   Now.Declared.Models.push_back(
       signageModel(Members, Groups / 2, Groups - Groups / 2));
-  for (const Step &What :
+  for (const Step &Planned :
        planIntent(Now, ApplyDeclaration{Now.Declared}).Steps) {
-    const auto &Form = std::get<FormGroup>(What);
+    const auto &Form = std::get<FormGroup>(Planned);
     addGroup(Now, 10, Form.Number, Form.DataCentre, Form.Members);
   }
   return Now;
 }
 
 /// Breaks a group and releases all of its hosts but one.
-void loseMember(State &Now) {
-  Group &Lost = Now.Groups.begin()->second;
-  Lost.Phase = GroupPhase::Broken;
-  const HostName Dead = Lost.Formed.Members.front();
-  for (const HostName &Member : Lost.Formed.Members)
-    if (Member != Dead)
+void breakGroup(State &Now) {
+  Group &Broken = Now.Groups.begin()->second;
+  Broken.Phase = GroupPhase::Broken;
+  const HostName LostHost = Broken.Formed.Members.front();
+  for (const HostName &Member : Broken.Formed.Members)
+    if (Member != LostHost)
       Now.Occupied.erase(Member);
-  Lost.Held = {Dead};
+  Broken.Held = {LostHost};
 }
 
-void measurePlanner(Figures &Out) {
+void measurePlanner(Figures &Report) {
   const std::pair<std::uint32_t, std::uint32_t> Sizes[] = {
       {50, 4}, {1000, 16}, {10000, 16}};
   for (const auto &Size : Sizes) {
     const std::uint32_t Groups = Size.first;
     const std::uint32_t Members = Size.second;
     State Now = fleetState(Groups, Members);
-    const std::string At = " at " + std::to_string(Groups) + " groups of " +
-                           std::to_string(Members);
+    const std::string Suffix = " at " + std::to_string(Groups) + " groups of " +
+                               std::to_string(Members);
     const int Times = Groups > 1000 ? 3 : 20;
-    const auto Print = [&](const char *What, auto Run) {
-      Out.print(What + At, microsecondsOf(Run, Times), "us");
+    const auto Print = [&](const char *Name, auto Run) {
+      Report.print(Name + Suffix, microsecondsOf(Run, Times), "us");
     };
     Print("plan: one group more", [&] {
       (void)planIntent(Now, SetCapacity{Signage, East, Groups / 2 + 1});
@@ -108,29 +109,29 @@
     Print("plan: declaration as it stands",
           [&] { (void)planIntent(Now, ApplyDeclaration{Now.Declared}); });
     GroupExecutor Executor(GroupTimes(), HostName("entry-0"), 1);
-    TimePoint At0{seconds(100)};
-    (void)Executor.poll(Now, At0);
+    TimePoint Clock{seconds(100)};
+    (void)Executor.poll(Now, Clock);
     Print("poll of an executor at rest", [&] {
-      At0 += milliseconds(200);
-      (void)Executor.poll(Now, At0);
+      Clock += milliseconds(200);
+      (void)Executor.poll(Now, Clock);
     });
-    loseMember(Now);
+    breakGroup(Now);
     Print("find missing groups", [&] { (void)findMissing(Now); });
     Print("plan: repair of one group", [&] { (void)planRepair(Now); });
   }
 }
 
-/// Bytes of one question as the adapter writes it.
-std::size_t askBytes() {
-  boost::asio::io_context Listening;
-  Tcp::acceptor Acceptor(Listening,
+/// Size of one status query as the HTTP adapter sends it, in bytes.
+std::size_t queryBytes() {
+  boost::asio::io_context AcceptorContext;
+  Tcp::acceptor Acceptor(AcceptorContext,
                          {boost::asio::ip::address_v4::loopback(), 0});
   IoPool Threads(1);
-  boost::asio::io_context Asking;
-  HttpEngines Engines(Asking);
-  const EngineAddress To{"127.0.0.1", Acceptor.local_endpoint().port()};
-  Engines.ask(To, milliseconds(500), [](const auto & /*Report*/) {});
-  std::thread Runner([&Asking] { Asking.run(); });
+  boost::asio::io_context Context;
+  HttpEngines Engines(Context);
+  const EngineAddress Address{"127.0.0.1", Acceptor.local_endpoint().port()};
+  Engines.ask(Address, milliseconds(500), [](const auto & /*Report*/) {});
+  std::thread Runner([&Context] { Context.run(); });
   Tcp::socket Socket = Acceptor.accept();
   boost::asio::streambuf Buffer;
   const std::size_t Bytes = boost::asio::read_until(Socket, Buffer, "\r\n\r\n");
@@ -139,94 +140,97 @@
   return Bytes;
 }
 
-/// Bytes of one report as the stand-in engine sends it.
+/// Size of one report as the stand-in engine sends it, in bytes.
 std::size_t reportBytes() {
   IoPool Threads(1);
   EngineStandin Engine(Threads, "127.0.0.1", 0, EngineTraits{});
   boost::asio::io_context Context;
   Tcp::socket Socket(Context);
   Socket.connect({boost::asio::ip::address_v4::loopback(), Engine.port()});
-  const std::string Question =
+  const std::string Query =
       "GET /report HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
-  boost::asio::write(Socket, boost::asio::buffer(Question));
+  boost::asio::write(Socket, boost::asio::buffer(Query));
   boost::asio::streambuf Buffer;
-  boost::system::error_code Ended;
-  return boost::asio::read(Socket, Buffer, Ended);
+  boost::system::error_code Error;
+  return boost::asio::read(Socket, Buffer, Error);
 }
 
-DataCentreName centreOf(int Number) {
+DataCentreName dataCentreName(int Number) {
   return DataCentreName("dc-" + std::to_string(Number));
 }
 
-std::map<HostName, EntryHost> entryHosts(int Count, int Centres) {
+std::map<HostName, EntryHost> entryHosts(int Count, int DataCentres) {
   std::map<HostName, EntryHost> Hosts;
   for (int Number = 0; Number < Count; ++Number) {
     const HostName Name("entry-" + std::to_string(Number));
-    const DataCentreName Where = centreOf(Number % Centres);
-    Hosts[Name].Joined = EntryHostJoined{Name, 1, Where, "127.0.0.1", 1, 2};
+    const DataCentreName DataCentre = dataCentreName(Number % DataCentres);
+    Hosts[Name].Joined =
+        EntryHostJoined{Name, 1, DataCentre, "127.0.0.1", 1, 2};
   }
   return Hosts;
 }
 
-void measureWatch(Figures &Out) {
-  const double PerAsk = static_cast<double>(askBytes() + reportBytes());
-  Out.print("bytes of one question and its report, HTTP", PerAsk, "B");
+void measureWatch(Figures &Report) {
+  const double BytesPerQuery =
+      static_cast<double>(queryBytes() + reportBytes());
+  Report.print("bytes of one question and its report, HTTP", BytesPerQuery,
+               "B");
   LivenessBeat Beat;
   Beat.From = HostName("entry-100");
   Beat.Id = {0x123456789abcdefULL, 100000};
   Beat.Echo = {0x223456789abcdefULL, 100000};
   Beat.PlanDigest = 0x323456789abcdefULL;
   Beat.StateNext = 5000000;
-  const auto PerBeat =
+  const auto BytesPerBeat =
       static_cast<double>(Json::to_cbor(writeBeat(Beat)).size());
-  Out.print("bytes of one beat in CBOR", PerBeat, "B");
+  Report.print("bytes of one beat in CBOR", BytesPerBeat, "B");
   struct Size {
     int Nodes;
-    int Centres;
+    int DataCentres;
     std::uint32_t Groups;
     std::uint32_t Members;
   };
   const Size Sizes[] = {
       {9, 3, 50, 4}, {1000, 28, 624, 16}, {1000, 28, 10000, 16}};
-  for (const Size &Of : Sizes) {
-    State Now = fleetState(Of.Groups, Of.Members);
-    Now.EntryHosts = entryHosts(Of.Nodes, Of.Centres);
+  for (const Size &Case : Sizes) {
+    State Now = fleetState(Case.Groups, Case.Members);
+    Now.EntryHosts = entryHosts(Case.Nodes, Case.DataCentres);
     int Number = 0;
-    for (auto &[Id, Known] : Now.Groups)
-      Known.Formed.DataCentre = centreOf(Number++ % Of.Centres);
-    const std::string At = " at " + std::to_string(Of.Nodes) + " nodes, " +
-                           std::to_string(Of.Groups) + " groups of " +
-                           std::to_string(Of.Members);
+    for (auto &[Id, Entry] : Now.Groups)
+      Entry.Formed.DataCentre = dataCentreName(Number++ % Case.DataCentres);
+    const std::string Suffix = " at " + std::to_string(Case.Nodes) +
+                               " nodes, " + std::to_string(Case.Groups) +
+                               " groups of " + std::to_string(Case.Members);
     std::unique_ptr<WatchPlan> Plan;
-    Out.print("work out who watches" + At,
-              microsecondsOf(
-                  [&] {
-                    Plan = std::make_unique<WatchPlan>(Now.EntryHosts);
-                    Plan->follow(Now);
-                  },
-                  2),
-              "us");
-    std::size_t Most = 0;
+    Report.print("work out who watches" + Suffix,
+                 microsecondsOf(
+                     [&] {
+                       Plan = std::make_unique<WatchPlan>(Now.EntryHosts);
+                       Plan->follow(Now);
+                     },
+                     2),
+                 "us");
+    std::size_t Highest = 0;
     std::size_t Sum = 0;
     for (const auto &[Name, Host] : Now.EntryHosts) {
-      const std::size_t Asks = Plan->watchedBy(Name).size() * Of.Members;
-      Most = std::max(Most, Asks);
-      Sum += Asks;
+      const std::size_t Queries = Plan->watchedBy(Name).size() * Case.Members;
+      Highest = std::max(Highest, Queries);
+      Sum += Queries;
     }
-    const double Mean = static_cast<double>(Sum) / Of.Nodes;
-    const double BeatsOut = Of.Nodes - 1;
-    Out.print("asks a second and node, mean" + At, Mean, "1/s");
-    Out.print("asks a second and node, most" + At, static_cast<double>(Most),
-              "1/s");
-    Out.print("bytes a second and node for asks, mean" + At, Mean * PerAsk,
-              "B/s");
-    Out.print("bytes a second and node for beats sent to all" + At,
-              BeatsOut * PerBeat, "B/s");
+    const double Mean = static_cast<double>(Sum) / Case.Nodes;
+    const double BeatsSent = Case.Nodes - 1;
+    Report.print("asks a second and node, mean" + Suffix, Mean, "1/s");
+    Report.print("asks a second and node, most" + Suffix,
+                 static_cast<double>(Highest), "1/s");
+    Report.print("bytes a second and node for asks, mean" + Suffix,
+                 Mean * BytesPerQuery, "B/s");
+    Report.print("bytes a second and node for beats sent to all" + Suffix,
+                 BeatsSent * BytesPerBeat, "B/s");
   }
 }
 
-/// What the beats of a whole fleet cost one entry host.
-void measureBeats(Figures &Out) {
+/// Cost for one entry host of the beats that all others of the fleet send.
+void measureBeats(Figures &Report) {
   for (const auto &Size :
        {std::pair(9, 50U), std::pair(1000, 624U), std::pair(1000, 10000U)}) {
     const int Nodes = Size.first;
@@ -236,175 +240,181 @@
     const HostName Self("entry-0");
     const WatchTimes Times;
     GroupWatch Watch(Times, GroupTimes(), Self);
-    GroupLiveness Live(Times, Self, 1);
+    GroupLiveness Liveness(Times, Self, 1);
     TimePoint Clock{seconds(100)};
     const auto Silent = [](const GroupId & /*Group*/) {
       return std::size_t{0};
     };
-    const std::string At = " at " + std::to_string(Nodes) + " nodes, " +
-                           std::to_string(Groups) + " groups";
-    Live.follow(Now, Watch, Clock);
+    const std::string Suffix = " at " + std::to_string(Nodes) + " nodes, " +
+                               std::to_string(Groups) + " groups";
+    Liveness.follow(Now, Watch, Clock);
     const auto Follow = [&] {
       Now.LastChange = Now.Next++;
       Clock += milliseconds(10);
-      Live.follow(Now, Watch, Clock);
+      Liveness.follow(Now, Watch, Clock);
     };
-    Out.print("follow one change of state" + At, microsecondsOf(Follow, 20),
-              "us");
+    Report.print("follow one change of state" + Suffix,
+                 microsecondsOf(Follow, 20), "us");
     const auto Poll = [&] {
       Clock += milliseconds(100);
-      (void)Watch.poll(Now, Live.plan(), Silent, Clock);
-      Live.follow(Now, Watch, Clock);
+      (void)Watch.poll(Now, Liveness.plan(), Silent, Clock);
+      Liveness.follow(Now, Watch, Clock);
     };
-    Out.print("poll of the watch" + At, microsecondsOf(Poll, 50), "us");
-    LivenessBeat Beat = Live.beatFor(HostName("entry-1"), Clock);
+    Report.print("poll of the watch" + Suffix, microsecondsOf(Poll, 50), "us");
+    LivenessBeat Beat = Liveness.beatFor(HostName("entry-1"), Clock);
     Beat.Echo = Beat.Id;
     Beat.Doubted.clear();
     int Number = 0;
-    const auto Hear = [&] {
+    const auto Receive = [&] {
       Beat.From =
           HostName("entry-" + std::to_string(1 + Number++ % (Nodes - 1)));
       ++Beat.Id.Sequence;
-      Live.receiveBeat(Beat, Clock);
+      Liveness.receiveBeat(Beat, Clock);
     };
-    Out.print("take one beat" + At, microsecondsOf(Hear, 5000), "us");
+    Report.print("take one beat" + Suffix, microsecondsOf(Receive, 5000), "us");
   }
 }
 
-Declaration declare(int Domains, int HostsEach, ModelSpec Model) {
-  Declaration Declared = declareHosts(Domains, HostsEach);
+Declaration declare(int Domains, int HostsPerDomain, ModelSpec Model) {
+  Declaration Declared = declareHosts(Domains, HostsPerDomain);
   Declared.Models.push_back(std::move(Model));
   return Declared;
 }
 
-double secondsOf(Duration Of) {
-  return std::chrono::duration<double>(Of).count();
+double secondsOf(Duration Span) {
+  return std::chrono::duration<double>(Span).count();
 }
 
 struct LossCase {
   const char *Name;
-  /// Restarts the engine in place of taking its host away.
-  bool Restarts;
-  bool Fences;
-  int HostsOfDomain;
-  /// Members lost at once.
-  int Lost;
+  /// Whether the engines restart, rather than becoming unreachable.
+  bool RestartsEngine;
+  bool RefusesOldFences;
+  int HostsPerDomain;
+  /// Number of members lost at once.
+  int LostMembers;
 };
 
-bool usedBy(const Fleet &World, const GroupId &Id, std::size_t AtLeast) {
+bool isUsed(const Fleet &Simulated, const GroupId &Id, std::size_t MinHosts) {
   std::size_t Count = 0;
-  for (const auto &Node : World.Nodes)
-    Count += Node->Agent->mayRoute(Id, World.Clock) ? 1 : 0;
-  return Count >= AtLeast;
+  for (const auto &Node : Simulated.Nodes)
+    Count += Node->Agent->mayRoute(Id, Simulated.Clock) ? 1 : 0;
+  return Count >= MinHosts;
 }
 
-/// A group of four loses members; nine entry hosts; weights load in 10 s.
-void measureLoss(Figures &Out, const LossCase &Of) {
-  Declaration Declared = declare(2, Of.HostsOfDomain, signageModel(4, 1));
+/// Measures the recovery of a group of four that loses members, in a fleet with
+/// nine entry hosts, where weights load in 10 s.
+void measureLoss(Figures &Report, const LossCase &Case) {
+  Declaration Declared = declare(2, Case.HostsPerDomain, signageModel(4, 1));
   for (HostSpec &Host : Declared.Hosts)
-    Host.RefusesOldFences = Of.Fences;
-  Fleet World(Declared, 9, 1);
-  World.runUntil([&] { return World.allServe(1) && !World.plansRun(); },
-                 std::chrono::minutes(5));
-  World.run(seconds(10));
-  const GroupId Id = World.Agreed.Groups.begin()->first;
-  const Group Before = World.Agreed.Groups.begin()->second;
-  const std::size_t Appends = World.Log.size();
-  const TimePoint Lost = World.Clock;
-  for (int Number = 0; Number < Of.Lost; ++Number) {
-    FakeEngine &Engine = World.Engines.at(
+    Host.RefusesOldFences = Case.RefusesOldFences;
+  Fleet Simulated(Declared, 9, 1);
+  Simulated.runUntil(
+      [&] { return Simulated.allServe(1) && !Simulated.plansRun(); },
+      std::chrono::minutes(5));
+  Simulated.run(seconds(10));
+  const GroupId Id = Simulated.Agreed.Groups.begin()->first;
+  const Group Before = Simulated.Agreed.Groups.begin()->second;
+  const std::size_t AppendsBefore = Simulated.Log.size();
+  const TimePoint LossTime = Simulated.Clock;
+  for (int Number = 0; Number < Case.LostMembers; ++Number) {
+    FakeEngine &Engine = Simulated.Engines.at(
         Before.Formed.Members[static_cast<std::size_t>(Number) + 1 -
-                              (Of.Lost == 4 ? 1 : 0)]);
-    if (Of.Restarts)
+                              (Case.LostMembers == 4 ? 1 : 0)]);
+    if (Case.RestartsEngine)
       Engine.restart();
     else
       Engine.Unreachable = true;
   }
-  const std::string At = std::string(" (") + Of.Name + ")";
-  World.runUntil([&] { return !usedBy(World, Id, 1); }, seconds(60));
-  Out.print("loss until no entry host uses the group" + At,
-            secondsOf(World.Clock - Lost), "s");
-  World.runUntil(
+  const std::string Suffix = std::string(" (") + Case.Name + ")";
+  Simulated.runUntil([&] { return !isUsed(Simulated, Id, 1); }, seconds(60));
+  Report.print("loss until no entry host uses the group" + Suffix,
+               secondsOf(Simulated.Clock - LossTime), "s");
+  Simulated.runUntil(
       [&] {
-        const auto Found = World.Agreed.Groups.find(Id);
-        return Found == World.Agreed.Groups.end() ||
-               Found->second.Phase == GroupPhase::Broken;
+        const auto Entry = Simulated.Agreed.Groups.find(Id);
+        return Entry == Simulated.Agreed.Groups.end() ||
+               Entry->second.Phase == GroupPhase::Broken;
       },
       seconds(60));
-  Out.print("loss until the group is declared broken" + At,
-            secondsOf(World.Clock - Lost), "s");
-  World.runUntil([&] { return World.serving() == 1; },
-                 std::chrono::minutes(10));
-  Out.print("loss until another group is confirmed" + At,
-            secondsOf(World.Clock - Lost), "s");
-  GroupId Next;
-  for (const auto &[Other, Known] : World.Agreed.Groups)
-    if (Known.Phase == GroupPhase::Serving)
-      Next = Other;
-  World.runUntil([&] { return usedBy(World, Next, 9); }, seconds(60));
-  Out.print("loss until all entry hosts use it" + At,
-            secondsOf(World.Clock - Lost), "s");
+  Report.print("loss until the group is declared broken" + Suffix,
+               secondsOf(Simulated.Clock - LossTime), "s");
+  Simulated.runUntil([&] { return Simulated.serving() == 1; },
+                     std::chrono::minutes(10));
+  Report.print("loss until another group is confirmed" + Suffix,
+               secondsOf(Simulated.Clock - LossTime), "s");
+  GroupId Replacement;
+  for (const auto &[OtherId, Current] : Simulated.Agreed.Groups)
+    if (Current.Phase == GroupPhase::Serving)
+      Replacement = OtherId;
+  Simulated.runUntil([&] { return isUsed(Simulated, Replacement, 9); },
+                     seconds(60));
+  Report.print("loss until all entry hosts use it" + Suffix,
+               secondsOf(Simulated.Clock - LossTime), "s");
   std::size_t Moved = 0;
-  for (const HostName &Member : World.Agreed.Groups.at(Next).Formed.Members)
+  for (const HostName &Member :
+       Simulated.Agreed.Groups.at(Replacement).Formed.Members)
     Moved += std::count(Before.Formed.Members.begin(),
                         Before.Formed.Members.end(), Member) == 0
                  ? 1
                  : 0;
-  Out.print("hosts moved, of 4" + At, static_cast<double>(Moved), "");
-  World.run(seconds(30));
-  Out.print("appends of the whole repair" + At,
-            static_cast<double>(World.Log.size() - Appends), "");
+  Report.print("hosts moved, of 4" + Suffix, static_cast<double>(Moved), "");
+  Simulated.run(seconds(30));
+  Report.print("appends of the whole repair" + Suffix,
+               static_cast<double>(Simulated.Log.size() - AppendsBefore), "");
 }
 
-void measureAppends(Figures &Out) {
-  Fleet World(declare(4, 56, signageModel(4, 25, 25)), 9, 1);
-  std::size_t Before = World.Log.size();
-  TimePoint Start = World.Clock;
-  World.runUntil([&] { return !World.plansRun(); }, std::chrono::hours(2));
-  Out.print("appends to form 50 groups of 4 after the confirmation",
-            static_cast<double>(World.Log.size() - Before), "");
-  Out.print("time to form 50 groups, 4 at once, 10 s each",
-            secondsOf(World.Clock - Start), "s");
-  Before = World.Log.size();
-  World.run(seconds(600));
-  Out.print("appends in ten minutes at rest",
-            static_cast<double>(World.Log.size() - Before), "");
-  Before = World.Log.size();
-  Start = World.Clock;
-  World.applyIntent(SetVersion{Signage, VersionName("v2")});
-  std::size_t Least = World.serving();
-  World.runUntil(
+void measureAppends(Figures &Report) {
+  Fleet Simulated(declare(4, 56, signageModel(4, 25, 25)), 9, 1);
+  std::size_t Before = Simulated.Log.size();
+  TimePoint Start = Simulated.Clock;
+  Simulated.runUntil([&] { return !Simulated.plansRun(); },
+                     std::chrono::hours(2));
+  Report.print("appends to form 50 groups of 4 after the confirmation",
+               static_cast<double>(Simulated.Log.size() - Before), "");
+  Report.print("time to form 50 groups, 4 at once, 10 s each",
+               secondsOf(Simulated.Clock - Start), "s");
+  Before = Simulated.Log.size();
+  Simulated.run(seconds(600));
+  Report.print("appends in ten minutes at rest",
+               static_cast<double>(Simulated.Log.size() - Before), "");
+  Before = Simulated.Log.size();
+  Start = Simulated.Clock;
+  Simulated.applyIntent(SetVersion{Signage, VersionName("v2")});
+  std::size_t Fewest = Simulated.serving();
+  Simulated.runUntil(
       [&] {
-        Least = std::min(Least, World.serving());
-        return !World.plansRun();
+        Fewest = std::min(Fewest, Simulated.serving());
+        return !Simulated.plansRun();
       },
       std::chrono::hours(4));
-  Out.print("appends to roll a version over 50 groups of 4",
-            static_cast<double>(World.Log.size() - Before), "");
-  Out.print("time to roll a version over 50 groups",
-            secondsOf(World.Clock - Start), "s");
-  Out.print("fewest groups serving meanwhile", static_cast<double>(Least), "");
-  Before = World.Log.size();
-  World.applyIntent(DrainDataCentre{East});
-  World.run(seconds(10));
-  Out.print("appends of a drain",
-            static_cast<double>(World.Log.size() - Before), "");
+  Report.print("appends to roll a version over 50 groups of 4",
+               static_cast<double>(Simulated.Log.size() - Before), "");
+  Report.print("time to roll a version over 50 groups",
+               secondsOf(Simulated.Clock - Start), "s");
+  Report.print("fewest groups serving meanwhile", static_cast<double>(Fewest),
+               "");
+  Before = Simulated.Log.size();
+  Simulated.applyIntent(DrainDataCentre{East});
+  Simulated.run(seconds(10));
+  Report.print("appends of a drain",
+               static_cast<double>(Simulated.Log.size() - Before), "");
 }
 
 int runAll(bool AsJson) {
-  Figures Out(AsJson);
-  measurePlanner(Out);
-  measureWatch(Out);
-  measureBeats(Out);
+  Figures Report(AsJson);
+  measurePlanner(Report);
+  measureWatch(Report);
+  measureBeats(Report);
   const LossCase Cases[] = {
       {"engine restarts, fences refused", true, true, 8, 1},
       {"host dark, spare in the domain, fences refused", false, true, 8, 1},
       {"host dark, spare in the domain, fences ignored", false, false, 8, 1},
       {"host dark, no spare in the domain, fences refused", false, true, 4, 1},
       {"all members dark, fences refused", false, true, 4, 4}};
-  for (const LossCase &Of : Cases)
-    measureLoss(Out, Of);
-  measureAppends(Out);
+  for (const LossCase &Case : Cases)
+    measureLoss(Report, Case);
+  measureAppends(Report);
   return 0;
 }
 
--- a/bench/mesh.cpp
+++ b/bench/mesh.cpp
@@ -1,6 +1,7 @@
-/// Cost of the mesh between entry hosts over loopback: messages a second,
-/// processor time for each message, round trip, bytes of a heartbeat, memory
-/// and processor time for each idle connection, and neighbours at 1,000 hosts.
+/// @file
+/// Cost of the mesh between entry hosts over loopback: messages per second,
+/// processor time per message, round trip, bytes of a heartbeat, memory and
+/// processor time per idle connection, and number of neighbours at 1,000 hosts.
 #include "coltsfoottrail/mesh/mesh.hpp"
 #include "coltsfoottrail/core/hash.hpp"
 #include "coltsfoottrail/json/reader.hpp"
@@ -25,7 +26,7 @@
 
 const HostName HubName("hub");
 
-MeshConfig configOf(const std::string &Name) {
+MeshConfig makeConfig(const std::string &Name) {
   MeshConfig Config;
   Config.Self = HostName(Name);
   Config.Run = hashText(Name);
@@ -51,11 +52,11 @@
 }
 
 std::size_t residentBytes() {
-  std::ifstream In("/proc/self/statm");
-  std::size_t Whole = 0;
-  std::size_t Resident = 0;
-  In >> Whole >> Resident;
-  return Resident * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
+  std::ifstream Statm("/proc/self/statm");
+  std::size_t TotalPages = 0;
+  std::size_t ResidentPages = 0;
+  Statm >> TotalPages >> ResidentPages;
+  return ResidentPages * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
 }
 
 void waitConnected(const Mesh &Links, std::size_t Count) {
@@ -64,11 +65,11 @@
 }
 
 void measureThroughput(std::size_t BodyBytes, std::uint64_t Count) {
-  Mesh Hub(configOf(HubName.Text));
-  std::atomic<std::uint64_t> Got = 0;
-  Hub.onMessage(Channel::Records,
-                [&Got](const HostName &, Incarnation, const Json &) { ++Got; });
-  Mesh Spoke(configOf("spoke"));
+  Mesh Hub(makeConfig(HubName.Text));
+  std::atomic<std::uint64_t> Received = 0;
+  Hub.onMessage(Channel::Records, [&Received](const HostName &, Incarnation,
+                                              const Json &) { ++Received; });
+  Mesh Spoke(makeConfig("spoke"));
   Spoke.setSeeds(std::vector<MeshSeed>{{"127.0.0.1", Hub.start()}});
   (void)Spoke.start();
   waitConnected(Spoke, 1);
@@ -83,7 +84,7 @@
     else
       std::this_thread::sleep_for(std::chrono::microseconds(100));
   }
-  while (Got < Count)
+  while (Received < Count)
     std::this_thread::sleep_for(std::chrono::microseconds(100));
   const double Micros = elapsedMicros(Begin);
   std::printf("one way, %6zu-byte record: %9.0f messages/s, %6.2f us of "
@@ -93,17 +94,17 @@
 }
 
 void measureRoundTrip(std::size_t Count) {
-  Mesh Hub(configOf(HubName.Text));
-  Mesh Spoke(configOf("spoke"));
-  std::atomic<std::size_t> Got = 0;
+  Mesh Hub(makeConfig(HubName.Text));
+  Mesh Spoke(makeConfig("spoke"));
+  std::atomic<std::size_t> Received = 0;
   Hub.onMessage(Channel::Credits,
                 [&Hub](const HostName &From, Incarnation, const Json &Body) {
                   (void)Hub.send(From, Channel::Credits, Body);
                 });
   Spoke.onMessage(Channel::Credits,
-                  [&Got](const HostName &, Incarnation, const Json &) {
-                    ++Got;
-                    Got.notify_one();
+                  [&Received](const HostName &, Incarnation, const Json &) {
+                    ++Received;
+                    Received.notify_one();
                   });
   Spoke.setSeeds(std::vector<MeshSeed>{{"127.0.0.1", Hub.start()}});
   (void)Spoke.start();
@@ -112,7 +113,7 @@
   for (std::size_t Number = 0; Number < Count; ++Number) {
     const TimePoint Begin = BootClock::now();
     (void)Spoke.send(HubName, Channel::Credits, Json{{"credit", Number}});
-    Got.wait(Number);
+    Received.wait(Number);
     Times.push_back(elapsedMicros(Begin));
   }
   std::sort(Times.begin(), Times.end());
@@ -121,114 +122,117 @@
 }
 
 void measureHeartbeat() {
-  Mesh Hub(configOf(HubName.Text));
-  Mesh Spoke(configOf("spoke"));
+  Mesh Hub(makeConfig(HubName.Text));
+  Mesh Spoke(makeConfig("spoke"));
   Spoke.setSeeds(std::vector<MeshSeed>{{"127.0.0.1", Hub.start()}});
   (void)Spoke.start();
   waitConnected(Spoke, 1);
   (void)Spoke.send(HubName, Channel::Heartbeat,
                    Json{{"end", 123456789012U}, {"age_ms", 1234}});
-  const MeshCounters Counted = Spoke.counters();
-  const auto &Its =
-      Counted.Channels[static_cast<std::size_t>(Channel::Heartbeat)];
-  std::printf("heartbeat {end, age_ms}: %llu bytes of CBOR; on the wire 6 more "
-              "from the dialling end, 2 from the other\n",
-              static_cast<unsigned long long>(Its.BytesOut));
+  const MeshCounters Counters = Spoke.counters();
+  const auto &Heartbeats =
+      Counters.Channels[static_cast<std::size_t>(Channel::Heartbeat)];
+  std::printf("heartbeat {end, age_ms}: %llu bytes of CBOR; WebSocket framing "
+              "adds 6 at the dialling end, 2 at the other\n",
+              static_cast<unsigned long long>(Heartbeats.BytesOut));
 }
 
-/// Runs so many meshes in another process, so that this one only has the hub's
-/// ends of the connections.
+/// Runs a number of meshes in a child process, so that this process holds only
+/// the hub's ends of the connections.
 class Spokes {
 public:
   explicit Spokes(std::size_t Count) {
-    if (::pipe(Ends.data()) != 0)
+    if (::pipe(Pipe.data()) != 0)
       std::abort();
     Child = ::fork();
     if (Child == 0)
       run(Count);
-    ::close(Ends[0]);
+    ::close(Pipe[0]);
   }
   Spokes(const Spokes &) = delete;
   Spokes &operator=(const Spokes &) = delete;
   ~Spokes() {
-    ::close(Ends[1]);
+    ::close(Pipe[1]);
     ::waitpid(Child, nullptr, 0);
   }
-  void begin(std::uint16_t Port) const {
-    if (::write(Ends[1], &Port, sizeof Port) != sizeof Port)
+  void connectTo(std::uint16_t Port) const {
+    if (::write(Pipe[1], &Port, sizeof Port) != sizeof Port)
       std::abort();
   }
 
 private:
   [[noreturn]] void run(std::size_t Count) const {
-    ::close(Ends[1]);
+    ::close(Pipe[1]);
     std::uint16_t Port = 0;
-    if (::read(Ends[0], &Port, sizeof Port) != sizeof Port)
+    if (::read(Pipe[0], &Port, sizeof Port) != sizeof Port)
       ::_exit(1);
-    std::vector<std::unique_ptr<Mesh>> All;
+    std::vector<std::unique_ptr<Mesh>> Meshes;
     for (std::size_t Index = 0; Index < Count; ++Index) {
-      All.push_back(
-          std::make_unique<Mesh>(configOf("spoke-" + std::to_string(Index))));
-      All.back()->setSeeds(std::vector<MeshSeed>{{"127.0.0.1", Port}});
-      (void)All.back()->start();
+      Meshes.push_back(
+          std::make_unique<Mesh>(makeConfig("spoke-" + std::to_string(Index))));
+      Meshes.back()->setSeeds(std::vector<MeshSeed>{{"127.0.0.1", Port}});
+      (void)Meshes.back()->start();
     }
-    char Last = 0;
-    (void)!::read(Ends[0], &Last, 1);
+    // Returns when the parent closes its end of the pipe.
+    char Unused = 0;
+    (void)!::read(Pipe[0], &Unused, 1);
     ::_exit(0);
   }
 
-  std::array<int, 2> Ends{};
+  std::array<int, 2> Pipe{};
   pid_t Child = -1;
 };
 
 void measureConnections(std::size_t Count) {
   constexpr seconds Idle{5};
-  const Spokes Others(Count);
-  Mesh Hub(configOf(HubName.Text));
+  const Spokes SpokeProcess(Count);
+  Mesh Hub(makeConfig(HubName.Text));
   const std::uint16_t Port = Hub.start();
   const std::size_t HeapBefore = ::mallinfo2().uordblks;
   const std::size_t ResidentBefore = residentBytes();
-  Others.begin(Port);
+  SpokeProcess.connectTo(Port);
   waitConnected(Hub, Count);
   std::this_thread::sleep_for(seconds(2));
   const double Before = processorMicros();
   std::this_thread::sleep_for(Idle);
   const double Micros = processorMicros() - Before;
-  const auto Each = static_cast<double>(Count);
-  std::printf(
-      "%4zu connections: heap %7.1f KiB, resident %7.1f KiB (%5.1f and "
-      "%5.1f KiB each); idle %.0f us of processor a second\n",
-      Count, static_cast<double>(::mallinfo2().uordblks - HeapBefore) / 1024,
-      static_cast<double>(residentBytes() - ResidentBefore) / 1024,
-      static_cast<double>(::mallinfo2().uordblks - HeapBefore) / 1024 / Each,
-      static_cast<double>(residentBytes() - ResidentBefore) / 1024 / Each,
-      Micros / static_cast<double>(Idle.count()));
+  const auto Connections = static_cast<double>(Count);
+  std::printf("%4zu connections: heap %7.1f KiB, resident %7.1f KiB (%5.1f and "
+              "%5.1f KiB each); idle %.0f us of processor a second\n",
+              Count,
+              static_cast<double>(::mallinfo2().uordblks - HeapBefore) / 1024,
+              static_cast<double>(residentBytes() - ResidentBefore) / 1024,
+              static_cast<double>(::mallinfo2().uordblks - HeapBefore) / 1024 /
+                  Connections,
+              static_cast<double>(residentBytes() - ResidentBefore) / 1024 /
+                  Connections,
+              Micros / static_cast<double>(Idle.count()));
 }
 
-void measureNeighbours(std::size_t Hosts, std::size_t Centres) {
+void measureNeighbours(std::size_t Hosts, std::size_t DataCentres) {
   std::vector<MeshMember> Members;
   for (std::size_t Index = 0; Index < Hosts; ++Index)
     Members.push_back(
         {HostName("entry-" + std::to_string(Index)),
-         DataCentreName("dc-" + std::to_string(Index % Centres))});
-  std::map<HostName, std::set<HostName>> All;
+         DataCentreName("dc-" + std::to_string(Index % DataCentres))});
+  std::map<HostName, std::set<HostName>> Neighbours;
   const TimePoint Begin = BootClock::now();
-  for (const MeshMember &Each : Members)
-    for (const HostName &Other : chooseNeighbours(Each.Host, Members)) {
-      All[Each.Host].insert(Other);
-      All[Other].insert(Each.Host);
+  for (const MeshMember &Member : Members)
+    for (const HostName &Other : chooseNeighbours(Member.Host, Members)) {
+      Neighbours[Member.Host].insert(Other);
+      Neighbours[Other].insert(Member.Host);
     }
   const double Micros = elapsedMicros(Begin) / static_cast<double>(Hosts);
-  std::size_t Most = 0;
+  std::size_t Highest = 0;
   std::size_t Sum = 0;
-  for (const auto &[Host, Others] : All) {
-    Most = std::max(Most, Others.size());
+  for (const auto &[Host, Others] : Neighbours) {
+    Highest = std::max(Highest, Others.size());
     Sum += Others.size();
   }
   std::printf("neighbours of %zu hosts in %zu data centres: mean %.1f, most "
               "%zu; %.0f us to choose\n",
-              Hosts, Centres,
-              static_cast<double>(Sum) / static_cast<double>(Hosts), Most,
+              Hosts, DataCentres,
+              static_cast<double>(Sum) / static_cast<double>(Hosts), Highest,
               Micros);
 }
 
