--- a/bench/admission.cpp
+++ b/bench/admission.cpp
@@ -239,7 +239,7 @@
 } // namespace
 
 int main() {
-  std::printf("One event\n");
+  std::printf("Cost of one event\n");
   for (const std::size_t Endpoints : {50U, 500U, 10'000U})
     measureEvents(Endpoints);
   for (const std::size_t Holders : {1U, 9U, 32U})
--- a/bench/claims.cpp
+++ b/bench/claims.cpp
@@ -277,9 +277,9 @@
   void execute(std::size_t Index, const DeliverDecision &Command) {
     if (!std::holds_alternative<ClaimGranted>(Command.Decision))
       return;
-    const std::chrono::duration<double, std::milli> Took =
+    const std::chrono::duration<double, std::milli> Elapsed =
         Clock.Now - SubmitTimes.at(Command.Id);
-    Result.LatenciesMs.push_back(Took.count());
+    Result.LatenciesMs.push_back(Elapsed.count());
     SubmitTimes.erase(Command.Id);
     const ClaimId Id = Command.Id;
     Clock.scheduleAfter(milliseconds(30), [=, this] {
@@ -323,10 +323,10 @@
     // decision.
     Log.read(0, 0, [&, SubmitTimes](const LogBatch &) {
       for (const TimePoint SubmittedAt : SubmitTimes) {
-        const std::chrono::duration<double, std::milli> Took =
+        const std::chrono::duration<double, std::milli> Elapsed =
             Clock.Now - SubmittedAt;
-        if (Took <= Deadline)
-          Result.LatenciesMs.push_back(Took.count());
+        if (Elapsed <= Deadline)
+          Result.LatenciesMs.push_back(Elapsed.count());
       }
     });
   };
--- a/bench/decision.cpp
+++ b/bench/decision.cpp
@@ -106,9 +106,9 @@
       submit();
       completeOldest();
     }
-    const std::chrono::duration<double, std::nano> Took =
+    const std::chrono::duration<double, std::nano> Elapsed =
         std::chrono::steady_clock::now() - Start;
-    return Cost{Took.count() / Count,
+    return Cost{Elapsed.count() / Count,
                 static_cast<double>(Allocations - Before) / Count};
   }
 
@@ -150,11 +150,11 @@
     Query.PrefixHash = 1 + Rng.below(5000) * 0x9E3779B97F4A7C15ULL;
     IndexSum += Choice.choose(Query, Now)->Index;
   }
-  const std::chrono::duration<double, std::nano> Took =
+  const std::chrono::duration<double, std::nano> Elapsed =
       std::chrono::steady_clock::now() - Start;
   if (IndexSum == 0)
     std::printf("no endpoint chosen\n");
-  return Cost{Took.count() / Decisions,
+  return Cost{Elapsed.count() / Decisions,
               static_cast<double>(Allocations - Before) / Decisions};
 }
 
--- a/bench/fold.cpp
+++ b/bench/fold.cpp
@@ -136,6 +136,8 @@
         Envelope{WriterId{Host.Joined.Run, ++Sequence}, Host.Joined}));
   for (auto _ : Run) {
     foldRecord(Now, Now.Next, Records[Now.Next % Records.size()]);
+    // The fold would otherwise skip the next round as duplicates, since it
+    // keeps the highest sequence number of each writer.
     if (Now.Next % Records.size() == 0)
       Now.Writers.clear();
   }
--- a/bench/groups.cpp
+++ b/bench/groups.cpp
@@ -317,6 +317,7 @@
   const Group Before = Simulated.Agreed.Groups.begin()->second;
   const std::size_t AppendsBefore = Simulated.Log.size();
   const TimePoint LossTime = Simulated.Clock;
+  // The first member is lost only if all four are.
   for (int Number = 0; Number < Case.LostMembers; ++Number) {
     FakeEngine &Engine = Simulated.Engines.at(
         Before.Formed.Members[static_cast<std::size_t>(Number) + 1 -
