--- a/packages/core/test/coltsfoottrail/json/cbor.cpp
+++ b/packages/core/test/coltsfoottrail/json/cbor.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 std::vector<std::byte> bytesOf(std::initializer_list<unsigned> Values) {
-  std::vector<std::byte> Out;
-  for (const unsigned Each : Values)
-    Out.push_back(static_cast<std::byte>(Each));
-  return Out;
+  std::vector<std::byte> Bytes;
+  for (const unsigned Value : Values)
+    Bytes.push_back(static_cast<std::byte>(Value));
+  return Bytes;
 }
 
 TEST(Cbor, ValuesComeBackAsTheyWere) {
@@ -38,12 +38,12 @@
 }
 
 TEST(Cbor, RandomBytesEitherParseOrAreRefused) {
-  Random Draw(3);
+  Random Generator(3);
   std::size_t Parsed = 0;
   for (int Round = 0; Round < 50'000; ++Round) {
-    std::vector<std::byte> Bytes(1 + Draw.below(12));
-    for (std::byte &Each : Bytes)
-      Each = static_cast<std::byte>(Draw());
+    std::vector<std::byte> Bytes(1 + Generator.below(12));
+    for (std::byte &Value : Bytes)
+      Value = static_cast<std::byte>(Generator());
     try {
       static_cast<void>(parseCbor(Bytes, "test"));
       ++Parsed;
--- a/packages/process/src/coltsfoottrail/fleethost/callerproxy.cpp
+++ b/packages/process/src/coltsfoottrail/fleethost/callerproxy.cpp
@@ -48,14 +48,14 @@
 /// Writes a request's log lines when its coroutine ends, in whatever way.
 class CallerProxy::TrailGuard {
 public:
-  TrailGuard(RequestContext &Context, std::shared_ptr<TrailBudget> Budget)
+  TrailGuard(RequestContext &Context, std::shared_ptr<RequestLogBudget> Budget)
       : Context(Context), Budget(std::move(Budget)) {}
   TrailGuard(const TrailGuard &) = delete;
   TrailGuard &operator=(const TrailGuard &) = delete;
   ~TrailGuard() {
     const TimePoint Now = BootClock::now();
     if (!Context.Ended) {
-      Context.Trail.tells();
+      Context.Trail.markNotable();
       Context.Trail.add(Event::CallerLeft, {{"sends", Context.Sends}}, Now);
     }
     Context.Trail.end(*Budget, Now);
@@ -63,7 +63,7 @@
 
 private:
   RequestContext &Context;
-  std::shared_ptr<TrailBudget> Budget;
+  std::shared_ptr<RequestLogBudget> Budget;
 };
 
 void CallerProxy::recordEnd(RequestContext &Context, std::string_view Outcome,
@@ -71,7 +71,7 @@
   Context.Ended = true;
   const bool Answered = Outcome == "answered";
   if (!Answered || Context.Sends > 1)
-    Context.Trail.tells();
+    Context.Trail.markNotable();
   const std::string_view ReasonText = Answered ? "none" : reasonCode(Final.Why);
   const std::string_view Ran = Answered ? "ran" : runStateCode(Final.State);
   measureEnd(Context, Outcome, ReasonText);
@@ -101,7 +101,7 @@
 void CallerProxy::logFailure(RequestContext &Context,
                              const EndpointSpec &Target,
                              const AttemptResult &Result) {
-  Context.Trail.tells();
+  Context.Trail.markNotable();
   Context.Trail.add(
       Event::AttemptFailed,
       {{"endpoint", Target.Host},
@@ -125,7 +125,7 @@
     const TimePoint Now = BootClock::now();
     Context.Ended = true;
     measureEnd(Context, "turned-away", std::to_string(Refused->Status));
-    Context.Trail.tells();
+    Context.Trail.markNotable();
     Context.Trail.add(
         Event::RequestTurnedAway,
         {{"status", Refused->Status},
@@ -263,13 +263,13 @@
     Backlog = std::make_shared<PoolBacklog>();
   Backlog->Recent.add(Context.ArrivedAt);
   const auto Executor = co_await boost::asio::this_coro::executor;
-  std::optional<Place> RouterPlace = Routing.submit(
+  std::optional<DispatchHandle> RouterPlace = Routing.submit(
       Context.Pool, makeWorkItem(Call.request(), Context, *Backlog), Executor);
   while (RouterPlace) {
     const Decision Next = co_await RouterPlace->next();
     if (const auto *const Refused = std::get_if<Refusal>(&Next)) {
       if (!mayDemote(Context, Refused->Final)) {
-        logRetryEnd(Context, Refused->Basis);
+        logRetryEnd(Context, Refused->Details);
         co_await finish(Call, Context, Refused->Final);
         co_return;
       }
@@ -277,7 +277,7 @@
       Context.Trail.add(Event::RequestDemoted, {{"pool", Context.Pool}},
                         BootClock::now());
       RouterPlace.reset();
-      std::optional<Place> DemotedPlace = Routing.submit(
+      std::optional<DispatchHandle> DemotedPlace = Routing.submit(
           Context.Pool, makeWorkItem(Call.request(), Context, *Backlog),
           Executor);
       if (DemotedPlace)
--- a/packages/process/src/coltsfoottrail/fleethost/callerproxy.hpp
+++ b/packages/process/src/coltsfoottrail/fleethost/callerproxy.hpp
@@ -12,7 +12,7 @@
 #include "coltsfoottrail/fleethost/view.hpp"
 #include "coltsfoottrail/http/client.hpp"
 #include "coltsfoottrail/http/server.hpp"
-#include "coltsfoottrail/logging/requesttrail.hpp"
+#include "coltsfoottrail/logging/requestlog.hpp"
 #include "coltsfoottrail/retries/share.hpp"
 #include "coltsfoottrail/server/router.hpp"
 #include "coltsfoottrail/silence/silencewatch.hpp"
@@ -127,11 +127,11 @@
     /// Error response of an endpoint, forwarded to the caller if no other
     /// attempt succeeds.
     std::optional<HttpResponse> FallbackResponse;
-    RequestTrail Trail;
+    RequestLog Trail;
     std::uint32_t Sends = 0;
     /// The request's place in the router, queued or running; null while it has
     /// none.
-    Place *RouterPlace = nullptr;
+    DispatchHandle *RouterPlace = nullptr;
     bool Ended = false;
   };
 
@@ -199,8 +199,8 @@
   CallerProxyCounts Counts;
   ProxyMetrics Metrics;
   /// Shared with the coroutines, which may end after this object.
-  std::shared_ptr<TrailBudget> Budget =
-      std::make_shared<TrailBudget>(TrailLimits{});
+  std::shared_ptr<RequestLogBudget> Budget =
+      std::make_shared<RequestLogBudget>(RequestLogLimits{});
   /// Shared with the coroutines, which may end after this object.
   std::map<std::string, std::shared_ptr<PoolBacklog>> Backlogs;
   std::size_t EntryHosts = std::size_t(ColdRateLimiter::DefaultHostCount);
--- a/packages/process/src/coltsfoottrail/server/agreedstream.cpp
+++ b/packages/process/src/coltsfoottrail/server/agreedstream.cpp
@@ -18,71 +18,72 @@
 
 constexpr milliseconds RetryDelay{100};
 constexpr milliseconds StartRetryDelay{500};
-constexpr milliseconds TickEvery{20};
+constexpr milliseconds TickInterval{20};
 
 } // namespace
 
-AgreedStream::AgreedStream(asio::io_context &Where, Log &Platform,
-                           AgreedOptions Wanted)
-    : Control(Where), Service(Platform), Options(std::move(Wanted)),
+AgreedStream::AgreedStream(asio::io_context &Context, Log &Platform,
+                           AgreedOptions StreamOptions)
+    : Control(Context), LogService(Platform), Options(std::move(StreamOptions)),
       CheckpointStream(Options.Stream.Text + "-checkpoints"),
-      Schedule(Options.Host, Options.Checkpoints), StartRetryTimer(Where),
-      AppendRetry(Where), Tick(Where),
+      Schedule(Options.Host, Options.Checkpoints), StartRetryTimer(Context),
+      AppendRetryTimer(Context), TickTimer(Context),
       Published(std::make_shared<const State>()) {}
 
-void AgreedStream::start(AgreedListener Told) {
-  Listener = std::move(Told);
+void AgreedStream::start(AgreedListener NewListener) {
+  Listener = std::move(NewListener);
   findStart();
 }
 
 void AgreedStream::stop() {
   Stopped = true;
   StartRetryTimer.cancel();
-  AppendRetry.cancel();
-  Tick.cancel();
-  Waiting.clear();
+  AppendRetryTimer.cancel();
+  TickTimer.cancel();
+  PendingAppends.clear();
 }
 
 StatePtr AgreedStream::state() const {
-  const std::lock_guard Hold(Lock);
+  const std::lock_guard Guard(Lock);
   return Published;
 }
 
 Freshness AgreedStream::freshness(TimePoint Now) const {
-  const std::lock_guard Hold(Lock);
-  if (!Follows)
+  const std::lock_guard Guard(Lock);
+  if (!StreamFollower)
     return Freshness::Starting;
-  return Differs ? Freshness::LeftBehind : Follows->freshness(Now);
+  return DiffersFromCheckpoint ? Freshness::LeftBehind
+                               : StreamFollower->freshness(Now);
 }
 
 void AgreedStream::findStart() {
-  Start = Starter(Folded.Next);
-  perform(Start.start());
+  CheckpointStarter = CheckpointRecovery(FoldedState.Next);
+  perform(CheckpointStarter.start());
 }
 
-void AgreedStream::perform(StartCommand Next) {
+void AgreedStream::perform(StartCommand NextCommand) {
   if (Stopped)
     return;
-  if (const auto *const Read = std::get_if<StartRead>(&Next)) {
-    Service.read(Read->Checkpoints ? CheckpointStream : Options.Stream,
-                 Read->From, Read->MaxEntries, milliseconds(0),
-                 [this](ReadResult Result) {
-                   asio::post(Control, [this, Got = std::move(Result)] {
-                     if (!Stopped)
-                       perform(Start.onRead(Got));
-                   });
-                 });
+  if (const auto *const Read = std::get_if<StartRead>(&NextCommand)) {
+    LogService.read(Read->Checkpoints ? CheckpointStream : Options.Stream,
+                    Read->From, Read->MaxEntries, milliseconds(0),
+                    [this](ReadResult Result) {
+                      asio::post(Control, [this, Outcome = std::move(Result)] {
+                        if (!Stopped)
+                          perform(CheckpointStarter.onRead(Outcome));
+                      });
+                    });
     return;
   }
-  if (auto *const From = std::get_if<StartFrom>(&Next)) {
-    for (const std::string &Problem : Start.problems())
+  if (auto *const From = std::get_if<StartFrom>(&NextCommand)) {
+    for (const std::string &Problem : CheckpointStarter.problems())
       logEvent(Event::CheckpointRefused, {{"why", Problem}});
-    begin(std::move(From->Found));
+    followFrom(std::move(From->InitialState));
     return;
   }
-  if (const auto *const Lost = std::get_if<HistoryLost>(&Next))
+  if (const auto *const Lost = std::get_if<HistoryLost>(&NextCommand))
     logEvent(Event::Trimmed, {{"horizon", Lost->Horizon}});
-  else if (!std::exchange(Unreachable, true))
+  else if (!std::exchange(LogUnreachable, true))
     logEvent(Event::LogUnreachable, {{"stream", Options.Stream}});
   retryStart();
 }
@@ -95,19 +96,19 @@
   });
 }
 
-void AgreedStream::begin(State Found) {
-  if (std::exchange(Unreachable, false))
+void AgreedStream::followFrom(State InitialState) {
+  if (std::exchange(LogUnreachable, false))
     logEvent(Event::LogBack, {{"stream", Options.Stream}});
-  Folded = std::move(Found);
+  FoldedState = std::move(InitialState);
   {
-    const std::lock_guard Hold(Lock);
-    if (Follows) {
-      Follows->restart(Folded.Next);
+    const std::lock_guard Guard(Lock);
+    if (StreamFollower) {
+      StreamFollower->restart(FoldedState.Next);
     } else {
-      FollowerOptions Wanted;
-      Wanted.Self = Member{Options.Host, Options.DataCentre};
-      Wanted.Seed = Options.Run;
-      Follows.emplace(Wanted, Folded.Next, BootClock::now());
+      FollowerOptions StreamOptions;
+      StreamOptions.Self = Member{Options.Host, Options.DataCentre};
+      StreamOptions.Seed = Options.Run;
+      StreamFollower.emplace(StreamOptions, FoldedState.Next, BootClock::now());
     }
   }
   publish();
@@ -118,61 +119,62 @@
 void AgreedStream::tick() {
   const TimePoint Now = BootClock::now();
   expire(Now);
-  FollowCommands Due;
+  FollowCommands Commands;
   {
-    const std::lock_guard Hold(Lock);
-    if (Follows->nextWake() <= Now)
-      Follows->advance(Now, Due);
+    const std::lock_guard Guard(Lock);
+    if (StreamFollower->nextWake() <= Now)
+      StreamFollower->advance(Now, Commands);
   }
-  perform(std::move(Due));
+  perform(std::move(Commands));
   checkpointIfDue(Now);
-  Tick.expires_after(TickEvery);
-  Tick.async_wait([this](const boost::system::error_code &Problem) {
+  TickTimer.expires_after(TickInterval);
+  TickTimer.async_wait([this](const boost::system::error_code &Problem) {
     if (!Problem)
       tick();
   });
 }
 
-void AgreedStream::perform(FollowCommands Due) {
-  for (const FollowCommand &One : Due)
-    std::visit([this](const auto &Command) { perform(Command); }, One);
+void AgreedStream::perform(FollowCommands Commands) {
+  for (const FollowCommand &Next : Commands)
+    std::visit([this](const auto &Command) { perform(Command); }, Next);
 }
 
 void AgreedStream::perform(const ReadAgreed &Command) {
-  const TimePoint Left = BootClock::now();
-  Service.read(Options.Stream, Command.From, Command.MaxEntries, Command.Wait,
-               [this, Left, Number = Command.Number](ReadResult Result) {
-                 asio::post(Control,
-                            [this, Left, Number, Got = std::move(Result)] {
-                              taken(Number, Got, Left);
-                            });
-               });
-}
-
-void AgreedStream::taken(std::uint64_t Number, const ReadResult &Result,
-                         TimePoint Left) {
+  const TimePoint SentAt = BootClock::now();
+  LogService.read(Options.Stream, Command.From, Command.MaxEntries,
+                  Command.Wait,
+                  [this, SentAt, Number = Command.Number](ReadResult Result) {
+                    asio::post(Control, [this, SentAt, Number,
+                                         Outcome = std::move(Result)] {
+                      handleRead(Number, Outcome, SentAt);
+                    });
+                  });
+}
+
+void AgreedStream::handleRead(std::uint64_t Number, const ReadResult &Result,
+                              TimePoint SentAt) {
   if (Stopped)
     return;
   const auto *const Batch = std::get_if<LogBatch>(&Result);
   if (Batch != nullptr)
     Horizon = std::max(Horizon, Batch->Horizon);
   const bool Failed = Batch == nullptr;
-  if (Failed != std::exchange(Unreachable, Failed))
+  if (Failed != std::exchange(LogUnreachable, Failed))
     logEvent(Failed ? Event::LogUnreachable : Event::LogBack,
              {{"stream", Options.Stream}});
-  FollowCommands Due;
+  FollowCommands Commands;
   {
-    const std::lock_guard Hold(Lock);
-    Follows->onRead(Number, Result, BootClock::now(), Due);
+    const std::lock_guard Guard(Lock);
+    StreamFollower->onRead(Number, Result, BootClock::now(), Commands);
   }
-  perform(std::move(Due));
+  perform(std::move(Commands));
   if (Failed)
     Listener.OnLogFailure();
-  else if (Folded.Next >= Batch->End)
-    Listener.OnProof(Left);
+  else if (FoldedState.Next >= Batch->End)
+    Listener.OnLogRead(SentAt);
 }
 
-void AgreedStream::perform(const FoldNow &Command) {
+void AgreedStream::perform(const FoldRecords &Command) {
   for (const RecordPtr &Record : Command.Records)
     fold(*Record);
   publish();
@@ -180,24 +182,26 @@
 
 void AgreedStream::perform(const RelayRecords &Command) {
   const Json Message = writeFollowMessage(FollowRecords{Command.Records});
-  for (const HostName &Peer : Command.To)
-    Listener.ToPeer(Peer, Message);
+  for (const HostName &Peer : Command.Receivers)
+    Listener.SendToPeer(Peer, Message);
 }
 
-void AgreedStream::perform(const AskRecords &Command) {
-  Listener.ToPeer(Command.Peer, writeFollowMessage(FollowAsk{Command.From}));
+void AgreedStream::perform(const RequestRecords &Command) {
+  Listener.SendToPeer(Command.Peer,
+                      writeFollowMessage(FollowRequest{Command.From}));
 }
 
-void AgreedStream::perform(const TellGone &Command) {
-  Listener.ToPeer(Command.Peer, writeFollowMessage(FollowGone{Command.From}));
+void AgreedStream::perform(const ReportRecordsGone &Command) {
+  Listener.SendToPeer(Command.Peer,
+                      writeFollowMessage(FollowUnavailable{Command.From}));
 }
 
 void AgreedStream::perform(const SendQuery &Command) {
-  Listener.ToPeer(Command.Peer, writeFollowMessage(Command.Query));
+  Listener.SendToPeer(Command.Peer, writeFollowMessage(Command.Query));
 }
 
 void AgreedStream::perform(const SendAnswer &Command) {
-  Listener.ToPeer(Command.Peer, writeFollowMessage(Command.Answer));
+  Listener.SendToPeer(Command.Peer, writeFollowMessage(Command.Answer));
 }
 
 void AgreedStream::perform(const FreshnessChanged &Command) {
@@ -205,16 +209,16 @@
   if (Stale == std::exchange(WasStale, Stale))
     return;
   logEvent(Stale ? Event::Stale : Event::FreshAgain,
-           {{"now", freshnessText(Command.Now)}, {"next", Folded.Next}});
+           {{"now", freshnessText(Command.Now)}, {"next", FoldedState.Next}});
 }
 
-void AgreedStream::perform(const StartOver &Command) {
+void AgreedStream::perform(const RecoverState &Command) {
   logEvent(Event::Trimmed, {{"floor", Command.Floor}});
   findStart();
 }
 
-void AgreedStream::received(const HostName &From, const Json &Message) {
-  if (Stopped || !Follows)
+void AgreedStream::receive(const HostName &From, const Json &Message) {
+  if (Stopped || !StreamFollower)
     return;
   try {
     dispatch(From, Message);
@@ -224,56 +228,61 @@
 }
 
 void AgreedStream::dispatch(const HostName &From, const Json &Message) {
-  const FollowMessage Read = readFollowMessage(Message);
+  const FollowMessage Decoded = readFollowMessage(Message);
   const TimePoint Now = BootClock::now();
-  FollowCommands Due;
+  FollowCommands Commands;
   {
-    const std::lock_guard Hold(Lock);
-    if (const auto *const Given = std::get_if<FollowRecords>(&Read))
-      Follows->onRecords(From, Given->Records, Now, Due);
-    else if (const auto *const Ask = std::get_if<FollowAsk>(&Read))
-      Follows->onAsked(From, Ask->From, Now, Due);
-    else if (const auto *const Gone = std::get_if<FollowGone>(&Read))
-      Follows->onGone(From, Gone->From, Now, Due);
-    else if (const auto *const Query = std::get_if<FollowQuery>(&Read))
-      Follows->onQuery(From, *Query, Now, Due);
+    const std::lock_guard Guard(Lock);
+    if (const auto *const Records = std::get_if<FollowRecords>(&Decoded))
+      StreamFollower->onRecords(From, Records->Records, Now, Commands);
+    else if (const auto *const Request = std::get_if<FollowRequest>(&Decoded))
+      StreamFollower->onRecordsRequested(From, Request->From, Now, Commands);
+    else if (const auto *const Unavailable =
+                 std::get_if<FollowUnavailable>(&Decoded))
+      StreamFollower->onRecordsGone(From, Unavailable->From, Now, Commands);
+    else if (const auto *const Query = std::get_if<FollowQuery>(&Decoded))
+      StreamFollower->onQuery(From, *Query, Now, Commands);
     else
-      Follows->onAnswer(From, std::get<FollowAnswer>(Read), Now, Due);
+      StreamFollower->onAnswer(From, std::get<FollowAnswer>(Decoded), Now,
+                               Commands);
   }
-  perform(std::move(Due));
+  perform(std::move(Commands));
 }
 
 void AgreedStream::fold(const LogEntry &Entry) {
-  if (Entry.At < Folded.Next)
+  if (Entry.At < FoldedState.Next)
     return;
-  const FoldResult Effect = foldRecord(Folded, Entry.At, Entry.Payload);
-  if (Folded.Next % SweepInterval == 0)
-    noteDigest();
+  const FoldResult Effect = foldRecord(FoldedState, Entry.At, Entry.Payload);
+  if (FoldedState.Next % SweepInterval == 0)
+    recordDigest();
   compareCheckpoint();
-  answerFolded(Entry, Effect);
+  completeAppend(Entry, Effect);
 }
 
-void AgreedStream::noteDigest() { Digests.note(Folded.Next, digestOf(Folded)); }
+void AgreedStream::recordDigest() {
+  Digests.note(FoldedState.Next, digestOf(FoldedState));
+}
 
-// Failure guarded against: two hosts fold the same records into different
-// states. The digest that comes with a checkpoint differs from that of the own
-// state at the same offset, and this host then starts no work.
+// Guards against hosts that fold the same records into different states: if the
+// digest in a checkpoint differs from the digest of the own state at the same
+// offset, this host starts no work.
 void AgreedStream::compareCheckpoint() {
-  if (Folded.Checkpoint.AnnouncedAt == ComparedAt)
+  if (FoldedState.Checkpoint.AnnouncedAt == ComparedCheckpoint)
     return;
-  ComparedAt = Folded.Checkpoint.AnnouncedAt;
-  if (Digests.matches(Folded.Checkpoint) != false)
+  ComparedCheckpoint = FoldedState.Checkpoint.AnnouncedAt;
+  if (Digests.matches(FoldedState.Checkpoint) != false)
     return;
-  logEvent(Event::CheckpointRefused,
-           {{"why", "the own state differs from the checkpoint"},
-            {"offset", ComparedAt}});
-  const std::lock_guard Hold(Lock);
-  Differs = true;
+  logEvent(
+      Event::CheckpointRefused,
+      {{"why", "state digest differs from the checkpoint at the same offset"},
+       {"offset", ComparedCheckpoint}});
+  const std::lock_guard Guard(Lock);
+  DiffersFromCheckpoint = true;
 }
 
-void AgreedStream::answerFolded(const LogEntry &Entry,
-                                const FoldResult &Effect) {
-  if (Waiting.empty() || Effect.Effect == FoldEffect::Twin)
+void AgreedStream::completeAppend(const LogEntry &Entry,
+                                  const FoldResult &Effect) {
+  if (PendingAppends.empty() || Effect.Effect == FoldEffect::Duplicate)
     return;
   WriterId Writer;
   try {
@@ -281,131 +290,134 @@
   } catch (const InputError &) {
     return;
   }
-  if (Waiting.front().Writer != Writer)
+  if (PendingAppends.front().Writer != Writer)
     return;
   if (Effect.Effect == FoldEffect::Void)
-    logEvent(Event::RecordVoid, {{"offset", Entry.At}, {"why", Effect.Why}});
-  const Outcome Done = std::move(Waiting.front().Done);
-  Waiting.pop_front();
+    logEvent(Event::RecordVoid, {{"offset", Entry.At}, {"why", Effect.Reason}});
+  const AppendCallback Callback = std::move(PendingAppends.front().Callback);
+  PendingAppends.pop_front();
   Appending = false;
-  AppendRetry.cancel();
+  AppendRetryTimer.cancel();
   publish();
-  Done(AppendOutcome{true, Entry.At, Effect});
-  appendFirst();
+  Callback(AppendOutcome{true, Entry.At, Effect});
+  appendNext();
 }
 
 void AgreedStream::publish() {
-  auto Copy = std::make_shared<const State>(Folded);
+  auto Snapshot = std::make_shared<const State>(FoldedState);
   std::vector<Member> Members;
-  for (const auto &[Name, Host] : Folded.EntryHosts)
-    Members.push_back({Name, Host.Joined.DataCentre});
+  for (const auto &[Name, Host] : FoldedState.EntryHosts)
+    Members.push_back({Name, Host.JoinRecord.DataCentre});
   {
-    const std::lock_guard Hold(Lock);
-    if (Started && Published->Next >= Copy->Next)
+    const std::lock_guard Guard(Lock);
+    if (Started && Published->Next >= Snapshot->Next)
       return;
-    Published = Copy;
-    Follows->setMembers(Members);
+    Published = Snapshot;
+    StreamFollower->setMembers(Members);
   }
-  Listener.OnState(Copy);
+  Listener.OnState(Snapshot);
 }
 
 std::vector<std::byte> AgreedStream::encode(Record Body, WriterId Writer) {
   return encodeRecord(Envelope{Writer, std::move(Body)});
 }
 
-void AgreedStream::append(Record Body, milliseconds Timeout, Outcome Done) {
-  asio::post(Control, [this, Said = std::move(Body),
+void AgreedStream::append(Record Body, milliseconds Timeout,
+                          AppendCallback Callback) {
+  asio::post(Control, [this, NewRecord = std::move(Body),
                        Deadline = BootClock::now() + Timeout,
-                       Then = std::move(Done)]() mutable {
+                       OnDone = std::move(Callback)]() mutable {
     if (Stopped)
       return;
     const WriterId Writer{Options.Run, NextSequence++};
     std::vector<std::byte> Bytes;
     try {
-      Bytes = encode(std::move(Said), Writer);
+      Bytes = encode(std::move(NewRecord), Writer);
     } catch (const Error &Problem) {
-      Then(AppendOutcome{
+      OnDone(AppendOutcome{
           true, 0, FoldResult{FoldEffect::Unreadable, Problem.what(), {}}});
       return;
     }
-    Waiting.push_back({Writer, std::move(Bytes), Deadline, std::move(Then)});
-    appendFirst();
+    PendingAppends.push_back(
+        {Writer, std::move(Bytes), Deadline, std::move(OnDone)});
+    appendNext();
   });
 }
 
-void AgreedStream::appendFirst() {
-  if (Stopped || Appending || Waiting.empty())
+void AgreedStream::appendNext() {
+  if (Stopped || Appending || PendingAppends.empty())
     return;
   Appending = true;
-  const Pending &First = Waiting.front();
-  Service.append(Options.Stream, First.Bytes, Options.AppendTimeout,
-                 [this, Writer = First.Writer](AppendResult Result) {
-                   asio::post(Control, [this, Writer, Result] {
-                     appended(Writer, Result);
-                   });
-                 });
-}
-
-// Failure guarded against: the answer to an append is lost after it took
-// effect. It is appended again under the same writer id; whichever comes first
-// counts and the fold drops the twin, so the record takes effect once.
-void AgreedStream::appended(const WriterId &Writer,
-                            const AppendResult &Result) {
-  if (Waiting.empty() || Waiting.front().Writer != Writer ||
+  const Pending &First = PendingAppends.front();
+  LogService.append(Options.Stream, First.Bytes, Options.AppendTimeout,
+                    [this, Writer = First.Writer](AppendResult Result) {
+                      asio::post(Control, [this, Writer, Result] {
+                        handleAppendResult(Writer, Result);
+                      });
+                    });
+}
+
+// Guards against the loss of the response to an append that took effect. The
+// record is appended again under the same writer id; the fold applies the first
+// copy and drops the duplicate, so the record takes effect once.
+void AgreedStream::handleAppendResult(const WriterId &Writer,
+                                      const AppendResult &Result) {
+  if (PendingAppends.empty() || PendingAppends.front().Writer != Writer ||
       std::holds_alternative<Offset>(Result))
     return;
-  AppendRetry.expires_after(RetryDelay);
-  AppendRetry.async_wait([this](const boost::system::error_code &Problem) {
+  AppendRetryTimer.expires_after(RetryDelay);
+  AppendRetryTimer.async_wait([this](const boost::system::error_code &Problem) {
     if (Problem)
       return;
     Appending = false;
     expire(BootClock::now());
-    appendFirst();
+    appendNext();
   });
 }
 
 void AgreedStream::expire(TimePoint Now) {
-  while (!Waiting.empty() && Waiting.front().Deadline <= Now) {
-    const Outcome Done = std::move(Waiting.front().Done);
-    Waiting.pop_front();
+  while (!PendingAppends.empty() && PendingAppends.front().Deadline <= Now) {
+    const AppendCallback Callback = std::move(PendingAppends.front().Callback);
+    PendingAppends.pop_front();
     Appending = false;
-    Done(AppendOutcome{});
+    Callback(AppendOutcome{});
   }
-  appendFirst();
+  appendNext();
 }
 
 void AgreedStream::checkpointIfDue(TimePoint Now) {
-  if (Writing || Folded.Next == 0 ||
-      !Schedule.shouldWrite(Folded, Horizon, Now))
+  if (WritingCheckpoint || FoldedState.Next == 0 ||
+      !Schedule.shouldWrite(FoldedState, Horizon, Now))
     return;
-  Writing = true;
-  noteDigest();
-  writePart(
-      std::make_shared<std::vector<CheckpointPart>>(cutCheckpoint(Folded)), 0);
+  WritingCheckpoint = true;
+  recordDigest();
+  writePart(std::make_shared<std::vector<CheckpointPart>>(
+                splitCheckpoint(FoldedState)),
+            0);
 }
 
 void AgreedStream::writePart(std::shared_ptr<std::vector<CheckpointPart>> Parts,
                              std::size_t Index) {
   if (Index == Parts->size()) {
     append(announcementOf(Parts->front()), Options.AppendTimeout,
-           [this, At = Parts->front().At](const AppendOutcome &Got) {
-             Writing = false;
-             if (Got.OnLog)
+           [this, At = Parts->front().StateNext](const AppendOutcome &Outcome) {
+             WritingCheckpoint = false;
+             if (Outcome.Appended)
                logEvent(Event::CheckpointWritten, {{"at", At}});
            });
     return;
   }
   const WriterId Writer{Options.Run, NextPartSequence++};
-  Service.append(CheckpointStream, encode((*Parts)[Index], Writer),
-                 Options.AppendTimeout,
-                 [this, Parts, Index](AppendResult Result) {
-                   asio::post(Control, [this, Parts, Index, Result] {
-                     if (std::holds_alternative<Offset>(Result))
-                       writePart(Parts, Index + 1);
-                     else
-                       Writing = false;
-                   });
-                 });
+  LogService.append(CheckpointStream, encode((*Parts)[Index], Writer),
+                    Options.AppendTimeout,
+                    [this, Parts, Index](AppendResult Result) {
+                      asio::post(Control, [this, Parts, Index, Result] {
+                        if (std::holds_alternative<Offset>(Result))
+                          writePart(Parts, Index + 1);
+                        else
+                          WritingCheckpoint = false;
+                      });
+                    });
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/agreedstream.hpp
+++ b/packages/process/src/coltsfoottrail/server/agreedstream.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// The agreed stream as one entry host follows it and appends to it.
+/// Reads, folds and appends to the agreed stream on one entry host.
 #ifndef COLTSFOOTTRAIL_SERVER_AGREEDSTREAM_HPP
 #define COLTSFOOTTRAIL_SERVER_AGREEDSTREAM_HPP
 
+#include "coltsfoottrail/checkpoint/recovery.hpp"
 #include "coltsfoottrail/checkpoint/schedule.hpp"
-#include "coltsfoottrail/checkpoint/starter.hpp"
 #include "coltsfoottrail/config/follower.hpp"
 #include "coltsfoottrail/fold/fold.hpp"
 #include "coltsfoottrail/json/fwd.hpp"
@@ -21,76 +21,81 @@
 
 namespace coltsfoottrail {
 
-/// @brief What became of an append.
+/// @brief The result of an append.
 struct AppendOutcome {
-  /// False: the log did not take it within the time; it may still appear.
-  bool OnLog = false;
-  Offset At = 0;
-  FoldResult Effect;
+  /// False: the record was not read back from the log before the deadline; it
+  /// may still appear there.
+  bool Appended = false;
+  Offset RecordOffset = 0;
+  FoldResult FoldOutcome;
 };
 
-/// @brief What an agreed stream is made with.
+/// @brief Options of an agreed stream.
 struct AgreedOptions {
   StreamName Stream;
   HostName Host;
   DataCentreName DataCentre;
-  /// This process's run.
+  /// Incarnation of this process.
   Incarnation Run = 0;
   CheckpointPolicy Checkpoints;
-  /// Longest that one append may take.
+  /// Time limit of one append call to the log.
   milliseconds AppendTimeout{2'000};
 };
 
-/// @brief What an agreed stream tells the process; called on the control
-/// thread.
+/// @brief Callbacks of an agreed stream; called on the control thread.
 struct AgreedListener {
-  /// A new state is in force.
+  /// Called when a newer state has been published.
   std::function<void(const StatePtr &)> OnState;
-  /// A read of the log was answered; it left then and all it showed is folded.
-  std::function<void(TimePoint Left)> OnProof;
-  /// A read of the log failed.
+  /// Called when a read of the log, sent at SentAt, was answered and every
+  /// record up to the end of the log that it showed is folded.
+  std::function<void(TimePoint SentAt)> OnLogRead;
+  /// Called when a read of the log failed.
   std::function<void()> OnLogFailure;
-  /// Sends a message to a peer, which gives it to received().
-  std::function<void(const HostName &, Json)> ToPeer;
+  /// Sends a message to a peer, which passes it to receive().
+  std::function<void(const HostName &, Json)> SendToPeer;
 };
 
-/// @brief Follows, folds, appends and writes checkpoints. Its calls run on the
-/// control thread unless they say otherwise.
+/// @brief Follows the agreed stream of records, folds them into the state,
+/// appends records and writes checkpoints. Call its methods on the control
+/// thread unless they say otherwise.
 class AgreedStream {
 public:
-  using Outcome = std::function<void(const AppendOutcome &)>;
+  using AppendCallback = std::function<void(const AppendOutcome &)>;
 
-  /// @brief Makes a stream that does nothing until start().
-  /// @param Control Context of the control thread; must outlive the stream.
+  /// @brief Creates a stream that does nothing until start().
+  /// @param Control I/O context of the control thread; must outlive the stream.
   /// @param Service The log; must outlive the stream.
-  /// @param Wanted Its options.
+  /// @param StreamOptions Options of the stream.
   AgreedStream(boost::asio::io_context &Control, Log &Service,
-               AgreedOptions Wanted);
+               AgreedOptions StreamOptions);
   AgreedStream(const AgreedStream &) = delete;
   AgreedStream &operator=(const AgreedStream &) = delete;
 
-  /// @brief Starts from the newest checkpoint and follows.
-  /// @param Told Who hears of it.
-  void start(AgreedListener Told);
-  /// @brief Stops to follow; open appends are not answered.
+  /// @brief Loads the newest checkpoint and follows the stream from there.
+  /// @param NewListener Callbacks.
+  void start(AgreedListener NewListener);
+  /// @brief Stops following; callbacks of pending appends are not called.
   void stop();
-  /// @brief Takes a message from a peer; anything may stand there.
-  void received(const HostName &From, const Json &Message);
+  /// @brief Handles a message from a peer. The message is not trusted:
+  /// malformed ones are logged and dropped.
+  void receive(const HostName &From, const Json &Message);
 
-  /// @brief Appends a record and waits until it is folded. Thread-safe.
+  /// @brief Appends a record and calls back once it is folded. Thread-safe.
   ///
-  /// One append is under way at a time: a record that came late with a lower
-  /// sequence than one already folded would be taken for a twin.
-  /// @param Body What to append.
-  /// @param Timeout After this the outcome is "not on the log".
-  /// @param Done Called once, on the control thread.
-  void append(Record Body, milliseconds Timeout, Outcome Done);
-
-  /// @brief The newest state. Thread-safe; never null.
+  /// Only one append is in flight at a time: the fold takes a record whose
+  /// sequence number is lower than one already folded for a duplicate and drops
+  /// it.
+  /// @param Body The record to append.
+  /// @param Timeout After this time the outcome is "not appended".
+  /// @param Callback Called once, on the control thread, unless the stream is
+  /// stopped before.
+  void append(Record Body, milliseconds Timeout, AppendCallback Callback);
+
+  /// @brief The newest published state. Thread-safe; never null.
   [[nodiscard]] StatePtr state() const;
 
-  /// @brief Whether this host may start work on its state, at this moment.
-  /// Thread-safe.
+  /// @brief Whether the state of this host is fresh enough to start work on at
+  /// time Now. Thread-safe.
   [[nodiscard]] Freshness freshness(TimePoint Now) const;
 
 private:
@@ -98,36 +103,37 @@
     WriterId Writer;
     std::vector<std::byte> Bytes;
     TimePoint Deadline;
-    Outcome Done;
+    AppendCallback Callback;
   };
 
   void findStart();
-  void perform(StartCommand Next);
-  void begin(State Found);
+  void perform(StartCommand NextCommand);
+  void followFrom(State InitialState);
   void retryStart();
 
-  void perform(FollowCommands Due);
+  void perform(FollowCommands Commands);
   void perform(const ReadAgreed &Command);
-  void perform(const FoldNow &Command);
+  void perform(const FoldRecords &Command);
   void perform(const RelayRecords &Command);
-  void perform(const AskRecords &Command);
-  void perform(const TellGone &Command);
+  void perform(const RequestRecords &Command);
+  void perform(const ReportRecordsGone &Command);
   void perform(const SendQuery &Command);
   void perform(const SendAnswer &Command);
   void perform(const FreshnessChanged &Command);
-  void perform(const StartOver &Command);
-  void taken(std::uint64_t Number, const ReadResult &Result, TimePoint Left);
+  void perform(const RecoverState &Command);
+  void handleRead(std::uint64_t Number, const ReadResult &Result,
+                  TimePoint SentAt);
   void dispatch(const HostName &From, const Json &Message);
   void tick();
 
   void fold(const LogEntry &Entry);
-  void answerFolded(const LogEntry &Entry, const FoldResult &Effect);
+  void completeAppend(const LogEntry &Entry, const FoldResult &Effect);
   void publish();
-  void noteDigest();
+  void recordDigest();
   void compareCheckpoint();
 
-  void appendFirst();
-  void appended(const WriterId &Writer, const AppendResult &Result);
+  void appendNext();
+  void handleAppendResult(const WriterId &Writer, const AppendResult &Result);
   void expire(TimePoint Now);
   [[nodiscard]] std::vector<std::byte> encode(Record Body, WriterId Writer);
 
@@ -136,32 +142,32 @@
                  std::size_t Index);
 
   boost::asio::io_context &Control;
-  Log &Service;
+  Log &LogService;
   AgreedOptions Options;
   StreamName CheckpointStream;
   AgreedListener Listener;
-  Starter Start;
+  CheckpointRecovery CheckpointStarter;
   bool Started = false;
   bool Stopped = false;
-  bool Unreachable = false;
-  State Folded;
+  bool LogUnreachable = false;
+  State FoldedState;
   Offset Horizon = 0;
   CheckpointSchedule Schedule;
   DigestHistory Digests;
-  Offset ComparedAt = 0;
-  bool Writing = false;
+  Offset ComparedCheckpoint = 0;
+  bool WritingCheckpoint = false;
   std::uint64_t NextSequence = 1;
   std::uint64_t NextPartSequence = 1;
-  std::deque<Pending> Waiting;
+  std::deque<Pending> PendingAppends;
   bool Appending = false;
   boost::asio::steady_timer StartRetryTimer;
-  boost::asio::steady_timer AppendRetry;
-  boost::asio::steady_timer Tick;
+  boost::asio::steady_timer AppendRetryTimer;
+  boost::asio::steady_timer TickTimer;
   mutable std::mutex Lock;
   StatePtr Published;
-  /// Under the lock: callers' threads ask it for the freshness.
-  std::optional<Follower> Follows;
-  bool Differs = false;
+  /// Guarded by Lock: the callers' threads query it through freshness().
+  std::optional<Follower> StreamFollower;
+  bool DiffersFromCheckpoint = false;
   bool WasStale = false;
 };
 
--- a/packages/process/src/coltsfoottrail/server/process.cpp
+++ b/packages/process/src/coltsfoottrail/server/process.cpp
@@ -21,15 +21,15 @@
 
 namespace {
 
-constexpr milliseconds TickEvery{5};
-constexpr milliseconds SlowTickEvery{100};
-constexpr std::uint64_t LoadEverySlowTicks = 5;
-constexpr std::uint64_t HostListEverySlowTicks = 20;
-constexpr milliseconds AskTimeout{400};
+constexpr milliseconds TickInterval{5};
+constexpr milliseconds SlowTickInterval{100};
+constexpr std::uint64_t LoadPollIntervalTicks = 5;
+constexpr std::uint64_t HostListIntervalTicks = 20;
+constexpr milliseconds QueryTimeout{400};
 constexpr milliseconds RecordTimeout{5'000};
 constexpr milliseconds StaleRetryAfter{500};
-constexpr milliseconds PollWhileStopping{10};
-constexpr milliseconds LeavePatience{3'000};
+constexpr milliseconds StopPollInterval{10};
+constexpr milliseconds LeaveTimeout{3'000};
 
 Incarnation drawRun() {
   std::random_device Source;
@@ -40,26 +40,28 @@
 }
 
 ServerLimits callerLimits(const CallerSettings &From) {
-  ServerLimits Out;
-  Out.MaxHeaderBytes = static_cast<std::uint32_t>(From.MaxHeaderBytes);
-  Out.MaxBodyBytes = From.MaxBodyBytes;
-  Out.MaxConnections = From.MaxConnections;
-  Out.HeaderTimeout = From.HeaderTimeout;
-  Out.BodyTimeout = From.BodyTimeout;
-  Out.WriteTimeout = From.WriteTimeout;
-  return Out;
+  ServerLimits Limits;
+  Limits.MaxHeaderBytes = static_cast<std::uint32_t>(From.MaxHeaderBytes);
+  Limits.MaxBodyBytes = From.MaxBodyBytes;
+  Limits.MaxConnections = From.MaxConnections;
+  Limits.HeaderTimeout = From.HeaderTimeout;
+  Limits.BodyTimeout = From.BodyTimeout;
+  Limits.WriteTimeout = From.WriteTimeout;
+  return Limits;
 }
 
 ClaimOptions claimOptions(const Settings &From, Incarnation Run) {
-  ClaimOptions Out;
-  Out.Self = From.Host;
-  Out.Run = Run;
-  Out.KeyLife = std::chrono::duration_cast<seconds>(From.Claims.KeyLife);
-  Out.BatchDelay = From.Claims.BatchTime;
-  return Out;
+  ClaimOptions ClaimSettings;
+  ClaimSettings.Self = From.Host;
+  ClaimSettings.Run = Run;
+  ClaimSettings.KeyLife =
+      std::chrono::duration_cast<seconds>(From.Claims.KeyLife);
+  ClaimSettings.BatchDelay = From.Claims.BatchTime;
+  return ClaimSettings;
 }
 
-/// The group that the key of a model's endpoint names; nothing for a service.
+/// Parses the group id from the key of a model's endpoint (PLAN.NUMBER@...);
+/// empty for a service's endpoint.
 std::optional<GroupId> groupOfKey(std::string_view Key) {
   GroupId Out;
   const char *const End = Key.data() + Key.size();
@@ -73,24 +75,25 @@
 }
 
 RouterOptions routerOptions(const Settings &From) {
-  RouterOptions Out;
-  Out.Self = From.Host;
-  Out.Dispatch.LocalDataCentre = From.DataCentre;
-  Out.Dispatch.MaxWaiting = From.Limits.MaxWaiting;
-  Out.Dispatch.MaxWaitingBytes = From.Limits.MaxWaitingBytes;
-  return Out;
+  RouterOptions RouterSettings;
+  RouterSettings.Self = From.Host;
+  RouterSettings.Dispatch.LocalDataCentre = From.DataCentre;
+  RouterSettings.Dispatch.MaxWaiting = From.Limits.MaxWaiting;
+  RouterSettings.Dispatch.MaxWaitingBytes = From.Limits.MaxWaitingBytes;
+  return RouterSettings;
 }
 
 EngineAddress logAddress(const Settings &From) {
-  return {From.Platform.Log.At.Address, From.Platform.Log.At.Port};
+  return {From.Platform.Log.ServerAddress.Address,
+          From.Platform.Log.ServerAddress.Port};
 }
 
 HttpResponse plain(unsigned Status, std::string Text) {
-  HttpResponse Out;
-  Out.Status = Status;
-  Out.Fields = {{"Content-Type", "text/plain"}};
-  Out.Body = std::move(Text);
-  return Out;
+  HttpResponse Response;
+  Response.Status = Status;
+  Response.Fields = {{"Content-Type", "text/plain"}};
+  Response.Body = std::move(Text);
+  return Response;
 }
 
 HttpResponse readiness(bool Ready) {
@@ -102,39 +105,41 @@
 EntryHostProcess::EntryHostProcess(Settings Wanted)
     : Options(std::move(Wanted)), Run(drawRun()), Control(1),
       ControlGuard(asio::make_work_guard(Control)), Threads(Options.Threads),
-      Platform(Control, logAddress(Options)), Orders(Control),
-      Peers(meshConfig()), Agreed(Control, Platform, agreedOptions()),
-      Claims(Control, Platform, claimOptions(Options, Run),
+      LogClient(Control, logAddress(Options)), EngineClients(Control),
+      Peers(meshConfig()), Agreed(Control, LogClient, agreedOptions()),
+      Claims(Control, LogClient, claimOptions(Options, Run),
              [this](const HostName &To, const ClaimMessage &Message) {
                send(To, Channel::Claims, writeClaimMessage(Message));
              }),
       Groups(
-          Control, Agreed, Orders, Options.Host, Run,
+          Control, Agreed, EngineClients, Options.Host, Run,
           [this](const HostName &To, Json Beat) {
             send(To, Channel::Sightings, std::move(Beat));
           },
           [](const HostName &, const EngineReport &) {}),
       Routing([this] {
         RouterOptions Limits = routerOptions(Options);
-        Limits.OnWaiting = [this](std::string_view Pool, std::size_t Waiting) {
-          Members->demand(Pool, static_cast<std::uint32_t>(Waiting));
+        Limits.OnDemandChanged = [this](std::string_view Pool,
+                                        std::size_t Waiting) {
+          Members->setPoolDemand(Pool, static_cast<std::uint32_t>(Waiting));
         };
         return Limits;
       }()),
       Spans(Options.Telemetry.TraceFile, Options.Host, Run),
-      Callers(
+      CallerRelay(
           Threads, Routing, Claims,
           CallerLimits{Options.Callers.DefaultDeadline,
                        Options.Callers.MaxDeadline},
-          SendGate{[this](const EndpointSpec &To) { return admit(To); },
-                   [this](const EndpointSpec &To, const AttemptResult &Result) {
-                     ended(To, Result);
-                   }},
+          AdmissionHooks{
+              [this](const EndpointSpec &To) { return admit(To); },
+              [this](const EndpointSpec &To, const AttemptResult &Result) {
+                attemptEnded(To, Result);
+              }},
           Spans),
-      ForOperators(
+      OperatorInterface(
           Agreed, sha256Hex(std::string(Options.Operators.Credential.reveal())),
           [this] { return Registry.prometheusText(BootClock::now()); }),
-      Tick(Control), SlowTick(Control),
+      TickTimer(Control), SlowTickTimer(Control),
       Routes(std::make_shared<const RouteTable>()),
       Usable(std::make_shared<const UsableEndpoints>()) {
   CallerServer = std::make_unique<HttpServer>(
@@ -147,8 +152,10 @@
       Threads, Options.Operators.Listen.Address, Options.Operators.Listen.Port,
       ServerLimits{.MaxBodyBytes = std::uint64_t{64} << 20U},
       ServerHooks{
-          [this](Exchange &Call) { return ForOperators.serve(Call); },
-          [this](const HttpRequest &Head) { return ForOperators.check(Head); },
+          [this](Exchange &Call) { return OperatorInterface.serve(Call); },
+          [this](const HttpRequest &Head) {
+            return OperatorInterface.check(Head);
+          },
           serverRefusal});
   setUpMetrics();
   listenToPeers();
@@ -156,7 +163,7 @@
     HostListing = std::make_unique<HttpHostList>(
         Control, EngineAddress{Options.Platform.HostList->Address,
                                Options.Platform.HostList->Port});
-  Members = std::make_unique<MemberDesk>(
+  Members = std::make_unique<MembershipDriver>(
       joinRecord(startPeers()), Options.Callers.MaxDeadline, memberHooks());
   asio::post(Control, [this] {
     Agreed.start(agreedListener());
@@ -167,7 +174,7 @@
 }
 
 EntryHostProcess::~EntryHostProcess() {
-  StoppedAlready = true;
+  StopRequested = true;
   CallerServer->stopAccepting();
   CallerServer->cutAll();
   OperatorServer->cutAll();
@@ -177,21 +184,21 @@
     ControlThread.join();
   Threads.stop();
   dropControlWork();
-  Callers.closeClients();
+  CallerRelay.closeClients();
   CallerServer.reset();
   OperatorServer.reset();
   Threads.clear();
 }
 
-// Failure guarded against: work that still waits on the control thread holds
-// timers of the callers' threads, and would outlive them. With everything
-// stopped, running it once lets go of them.
+// Guards against a use after destruction: handlers still queued on the control
+// thread hold timers of the callers' threads and would outlive them. With
+// everything stopped, polling the context once destroys them.
 void EntryHostProcess::dropControlWork() {
   Agreed.stop();
   Claims.stop();
   Groups.stop();
-  Tick.cancel();
-  SlowTick.cancel();
+  TickTimer.cancel();
+  SlowTickTimer.cancel();
   Control.restart();
   Control.poll();
 }
@@ -204,9 +211,9 @@
   return OperatorServer->port();
 }
 
-void EntryHostProcess::onEnded(std::function<void()> Told) {
-  asio::post(Control, [this, Then = std::move(Told)]() mutable {
-    Ended = std::move(Then);
+void EntryHostProcess::onRunRemoved(std::function<void()> Callback) {
+  asio::post(Control, [this, Then = std::move(Callback)]() mutable {
+    RunRemovedCallback = std::move(Then);
   });
 }
 
@@ -228,94 +235,99 @@
 }
 
 MeshConfig EntryHostProcess::meshConfig() const {
-  MeshConfig Out;
-  Out.Self = Options.Host;
-  Out.Run = Run;
-  Out.Address = Options.Mesh.Listen.Address;
-  Out.Port = Options.Mesh.Listen.Port;
-  Out.Key = std::string(Options.Mesh.Key.reveal());
-  Out.Seed = Run;
-  return Out;
+  MeshConfig Config;
+  Config.Self = Options.Host;
+  Config.Run = Run;
+  Config.Address = Options.Mesh.Listen.Address;
+  Config.Port = Options.Mesh.Listen.Port;
+  Config.Key = std::string(Options.Mesh.Key.reveal());
+  Config.Seed = Run;
+  return Config;
 }
 
 AgreedOptions EntryHostProcess::agreedOptions() const {
-  AgreedOptions Out;
-  Out.Stream = Options.AgreedStream;
-  Out.Host = Options.Host;
-  Out.DataCentre = Options.DataCentre;
-  Out.Run = Run;
-  Out.AppendTimeout = Options.Platform.Log.Timeout;
-  return Out;
+  AgreedOptions StreamOptions;
+  StreamOptions.Stream = Options.AgreedStream;
+  StreamOptions.Host = Options.Host;
+  StreamOptions.DataCentre = Options.DataCentre;
+  StreamOptions.Run = Run;
+  StreamOptions.AppendTimeout = Options.Platform.Log.Timeout;
+  return StreamOptions;
 }
 
 EntryHostJoined EntryHostProcess::joinRecord(std::uint16_t MeshPort) const {
-  EntryHostJoined Out;
-  Out.Host = Options.Host;
-  Out.Run = Run;
-  Out.DataCentre = Options.DataCentre;
-  Out.Address = Options.AdvertisedAddress;
-  Out.MeshPort = MeshPort;
-  Out.CallerPort = CallerServer->port();
-  return Out;
-}
-
-MemberHooks EntryHostProcess::memberHooks() {
-  MemberHooks Out;
-  Out.SendMembership = [this](const HostName &To, Json Message) {
+  EntryHostJoined Joining;
+  Joining.Host = Options.Host;
+  Joining.Run = Run;
+  Joining.DataCentre = Options.DataCentre;
+  Joining.Address = Options.AdvertisedAddress;
+  Joining.MeshPort = MeshPort;
+  Joining.CallerPort = CallerServer->port();
+  return Joining;
+}
+
+MembershipHooks EntryHostProcess::memberHooks() {
+  MembershipHooks Hooks;
+  Hooks.SendMembership = [this](const HostName &To, Json Message) {
     send(To, Channel::Heartbeat, std::move(Message));
   };
-  Out.SendShares = [this](const HostName &To, Json Message) {
+  Hooks.SendShares = [this](const HostName &To, Json Message) {
     send(To, Channel::Credits, std::move(Message));
   };
-  Out.Append = [this](Record Said) {
-    Agreed.append(std::move(Said), RecordTimeout, [](const AppendOutcome &) {});
+  Hooks.Append = [this](Record NewRecord) {
+    Agreed.append(std::move(NewRecord), RecordTimeout,
+                  [](const AppendOutcome &) {});
   };
-  Out.OnEnded = [this] {
+  Hooks.OnRunRemoved = [this] {
     Unready = true;
     logEvent(Event::Unready, {{"why", "its peers have found this run gone"}});
-    if (Ended)
-      Ended();
+    if (RunRemovedCallback)
+      RunRemovedCallback();
   };
-  Out.OnShares = [this](const std::map<std::string, std::uint32_t> &Shares) {
+  Hooks.OnShares = [this](const std::map<std::string, std::uint32_t> &Shares) {
     Routing.setShares(Shares);
   };
-  return Out;
+  return Hooks;
 }
 
 AgreedListener EntryHostProcess::agreedListener() {
-  AgreedListener Out;
-  Out.OnState = [this](const StatePtr &Now) { onState(Now); };
-  Out.OnProof = [this](TimePoint Left) { Members->logAnswered(Left); };
-  Out.OnLogFailure = [this] { Members->logFailed(); };
-  Out.ToPeer = [this](const HostName &To, Json Message) {
+  AgreedListener Listener;
+  Listener.OnState = [this](const StatePtr &Now) { onState(Now); };
+  Listener.OnLogRead = [this](TimePoint CutRequests) {
+    Members->recordLogRead(CutRequests);
+  };
+  Listener.OnLogFailure = [this] { Members->recordLogFailure(); };
+  Listener.SendToPeer = [this](const HostName &To, Json Message) {
     send(To, Channel::Records, std::move(Message));
   };
-  return Out;
+  return Listener;
 }
 
-void EntryHostProcess::send(const HostName &To, Channel Which, Json Body) {
-  (void)Peers.send(To, Which, std::move(Body));
+void EntryHostProcess::send(const HostName &To, Channel MessageChannel,
+                            Json Body) {
+  (void)Peers.send(To, MessageChannel, std::move(Body));
 }
 
-void EntryHostProcess::take(Channel Which,
-                            void (EntryHostProcess::*Take)(const HostName &,
-                                                           const Json &)) {
-  Peers.onMessage(Which, [this, Take](const HostName &From, Incarnation,
-                                      const Json &Message) {
-    asio::post(Control, [this, Take, From, Message] {
-      if (!StoppedAlready || ControlThread.joinable())
-        (this->*Take)(From, Message);
-    });
-  });
+void EntryHostProcess::subscribe(
+    Channel MessageChannel,
+    void (EntryHostProcess::*Take)(const HostName &, const Json &)) {
+  Peers.onMessage(
+      MessageChannel,
+      [this, Take](const HostName &From, Incarnation, const Json &Message) {
+        asio::post(Control, [this, Take, From, Message] {
+          if (!StopRequested || ControlThread.joinable())
+            (this->*Take)(From, Message);
+        });
+      });
 }
 
 void EntryHostProcess::listenToPeers() {
-  take(Channel::Heartbeat, &EntryHostProcess::takeMembership);
-  take(Channel::Credits, &EntryHostProcess::takeShares);
-  take(Channel::Claims, &EntryHostProcess::takeClaims);
-  take(Channel::Sightings, &EntryHostProcess::takeBeat);
-  take(Channel::Records, &EntryHostProcess::takeRecords);
-  take(Channel::Notices, &EntryHostProcess::takeNotice);
+  subscribe(Channel::Heartbeat, &EntryHostProcess::handleMembership);
+  subscribe(Channel::Credits, &EntryHostProcess::handleShares);
+  subscribe(Channel::Claims, &EntryHostProcess::handleClaims);
+  subscribe(Channel::Sightings, &EntryHostProcess::handleBeat);
+  subscribe(Channel::Records, &EntryHostProcess::handleRecords);
+  subscribe(Channel::Notices, &EntryHostProcess::handleNotice);
   Peers.onPeer([](const PeerEvent &What) {
     if (const auto *const Up = std::get_if<PeerUp>(&What))
       logEvent(Event::PeerConnected, {{"peer", Up->Host}});
@@ -331,36 +343,39 @@
   Peers.setSeeds(Seeds);
 }
 
-void EntryHostProcess::takeMembership(const HostName &From,
-                                      const Json &Message) {
-  Members->receivedMembership(From, Message);
+void EntryHostProcess::handleMembership(const HostName &From,
+                                        const Json &Message) {
+  Members->receiveMembership(From, Message);
 }
 
-void EntryHostProcess::takeShares(const HostName &From, const Json &Message) {
-  Members->receivedShares(From, Message);
+void EntryHostProcess::handleShares(const HostName &From, const Json &Message) {
+  Members->receiveShares(From, Message);
 }
 
-void EntryHostProcess::takeClaims(const HostName &From, const Json &Message) {
+void EntryHostProcess::handleClaims(const HostName &From, const Json &Message) {
   try {
-    Claims.received(From, readClaimMessage(Message, "message about claims"));
+    Claims.receive(From, readClaimMessage(Message, "message about claims"));
   } catch (const InputError &Problem) {
     logEvent(Event::InternalError, {{"peer", From}, {"why", Problem.what()}});
   }
 }
 
-void EntryHostProcess::takeBeat(const HostName &From, const Json &Message) {
-  Groups.received(From, Message);
+void EntryHostProcess::handleBeat(const HostName &From, const Json &Message) {
+  Groups.receive(From, Message);
 }
 
-void EntryHostProcess::takeRecords(const HostName &From, const Json &Message) {
-  Agreed.received(From, Message);
+void EntryHostProcess::handleRecords(const HostName &From,
+                                     const Json &Message) {
+  Agreed.receive(From, Message);
 }
 
-void EntryHostProcess::takeNotice(const HostName &From, const Json &Message) {
+void EntryHostProcess::handleNotice(const HostName &From, const Json &Message) {
   try {
-    const PoolNotice Told = readNotice(Message);
-    // Broadcasts reach neighbours only: hosts pass on what is news to them.
-    if (Routing.observeNotice(Told.PoolName, Told.What) && !AllAreNeighbours)
+    const PoolNotice Received = readNotice(Message);
+    // Broadcasts reach neighbours only, so hosts forward notices that are new
+    // to them.
+    if (Routing.observeNotice(Received.PoolName, Received.Notice) &&
+        !AllAreNeighbours)
       Peers.broadcast(Channel::Notices, Message);
   } catch (const InputError &Problem) {
     logEvent(Event::InternalError, {{"peer", From}, {"why", Problem.what()}});
@@ -371,55 +386,55 @@
   const auto Built = std::make_shared<const RouteTable>(buildRoutes(*Now));
   std::vector<ClaimMember> Claimants;
   for (const auto &[Name, Host] : Now->EntryHosts)
-    Claimants.push_back({Name, Host.Joined.Run});
+    Claimants.push_back({Name, Host.JoinRecord.Run});
   logChanges(*Now);
   Routes = Built;
   Members->onState(*Now, *Built);
-  Claims.members(Claimants);
+  Claims.setMembers(Claimants);
   setPeers(*Now);
   Groups.poll();
-  refreshUsable();
+  refreshUsableEndpoints();
   applyRoutes();
-  Callers.setRoutes(Built);
+  CallerRelay.setRoutes(Built);
   if (Members->joined() && !Joined.exchange(true))
     logEvent(Event::Joined, {{"host", Options.Host}, {"next", Now->Next}});
 }
 
 void EntryHostProcess::logChanges(const State &Now) {
-  for (const auto &[Id, Grouped] : Now.Groups) {
-    const auto [Known, New] = SeenGroups.try_emplace(Id, GroupPhase::Forming);
-    if (Known->second == Grouped.Phase)
+  for (const auto &[Id, GroupState] : Now.Groups) {
+    const auto [Known, New] = LoggedGroups.try_emplace(Id, GroupPhase::Forming);
+    if (Known->second == GroupState.Phase)
       continue;
-    Known->second = Grouped.Phase;
-    if (Grouped.Phase == GroupPhase::Broken)
+    Known->second = GroupState.Phase;
+    if (GroupState.Phase == GroupPhase::Broken)
       logEvent(Event::GroupBroken, {{"group", textOf(Id)}});
-    if (Grouped.Phase == GroupPhase::Serving)
+    if (GroupState.Phase == GroupPhase::Serving)
       logEvent(Event::GroupConfirmed, {{"group", textOf(Id)}});
   }
-  std::erase_if(SeenGroups, [&](const auto &Entry) {
+  std::erase_if(LoggedGroups, [&](const auto &Entry) {
     return !Now.Groups.contains(Entry.first);
   });
   for (const auto &[Id, Progress] : Now.Plans) {
-    const auto [Known, New] = SeenPlans.try_emplace(Id, PlanPhase::Proposed);
+    const auto [Known, New] = LoggedPlans.try_emplace(Id, PlanPhase::Proposed);
     if (Known->second == Progress.Phase)
       continue;
     Known->second = Progress.Phase;
     if (Progress.Phase == PlanPhase::Done)
       logEvent(Event::PlanFinished, {{"plan", Id}});
     if (Progress.Phase == PlanPhase::Abandoned)
-      logEvent(Event::PlanAbandoned, {{"plan", Id}, {"why", Progress.Why}});
+      logEvent(Event::PlanAbandoned, {{"plan", Id}, {"why", Progress.Reason}});
     if (Progress.Phase == PlanPhase::Running)
       logEvent(Event::PlanTaken, {{"plan", Id}});
   }
-  std::erase_if(SeenPlans, [&](const auto &Entry) {
+  std::erase_if(LoggedPlans, [&](const auto &Entry) {
     return !Now.Plans.contains(Entry.first);
   });
 }
 
 void EntryHostProcess::setPeers(const State &Now) {
-  if (PeersChange == Now.EntryHostsChange)
+  if (AppliedPeersChange == Now.EntryHostsChange)
     return;
-  PeersChange = Now.EntryHostsChange;
+  AppliedPeersChange = Now.EntryHostsChange;
   const std::vector<MeshPeer> All = meshPeers(Options.Host, Now);
   AllAreNeighbours =
       std::all_of(All.begin(), All.end(),
@@ -427,11 +442,11 @@
   Peers.setPeers(All);
 }
 
-void EntryHostProcess::refreshUsable() {
+void EntryHostProcess::refreshUsableEndpoints() {
   const std::map<GroupId, TimePoint> Live = Groups.usableUntil();
   auto Next = std::make_shared<UsableEndpoints>();
-  for (const auto &[Name, Pooled] : Routes->Pools)
-    for (const EndpointSpec &Spec : Pooled.Endpoints) {
+  for (const auto &[Name, RoutedPool] : Routes->Pools)
+    for (const EndpointSpec &Spec : RoutedPool.Endpoints) {
       const std::optional<GroupId> Group = groupOfKey(Spec.Key);
       if (!Group)
         (*Next)[Spec.Key] = TimePoint::max();
@@ -447,26 +462,27 @@
   RouteTable Filtered = *Routes;
   std::set<std::string> Keys;
   std::map<std::string, std::uint32_t> Shares;
-  for (auto &[Name, Pooled] : Filtered.Pools) {
-    std::erase_if(Pooled.Endpoints, [&](const EndpointSpec &Spec) {
+  for (auto &[Name, RoutedPool] : Filtered.Pools) {
+    std::erase_if(RoutedPool.Endpoints, [&](const EndpointSpec &Spec) {
       const auto Found = Usable->find(Spec.Key);
       return Found == Usable->end() || Found->second <= Now;
     });
-    for (const EndpointSpec &Spec : Pooled.Endpoints) {
+    for (const EndpointSpec &Spec : RoutedPool.Endpoints) {
       Keys.insert(Spec.Key);
       Shares[Spec.Key] = Members->share(Spec.Key);
     }
   }
-  if (Keys == Applied && AppliedVersion == Filtered.Version)
+  if (Keys == AppliedKeys && AppliedVersion == Filtered.Version)
     return;
-  Applied = std::move(Keys);
+  AppliedKeys = std::move(Keys);
   AppliedVersion = Filtered.Version;
   Routing.setRoutes(Filtered, Shares, Agreed.state()->EntryHosts.size());
 }
 
-// Failure guarded against: between the decision and this moment the host was
-// paused, or a drain, the loss of a member, or the end of a credit came into
-// force. Each is looked at again with the clock read now.
+// Guards against stale decisions: between the dispatcher's decision and this
+// call, the host may have been paused, or a drain, the loss of a member or the
+// end of a share may have taken effect. Each is checked again with the clock
+// read now.
 bool EntryHostProcess::admit(const EndpointSpec &To) {
   if (!mayStartWork())
     return false;
@@ -478,50 +494,51 @@
   const auto Found = Now->find(To.Key);
   if (Found == Now->end() || Found->second <= BootClock::now())
     return false;
-  return Members->start(To.Key);
+  return Members->tryStart(To.Key);
 }
 
-void EntryHostProcess::ended(const EndpointSpec &To,
-                             const AttemptResult &Result) {
+void EntryHostProcess::attemptEnded(const EndpointSpec &To,
+                                    const AttemptResult &Result) {
   const bool Blameless =
       Result.Answered || Result.FailureReason == Reason::Cancelled;
-  Members->finished(To.Key, Blameless, Result.Total);
+  Members->finish(To.Key, Blameless, Result.Total);
   const std::optional<GroupId> Group = groupOfKey(To.Key);
   if (Group && Result.ConnectionLost)
     asio::post(Control, [this, Lost = *Group] { Groups.suspect(Lost); });
 }
 
 void EntryHostProcess::pollLoad() {
-  for (const auto &[Name, Pooled] : Routes->Pools)
-    for (const EndpointSpec &Spec : Pooled.Endpoints) {
+  for (const auto &[Name, RoutedPool] : Routes->Pools)
+    for (const EndpointSpec &Spec : RoutedPool.Endpoints) {
       if (Members->share(Spec.Key) == 0 && !Members->isSteward(Spec.Key))
         continue;
-      Orders.ask(Spec.Address, AskTimeout,
-                 [this, Key = Spec.Key](std::optional<EngineReport> Report) {
-                   if (Report)
-                     loadReported(Key, *Report);
-                 });
+      EngineClients.ask(
+          Spec.Address, QueryTimeout,
+          [this, Key = Spec.Key](std::optional<EngineReport> Report) {
+            if (Report)
+              recordLoad(Key, *Report);
+          });
     }
 }
 
-void EntryHostProcess::loadReported(const std::string &Key,
-                                    const EngineReport &Report) {
+void EntryHostProcess::recordLoad(const std::string &Key,
+                                  const EngineReport &Report) {
   const LoadReport Load{Key, Report.Run, Report.Running, Report.Queued};
   Members->observe(Load);
   Routing.observe(Load);
 }
 
 void EntryHostProcess::sendNotices() {
-  for (const auto &[Pool, Told] : Routing.noticesOut())
-    Peers.broadcast(Channel::Notices, writeNotice(PoolNotice{Pool, Told}));
+  for (const auto &[Pool, Notice] : Routing.takeNotices())
+    Peers.broadcast(Channel::Notices, writeNotice(PoolNotice{Pool, Notice}));
 }
 
 void EntryHostProcess::tick() {
   Routing.advance();
   Members->tick();
   sendNotices();
-  Tick.expires_after(TickEvery);
-  Tick.async_wait([this](const boost::system::error_code &Problem) {
+  TickTimer.expires_after(TickInterval);
+  TickTimer.async_wait([this](const boost::system::error_code &Problem) {
     if (!Problem)
       tick();
   });
@@ -531,17 +548,17 @@
   ++SlowTicks;
   Routing.repeatDemand();
   Groups.poll();
-  refreshUsable();
+  refreshUsableEndpoints();
   applyRoutes();
-  if (SlowTicks % LoadEverySlowTicks == 0)
+  if (SlowTicks % LoadPollIntervalTicks == 0)
     pollLoad();
-  if (HostListing && SlowTicks % HostListEverySlowTicks == 0)
-    HostListing->list(AskTimeout, [this](const auto &Hosts) {
+  if (HostListing && SlowTicks % HostListIntervalTicks == 0)
+    HostListing->list(QueryTimeout, [this](const auto &Hosts) {
       if (Hosts)
-        Members->listed(*Hosts);
+        Members->applyHostList(*Hosts);
     });
-  SlowTick.expires_after(SlowTickEvery);
-  SlowTick.async_wait([this](const boost::system::error_code &Problem) {
+  SlowTickTimer.expires_after(SlowTickInterval);
+  SlowTickTimer.async_wait([this](const boost::system::error_code &Problem) {
     if (!Problem)
       tickSlow();
   });
@@ -555,7 +572,7 @@
     return refusalOf(
         Verdict{RunState::NotRun, Reason::Stale, StaleRetryAfter},
         "this entry host cannot prove that its configuration is current");
-  return Callers.check(Head);
+  return CallerRelay.check(Head);
 }
 
 Awaitable<void> EntryHostProcess::serveCaller(Exchange &Call) {
@@ -565,45 +582,46 @@
   else if (Target == "/readyz")
     co_await Call.respond(readiness(ready()));
   else
-    co_await Callers.serve(Call);
+    co_await CallerRelay.serve(Call);
 }
 
 std::size_t EntryHostProcess::stop() {
-  if (StoppedAlready.exchange(true))
+  if (StopRequested.exchange(true))
     return 0;
   Unready = true;
   logEvent(Event::Unready, {{"why", "planned stop"}});
   logEvent(Event::Stopping, {{"in_progress", CallerServer->inProgress()}});
   std::this_thread::sleep_for(Options.Stop.Grace);
-  Callers.stopTaking();
+  CallerRelay.stopAccepting();
   CallerServer->stopAccepting();
   const TimePoint Limit = BootClock::now() + Options.Stop.StreamLimit;
   while (CallerServer->inProgress() > 0 && BootClock::now() < Limit)
-    std::this_thread::sleep_for(PollWhileStopping);
-  const std::size_t Left = CallerServer->inProgress();
-  if (Left > 0)
-    logEvent(Event::StreamCut, {{"requests", Left}});
+    std::this_thread::sleep_for(StopPollInterval);
+  const std::size_t CutRequests = CallerServer->inProgress();
+  if (CutRequests > 0)
+    logEvent(Event::StreamCut, {{"requests", CutRequests}});
   CallerServer->cutAll();
-  // Failure guarded against: an order was answered here, its settlement is not
-  // on the log yet, and this host is gone: its repeat at another host would be
-  // told that it may have run, in place of the answer.
-  const TimePoint SettleLimit = BootClock::now() + LeavePatience;
+  // Guards against losing an outcome: if this host left before the settlement
+  // of an answered request is on the log, a repeat of that request at another
+  // host would get "may have run" instead of the stored response.
+  const TimePoint SettleLimit = BootClock::now() + LeaveTimeout;
   while (Claims.unsettled() > 0 && BootClock::now() < SettleLimit)
-    std::this_thread::sleep_for(PollWhileStopping);
+    std::this_thread::sleep_for(StopPollInterval);
   asio::post(Control, [this] { Members->leave(); });
-  const TimePoint GiveUp = BootClock::now() + LeavePatience;
+  const TimePoint LeaveLimit = BootClock::now() + LeaveTimeout;
   const auto IsMember = [this] {
     const StatePtr Now = Agreed.state();
     const auto Found = Now->EntryHosts.find(Options.Host);
-    return Found != Now->EntryHosts.end() && Found->second.Joined.Run == Run;
+    return Found != Now->EntryHosts.end() &&
+           Found->second.JoinRecord.Run == Run;
   };
-  while (IsMember() && BootClock::now() < GiveUp)
-    std::this_thread::sleep_for(PollWhileStopping);
+  while (IsMember() && BootClock::now() < LeaveLimit)
+    std::this_thread::sleep_for(StopPollInterval);
   Peers.stop();
   Control.stop();
   ControlThread.join();
-  logEvent(Event::Stopped, {{"cut", Left}});
-  return Left;
+  logEvent(Event::Stopped, {{"cut", CutRequests}});
+  return CutRequests;
 }
 
 } // namespace coltsfoottrail
--- a/packages/process/src/coltsfoottrail/server/process.hpp
+++ b/packages/process/src/coltsfoottrail/server/process.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One entry host: everything that lives as long as the process.
+/// The entry host process: owns all of its parts.
 #ifndef COLTSFOOTTRAIL_SERVER_PROCESS_HPP
 #define COLTSFOOTTRAIL_SERVER_PROCESS_HPP
 
@@ -7,10 +7,10 @@
 #include "coltsfoottrail/adapter/log.hpp"
 #include "coltsfoottrail/mesh/mesh.hpp"
 #include "coltsfoottrail/server/agreedstream.hpp"
-#include "coltsfoottrail/server/claimdesk.hpp"
-#include "coltsfoottrail/server/groupdesk.hpp"
-#include "coltsfoottrail/server/memberdesk.hpp"
-#include "coltsfoottrail/server/operators.hpp"
+#include "coltsfoottrail/server/claimdriver.hpp"
+#include "coltsfoottrail/server/groupdriver.hpp"
+#include "coltsfoottrail/server/membershipdriver.hpp"
+#include "coltsfoottrail/server/operatorapi.hpp"
 #include "coltsfoottrail/server/relay.hpp"
 #include "coltsfoottrail/settings/settings.hpp"
 #include "coltsfoottrail/telemetry/metrics.hpp"
@@ -20,7 +20,7 @@
 
 namespace coltsfoottrail {
 
-/// @brief A port cannot be listened on.
+/// @brief Thrown if the port for peers cannot be opened.
 class PortError : public Error {
 public:
   using Error::Error;
@@ -29,48 +29,51 @@
 /// @brief An entry host.
 class EntryHostProcess {
 public:
-  /// @brief Listens and starts to follow the log.
-  /// @param Wanted Checked settings.
+  /// @brief Opens the ports and starts to follow the log.
+  /// @param Wanted Validated settings.
   /// @throws boost::system::system_error A port for callers or operators is
-  /// taken.
-  /// @throws PortError The port for peers is taken.
+  /// already in use.
+  /// @throws PortError The port for peers is already in use.
   explicit EntryHostProcess(Settings Wanted);
   EntryHostProcess(const EntryHostProcess &) = delete;
   EntryHostProcess &operator=(const EntryHostProcess &) = delete;
-  /// @brief Stops at once what is still running.
+  /// @brief Stops immediately and cuts requests that are still in progress.
   ~EntryHostProcess();
 
   /// @brief Port for callers. Thread-safe.
   [[nodiscard]] std::uint16_t callerPort() const noexcept;
   /// @brief Port for operators. Thread-safe.
   [[nodiscard]] std::uint16_t operatorPort() const noexcept;
-  /// @brief Whether the balancer may send callers here. Thread-safe.
+  /// @brief Whether the load balancer may send requests to this host.
+  /// Thread-safe.
   [[nodiscard]] bool ready() const;
   /// @brief The newest agreed state. Thread-safe.
   [[nodiscard]] StatePtr state() const { return Agreed.state(); }
-  /// @brief Whether this host may start work on its state. Thread-safe.
+  /// @brief Whether the state of this host is fresh enough to start work.
+  /// Thread-safe.
   [[nodiscard]] Freshness freshness() const {
     return Agreed.freshness(BootClock::now());
   }
-  /// @brief What callers got. Thread-safe.
+  /// @brief Counts of responses by outcome. Thread-safe.
   [[nodiscard]] const RelayCounters &counters() const noexcept {
-    return Callers.counters();
+    return CallerRelay.counters();
   }
-  /// @brief Peers that are connected now. Thread-safe.
+  /// @brief Number of connected peers. Thread-safe.
   [[nodiscard]] std::size_t peers() const { return Peers.connected().size(); }
-  /// @brief Sets who hears that this run has been found gone by its peers: it
-  /// has to be stopped and started again. Thread-safe.
-  /// @param Told Called once, on the control thread.
-  void onEnded(std::function<void()> Told);
+  /// @brief Sets the callback for the removal of this run from the members by
+  /// its peers; the process must then be stopped and restarted. Thread-safe.
+  /// @param Callback Called once, on the control thread.
+  void onRunRemoved(std::function<void()> Callback);
 
-  /// @brief Stops as planned: unready at once, no new requests after the grace,
-  /// requests in progress run out up to the limit. Blocks until all has ended.
-  /// Not from one of the process's threads; a second call does nothing.
-  /// @return Requests that were cut at the limit.
+  /// @brief Performs a planned stop: the host becomes unready at once, refuses
+  /// new requests after the grace period, and lets requests in progress finish
+  /// until the time limit. Blocks until all parts have stopped. Must not be
+  /// called on one of the process's threads; a second call does nothing.
+  /// @return Number of requests that were cut at the time limit.
   std::size_t stop();
 
 private:
-  /// Until when each endpoint may be sent requests.
+  /// The time until which each endpoint may be sent requests, by endpoint key.
   using UsableEndpoints = std::map<std::string, TimePoint, std::less<>>;
 
   [[nodiscard]] Awaitable<void> serveCaller(Exchange &Call);
@@ -78,32 +81,33 @@
   checkCaller(const HttpRequest &Head);
   [[nodiscard]] bool mayStartWork() const;
   [[nodiscard]] bool admit(const EndpointSpec &To);
-  void ended(const EndpointSpec &To, const AttemptResult &Result);
+  void attemptEnded(const EndpointSpec &To, const AttemptResult &Result);
 
   [[nodiscard]] MeshConfig meshConfig() const;
   [[nodiscard]] AgreedOptions agreedOptions() const;
   [[nodiscard]] EntryHostJoined joinRecord(std::uint16_t MeshPort) const;
-  [[nodiscard]] MemberHooks memberHooks();
+  [[nodiscard]] MembershipHooks memberHooks();
   [[nodiscard]] AgreedListener agreedListener();
   [[nodiscard]] std::uint16_t startPeers();
   void listenToPeers();
   void logChanges(const State &Now);
-  void take(Channel Which,
-            void (EntryHostProcess::*Take)(const HostName &, const Json &));
-  void takeMembership(const HostName &From, const Json &Message);
-  void takeShares(const HostName &From, const Json &Message);
-  void takeClaims(const HostName &From, const Json &Message);
-  void takeBeat(const HostName &From, const Json &Message);
-  void takeRecords(const HostName &From, const Json &Message);
-  void takeNotice(const HostName &From, const Json &Message);
-  void send(const HostName &To, Channel Which, Json Body);
+  void subscribe(Channel MessageChannel,
+                 void (EntryHostProcess::*Take)(const HostName &,
+                                                const Json &));
+  void handleMembership(const HostName &From, const Json &Message);
+  void handleShares(const HostName &From, const Json &Message);
+  void handleClaims(const HostName &From, const Json &Message);
+  void handleBeat(const HostName &From, const Json &Message);
+  void handleRecords(const HostName &From, const Json &Message);
+  void handleNotice(const HostName &From, const Json &Message);
+  void send(const HostName &To, Channel MessageChannel, Json Body);
 
   void onState(const StatePtr &Now);
   void setPeers(const State &Now);
-  void refreshUsable();
+  void refreshUsableEndpoints();
   void applyRoutes();
   void pollLoad();
-  void loadReported(const std::string &Key, const EngineReport &Report);
+  void recordLoad(const std::string &Key, const EngineReport &Report);
   void sendNotices();
   void tick();
   void tickSlow();
@@ -116,37 +120,37 @@
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
       ControlGuard;
   IoPool Threads;
-  HttpLog Platform;
-  HttpEngines Orders;
+  HttpLog LogClient;
+  HttpEngines EngineClients;
   Mesh Peers;
   AgreedStream Agreed;
-  ClaimDesk Claims;
-  GroupDesk Groups;
+  ClaimDriver Claims;
+  GroupDriver Groups;
   Router Routing;
-  SpanMaker Spans;
-  Relay Callers;
+  SpanFactory Spans;
+  Relay CallerRelay;
   Metrics Registry;
-  Operators ForOperators;
-  boost::asio::steady_timer Tick;
-  boost::asio::steady_timer SlowTick;
-  std::unique_ptr<MemberDesk> Members;
+  OperatorApi OperatorInterface;
+  boost::asio::steady_timer TickTimer;
+  boost::asio::steady_timer SlowTickTimer;
+  std::unique_ptr<MembershipDriver> Members;
   std::unique_ptr<HttpHostList> HostListing;
   RouteTablePtr Routes;
-  std::set<std::string> Applied;
+  std::set<std::string> AppliedKeys;
   Offset AppliedVersion = 0;
-  /// Phases that have been logged.
-  std::map<GroupId, GroupPhase> SeenGroups;
-  std::map<Offset, PlanPhase> SeenPlans;
+  /// Phases of groups and plans that have been logged already.
+  std::map<GroupId, GroupPhase> LoggedGroups;
+  std::map<Offset, PlanPhase> LoggedPlans;
   std::uint64_t SlowTicks = 0;
-  /// The change of the entry hosts that the mesh goes by.
-  std::optional<Offset> PeersChange;
+  /// Offset of the entry host change that the mesh peers were last set from.
+  std::optional<Offset> AppliedPeersChange;
   bool AllAreNeighbours = true;
   mutable std::mutex UsableLock;
   std::shared_ptr<const UsableEndpoints> Usable;
-  std::function<void()> Ended;
+  std::function<void()> RunRemovedCallback;
   std::atomic<bool> Joined{false};
   std::atomic<bool> Unready{false};
-  std::atomic<bool> StoppedAlready{false};
+  std::atomic<bool> StopRequested{false};
   std::unique_ptr<HttpServer> CallerServer;
   std::unique_ptr<HttpServer> OperatorServer;
   std::thread ControlThread;
--- a/packages/process/src/coltsfoottrail/server/router.cpp
+++ b/packages/process/src/coltsfoottrail/server/router.cpp
@@ -19,28 +19,28 @@
 
 namespace {
 
-/// A pool counts as in use for so long after a request to it.
-constexpr seconds InUseFor{5};
-constexpr std::size_t NeverTold = std::numeric_limits<std::size_t>::max();
+/// A pool counts as in use for this time after a request to it.
+constexpr seconds InUsePeriod{5};
+constexpr std::size_t NotReported = std::numeric_limits<std::size_t>::max();
 
 } // namespace
 
-/// The coroutine's side of a ticket. Touched on the coroutine's thread only,
-/// but for its creation.
-struct Place::Waiter {
+/// The coroutine's side of a dispatcher ticket. Used on the coroutine's thread
+/// only, once it is created.
+struct DispatchHandle::Waiter {
   explicit Waiter(const asio::any_io_executor &Executor)
       : Wake(Executor, asio::steady_timer::time_point::max()) {}
 
   asio::steady_timer Wake;
   std::optional<Decision> Ready;
-  Ticket Which;
+  Ticket RequestTicket;
   bool Ended = false;
 };
 
-/// One pool: its dispatcher and who waits for its commands.
-struct Place::Shard {
+/// One pool: its dispatcher and the coroutines that wait for its commands.
+struct DispatchHandle::Shard {
   Shard(std::string Pool, DispatcherOptions Limits)
-      : Name(std::move(Pool)), Decides(std::move(Limits)) {}
+      : Name(std::move(Pool)), PoolDispatcher(std::move(Limits)) {}
 
   struct Delivery {
     std::shared_ptr<Waiter> To;
@@ -48,31 +48,33 @@
   };
   using Deliveries = std::vector<Delivery>;
 
-  /// Take over a version of the pool, of the teams and of the shares, while the
-  /// lock is held.
-  void configure(const Pool &Wanted, std::size_t JoinedHosts, Commands &Given);
-  void setTeams(const RouteTable &Routes, Commands &Given);
+  /// Apply a version of the pool, of the teams and of the shares. The lock must
+  /// be held.
+  void configure(const Pool &Wanted, std::size_t JoinedHosts, Commands &Issued);
+  void setTeams(const RouteTable &Routes, Commands &Issued);
   void setShares(const std::map<std::string, std::uint32_t> &Shares,
-                 Commands &Given);
-  /// Translates commands while the lock is held.
-  [[nodiscard]] Deliveries translate(const Commands &Given);
+                 Commands &Issued);
+  /// Translates dispatcher commands to decisions for waiters. The lock must be
+  /// held.
+  [[nodiscard]] Deliveries translate(const Commands &Issued);
   [[nodiscard]] Decision decisionOf(const SendCommand &Send) const;
-  /// Hands decisions over after the lock is released.
-  static void deliver(Deliveries Due, const Waiter *OnOwnThread);
+  /// Delivers decisions to their waiters. The lock must not be held.
+  static void deliver(Deliveries Decisions, const Waiter *OnOwnThread);
 
   std::string Name;
   std::mutex Lock;
-  Dispatcher Decides;
-  /// What OnWaiting was told last.
-  std::size_t ToldWaiting = 0;
+  Dispatcher PoolDispatcher;
+  /// The demand last passed to OnDemandChanged.
+  std::size_t ReportedDemand = 0;
   TimePoint LastSubmit{};
   std::map<std::string, std::shared_ptr<const EndpointSpec>, std::less<>>
       Endpoints;
   std::map<Ticket, std::shared_ptr<Waiter>> Waiters;
 };
 
-void Place::Shard::configure(const Pool &Wanted, std::size_t JoinedHosts,
-                             Commands &Given) {
+void DispatchHandle::Shard::configure(const Pool &Wanted,
+                                      std::size_t JoinedHosts,
+                                      Commands &Issued) {
   Endpoints.clear();
   double Places = 0;
   for (const EndpointSpec &Spec : Wanted.Endpoints) {
@@ -80,41 +82,45 @@
     Places += Spec.WarmBound;
   }
   const std::size_t Hosts = std::max<std::size_t>(JoinedHosts, 1);
-  Decides.expectSlots(Places / static_cast<double>(Hosts));
-  Decides.configure(Wanted, BootClock::now(), Given);
+  PoolDispatcher.expectSlots(Places / static_cast<double>(Hosts));
+  PoolDispatcher.configure(Wanted, BootClock::now(), Issued);
 }
 
-void Place::Shard::setTeams(const RouteTable &Routes, Commands &Given) {
+void DispatchHandle::Shard::setTeams(const RouteTable &Routes,
+                                     Commands &Issued) {
   for (const auto &[Credential, Team] : Routes.TeamsByCredential)
-    Decides.setTeam(Team.Name, TeamShare{Team.Weight, Team.MaxInFlight},
-                    BootClock::now(), Given);
+    PoolDispatcher.setTeam(Team.Name, TeamShare{Team.Weight, Team.MaxInFlight},
+                           BootClock::now(), Issued);
 }
 
-void Place::Shard::setShares(const std::map<std::string, std::uint32_t> &Shares,
-                             Commands &Given) {
+void DispatchHandle::Shard::setShares(
+    const std::map<std::string, std::uint32_t> &Shares, Commands &Issued) {
   for (const auto &[Key, Spec] : Endpoints)
     if (const auto Share = Shares.find(Key); Share != Shares.end())
-      Decides.setShare(Key, Share->second, BootClock::now(), Given);
+      PoolDispatcher.setShare(Key, Share->second, BootClock::now(), Issued);
 }
 
-Decision Place::Shard::decisionOf(const SendCommand &Send) const {
+Decision DispatchHandle::Shard::decisionOf(const SendCommand &Send) const {
   const auto Found = Endpoints.find(Send.EndpointKey);
   if (Found == Endpoints.end())
     return Refusal{{RunState::NotRun, Reason::Internal, std::nullopt}, {}};
   return Assignment{Found->second};
 }
 
-Place::Shard::Deliveries Place::Shard::translate(const Commands &Given) {
+DispatchHandle::Shard::Deliveries
+DispatchHandle::Shard::translate(const Commands &Issued) {
   Deliveries Out;
-  for (const Command &One : Given) {
-    const auto *const Refused = std::get_if<RefuseCommand>(&One);
-    const Ticket Which =
-        Refused != nullptr ? Refused->Id : std::get<SendCommand>(One).Id;
-    const auto Found = Waiters.find(Which);
+  for (const Command &NextCommand : Issued) {
+    const auto *const Refused = std::get_if<RefuseCommand>(&NextCommand);
+    const Ticket RequestTicket = Refused != nullptr
+                                     ? Refused->Id
+                                     : std::get<SendCommand>(NextCommand).Id;
+    const auto Found = Waiters.find(RequestTicket);
     if (Found == Waiters.end())
       continue;
     if (Refused == nullptr) {
-      Out.push_back({Found->second, decisionOf(std::get<SendCommand>(One))});
+      Out.push_back(
+          {Found->second, decisionOf(std::get<SendCommand>(NextCommand))});
     } else {
       Out.push_back(
           {Found->second, Refusal{Refused->FinalVerdict, Refused->Details}});
@@ -124,105 +130,112 @@
   return Out;
 }
 
-void Place::Shard::deliver(Deliveries Due, const Waiter *OnOwnThread) {
-  for (Delivery &One : Due) {
-    if (One.To.get() == OnOwnThread) {
-      One.To->Ready = std::move(One.What);
+void DispatchHandle::Shard::deliver(Deliveries Decisions,
+                                    const Waiter *OnOwnThread) {
+  for (Delivery &NextCommand : Decisions) {
+    if (NextCommand.To.get() == OnOwnThread) {
+      NextCommand.To->Ready = std::move(NextCommand.What);
       continue;
     }
-    asio::post(One.To->Wake.get_executor(),
-               [To = One.To, What = std::move(One.What)]() mutable {
-                 To->Ready = std::move(What);
-                 To->Wake.cancel();
-               });
+    asio::post(
+        NextCommand.To->Wake.get_executor(),
+        [To = NextCommand.To, What = std::move(NextCommand.What)]() mutable {
+          To->Ready = std::move(What);
+          To->Wake.cancel();
+        });
   }
 }
 
-Place::Place(std::shared_ptr<Shard> Where, std::shared_ptr<Waiter> Who)
-    : Home(std::move(Where)), Own(std::move(Who)) {}
+DispatchHandle::DispatchHandle(std::shared_ptr<Shard> Where,
+                               std::shared_ptr<Waiter> Who)
+    : PoolShard(std::move(Where)), OwnWaiter(std::move(Who)) {}
 
-Place::Place(Place &&) noexcept = default;
+DispatchHandle::DispatchHandle(DispatchHandle &&) noexcept = default;
 
-Place::~Place() {
-  if (!Own || Own->Ended)
+DispatchHandle::~DispatchHandle() {
+  if (!OwnWaiter || OwnWaiter->Ended)
     return;
-  Shard::Deliveries Due;
+  Shard::Deliveries Decisions;
   {
-    const std::lock_guard Hold(Home->Lock);
-    Commands Given;
-    Home->Waiters.erase(Own->Which);
-    Home->Decides.cancel(Own->Which, BootClock::now(), Given);
-    Due = Home->translate(Given);
+    const std::lock_guard Hold(PoolShard->Lock);
+    Commands Issued;
+    PoolShard->Waiters.erase(OwnWaiter->RequestTicket);
+    PoolShard->PoolDispatcher.cancel(OwnWaiter->RequestTicket, BootClock::now(),
+                                     Issued);
+    Decisions = PoolShard->translate(Issued);
   }
-  Shard::deliver(std::move(Due), nullptr);
+  Shard::deliver(std::move(Decisions), nullptr);
 }
 
-Awaitable<Decision> Place::next() {
-  while (!Own->Ready) {
+Awaitable<Decision> DispatchHandle::next() {
+  while (!OwnWaiter->Ready) {
     boost::system::error_code Woken;
-    co_await Own->Wake.async_wait(
+    co_await OwnWaiter->Wake.async_wait(
         asio::redirect_error(asio::use_awaitable, Woken));
     const asio::cancellation_state Cancelled =
         co_await asio::this_coro::cancellation_state;
     if (Cancelled.cancelled() != asio::cancellation_type::none)
       throw boost::system::system_error(asio::error::operation_aborted);
   }
-  Decision Given = std::move(*Own->Ready);
-  Own->Ready.reset();
-  if (std::holds_alternative<Refusal>(Given))
-    Own->Ended = true;
-  co_return Given;
+  Decision Issued = std::move(*OwnWaiter->Ready);
+  OwnWaiter->Ready.reset();
+  if (std::holds_alternative<Refusal>(Issued))
+    OwnWaiter->Ended = true;
+  co_return Issued;
 }
 
-void Place::begun() {
-  const std::lock_guard Hold(Home->Lock);
-  Home->Decides.responseStarted(Own->Which);
+void DispatchHandle::responseStarted() {
+  const std::lock_guard Hold(PoolShard->Lock);
+  PoolShard->PoolDispatcher.responseStarted(OwnWaiter->RequestTicket);
 }
 
-void Place::report(const AttemptResult &Result) {
-  Shard::Deliveries Due;
+void DispatchHandle::report(const AttemptResult &Result) {
+  Shard::Deliveries Decisions;
   {
-    const std::lock_guard Hold(Home->Lock);
-    Commands Given;
+    const std::lock_guard Hold(PoolShard->Lock);
+    Commands Issued;
     if (Result.Answered) {
-      Home->Waiters.erase(Own->Which);
-      Own->Ended = true;
+      PoolShard->Waiters.erase(OwnWaiter->RequestTicket);
+      OwnWaiter->Ended = true;
     }
-    Home->Decides.attemptEnded(Own->Which, Result, BootClock::now(), Given);
-    Due = Home->translate(Given);
+    PoolShard->PoolDispatcher.attemptEnded(OwnWaiter->RequestTicket, Result,
+                                           BootClock::now(), Issued);
+    Decisions = PoolShard->translate(Issued);
   }
-  Shard::deliver(std::move(Due), Own.get());
+  Shard::deliver(std::move(Decisions), OwnWaiter.get());
 }
 
 Router::Router(RouterOptions Limits) : Options(std::move(Limits)) {}
 
 Router::~Router() = default;
 
-std::shared_ptr<Place::Shard> Router::find(std::string_view Name) const {
+std::shared_ptr<DispatchHandle::Shard>
+Router::findShard(std::string_view Name) const {
   const std::lock_guard Hold(Lock);
   const auto Found = Shards.find(Name);
   return Found == Shards.end() ? nullptr : Found->second;
 }
 
-std::vector<std::shared_ptr<Place::Shard>> Router::all() const {
+std::vector<std::shared_ptr<DispatchHandle::Shard>> Router::allShards() const {
   const std::lock_guard Hold(Lock);
-  std::vector<std::shared_ptr<Place::Shard>> Out;
-  for (const auto &[Name, Home] : Shards)
-    Out.push_back(Home);
-  return Out;
+  std::vector<std::shared_ptr<DispatchHandle::Shard>> Result;
+  for (const auto &[Name, PoolShard] : Shards)
+    Result.push_back(PoolShard);
+  return Result;
 }
 
 void Router::openShards(const RouteTable &Routes) {
   const std::lock_guard Hold(Lock);
   for (const auto &[Name, Wanted] : Routes.Pools) {
-    std::shared_ptr<Place::Shard> &Home = Shards[Name];
-    if (Home)
+    std::shared_ptr<DispatchHandle::Shard> &PoolShard = Shards[Name];
+    if (PoolShard)
       continue;
     DispatcherOptions Limits = Options.Dispatch;
     Limits.Seed = hashText(Name, hashText(Options.Self.Text));
     if (!Wanted.RetryGroup.empty())
       Limits.RetryTokens = retryTokens(Wanted.RetryGroup);
-    Home = std::make_shared<Place::Shard>(Name, std::move(Limits));
+    PoolShard =
+        std::make_shared<DispatchHandle::Shard>(Name, std::move(Limits));
   }
 }
 
@@ -240,182 +253,188 @@
                        std::size_t JoinedHosts) {
   static const Pool Nothing;
   openShards(Routes);
-  for (const auto &Home : all()) {
-    const auto Found = Routes.Pools.find(Home->Name);
+  for (const auto &PoolShard : allShards()) {
+    const auto Found = Routes.Pools.find(PoolShard->Name);
     const Pool &Wanted = Found == Routes.Pools.end() ? Nothing : Found->second;
-    Place::Shard::Deliveries Due;
+    DispatchHandle::Shard::Deliveries Decisions;
     {
-      const std::lock_guard Hold(Home->Lock);
-      Commands Given;
-      Home->configure(Wanted, JoinedHosts, Given);
-      Home->setTeams(Routes, Given);
-      Home->setShares(Shares, Given);
-      Due = Home->translate(Given);
+      const std::lock_guard Hold(PoolShard->Lock);
+      Commands Issued;
+      PoolShard->configure(Wanted, JoinedHosts, Issued);
+      PoolShard->setTeams(Routes, Issued);
+      PoolShard->setShares(Shares, Issued);
+      Decisions = PoolShard->translate(Issued);
     }
-    Place::Shard::deliver(std::move(Due), nullptr);
+    DispatchHandle::Shard::deliver(std::move(Decisions), nullptr);
   }
 }
 
 void Router::setShares(const std::map<std::string, std::uint32_t> &Shares) {
-  for (const auto &Home : all()) {
-    Place::Shard::Deliveries Due;
+  for (const auto &PoolShard : allShards()) {
+    DispatchHandle::Shard::Deliveries Decisions;
     {
-      const std::lock_guard Hold(Home->Lock);
-      Commands Given;
-      Home->setShares(Shares, Given);
-      Due = Home->translate(Given);
+      const std::lock_guard Hold(PoolShard->Lock);
+      Commands Issued;
+      PoolShard->setShares(Shares, Issued);
+      Decisions = PoolShard->translate(Issued);
     }
-    Place::Shard::deliver(std::move(Due), nullptr);
+    DispatchHandle::Shard::deliver(std::move(Decisions), nullptr);
   }
 }
 
 std::vector<EndpointLoad> Router::ownLoads() const {
-  std::vector<EndpointLoad> Out;
-  for (const auto &Home : all()) {
-    const std::lock_guard Hold(Home->Lock);
-    const std::vector<EndpointLoad> Its = Home->Decides.ownLoads();
-    Out.insert(Out.end(), Its.begin(), Its.end());
+  std::vector<EndpointLoad> Loads;
+  for (const auto &PoolShard : allShards()) {
+    const std::lock_guard Hold(PoolShard->Lock);
+    const std::vector<EndpointLoad> PoolLoads =
+        PoolShard->PoolDispatcher.ownLoads();
+    Loads.insert(Loads.end(), PoolLoads.begin(), PoolLoads.end());
   }
-  return Out;
+  return Loads;
 }
 
-void Router::shareLoads(std::span<const EndpointLoad> Others) {
-  for (const auto &Home : all()) {
-    Place::Shard::Deliveries Due;
+void Router::setRemoteLoads(std::span<const EndpointLoad> Others) {
+  for (const auto &PoolShard : allShards()) {
+    DispatchHandle::Shard::Deliveries Decisions;
     {
-      const std::lock_guard Hold(Home->Lock);
-      Commands Given;
-      Home->Decides.setRemoteLoads(Others, BootClock::now(), Given);
-      Due = Home->translate(Given);
+      const std::lock_guard Hold(PoolShard->Lock);
+      Commands Issued;
+      PoolShard->PoolDispatcher.setRemoteLoads(Others, BootClock::now(),
+                                               Issued);
+      Decisions = PoolShard->translate(Issued);
     }
-    Place::Shard::deliver(std::move(Due), nullptr);
+    DispatchHandle::Shard::deliver(std::move(Decisions), nullptr);
   }
 }
 
-void Router::setRetryBurst(std::string_view PoolName, double Most) {
-  const std::shared_ptr<Place::Shard> Home = find(PoolName);
-  if (!Home)
+void Router::setRetryBurst(std::string_view PoolName, double MaxTokens) {
+  const std::shared_ptr<DispatchHandle::Shard> PoolShard = findShard(PoolName);
+  if (!PoolShard)
     return;
-  const std::lock_guard Hold(Home->Lock);
-  Home->Decides.setRetryBurst(Most);
+  const std::lock_guard Hold(PoolShard->Lock);
+  PoolShard->PoolDispatcher.setRetryBurst(MaxTokens);
 }
 
 void Router::observe(const LoadReport &Report) {
-  for (const auto &Home : all()) {
-    Place::Shard::Deliveries Due;
+  for (const auto &PoolShard : allShards()) {
+    DispatchHandle::Shard::Deliveries Decisions;
     {
-      const std::lock_guard Hold(Home->Lock);
-      if (!Home->Endpoints.contains(Report.EndpointKey))
+      const std::lock_guard Hold(PoolShard->Lock);
+      if (!PoolShard->Endpoints.contains(Report.EndpointKey))
         continue;
-      Commands Given;
-      Home->Decides.observe(Report, BootClock::now(), Given);
-      Due = Home->translate(Given);
+      Commands Issued;
+      PoolShard->PoolDispatcher.observe(Report, BootClock::now(), Issued);
+      Decisions = PoolShard->translate(Issued);
     }
-    Place::Shard::deliver(std::move(Due), nullptr);
+    DispatchHandle::Shard::deliver(std::move(Decisions), nullptr);
   }
 }
 
-std::optional<Place> Router::submit(std::string_view PoolName, WorkItem Item,
-                                    const asio::any_io_executor &Executor) {
-  std::shared_ptr<Place::Shard> Home = find(PoolName);
-  if (!Home)
+std::optional<DispatchHandle>
+Router::submit(std::string_view PoolName, WorkItem Item,
+               const asio::any_io_executor &Executor) {
+  std::shared_ptr<DispatchHandle::Shard> PoolShard = findShard(PoolName);
+  if (!PoolShard)
     return std::nullopt;
-  auto Own = std::make_shared<Place::Waiter>(Executor);
-  Place::Shard::Deliveries Due;
+  auto Own = std::make_shared<DispatchHandle::Waiter>(Executor);
+  DispatchHandle::Shard::Deliveries Decisions;
   {
-    const std::lock_guard Hold(Home->Lock);
-    Commands Given;
-    Home->LastSubmit = BootClock::now();
-    Own->Which = Home->Decides.submit(std::move(Item), BootClock::now(), Given);
-    Home->Waiters[Own->Which] = Own;
-    Due = Home->translate(Given);
+    const std::lock_guard Hold(PoolShard->Lock);
+    Commands Issued;
+    PoolShard->LastSubmit = BootClock::now();
+    Own->RequestTicket = PoolShard->PoolDispatcher.submit(
+        std::move(Item), BootClock::now(), Issued);
+    PoolShard->Waiters[Own->RequestTicket] = Own;
+    Decisions = PoolShard->translate(Issued);
   }
-  Place::Shard::deliver(std::move(Due), Own.get());
-  tellWaiting(*Home);
-  return Place(std::move(Home), std::move(Own));
+  DispatchHandle::Shard::deliver(std::move(Decisions), Own.get());
+  notifyDemand(*PoolShard);
+  return DispatchHandle(std::move(PoolShard), std::move(Own));
 }
 
-// Shares are given to hosts that have work: whoever gives them hears at once
-// when requests begin to wait. While a pool is in use, room for one request
-// more is wanted at each endpoint, so that the choice has something to choose
-// from and endpoints that come back get work again.
-void Router::tellWaiting(Place::Shard &Home) {
-  if (!Options.OnWaiting)
+// Shares are granted to hosts that have work, so demand is reported as soon as
+// requests begin to wait. While a pool is in use, capacity for one more request
+// is requested at each endpoint, so that the dispatcher has endpoints to choose
+// from and recovered endpoints get work again.
+void Router::notifyDemand(DispatchHandle::Shard &PoolShard) {
+  if (!Options.OnDemandChanged)
     return;
   std::size_t Wanted = 0;
   {
-    const std::lock_guard Hold(Home.Lock);
-    const bool InUse = BootClock::now() - Home.LastSubmit < InUseFor;
-    Wanted = std::max(Home.Decides.waiting(),
-                      InUse ? Home.Endpoints.size() : std::size_t{0});
-    if (Wanted == Home.ToldWaiting)
+    const std::lock_guard Hold(PoolShard.Lock);
+    const bool InUse = BootClock::now() - PoolShard.LastSubmit < InUsePeriod;
+    Wanted = std::max(PoolShard.PoolDispatcher.waiting(),
+                      InUse ? PoolShard.Endpoints.size() : std::size_t{0});
+    if (Wanted == PoolShard.ReportedDemand)
       return;
-    Home.ToldWaiting = Wanted;
+    PoolShard.ReportedDemand = Wanted;
   }
-  Options.OnWaiting(Home.Name, Wanted);
+  Options.OnDemandChanged(PoolShard.Name, Wanted);
 }
 
 void Router::repeatDemand() {
-  for (const auto &Home : all()) {
+  for (const auto &PoolShard : allShards()) {
     {
-      const std::lock_guard Hold(Home->Lock);
-      Home->ToldWaiting = NeverTold;
+      const std::lock_guard Hold(PoolShard->Lock);
+      PoolShard->ReportedDemand = NotReported;
     }
-    tellWaiting(*Home);
+    notifyDemand(*PoolShard);
   }
 }
 
 bool Router::observeNotice(std::string_view PoolName,
-                           const QuarantineNotice &Told) {
-  const std::shared_ptr<Place::Shard> Home = find(PoolName);
-  if (!Home)
+                           const QuarantineNotice &Notice) {
+  const std::shared_ptr<DispatchHandle::Shard> PoolShard = findShard(PoolName);
+  if (!PoolShard)
     return false;
-  const std::lock_guard Hold(Home->Lock);
-  return Home->Decides.observeNotice(Told, BootClock::now());
+  const std::lock_guard Hold(PoolShard->Lock);
+  return PoolShard->PoolDispatcher.observeNotice(Notice, BootClock::now());
 }
 
 void Router::observeClosed(std::string_view PoolName,
                            std::string_view EndpointKey) {
-  const std::shared_ptr<Place::Shard> Home = find(PoolName);
-  if (!Home)
+  const std::shared_ptr<DispatchHandle::Shard> PoolShard = findShard(PoolName);
+  if (!PoolShard)
     return;
-  const std::lock_guard Hold(Home->Lock);
-  Home->Decides.observeClosed(EndpointKey, BootClock::now());
+  const std::lock_guard Hold(PoolShard->Lock);
+  PoolShard->PoolDispatcher.observeClosed(EndpointKey, BootClock::now());
 }
 
-std::vector<std::pair<std::string, QuarantineNotice>> Router::noticesOut() {
-  std::vector<std::pair<std::string, QuarantineNotice>> Out;
-  for (const auto &Home : all()) {
-    const std::lock_guard Hold(Home->Lock);
-    for (QuarantineNotice &Told : Home->Decides.takeNotices(BootClock::now()))
-      Out.emplace_back(Home->Name, std::move(Told));
+std::vector<std::pair<std::string, QuarantineNotice>> Router::takeNotices() {
+  std::vector<std::pair<std::string, QuarantineNotice>> Notices;
+  for (const auto &PoolShard : allShards()) {
+    const std::lock_guard Hold(PoolShard->Lock);
+    for (QuarantineNotice &Notice :
+         PoolShard->PoolDispatcher.takeNotices(BootClock::now()))
+      Notices.emplace_back(PoolShard->Name, std::move(Notice));
   }
-  return Out;
+  return Notices;
 }
 
 void Router::advance() {
-  for (const auto &Home : all()) {
-    tellWaiting(*Home);
-    Place::Shard::Deliveries Due;
+  for (const auto &PoolShard : allShards()) {
+    notifyDemand(*PoolShard);
+    DispatchHandle::Shard::Deliveries Decisions;
     {
-      const std::lock_guard Hold(Home->Lock);
+      const std::lock_guard Hold(PoolShard->Lock);
       const TimePoint Now = BootClock::now();
-      const std::optional<TimePoint> Wake = Home->Decides.nextWake();
+      const std::optional<TimePoint> Wake =
+          PoolShard->PoolDispatcher.nextWake();
       if (!Wake || *Wake > Now)
         continue;
-      Commands Given;
-      Home->Decides.advance(Now, Given);
-      Due = Home->translate(Given);
+      Commands Issued;
+      PoolShard->PoolDispatcher.advance(Now, Issued);
+      Decisions = PoolShard->translate(Issued);
     }
-    Place::Shard::deliver(std::move(Due), nullptr);
+    DispatchHandle::Shard::deliver(std::move(Decisions), nullptr);
   }
 }
 
 std::size_t Router::waiting() const {
   std::size_t All = 0;
-  for (const auto &Home : all()) {
-    const std::lock_guard Hold(Home->Lock);
-    All += Home->Decides.waiting();
+  for (const auto &PoolShard : allShards()) {
+    const std::lock_guard Hold(PoolShard->Lock);
+    All += PoolShard->PoolDispatcher.waiting();
   }
   return All;
 }
--- a/packages/process/src/coltsfoottrail/server/router.hpp
+++ b/packages/process/src/coltsfoottrail/server/router.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The dispatchers of all pools, each under its own lock, for coroutines.
+/// The dispatchers of all pools, each with its own lock, as an interface for
+/// coroutines.
 #ifndef COLTSFOOTTRAIL_SERVER_ROUTER_HPP
 #define COLTSFOOTTRAIL_SERVER_ROUTER_HPP
 
@@ -20,43 +21,43 @@
 
 namespace coltsfoottrail {
 
-/// @brief An endpoint that a request is to be sent to.
+/// @brief The endpoint to which a request is to be sent.
 struct Assignment {
   std::shared_ptr<const EndpointSpec> Endpoint;
 };
 
-/// @brief A final refusal and what it rests on.
+/// @brief A final refusal and the facts it is based on.
 struct Refusal {
   Verdict Final;
-  RefusalDetails Basis;
+  RefusalDetails Details;
 };
 
-/// What is decided for a request: where to send it, or its final refusal.
+/// Decision on a request: where to send it, or its final refusal.
 using Decision = std::variant<Assignment, Refusal>;
 
-/// @brief A request's place in a dispatcher, from its taking to its end.
+/// @brief Handle of a request in a dispatcher, from submission to its end.
 ///
-/// Belongs to one coroutine. Destroying it before an answer was reported gives
-/// the place up, as when the caller goes away.
-class Place {
+/// Used by one coroutine. Destroying it before a successful attempt was
+/// reported cancels the request, as when the caller disconnects.
+class DispatchHandle {
 public:
-  Place(Place &&) noexcept;
-  Place &operator=(Place &&) = delete;
-  Place(const Place &) = delete;
-  Place &operator=(const Place &) = delete;
-  ~Place();
+  DispatchHandle(DispatchHandle &&) noexcept;
+  DispatchHandle &operator=(DispatchHandle &&) = delete;
+  DispatchHandle(const DispatchHandle &) = delete;
+  DispatchHandle &operator=(const DispatchHandle &) = delete;
+  ~DispatchHandle();
 
   /// @brief Waits for the next decision.
   /// @return Where to send the request, or its final refusal.
   /// @throws boost::system::system_error The coroutine was cancelled.
   [[nodiscard]] Awaitable<Decision> next();
 
-  /// @brief Tells that the answer of the attempt has begun.
-  void begun();
+  /// @brief Reports that the response of the attempt has begun.
+  void responseStarted();
 
-  /// @brief Tells how an attempt ended; next() tells what follows unless it was
-  /// answered.
-  /// @param Result How it ended.
+  /// @brief Reports the result of an attempt; unless it was answered, next()
+  /// returns what to do next.
+  /// @param Result The result.
   void report(const AttemptResult &Result);
 
 private:
@@ -64,97 +65,104 @@
   struct Waiter;
   struct Shard;
 
-  Place(std::shared_ptr<Shard> Where, std::shared_ptr<Waiter> Who);
+  DispatchHandle(std::shared_ptr<Shard> Where, std::shared_ptr<Waiter> Who);
 
-  std::shared_ptr<Shard> Home;
-  std::shared_ptr<Waiter> Own;
+  std::shared_ptr<Shard> PoolShard;
+  std::shared_ptr<Waiter> OwnWaiter;
 };
 
 /// @brief Options of a router.
 struct RouterOptions {
   HostName Self;
   DispatcherOptions Dispatch;
-  /// Hears for how many more requests a pool wants room, when that changes;
-  /// called on any thread, without a lock held. May be empty.
-  std::function<void(std::string_view Pool, std::size_t Wanted)> OnWaiting;
+  /// Called with the number of further requests for which a pool needs capacity
+  /// whenever that number changes; on any thread, with no lock held. May be
+  /// empty.
+  std::function<void(std::string_view Pool, std::size_t Wanted)>
+      OnDemandChanged;
 };
 
 /// @brief Routes requests by the dispatcher of their pool. Thread-safe.
 class Router {
 public:
-  /// @brief Makes a router without routes.
-  /// @param Limits Its options.
+  /// @brief Creates a router without routes.
+  /// @param Limits Options of the router.
   explicit Router(RouterOptions Limits);
   Router(const Router &) = delete;
   Router &operator=(const Router &) = delete;
   ~Router();
 
-  /// @brief Puts routes in force.
+  /// @brief Sets the current routes.
   /// @param Routes The routes.
-  /// @param Shares For each endpoint key, how many requests this entry host may
-  /// have there at once.
-  /// @param JoinedHosts How many entry hosts share the endpoints.
+  /// @param Shares By endpoint key, how many requests this entry host may have
+  /// there at once.
+  /// @param JoinedHosts Number of entry hosts that share the endpoints.
   void setRoutes(const RouteTable &Routes,
                  const std::map<std::string, std::uint32_t> &Shares,
                  std::size_t JoinedHosts);
 
-  /// @brief Takes notices from peers about requests that crash endpoints.
-  /// @param PoolName The pool that they are about.
-  /// @return Whether it was news here.
-  bool observeNotice(std::string_view PoolName, const QuarantineNotice &Told);
+  /// @brief Handles a peer's notice about requests that crash endpoints.
+  /// @param PoolName The pool that the notice concerns.
+  /// @return Whether the notice was new to this host.
+  bool observeNotice(std::string_view PoolName, const QuarantineNotice &Notice);
 
-  /// @brief Notes that an endpoint of a pool stopped serving under a key and
-  /// lives on.
+  /// @brief Records that an endpoint of a pool stopped serving under a key
+  /// without having crashed.
   void observeClosed(std::string_view PoolName, std::string_view EndpointKey);
 
-  /// @brief Notices for peers that have come up since the last call.
+  /// @brief Returns and clears the notices for peers that arose since the last
+  /// call.
   [[nodiscard]] std::vector<std::pair<std::string, QuarantineNotice>>
-  noticesOut();
+  takeNotices();
 
   /// @brief Sets this host's share of endpoints' bounds.
   void setShares(const std::map<std::string, std::uint32_t> &Shares);
 
-  /// @brief Own requests at each endpoint that has any.
+  /// @brief Requests of this host at each endpoint that has any.
   [[nodiscard]] std::vector<EndpointLoad> ownLoads() const;
-  /// @brief Takes what the other entry hosts have at all endpoints.
-  void shareLoads(std::span<const EndpointLoad> Others);
+  /// @brief Sets the load that the other entry hosts put on all endpoints.
+  void setRemoteLoads(std::span<const EndpointLoad> Others);
 
-  /// @brief Sets how many retries a pool, and those that share its bound, save
-  /// up at most.
-  void setRetryBurst(std::string_view PoolName, double Most);
+  /// @brief Sets the burst limit of the retry budget of a pool and of the pools
+  /// that share its budget.
+  void setRetryBurst(std::string_view PoolName, double MaxTokens);
 
-  /// @brief Takes a load report of an endpoint.
+  /// @brief Records a load report of an endpoint.
   void observe(const LoadReport &Report);
 
-  /// @brief Puts a request to the dispatcher of its pool.
+  /// @brief Submits a request to the dispatcher of its pool.
   /// @param PoolName The pool.
   /// @param Item The request.
-  /// @param Executor Where the coroutine that waits runs.
-  /// @return Its place, or nothing when there is no such pool.
-  [[nodiscard]] std::optional<Place>
+  /// @param Executor Executor of the waiting coroutine.
+  /// @return The handle of the request, or empty if there is no such pool.
+  [[nodiscard]] std::optional<DispatchHandle>
   submit(std::string_view PoolName, WorkItem Item,
          const boost::asio::any_io_executor &Executor);
 
-  /// @brief Says again what all pools want; called some times a second.
+  /// @brief Reports the demand of all pools again even if unchanged; called
+  /// several times a second.
   void repeatDemand();
 
-  /// @brief Lets time pass in all dispatchers; called every few milliseconds.
+  /// @brief Runs due timers of all dispatchers; called every few milliseconds.
   void advance();
 
-  /// @brief Requests that wait in all pools.
+  /// @brief Number of requests that wait in all pools.
   [[nodiscard]] std::size_t waiting() const;
 
 private:
   void openShards(const RouteTable &Routes);
   [[nodiscard]] std::shared_ptr<SharedTokenBucket>
   retryTokens(const std::string &RetryGroup);
-  void tellWaiting(Place::Shard &Home);
-  [[nodiscard]] std::shared_ptr<Place::Shard> find(std::string_view Name) const;
-  [[nodiscard]] std::vector<std::shared_ptr<Place::Shard>> all() const;
+  void notifyDemand(DispatchHandle::Shard &PoolShard);
+  [[nodiscard]] std::shared_ptr<DispatchHandle::Shard>
+  findShard(std::string_view Name) const;
+  [[nodiscard]] std::vector<std::shared_ptr<DispatchHandle::Shard>>
+  allShards() const;
 
   RouterOptions Options;
   mutable std::mutex Lock;
-  std::map<std::string, std::shared_ptr<Place::Shard>, std::less<>> Shards;
+  std::map<std::string, std::shared_ptr<DispatchHandle::Shard>, std::less<>>
+      Shards;
   std::map<std::string, std::shared_ptr<SharedTokenBucket>> RetryTokens;
 };
 
--- a/packages/process/test/coltsfoottrail/cli/command.cpp
+++ b/packages/process/test/coltsfoottrail/cli/command.cpp
@@ -5,15 +5,16 @@
 namespace coltsfoottrail {
 namespace {
 
-const Environment Known{{"COLTSFOOTTRAIL_HOST", "10.0.0.1:80,[::1]:81"},
-                        {"COLTSFOOTTRAIL_CREDENTIAL_FILE", "/secret"}};
+const Environment DefaultEnvironment{
+    {"COLTSFOOTTRAIL_HOST", "10.0.0.1:80,[::1]:81"},
+    {"COLTSFOOTTRAIL_CREDENTIAL_FILE", "/secret"}};
 
 CommandLine parse(std::vector<std::string> Arguments) {
-  return parseCommandLine(std::move(Arguments), Known);
+  return parseCommandLine(std::move(Arguments), DefaultEnvironment);
 }
 
 std::string refusalOf(std::vector<std::string> Arguments,
-                      const Environment &Variables = Known) {
+                      const Environment &Variables = DefaultEnvironment) {
   try {
     (void)parseCommandLine(std::move(Arguments), Variables);
   } catch (const CommandError &Problem) {
@@ -25,7 +26,7 @@
 
 template <class Kind> Kind intentOf(std::vector<std::string> Arguments) {
   const CommandLine Line = parse(std::move(Arguments));
-  return std::get<Kind>(std::get<PlanCommand>(Line.What).Asked);
+  return std::get<Kind>(std::get<PlanCommand>(Line.Command).PlanIntent);
 }
 
 TEST(CommandLine, ReadsIntents) {
@@ -47,7 +48,7 @@
             "d");
 }
 
-TEST(CommandLine, OptionsBeatTheEnvironment) {
+TEST(CommandLine, OptionsOverrideTheEnvironment) {
   const CommandLine Line =
       parse({"confirm", "--host", "10.0.0.9:1", "12", "--wait", "--json",
              "--timeout-ms", "50", "--operator", "ada"});
@@ -57,12 +58,12 @@
   EXPECT_EQ(Line.Options.Timeout, milliseconds(50));
   EXPECT_EQ(Line.Options.Operator, "ada");
   EXPECT_TRUE(Line.Options.AsJson);
-  EXPECT_EQ(std::get<ConfirmCommand>(Line.What).Plan, 12U);
-  EXPECT_TRUE(std::get<ConfirmCommand>(Line.What).Wait);
+  EXPECT_EQ(std::get<ConfirmCommand>(Line.Command).Plan, 12U);
+  EXPECT_TRUE(std::get<ConfirmCommand>(Line.Command).Wait);
   EXPECT_EQ(parse({"status"}).Options.Hosts.at(1), (EngineAddress{"::1", 81}));
 }
 
-TEST(CommandLine, RefusesWhatIsNotExact) {
+TEST(CommandLine, RefusesMalformedArguments) {
   for (const std::string Number : {"7x", "-", "0x7", "", "1.5", "+7", "100001"})
     EXPECT_NE(refusalOf({"plan", "capacity", "m", "d", Number})
                   .find("allowed: a whole number"),
@@ -96,7 +97,7 @@
 TEST(CommandLine, HelpNeedsNoHost) {
   const CommandLine Line =
       parseCommandLine({"plan", "capacity", "-h"}, Environment{});
-  const std::string Text = std::get<TextCommand>(Line.What).Text;
+  const std::string Text = std::get<TextCommand>(Line.Command).Text;
   EXPECT_TRUE(
       Text.starts_with("usage: coltsfoottrail plan capacity MODEL DC N"));
   EXPECT_NE(Text.find("exit codes:"), std::string::npos);
--- a/packages/process/test/coltsfoottrail/server/orders.cpp
+++ b/packages/process/test/coltsfoottrail/server/orders.cpp
@@ -3,129 +3,137 @@
 namespace coltsfoottrail::testing {
 namespace {
 
-class Orders3 : public Bench {
+class OrdersOnThreeHosts : public ClusterFixture {
 protected:
   void SetUp() override {
     addHost("entry-1", "east");
     addHost("entry-2", "north");
     addHost("entry-3", "west");
     ASSERT_TRUE(allReady());
-    declare();
+    applyDeclaration();
   }
 };
 
-// A foreman's phone loses the answer to a sign order and sends it again; the
-// balancer hands it to another entry host. The road must not get two sets of
-// barriers: the second host has to find the first one's claim on the log.
-TEST_F(Orders3, SameKeyThroughAnotherHostRunsOnce) {
+// Guards against running an order twice when a caller loses the response and
+// repeats the order through another entry host: the second host must find the
+// first one's claim on the log.
+TEST_F(OrdersOnThreeHosts, SameKeyThroughAnotherHostRunsOnce) {
   const HttpResponse First =
-      call(Hosts[0]->callerPort(), order("order-17", "close lane 2"));
+      call(Hosts[0]->callerPort(), orderRequest("order-17", "close lane 2"));
   ASSERT_EQ(First.Status, 200U) << First.Body;
   const HttpResponse Second =
-      call(Hosts[1]->callerPort(), order("order-17", "close lane 2"));
+      call(Hosts[1]->callerPort(), orderRequest("order-17", "close lane 2"));
   EXPECT_EQ(Second.Status, 200U) << Second.Body;
   EXPECT_EQ(Second.Body, First.Body);
   EXPECT_EQ(fieldOf(Second.Fields, "Coltsfoottrail-Replayed"), "true");
-  EXPECT_EQ(Orders.runsOf("close lane 2"), 1U);
+  EXPECT_EQ(OrderService.executionsOf("close lane 2"), 1U);
 }
 
-// The same key comes with another order: running it would hide a mistake, and
-// answering with the first one's outcome would be a lie.
-TEST_F(Orders3, SameKeyWithAnotherBodyIsRefused) {
-  ASSERT_EQ(call(Hosts[0]->callerPort(), order("k", "one")).Status, 200U);
-  const HttpResponse Other = call(Hosts[2]->callerPort(), order("k", "two"));
+// Guards against reuse of a key for another order: it must be neither run nor
+// answered with the first order's outcome.
+TEST_F(OrdersOnThreeHosts, SameKeyWithAnotherBodyIsRefused) {
+  ASSERT_EQ(call(Hosts[0]->callerPort(), orderRequest("k", "one")).Status,
+            200U);
+  const HttpResponse Other =
+      call(Hosts[2]->callerPort(), orderRequest("k", "two"));
   EXPECT_EQ(Other.Status, 422U);
   EXPECT_EQ(Json::parse(Other.Body).at("reason"), "key-reused");
-  EXPECT_EQ(Orders.runsOf("two"), 0U);
+  EXPECT_EQ(OrderService.executionsOf("two"), 0U);
 }
 
-// The service runs an order and its answer is lost. The caller must hear "may
-// have run", also when it asks again through another host, and it never runs a
-// second time.
-TEST_F(Orders3, LostAnswerIsNeverRunAgain) {
-  Orders.setLoseAnswers(true);
-  const HttpResponse First = call(Hosts[0]->callerPort(), order("k", "sign"));
+// Guards against a second run after the response of the service was lost: the
+// caller must get "may have run", also when it repeats the order through
+// another host.
+TEST_F(OrdersOnThreeHosts, LostAnswerIsNeverRunAgain) {
+  OrderService.setLoseAnswers(true);
+  const HttpResponse First =
+      call(Hosts[0]->callerPort(), orderRequest("k", "sign"));
   EXPECT_EQ(First.Status, 502U);
   EXPECT_EQ(Json::parse(First.Body).at("verdict"), "may-have-run");
-  Orders.setLoseAnswers(false);
-  const HttpResponse Again = call(Hosts[1]->callerPort(), order("k", "sign"));
-  EXPECT_EQ(Json::parse(Again.Body).at("verdict"), "may-have-run");
-  EXPECT_EQ(Orders.runsOf("sign"), 1U);
+  OrderService.setLoseAnswers(false);
+  const HttpResponse Repeated =
+      call(Hosts[1]->callerPort(), orderRequest("k", "sign"));
+  EXPECT_EQ(Json::parse(Repeated.Body).at("verdict"), "may-have-run");
+  EXPECT_EQ(OrderService.executionsOf("sign"), 1U);
 }
 
-// The log is down: no claim can be proved. The order must not be sent, and the
-// caller hears that it has not run.
-TEST_F(Orders3, NoClaimNoRunWhileTheLogIsDown) {
+// Guards against sending an order without a proven claim: while the log is
+// down, the caller gets "not run".
+TEST_F(OrdersOnThreeHosts, NoClaimNoRunWhileTheLogIsDown) {
   LogService.setFaults({.Down = true});
-  HttpRequest Asked = order("k", "sign");
-  Asked.Fields.push_back({"Coltsfoottrail-Deadline-Ms", "400"});
-  const HttpResponse Got = call(Hosts[0]->callerPort(), std::move(Asked));
-  EXPECT_EQ(Got.Status, 503U);
-  EXPECT_EQ(Json::parse(Got.Body).at("verdict"), "not-run");
-  EXPECT_EQ(Json::parse(Got.Body).at("reason"), "claim-unavailable");
-  EXPECT_EQ(Orders.runs(), 0U);
+  HttpRequest Request = orderRequest("k", "sign");
+  Request.Fields.push_back({"Coltsfoottrail-Deadline-Ms", "400"});
+  const HttpResponse Response =
+      call(Hosts[0]->callerPort(), std::move(Request));
+  EXPECT_EQ(Response.Status, 503U);
+  EXPECT_EQ(Json::parse(Response.Body).at("verdict"), "not-run");
+  EXPECT_EQ(Json::parse(Response.Body).at("reason"), "claim-unavailable");
+  EXPECT_EQ(OrderService.runs(), 0U);
 }
 
-// An order without a key loses its answer; it may have run, so nobody may send
-// it again on the caller's behalf.
-TEST_F(Orders3, WithoutAKeyItIsSentOnceAtTheMost) {
-  Orders.setLoseAnswers(true);
-  const HttpResponse Got = call(Hosts[0]->callerPort(), order("", "sign"));
-  EXPECT_EQ(Json::parse(Got.Body).at("verdict"), "may-have-run");
-  EXPECT_EQ(Orders.runsOf("sign"), 1U);
+// Guards against retrying an order without a key whose response was lost: it
+// may have run.
+TEST_F(OrdersOnThreeHosts, WithoutAKeyItIsSentOnceAtTheMost) {
+  OrderService.setLoseAnswers(true);
+  const HttpResponse Response =
+      call(Hosts[0]->callerPort(), orderRequest("", "sign"));
+  EXPECT_EQ(Json::parse(Response.Body).at("verdict"), "may-have-run");
+  EXPECT_EQ(OrderService.executionsOf("sign"), 1U);
 }
 
-// The settlement follows the answer by one append, so the outcome may be "in
-// progress" for a moment; it is never "not run" or "not known".
-TEST_F(Orders3, OutcomeCanBeAskedFor) {
-  ASSERT_EQ(call(Hosts[0]->callerPort(), order("k9", "sign")).Status, 200U);
-  HttpRequest Asked;
-  Asked.Target = "/outcomes/k9";
-  Asked.Fields = {{"Authorization", "Bearer " + std::string(TeamCredential)}};
+// The settlement is appended after the response is sent, so the outcome may be
+// "in progress" for a moment; it is never "not run" or "not known".
+TEST_F(OrdersOnThreeHosts, OutcomeCanBeAskedFor) {
+  ASSERT_EQ(call(Hosts[0]->callerPort(), orderRequest("k9", "sign")).Status,
+            200U);
+  HttpRequest Request;
+  Request.Target = "/outcomes/k9";
+  Request.Fields = {{"Authorization", "Bearer " + std::string(TeamCredential)}};
   std::string Verdict = "in-progress";
   EXPECT_TRUE(eventually([&] {
     if (Verdict == "in-progress")
-      Verdict = Json::parse(call(Hosts[2]->callerPort(), Asked).Body)
+      Verdict = Json::parse(call(Hosts[2]->callerPort(), Request).Body)
                     .at("verdict")
                     .get<std::string>();
     return Verdict != "in-progress";
   }));
   EXPECT_EQ(Verdict, "ran");
-  Asked.Target = "/outcomes/never-used";
-  const HttpResponse Unknown = call(Hosts[2]->callerPort(), Asked);
+  Request.Target = "/outcomes/never-used";
+  const HttpResponse Unknown = call(Hosts[2]->callerPort(), Request);
   EXPECT_EQ(Json::parse(Unknown.Body).at("verdict"), "not-known");
 }
 
-// A host stops as planned right after it has answered an order. The order's
-// repeat at another host must get the answer, not "may have run": the stop
-// waits until the outcome is on the log.
-TEST_F(Orders3, PlannedStopLeavesTheOutcomeBehind) {
+// Guards against losing an outcome when a host performs a planned stop right
+// after it answered an order: the stop waits until the outcome is on the log,
+// so a repeat at another host gets the stored response instead of "may have
+// run".
+TEST_F(OrdersOnThreeHosts, PlannedStopLeavesTheOutcomeBehind) {
   const HttpResponse First =
-      call(Hosts[0]->callerPort(), order("stop-1", "sign"));
+      call(Hosts[0]->callerPort(), orderRequest("stop-1", "sign"));
   ASSERT_EQ(First.Status, 200U) << First.Body;
   LogService.setFaults({.Delay = milliseconds(60)});
   EXPECT_EQ(Hosts[0]->stop(), 0U);
   LogService.setFaults({});
-  const HttpResponse Again =
-      call(Hosts[1]->callerPort(), order("stop-1", "sign"));
-  EXPECT_EQ(Again.Status, 200U) << Again.Body;
-  EXPECT_EQ(Again.Body, First.Body);
-  EXPECT_EQ(Orders.runsOf("sign"), 1U);
+  const HttpResponse Repeated =
+      call(Hosts[1]->callerPort(), orderRequest("stop-1", "sign"));
+  EXPECT_EQ(Repeated.Status, 200U) << Repeated.Body;
+  EXPECT_EQ(Repeated.Body, First.Body);
+  EXPECT_EQ(OrderService.executionsOf("sign"), 1U);
 }
 
-TEST_F(Orders3, WrongInputIsRefusedAsNotRun) {
-  HttpRequest NoCredential = order("k", "x");
+TEST_F(OrdersOnThreeHosts, WrongInputIsRefusedAsNotRun) {
+  HttpRequest NoCredential = orderRequest("k", "x");
   NoCredential.Fields.clear();
   EXPECT_EQ(call(Hosts[0]->callerPort(), NoCredential).Status, 401U);
-  HttpRequest Unknown = order("k", "x");
+  HttpRequest Unknown = orderRequest("k", "x");
   Unknown.Target = "/services/nothing/here";
   EXPECT_EQ(call(Hosts[0]->callerPort(), Unknown).Status, 404U);
-  HttpRequest Large = order("k", std::string(65U << 10U, 'x'));
+  HttpRequest Large = orderRequest("k", std::string(65U << 10U, 'x'));
   EXPECT_EQ(call(Hosts[0]->callerPort(), Large).Status, 413U);
-  HttpRequest Deadline = order("k", "x");
+  HttpRequest Deadline = orderRequest("k", "x");
   Deadline.Fields.push_back({"Coltsfoottrail-Deadline-Ms", "soon"});
   EXPECT_EQ(call(Hosts[0]->callerPort(), Deadline).Status, 400U);
-  EXPECT_EQ(Orders.runs(), 0U);
+  EXPECT_EQ(OrderService.runs(), 0U);
 }
 
 } // namespace
--- a/packages/request/src/coltsfoottrail/claims/owner.cpp
+++ b/packages/request/src/coltsfoottrail/claims/owner.cpp
@@ -80,16 +80,16 @@
     Now.insert(Member.Run);
   for (const Incarnation Run : Present)
     if (!Now.contains(Run))
-      Departed.insert(Run);
-  while (Departed.size() > MaxTrackedRuns)
-    Departed.erase(Departed.begin());
+      DepartedHosts.insert(Run);
+  while (DepartedHosts.size() > MaxTrackedRuns)
+    DepartedHosts.erase(DepartedHosts.begin());
   Present = std::move(Now);
 }
 
 bool ClaimantWatch::isGone(Incarnation Run, TimePoint Now) {
   if (Present.contains(Run))
     return false;
-  if (Departed.contains(Run))
+  if (DepartedHosts.contains(Run))
     return true;
   // Failure guarded against: this host's view of the members is stale, and a
   // claimant that has just joined would be considered gone while it is running.
--- a/packages/request/src/coltsfoottrail/claims/owner.hpp
+++ b/packages/request/src/coltsfoottrail/claims/owner.hpp
@@ -33,7 +33,7 @@
 private:
   seconds Grace;
   std::set<Incarnation> Present;
-  std::set<Incarnation> Departed;
+  std::set<Incarnation> DepartedHosts;
   /// Runs that were never members, with the time of the first query for each.
   std::map<Incarnation, TimePoint> UnknownSince;
 };
--- a/packages/request/src/coltsfoottrail/dispatch/dispatcher.cpp
+++ b/packages/request/src/coltsfoottrail/dispatch/dispatcher.cpp
@@ -362,7 +362,7 @@
 void Dispatcher::handleFailure(Ticket Id, const AttemptResult &Result,
                                TimePoint Now, Commands &Output) {
   RequestState &Request = *Requests.find(Id);
-  Request.State = laterOf(Request.State, Result.State);
+  Request.State = laterRunState(Request.State, Result.State);
   Request.LastFailureReason = Result.FailureReason;
   Request.LastFailureTime = Now;
   Request.Resumable = Request.Resumable || Result.Resumable;
@@ -681,7 +681,7 @@
 void Dispatcher::refuse(Ticket Id, Verdict Refusal, RetryStop Stop,
                         Commands &Output) {
   const RequestState &Request = *Requests.find(Id);
-  Refusal.State = laterOf(Refusal.State, Request.State);
+  Refusal.State = laterRunState(Refusal.State, Request.State);
   const RefusalDetails Basis{Stop, Request.Attempts, Request.BudgetWaits,
                              Choice.size(), Request.LastFailureTime};
   ++Counts.Refused;
--- a/packages/version/src/coltsfoottrail/groups/former.cpp
+++ b/packages/version/src/coltsfoottrail/groups/former.cpp
@@ -40,12 +40,12 @@
                     const Group &Current, std::size_t Rank) {
   JoinGroup Join;
   Join.Group = Id;
-  Join.Model = Current.Formed.Model;
-  Join.Version = Current.Formed.Version;
-  Join.Adapters = Current.Formed.Adapters;
-  Join.Role = Current.Formed.Role;
+  Join.Model = Current.Spec.Model;
+  Join.Version = Current.Spec.Version;
+  Join.Adapters = Current.Spec.Adapters;
+  Join.Role = Current.Spec.Role;
   Join.Rank = static_cast<std::uint32_t>(Rank);
-  for (const HostName &Member : Current.Formed.Members) {
+  for (const HostName &Member : Current.Spec.Members) {
     const HostSpec *Host = findHost(Agreed.Declared, Member);
     Join.Members.push_back(Host == nullptr
                                ? EngineAddress{}
@@ -57,7 +57,7 @@
 bool isReady(const EngineReport &Report, const GroupId &Id,
              const Group &Current) {
   return Report.Group == Id && Report.Phase == EnginePhase::Ready &&
-         Report.Version == Current.Formed.Version;
+         Report.Version == Current.Spec.Version;
 }
 
 } // namespace
@@ -85,7 +85,7 @@
 
 void GroupFormer::formGroup(const PollContext &Context, const GroupId &Id,
                             const Group &Current, const PlanLease &Lease) {
-  const std::vector<HostName> &Members = Current.Formed.Members;
+  const std::vector<HostName> &Members = Current.Spec.Members;
   std::size_t ReadyCount = 0;
   const HostName *NotReady = nullptr;
   for (std::size_t Rank = 0; Rank < Members.size(); ++Rank) {
@@ -118,7 +118,7 @@
                                 const Group &Current, const PlanLease &Lease,
                                 std::size_t Rank) const {
   const HostSpec *Host =
-      findHost(Context.Agreed.Declared, Current.Formed.Members[Rank]);
+      findHost(Context.Agreed.Declared, Current.Spec.Members[Rank]);
   if (Host == nullptr)
     return false;
   if (Context.Engines.takeRefusedFence(Host->Name))
@@ -149,7 +149,7 @@
   GroupConfirmed Confirmation;
   Confirmation.Group = Id;
   Confirmation.Lease = Lease.Fence;
-  for (const HostName &Member : Current.Formed.Members)
+  for (const HostName &Member : Current.Spec.Members)
     Confirmation.MemberRuns.push_back(
         Context.Engines.reportSince(Member, Context.Now - Times.ConfirmWindow)
             ->Run);
--- a/packages/version/src/coltsfoottrail/groups/lease.cpp
+++ b/packages/version/src/coltsfoottrail/groups/lease.cpp
@@ -12,7 +12,7 @@
            Found->second.Phase != PlanPhase::Running;
   });
   const auto Joined = Agreed.EntryHosts.find(Self);
-  if (Joined == Agreed.EntryHosts.end() || Joined->second.Joined.Run != Run)
+  if (Joined == Agreed.EntryHosts.end() || Joined->second.JoinRecord.Run != Run)
     return;
   for (const auto &[Plan, Progress] : Agreed.Plans) {
     if (Progress.Phase != PlanPhase::Running)
--- a/packages/version/src/coltsfoottrail/groups/releaser.cpp
+++ b/packages/version/src/coltsfoottrail/groups/releaser.cpp
@@ -20,8 +20,9 @@
 const HostSpec *findHostSpec(const State &Agreed, const HostName &Name) {
   if (const HostSpec *Host = findHost(Agreed.Declared, Name))
     return Host;
-  const auto Departed = Agreed.Departed.find(Name);
-  return Departed == Agreed.Departed.end() ? nullptr : &Departed->second;
+  const auto DepartedHosts = Agreed.DepartedHosts.find(Name);
+  return DepartedHosts == Agreed.DepartedHosts.end() ? nullptr
+                                                     : &DepartedHosts->second;
 }
 
 } // namespace
@@ -77,7 +78,7 @@
       Current.Phase == GroupPhase::Stopping && !Current.MemberRuns.empty();
   if (!HasWork)
     Release.MayLeave = true;
-  for (const HostName &Name : Current.Held) {
+  for (const HostName &Name : Current.HeldHosts) {
     const HostSpec *Host = findHostSpec(Context.Agreed, Name);
     if (Host == nullptr)
       continue;
@@ -93,7 +94,7 @@
                               const Group &Current,
                               ReleaseState &Release) const {
   bool Idle = Context.Now - Release.Since >= Times.StopSettle;
-  for (const HostName &Name : Current.Held) {
+  for (const HostName &Name : Current.HeldHosts) {
     if (!Context.Engines.seemsCutOff(Context.Now) &&
         Context.Engines.silentFor(Name, Context.Now) >=
             Times.MemberSilenceLimit) {
--- a/packages/version/src/coltsfoottrail/groups/repairer.cpp
+++ b/packages/version/src/coltsfoottrail/groups/repairer.cpp
@@ -95,8 +95,8 @@
   bool AnyAwaited = false;
   for (const auto &[Id, Current] : Context.Agreed.Groups)
     if (Current.Phase == GroupPhase::Broken &&
-        Current.Formed.Model == Missing.Model &&
-        Current.Formed.DataCentre == Missing.DataCentre)
+        Current.Spec.Model == Missing.Model &&
+        Current.Spec.DataCentre == Missing.DataCentre)
       AnyAwaited = hasSurvivors(Context, Current) || AnyAwaited;
   return AnyAwaited;
 }
@@ -106,7 +106,7 @@
 bool GroupRepairer::hasSurvivors(const PollContext &Context,
                                  const Group &Broken) {
   bool AnySurvivor = false;
-  for (const HostName &Member : Broken.Held) {
+  for (const HostName &Member : Broken.HeldHosts) {
     const HostSpec *Host = findHost(Context.Agreed.Declared, Member);
     if (Host == nullptr)
       continue;
@@ -121,11 +121,11 @@
 GroupRepairer::findProposed(const PollContext &Context,
                             const MissingGroups &Missing) const {
   for (const auto &[Id, Progress] : Context.Agreed.Plans) {
-    const auto *Intended =
-        std::get_if<SetCapacity>(&Progress.Proposed.Proposal.Asked);
+    const auto *Intended = std::get_if<SetCapacity>(
+        &Progress.ProposalRecord.Proposal.RequestedIntent);
     const bool Matches = Progress.Phase == PlanPhase::Proposed &&
                          Intended != nullptr &&
-                         Progress.Proposed.Operator == RepairOperator &&
+                         Progress.ProposalRecord.Operator == RepairOperator &&
                          Intended->Model == Missing.Model &&
                          Intended->DataCentre == Missing.DataCentre;
     const auto Confirmed = ConfirmedAt.find(Id);
--- a/packages/version/src/coltsfoottrail/groups/steps.cpp
+++ b/packages/version/src/coltsfoottrail/groups/steps.cpp
@@ -56,7 +56,8 @@
 
 void StepRunner::runPlan(const PollContext &Context, Offset Plan,
                          const PlanProgress &Progress, const PlanLease &Lease) {
-  const Step &Current = Progress.Proposed.Proposal.Steps.at(Progress.StepsDone);
+  const Step &Current =
+      Progress.ProposalRecord.Proposal.Steps.at(Progress.StepsDone);
   Outcome Result;
   if (const auto *Form = std::get_if<FormGroup>(&Current))
     Result = formOutcome(Context, Plan, Progress, *Form);
@@ -88,7 +89,7 @@
   const auto Entry = Context.Agreed.Groups.find(Id);
   const std::string LossReason = "group " + textOf(Id) + " broke";
   if (Entry == Context.Agreed.Groups.end()) {
-    const bool WasFormed = Progress.Formed.contains(Form.Number);
+    const bool WasFormed = Progress.FormedGroups.contains(Form.Number);
     return WasFormed ? Outcome{StepStatus::Impossible, LossReason} : Outcome{};
   }
   switch (Entry->second.Phase) {
@@ -112,11 +113,11 @@
     return Outcome{StepStatus::Finished, {}};
   const Group &Current = Entry->second;
   if (Current.Phase != GroupPhase::Broken ||
-      !isTimedOut(Context, Plan, Progress.StepsDone, Current.Held.size()))
+      !isTimedOut(Context, Plan, Progress.StepsDone, Current.HeldHosts.size()))
     return Outcome{};
-  return Outcome{StepStatus::Impossible, "host " + Current.Held.begin()->Text +
-                                             " of group " + textOf(Stop.Group) +
-                                             " has not proved that it stopped"};
+  return Outcome{StepStatus::Impossible,
+                 "host " + Current.HeldHosts.begin()->Text + " of group " +
+                     textOf(Stop.Group) + " has not proved that it stopped"};
 }
 
 StepRunner::Outcome StepRunner::swapOutcome(const PollContext &Context,
@@ -130,7 +131,7 @@
     return Outcome{StepStatus::Impossible,
                    "group " + textOf(Swap.Group) + " broke"};
   std::size_t WaitingCount = 0;
-  for (const HostName &Member : Entry->second.Formed.Members) {
+  for (const HostName &Member : Entry->second.Spec.Members) {
     const HostSpec *Host = findHost(Context.Agreed.Declared, Member);
     if (Host == nullptr)
       continue;
--- a/packages/version/src/coltsfoottrail/groups/watch.cpp
+++ b/packages/version/src/coltsfoottrail/groups/watch.cpp
@@ -38,9 +38,9 @@
                                                    const Group &Source,
                                                    TimePoint Now) const {
   WatchedGroup Group;
-  for (std::size_t Rank = 0; Rank < Source.Formed.Members.size(); ++Rank) {
+  for (std::size_t Rank = 0; Rank < Source.Spec.Members.size(); ++Rank) {
     WatchedMember Member;
-    Member.Host = Source.Formed.Members[Rank];
+    Member.Host = Source.Spec.Members[Rank];
     if (const HostSpec *Host = findHost(Agreed.Declared, Member.Host))
       Member.Address = EngineAddress{Host->Address, Host->Port};
     if (Rank < Source.MemberRuns.size())
--- a/packages/version/src/coltsfoottrail/groups/watchplan.cpp
+++ b/packages/version/src/coltsfoottrail/groups/watchplan.cpp
@@ -11,7 +11,7 @@
 WatchPlan::WatchPlan(const std::map<HostName, EntryHost> &EntryHosts)
     : Digest(digestOf(EntryHosts)) {
   for (const auto &[Name, Host] : EntryHosts)
-    HostsByDataCentre[Host.Joined.DataCentre].push_back(Name);
+    HostsByDataCentre[Host.JoinRecord.DataCentre].push_back(Name);
 }
 
 std::uint64_t
@@ -19,7 +19,7 @@
   std::uint64_t Digest = EntryHosts.size();
   for (const auto &[Name, Host] : EntryHosts) {
     Digest = hashText(Name.Text, Digest);
-    Digest = hashText(Host.Joined.DataCentre.Text, Digest);
+    Digest = hashText(Host.JoinRecord.DataCentre.Text, Digest);
   }
   return Digest;
 }
@@ -37,8 +37,7 @@
   for (const auto &[Id, Serving] : Agreed.Groups) {
     if (Serving.Phase != GroupPhase::Serving || Watchers.contains(Id))
       continue;
-    std::vector<HostName> Chosen =
-        chooseWatchers(Id, Serving.Formed.DataCentre);
+    std::vector<HostName> Chosen = chooseWatchers(Id, Serving.Spec.DataCentre);
     for (const HostName &Name : Chosen)
       Watched[Name].insert(Id);
     Watchers.emplace(Id, std::move(Chosen));
--- a/packages/version/src/coltsfoottrail/membership/membership.cpp
+++ b/packages/version/src/coltsfoottrail/membership/membership.cpp
@@ -25,7 +25,7 @@
                             MembershipCommands &Out) {
   const auto OwnEntry = Agreed.EntryHosts.find(Options.Self.Host);
   const bool IsMember = OwnEntry != Agreed.EntryHosts.end() &&
-                        OwnEntry->second.Joined.Run == Options.Self.Run;
+                        OwnEntry->second.JoinRecord.Run == Options.Self.Run;
   // Failure guarded against: this run was suspended, and its peers have removed
   // it and taken over what it held. It must not continue under its old run, nor
   // append the old join again: what was granted to that run is void everywhere.
@@ -37,7 +37,7 @@
   Joined = IsMember;
   std::map<HostName, Incarnation> NewMembers;
   for (const auto &[Name, Entry] : Agreed.EntryHosts)
-    NewMembers.emplace(Name, Entry.Joined.Run);
+    NewMembers.emplace(Name, Entry.JoinRecord.Run);
   if (NewMembers == Members)
     return;
   Members = std::move(NewMembers);
--- a/packages/version/src/coltsfoottrail/route/table.cpp
+++ b/packages/version/src/coltsfoottrail/route/table.cpp
@@ -28,7 +28,7 @@
 /// @return Whether every member is declared and none is drained.
 bool addMembers(const State &Agreed, const Group &Source,
                 EndpointSpec &Endpoint) {
-  for (const HostName &Name : Source.Formed.Members) {
+  for (const HostName &Name : Source.Spec.Members) {
     const HostSpec *const Host = findHost(Agreed.Declared, Name);
     if (Host == nullptr || isDrained(Agreed, Name, Host->DataCentre))
       return false;
@@ -39,8 +39,7 @@
 
 void addGroup(const State &Agreed, const GroupId &Id, const Group &Source,
               RouteTable &Table) {
-  const ModelSpec *const Model =
-      findModel(Agreed.Declared, Source.Formed.Model);
+  const ModelSpec *const Model = findModel(Agreed.Declared, Source.Spec.Model);
   if (Source.Phase != GroupPhase::Serving || Model == nullptr)
     return;
   EndpointSpec Endpoint;
@@ -48,13 +47,13 @@
     return;
   Endpoint.Key = endpointKey(Id, Source.Generation);
   Endpoint.Address = Endpoint.Members.front();
-  Endpoint.Host = Source.Formed.Members.front();
-  Endpoint.DataCentre = Source.Formed.DataCentre;
+  Endpoint.Host = Source.Spec.Members.front();
+  Endpoint.DataCentre = Source.Spec.DataCentre;
   Endpoint.WarmBound = Model->WarmBound;
   Endpoint.ColdBound = Model->ColdBound;
   Endpoint.MemberRuns = Source.MemberRuns;
-  Endpoint.Role = Source.Formed.Role;
-  Endpoint.Version = Source.Formed.Version;
+  Endpoint.Role = Source.Spec.Role;
+  Endpoint.Version = Source.Spec.Version;
   Table.Pools.find(modelPoolName(Model->Name.Text))
       ->second.Endpoints.push_back(std::move(Endpoint));
 }
--- a/packages/version/test/coltsfoottrail/groups/executor.cpp
+++ b/packages/version/test/coltsfoottrail/groups/executor.cpp
@@ -69,7 +69,7 @@
     World.run(seconds(100));
     EXPECT_TRUE(World.allServe(2));
     for (const auto &[Id, Current] : World.Agreed.Groups)
-      EXPECT_EQ(Current.Formed.Version, NextVersion);
+      EXPECT_EQ(Current.Spec.Version, NextVersion);
     EXPECT_EQ(World.Agreed.Plans.at(Plan).Phase, PlanPhase::Done);
     expectNoViolations(World);
   }
@@ -165,7 +165,7 @@
   const TimePoint Broken = World.Clock;
   World.breakGroup(Id, hostIn(East, 0, 1));
   ASSERT_TRUE(World.runUntil(
-      [&] { return !World.Agreed.Occupied.contains(Host); }, LongTimeout));
+      [&] { return !World.Agreed.OccupiedHosts.contains(Host); }, LongTimeout));
   EXPECT_LE(World.Clock - Broken, seconds(5));
   JoinGroup Late;
   Late.Group = Id;
@@ -187,7 +187,7 @@
     World.Engines.at(Host).Unreachable = true;
   ASSERT_TRUE(World.runUntil(
       [&] { return World.serving() == 2 && !World.plansRun(); }, LongTimeout));
-  for (const auto &[Host, Group] : World.Agreed.Occupied) {
+  for (const auto &[Host, Group] : World.Agreed.OccupiedHosts) {
     const bool Serves =
         World.Agreed.Groups.at(Group).Phase == GroupPhase::Serving;
     EXPECT_TRUE(Serves || World.Engines.at(Host).Unreachable) << Host.Text;
@@ -195,7 +195,7 @@
   for (const HostName &Host : Unreachable)
     World.Engines.at(Host).Unreachable = false;
   EXPECT_TRUE(World.runUntil([&] { return World.allServe(2); }, LongTimeout));
-  EXPECT_EQ(World.Agreed.Occupied.size(), 4U);
+  EXPECT_EQ(World.Agreed.OccupiedHosts.size(), 4U);
   expectNoViolations(World);
 }
 
@@ -205,17 +205,18 @@
   Fleet World(makeDeclaration(2, 4, signageModel(3, 1)), 3, 2);
   ASSERT_TRUE(World.runUntil([&] { return World.allServe(1); }, LongTimeout));
   const auto [Id, Current] = *World.Agreed.Groups.begin();
-  const HostName Lost = Current.Formed.Members[1];
+  const HostName Lost = Current.Spec.Members[1];
   World.Engines.at(Lost).Unreachable = true;
   World.breakGroup(Id, Lost);
   ASSERT_TRUE(
       World.runUntil([&] { return World.serving() == 1; }, LongTimeout));
   std::size_t Kept = 0;
-  for (const HostName &Member : Current.Formed.Members) {
-    const auto Assigned = World.Agreed.Occupied.find(Member);
-    Kept += Assigned != World.Agreed.Occupied.end() && Assigned->second != Id
-                ? 1
-                : 0;
+  for (const HostName &Member : Current.Spec.Members) {
+    const auto Assigned = World.Agreed.OccupiedHosts.find(Member);
+    Kept +=
+        Assigned != World.Agreed.OccupiedHosts.end() && Assigned->second != Id
+            ? 1
+            : 0;
   }
   EXPECT_EQ(Kept, 2U);
   expectNoViolations(World);
@@ -237,7 +238,7 @@
     EXPECT_FALSE(Node->Agent->mayRoute(Id, World.Clock));
   ASSERT_TRUE(
       World.runUntil([&] { return World.serving() == 1; }, seconds(60)));
-  const GroupId Next = World.Agreed.Occupied.at(hostIn(East, 0, 0));
+  const GroupId Next = World.Agreed.OccupiedHosts.at(hostIn(East, 0, 0));
   EXPECT_NE(Next, Id);
   World.run(seconds(4));
   for (const auto &Node : World.Nodes)
@@ -263,11 +264,11 @@
   std::erase_if(Without.Hosts,
                 [&](const HostSpec &Host) { return Host.Name == Lost; });
   World.applyIntent(ApplyDeclaration{Without});
-  ASSERT_TRUE(World.Agreed.Departed.contains(Lost));
+  ASSERT_TRUE(World.Agreed.DepartedHosts.contains(Lost));
   EXPECT_THROW((void)planIntent(World.Agreed, ApplyDeclaration{Declared}),
                PlanError);
   World.run(seconds(60));
-  EXPECT_TRUE(World.Agreed.Occupied.contains(Lost));
+  EXPECT_TRUE(World.Agreed.OccupiedHosts.contains(Lost));
   World.Engines.at(Lost).Unreachable = false;
   EXPECT_TRUE(World.runUntil([&] { return World.allServe(1); }, LongTimeout));
   EXPECT_FALSE(World.Engines.at(Lost).Current.Group);
@@ -281,10 +282,10 @@
   Fleet World(makeDeclaration(2, 4, signageModel(3, 1)), 3, 2);
   ASSERT_TRUE(World.runUntil([&] { return World.allServe(1); }, LongTimeout));
   const auto [Id, Current] = *World.Agreed.Groups.begin();
-  World.Engines.at(Current.Formed.Members[1]).Unreachable = true;
+  World.Engines.at(Current.Spec.Members[1]).Unreachable = true;
   World.Engines.at(hostIn(East, 0, 3)).Unreachable = true;
   const TimePoint Broken = World.Clock;
-  World.breakGroup(Id, Current.Formed.Members[1]);
+  World.breakGroup(Id, Current.Spec.Members[1]);
   ASSERT_TRUE(
       World.runUntil([&] { return World.serving() == 1; }, LongTimeout));
   EXPECT_LE(World.Clock - Broken, seconds(30));
@@ -307,7 +308,7 @@
   EXPECT_EQ(World.Agreed.Plans.at(Plan).Phase, PlanPhase::Running);
   Leader.Current.Running = 0;
   EXPECT_TRUE(World.runUntil([&] { return !World.plansRun(); }, seconds(30)));
-  EXPECT_TRUE(World.Agreed.Occupied.empty());
+  EXPECT_TRUE(World.Agreed.OccupiedHosts.empty());
   expectNoViolations(World);
 }
 
@@ -341,7 +342,7 @@
       World.runUntil([&] { return World.serving() == 2; }, seconds(40)));
   EXPECT_TRUE(World.runUntil(
       [&] { return World.allServe(3) && !World.plansRun(); }, LongTimeout));
-  EXPECT_FALSE(World.Agreed.Occupied.contains(Bad));
+  EXPECT_FALSE(World.Agreed.OccupiedHosts.contains(Bad));
   expectNoViolations(World);
 }
 
@@ -352,7 +353,7 @@
   World.LoseOneIn = 3;
   World.applyIntent(SetAdapters{Signage, Adapters});
   EXPECT_TRUE(World.runUntil([&] { return !World.plansRun(); }, LongTimeout));
-  EXPECT_EQ(World.Agreed.Groups.begin()->second.Formed.Adapters, Adapters);
+  EXPECT_EQ(World.Agreed.Groups.begin()->second.Spec.Adapters, Adapters);
   EXPECT_EQ(World.Engines.at(hostIn(East, 0, 1)).Current.Adapters, Adapters);
   expectNoViolations(World);
 }
@@ -389,7 +390,7 @@
   case 6: {
     const auto First = World.Agreed.Groups.begin();
     if (First != World.Agreed.Groups.end())
-      World.breakGroup(First->first, First->second.Formed.Members.front());
+      World.breakGroup(First->first, First->second.Spec.Members.front());
     break;
   }
   case 7:
--- a/packages/version/test/coltsfoottrail/groups/fleet.hpp
+++ b/packages/version/test/coltsfoottrail/groups/fleet.hpp
@@ -346,7 +346,7 @@
   void appendBytes(std::vector<std::byte> Bytes) {
     const FoldResult Result = foldRecord(Agreed, Log.size(), Bytes);
     if (Result.Effect != FoldEffect::Applied)
-      Refused.push_back(std::to_string(Log.size()) + ": " + Result.Why);
+      Refused.push_back(std::to_string(Log.size()) + ": " + Result.Reason);
     Log.push_back(std::move(Bytes));
   }
 
@@ -363,8 +363,8 @@
   /// Records a violation if an engine with the confirmed run of this group is
   /// in another group.
   void checkMembers(const GroupId &Id, const Group &Current) {
-    for (std::size_t Rank = 0; Rank < Current.Formed.Members.size(); ++Rank) {
-      const HostName &Host = Current.Formed.Members[Rank];
+    for (std::size_t Rank = 0; Rank < Current.Spec.Members.size(); ++Rank) {
+      const HostName &Host = Current.Spec.Members[Rank];
       const EngineReport Report = Engines.at(Host).report(Clock);
       if (Report.Run == Current.MemberRuns[Rank] && Report.Group &&
           Report.Group != Id)
--- a/packages/version/test/coltsfoottrail/groups/lease.cpp
+++ b/packages/version/test/coltsfoottrail/groups/lease.cpp
@@ -15,7 +15,7 @@
 public:
   TwoKeepers() {
     for (const char *Name : {"a", "b"})
-      Agreed.EntryHosts[HostName(Name)].Joined =
+      Agreed.EntryHosts[HostName(Name)].JoinRecord =
           EntryHostJoined{HostName(Name), 1, East, "127.0.0.1", 1, 2};
     Agreed.Plans[Plan].Phase = PlanPhase::Running;
     Agreed.Next = Plan + 2;
@@ -35,7 +35,7 @@
 private:
   void applyRequest(const ExecutorTaken &Request) {
     PlanProgress &Progress = Agreed.Plans.at(Plan);
-    if (Progress.Lease != Request.Replaces)
+    if (Progress.Lease != Request.ReplacedLease)
       return;
     Progress.Lease = ++Agreed.Next;
     Progress.Executor = Request.Host;
--- a/packages/version/test/coltsfoottrail/groups/liveness.cpp
+++ b/packages/version/test/coltsfoottrail/groups/liveness.cpp
@@ -21,7 +21,7 @@
   for (const DataCentreName &Where : {East, West, North})
     for (const char *Number : {"1", "2", "3"}) {
       const HostName Name(Where.Text + "-entry-" + Number);
-      Agreed.EntryHosts[Name].Joined =
+      Agreed.EntryHosts[Name].JoinRecord =
           EntryHostJoined{Name, 7, Where, "127.0.0.1", 1, 2};
     }
   addGroup(Agreed, 10, 0, East, hostsOf(East, 0, 0, 3));
@@ -52,7 +52,7 @@
   World.run(World.Times.AskEvery + milliseconds(200));
   EXPECT_EQ(World.countRouters(First), 0U);
   ASSERT_FALSE(World.Breaks.empty());
-  EXPECT_EQ(World.Breaks[0].Lost, hostIn(East, 0, 1));
+  EXPECT_EQ(World.Breaks[0].LostMember, hostIn(East, 0, 1));
   EXPECT_EQ(World.countRouters(GroupId{10, 1}), 9U);
 }
 
@@ -67,7 +67,7 @@
   EXPECT_EQ(World.countRouters(First), 0U);
   World.run(seconds(3));
   ASSERT_FALSE(World.Breaks.empty());
-  EXPECT_EQ(World.Breaks[0].Lost, hostIn(East, 0, 1));
+  EXPECT_EQ(World.Breaks[0].LostMember, hostIn(East, 0, 1));
 }
 
 // The data centre of a group is cut off from the others, which hold most of its
--- a/packages/version/test/coltsfoottrail/groups/watchers.hpp
+++ b/packages/version/test/coltsfoottrail/groups/watchers.hpp
@@ -37,11 +37,11 @@
     for (const auto &[Name, Host] : Agreed.EntryHosts)
       Nodes.push_back(std::make_unique<Node>(
           Node{Name, GroupWatch(Times, GroupTimes(), Name),
-               GroupLiveness(Times, Name, Host.Joined.Run),
+               GroupLiveness(Times, Name, Host.JoinRecord.Run),
                seconds(Generator.below(1000)), TimePoint(), true, nullptr}));
     for (const auto &[Id, Current] : Agreed.Groups)
-      for (std::size_t Rank = 0; Rank < Current.Formed.Members.size(); ++Rank) {
-        EngineReport &Report = Engines[Current.Formed.Members[Rank]];
+      for (std::size_t Rank = 0; Rank < Current.Spec.Members.size(); ++Rank) {
+        EngineReport &Report = Engines[Current.Spec.Members[Rank]];
         Report.Run = Current.MemberRuns[Rank];
         Report.Group = Id;
         Report.Phase = EnginePhase::Ready;
--- a/packages/version/test/coltsfoottrail/membership/membership.cpp
+++ b/packages/version/test/coltsfoottrail/membership/membership.cpp
@@ -83,7 +83,7 @@
   [[nodiscard]] bool isMember(std::size_t Index) const {
     const auto Found = Agreed.EntryHosts.find(All[Index].Name);
     return Found != Agreed.EntryHosts.end() &&
-           Found->second.Joined.Run == All[Index].Run;
+           Found->second.JoinRecord.Run == All[Index].Run;
   }
 
   /// Whether a message from one host to another is delivered.
@@ -120,7 +120,7 @@
     const auto &Left = std::get<EntryHostLeft>(Body);
     const auto Entry = Agreed.EntryHosts.find(Left.Host);
     if (Entry != Agreed.EntryHosts.end() &&
-        Entry->second.Joined.Run == Left.Run)
+        Entry->second.JoinRecord.Run == Left.Run)
       Agreed.EntryHosts.erase(Entry);
   }
 
--- a/packages/version/test/coltsfoottrail/route/table.cpp
+++ b/packages/version/test/coltsfoottrail/route/table.cpp
@@ -19,8 +19,8 @@
   for (std::uint32_t Index = 0; Index < 3; ++Index) {
     const GroupId Id{10 + Index, 0};
     Group &Entry = Agreed.Groups[Id];
-    Entry.Formed = test::formStep(Agreed.Declared, 0, model(0),
-                                  {host(Index, 0, 0), host(Index, 0, 1)});
+    Entry.Spec = test::formStep(Agreed.Declared, 0, model(0),
+                                {host(Index, 0, 0), host(Index, 0, 1)});
     Entry.Phase = GroupPhase::Serving;
     Entry.Generation = 20 + Index;
     Entry.MemberRuns = {1, 2};
