--- a/packages/request/src/coltsfoottrail/choice/candidates.hpp
+++ b/packages/request/src/coltsfoottrail/choice/candidates.hpp
@@ -19,7 +19,7 @@
 class CandidateTable {
 public:
   /// @brief Makes an empty table.
-  /// @param Own Data centre of this entry host.
+  /// @param OwnDataCentre Data centre of this entry host.
   explicit CandidateTable(DataCentreName OwnDataCentre)
       : Self(std::move(OwnDataCentre)) {}
 
